--- a/crates/sagespool-forward/src/admission.rs
+++ b/crates/sagespool-forward/src/admission.rs
@@ -42,7 +42,7 @@
 /// once, before its body is read, so that its caller finds another instance in time. Urgent ranks
 /// are turned away last, and an account that fills the instance is turned away before the others.
 #[derive(Debug, Default)]
-pub struct AdmissionBoard {
+pub struct AdmissionController {
     /// How long a ready task waits for its turn, in seconds.
     turn_s: f64,
     observed: ClockTime,
@@ -50,18 +50,18 @@
     total: u32,
 }
 
-impl AdmissionBoard {
+impl AdmissionController {
     /// Notes how long a task that was ready has just waited for its turn.
-    pub fn note_turn(&mut self, waited: Duration, now: ClockTime) {
+    pub fn note_scheduling_delay(&mut self, waited: Duration, now: ClockTime) {
         // A single late turn, after a pause or a freeze, is no load: it takes several to count.
-        let before = self.turn(now).as_secs_f64();
+        let before = self.scheduling_delay(now).as_secs_f64();
         let seen = waited.min(LONGEST_SEEN).as_secs_f64();
         self.turn_s = before * (1.0 - NEW_WEIGHT) + seen * NEW_WEIGHT;
         self.observed = now;
     }
 
     /// How long a task that is ready waits for its turn.
-    pub fn turn(&self, now: ClockTime) -> Duration {
+    pub fn scheduling_delay(&self, now: ClockTime) -> Duration {
         match now.since(self.observed) > LONGEST_BELIEF {
             true => Duration::ZERO,
             false => Duration::from_secs_f64(self.turn_s),
@@ -70,7 +70,7 @@
 
     /// Whether a request can be answered in time, as far as this instance's processor goes.
     pub fn admits(&self, request: ArrivedRequest<'_>, now: ClockTime) -> bool {
-        let delay = self.turn(now) * TURNS_AHEAD;
+        let delay = self.scheduling_delay(now) * TURNS_AHEAD;
         if delay > request.time_left {
             return false;
         }
--- a/crates/sagespool-forward/src/demand.rs
+++ b/crates/sagespool-forward/src/demand.rs
@@ -6,15 +6,15 @@
 
 /// A request's terms, decoded from its header.
 #[derive(Debug, Clone, PartialEq)]
-pub struct CallerDemand {
+pub struct RequestAttributes {
     /// The caller's id of this one try.
     pub request: String,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The key that tells the client account.
     pub key: Option<String>,
     /// The tokens that it may use.
-    pub tokens: Option<TokenDemand>,
+    pub tokens: Option<DeclaredTokens>,
     /// The parts of its prompt in order; engines keep what they have read.
     pub parts: Vec<PromptPart>,
     /// The last event that the caller has, if it goes on with a stream.
@@ -23,14 +23,14 @@
 
 /// The tokens that a request declares.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TokenDemand {
+pub struct DeclaredTokens {
     /// Tokens of its prompt.
     pub prompt: TokenCount,
     /// The most tokens of its answer.
     pub answer: TokenCount,
 }
 
-impl TokenDemand {
+impl DeclaredTokens {
     /// The most that the request can cost.
     pub fn most(self) -> TokenCount {
         self.prompt + self.answer
--- a/crates/sagespool-forward/src/events.rs
+++ b/crates/sagespool-forward/src/events.rs
@@ -5,7 +5,7 @@
 /// Guards against joining pieces of two runs: an upstream may stop in the middle of an event, and
 /// what it began must not reach the caller if another upstream goes on after the last whole one.
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     rest: Vec<u8>,
 }
 
@@ -20,7 +20,7 @@
     pub last_id: Option<u64>,
 }
 
-impl EventCutter {
+impl EventSplitter {
     /// Takes bytes as they came.
     pub fn push(&mut self, bytes: &[u8]) -> WholeEvents {
         self.rest.extend_from_slice(bytes);
@@ -40,7 +40,7 @@
     }
 
     /// What came after the last whole event, when the stream has ended by itself.
-    pub fn take_rest(&mut self) -> Vec<u8> {
+    pub fn take_remainder(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.rest)
     }
 }
--- a/crates/sagespool-forward/src/feed.rs
+++ b/crates/sagespool-forward/src/feed.rs
@@ -42,32 +42,32 @@
 /// Times are by a clock that runs on while the machine is suspended: a process that slept must not
 /// take what it knew before for new.
 #[derive(Debug, Default)]
-pub struct ObjectFeed {
+pub struct ChangeFeed {
     /// Removals before this revision are forgotten.
     since: StoreRevision,
     revision: StoreRevision,
     /// The latest time at which the copy was known to be what the store had.
-    true_at: Option<ClockTime>,
+    valid_at: Option<ClockTime>,
     objects: BTreeMap<String, FeedObject>,
 }
 
-impl ObjectFeed {
+impl ChangeFeed {
     /// Takes a whole listing.
-    pub fn take_listing(
+    pub fn apply_listing(
         &mut self,
         revision: StoreRevision,
         objects: Vec<FeedObject>,
-        true_at: ClockTime,
+        valid_at: ClockTime,
     ) {
         self.since = revision;
         self.revision = revision;
         self.objects = objects.into_iter().map(|object| (object.key.clone(), object)).collect();
-        self.true_at = Some(true_at);
+        self.valid_at = Some(valid_at);
     }
 
     /// Takes a change that matters to readers. Changes that don't are left out, so that nobody is
     /// woken by an upstream that only renews its entry.
-    pub fn take_change(&mut self, change: FeedObject) {
+    pub fn apply_change(&mut self, change: FeedObject) {
         self.objects.insert(change.key.clone(), change);
         let removed = |object: &&FeedObject| object.value.is_none();
         if self.objects.values().filter(removed).count() > MOST_REMOVALS {
@@ -77,9 +77,9 @@
     }
 
     /// Notes that all changes up to a revision are in, as of a time.
-    pub fn advance(&mut self, revision: StoreRevision, true_at: ClockTime) {
+    pub fn advance(&mut self, revision: StoreRevision, valid_at: ClockTime) {
         self.revision = self.revision.max(revision);
-        self.true_at = self.true_at.max(Some(true_at));
+        self.valid_at = self.valid_at.max(Some(valid_at));
     }
 
     /// The revision up to which this is complete.
@@ -89,12 +89,12 @@
 
     /// How old the word of this copy is; nothing if there is none.
     pub fn age(&self, now: ClockTime) -> Option<Duration> {
-        self.true_at.map(|at| now.since(at))
+        self.valid_at.map(|at| now.since(at))
     }
 
     /// Whether a reader who knows everything up to a revision has something to learn.
-    pub fn has_after(&self, revision: StoreRevision) -> bool {
-        self.true_at.is_some()
+    pub fn has_changes_after(&self, revision: StoreRevision) -> bool {
+        self.valid_at.is_some()
             && (revision < self.since
                 || self.objects.values().any(|object| object.revision > revision))
     }
@@ -113,11 +113,11 @@
 
 /// How old word may be, so that a change is in force in time.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct FeedTerms {
+pub struct FeedTiming {
     /// Older word isn't taken from a neighbour.
-    pub longest_age: Duration,
+    pub max_age: Duration,
     /// How long a neighbour may keep a question that it has nothing new for.
-    pub ask_wait: Duration,
+    pub poll_wait: Duration,
     /// How long the store may keep a question of an instance that others follow.
     pub watch_wait: Duration,
 }
@@ -127,7 +127,7 @@
 /// Kept for requests that are on their way when the change arrives, and for slow timers.
 const SPARE_SHARE: f64 = 0.15;
 /// How long a neighbour's answer may take beside the wait.
-pub const ANSWER_TIME: Duration = Duration::from_millis(250);
+pub const REPLY_TIMEOUT: Duration = Duration::from_millis(250);
 /// Before the next answer of the store, word is as old as the store's wait, and what the answer and
 /// a busy follower take: the wait is this part of the age.
 const WATCH_SHARE: f64 = 0.6;
@@ -135,21 +135,21 @@
 const LEAST_AGE: Duration = Duration::from_millis(1200);
 const LONGEST_WATCH: Duration = Duration::from_millis(2000);
 
-impl FeedTerms {
+impl FeedTiming {
     /// The terms under which a change is in force within a time; nothing if that is too short to
     /// go by a neighbour's word.
     ///
     /// A neighbour may fall silent right after an answer. Until the question after it is given up,
     /// the reader goes by word as old as may be taken, and the wait, and the answer's time.
     pub fn within(in_force: Duration) -> Option<Self> {
-        let ask_wait = in_force.mul_f64(ASK_SHARE);
-        let spent = ask_wait + ANSWER_TIME + in_force.mul_f64(SPARE_SHARE);
-        let longest_age = in_force.saturating_sub(spent);
-        if longest_age < LEAST_AGE {
+        let poll_wait = in_force.mul_f64(ASK_SHARE);
+        let spent = poll_wait + REPLY_TIMEOUT + in_force.mul_f64(SPARE_SHARE);
+        let max_age = in_force.saturating_sub(spent);
+        if max_age < LEAST_AGE {
             return None;
         }
-        let watch_wait = longest_age.mul_f64(WATCH_SHARE).min(LONGEST_WATCH);
-        Some(Self { longest_age, ask_wait, watch_wait })
+        let watch_wait = max_age.mul_f64(WATCH_SHARE).min(LONGEST_WATCH);
+        Some(Self { max_age, poll_wait, watch_wait })
     }
 }
 
@@ -165,11 +165,11 @@
 /// Whom an instance asks for changes: the neighbours that all agree on without a word, or the store
 /// where they can't be relied on.
 #[derive(Debug, Default)]
-pub struct FeedSources {
+pub struct FeedSourceSelector {
     avoided: Vec<(IncarnationId, ClockTime)>,
 }
 
-impl FeedSources {
+impl FeedSourceSelector {
     /// Chooses among the instances of the own data centre that can be reached. `own_age` is how old
     /// this instance's own word is.
     ///
@@ -180,10 +180,10 @@
         own: IncarnationId,
         neighbours: &[IncarnationId],
         own_age: Option<Duration>,
-        terms: FeedTerms,
+        terms: FeedTiming,
         now: ClockTime,
     ) -> FeedSource {
-        if own_age.is_none_or(|age| age > terms.longest_age) {
+        if own_age.is_none_or(|age| age > terms.max_age) {
             return FeedSource::Store;
         }
         self.avoided.retain(|(_, until)| *until > now);
--- a/crates/sagespool-forward/src/guard.rs
+++ b/crates/sagespool-forward/src/guard.rs
@@ -15,13 +15,13 @@
 
 use sagespool_types::{ClockTime, SendRate, UpstreamName};
 
-use crate::senders::SenderPanel;
+use crate::senders::SenderSelector;
 
 mod shares;
 mod turns;
 
 use shares::{SHARED_SECOND, SenderShares};
-pub use shares::{WarmupTerms, WarmupTraits};
+pub use shares::{WarmupPolicy, WarmupProfile};
 use turns::{LONGEST_PAUSE, NamedLimit};
 
 /// A request may leave this much later than its place was chosen, if a connection is opened first.
@@ -41,8 +41,8 @@
 
 /// The upstreams that are to be spared, as far as this instance knows, and what it sent to them.
 #[derive(Debug)]
-pub struct SendGuard {
-    terms: WarmupTerms,
+pub struct UpstreamThrottle {
+    terms: WarmupPolicy,
     upstreams: HashMap<UpstreamName, GuardedUpstream>,
 }
 
@@ -66,7 +66,7 @@
 
 /// What is known of an upstream's limit, and as of when.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct LimitNotice {
+pub struct RateLimitStatus {
     /// The limit; nothing if it names none any more.
     pub rate: Option<SendRate>,
     /// When that was so.
@@ -75,7 +75,7 @@
 
 /// What an answer changed in what is known of its upstream's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum LimitChange {
+pub enum RateLimitChange {
     /// Nothing.
     Unchanged,
     /// It names a limit, or another than before.
@@ -101,7 +101,7 @@
         &self,
         name: &UpstreamName,
         shares: SenderShares,
-        panel: &SenderPanel,
+        panel: &SenderSelector,
         now: ClockTime,
     ) -> bool {
         let recent = self.sends.iter().filter(|send| now.since(send.left) < SHARED_SECOND).count();
@@ -113,7 +113,7 @@
     fn limit_pause(
         &self,
         name: &UpstreamName,
-        panel: &SenderPanel,
+        panel: &SenderSelector,
         now: ClockTime,
     ) -> Option<Duration> {
         let Some(limit) = self.limit else {
@@ -137,7 +137,12 @@
     }
 
     /// How long until this instance may send one more request; nothing if that is for others to do.
-    fn pause(&self, name: &UpstreamName, panel: &SenderPanel, now: ClockTime) -> Option<Duration> {
+    fn pause(
+        &self,
+        name: &UpstreamName,
+        panel: &SenderSelector,
+        now: ClockTime,
+    ) -> Option<Duration> {
         let limited = self.limit_pause(name, panel, now)?;
         Some(limited.max(self.rest_left(now)))
     }
@@ -147,9 +152,9 @@
     }
 }
 
-impl SendGuard {
+impl UpstreamThrottle {
     /// A guard that knows of no upstream that takes little.
-    pub fn new(terms: WarmupTerms) -> Self {
+    pub fn new(terms: WarmupPolicy) -> Self {
         Self { terms, upstreams: HashMap::new() }
     }
 
@@ -171,13 +176,13 @@
     /// Notes the limit that an answer names, or that it names none. `chosen` is when the place of its
     /// request was chosen: the answer to one that left before the limit was named says nothing of its
     /// end.
-    pub fn note_limit(
+    pub fn note_rate_limit(
         &mut self,
         name: &UpstreamName,
         named: Option<SendRate>,
         chosen: ClockTime,
         now: ClockTime,
-    ) -> LimitChange {
+    ) -> RateLimitChange {
         let Some(rate) = named else {
             return self.end_limit(name, chosen);
         };
@@ -189,25 +194,25 @@
             guarded.sends.push_back(GuardedSend { chosen, left: now, has_left: true });
         }
         match before.is_some_and(|before| before.rate == rate) {
-            true => LimitChange::Unchanged,
-            false => LimitChange::Named(rate),
+            true => RateLimitChange::Unchanged,
+            false => RateLimitChange::Named(rate),
         }
     }
 
-    fn end_limit(&mut self, name: &UpstreamName, chosen: ClockTime) -> LimitChange {
+    fn end_limit(&mut self, name: &UpstreamName, chosen: ClockTime) -> RateLimitChange {
         let Some(guarded) = self.upstreams.get_mut(name) else {
-            return LimitChange::Unchanged;
+            return RateLimitChange::Unchanged;
         };
         if guarded.limit.is_none_or(|limit| chosen < limit.told) {
-            return LimitChange::Unchanged;
+            return RateLimitChange::Unchanged;
         }
         guarded.limit = None;
         guarded.limit_ended = Some(chosen);
-        LimitChange::Ended
+        RateLimitChange::Ended
     }
 
     /// The limited upstreams of which no answer has told for a while.
-    pub fn unheard(&self, now: ClockTime) -> Vec<UpstreamName> {
+    pub fn stale_rate_limits(&self, now: ClockTime) -> Vec<UpstreamName> {
         let is_unheard = |guarded: &GuardedUpstream| {
             guarded.limit.is_some_and(|limit| now.since(limit.told) > UNHEARD_AFTER)
         };
@@ -216,34 +221,38 @@
     }
 
     /// What this instance knows of an upstream's limit; nothing if it never named one.
-    pub fn word_on(&self, name: &UpstreamName) -> Option<LimitNotice> {
+    pub fn rate_limit_status(&self, name: &UpstreamName) -> Option<RateLimitStatus> {
         let guarded = self.upstreams.get(name)?;
         match guarded.limit {
-            Some(limit) => Some(LimitNotice { rate: Some(limit.rate), at: limit.told }),
-            None => guarded.limit_ended.map(|at| LimitNotice { rate: None, at }),
+            Some(limit) => Some(RateLimitStatus { rate: Some(limit.rate), at: limit.told }),
+            None => guarded.limit_ended.map(|at| RateLimitStatus { rate: None, at }),
         }
     }
 
     /// Takes another instance's word on an upstream whose limit is known here, if it is newer.
-    pub fn take_word(&mut self, name: &UpstreamName, word: LimitNotice) -> LimitChange {
+    pub fn merge_rate_limit(
+        &mut self,
+        name: &UpstreamName,
+        word: RateLimitStatus,
+    ) -> RateLimitChange {
         let Some(guarded) = self.upstreams.get_mut(name) else {
-            return LimitChange::Unchanged;
+            return RateLimitChange::Unchanged;
         };
         let Some(limit) = guarded.limit.filter(|limit| limit.told < word.at) else {
-            return LimitChange::Unchanged;
+            return RateLimitChange::Unchanged;
         };
         let Some(rate) = word.rate else {
             guarded.limit = None;
             guarded.limit_ended = Some(word.at);
-            return LimitChange::Ended;
+            return RateLimitChange::Ended;
         };
         guarded.limit = Some(NamedLimit { rate, told: word.at, ..limit });
-        if limit.rate == rate { LimitChange::Unchanged } else { LimitChange::Named(rate) }
+        if limit.rate == rate { RateLimitChange::Unchanged } else { RateLimitChange::Named(rate) }
     }
 
     /// Notes that an upstream wants nothing from this instance for so long. A shorter time doesn't take
     /// back a longer one. True if it didn't rest before.
-    pub fn note_rest(&mut self, name: &UpstreamName, rest: Duration, now: ClockTime) -> bool {
+    pub fn note_backoff(&mut self, name: &UpstreamName, rest: Duration, now: ClockTime) -> bool {
         if rest.is_zero() {
             return false;
         }
@@ -261,8 +270,8 @@
     pub fn admits(
         &self,
         name: &UpstreamName,
-        traits: Option<&WarmupTraits>,
-        panel: &SenderPanel,
+        traits: Option<&WarmupProfile>,
+        panel: &SenderSelector,
         now: ClockTime,
     ) -> bool {
         let Some(guarded) = self.upstreams.get(name) else {
@@ -277,7 +286,7 @@
 
     /// Whether a request whose place was chosen then must not leave any more: the upstream has named a
     /// limit or asked for rest since, as it may while the request waits for a connection.
-    pub fn holds_back(&self, name: &UpstreamName, chosen: ClockTime, now: ClockTime) -> bool {
+    pub fn blocks_dispatch(&self, name: &UpstreamName, chosen: ClockTime, now: ClockTime) -> bool {
         let Some(guarded) = self.upstreams.get(name) else {
             return false;
         };
@@ -288,10 +297,10 @@
 
     /// How long until an upstream that names a limit or rests takes a request again, from this instance
     /// or else from another one. Nothing if it does neither.
-    pub fn next_turn(
+    pub fn next_send_delay(
         &self,
         name: &UpstreamName,
-        panel: &SenderPanel,
+        panel: &SenderSelector,
         now: ClockTime,
     ) -> Option<Duration> {
         let guarded = self.upstreams.get(name)?;
@@ -302,7 +311,7 @@
     }
 
     /// Counts a request whose place is chosen now.
-    pub fn count_send(&mut self, name: &UpstreamName, now: ClockTime) {
+    pub fn count_placement(&mut self, name: &UpstreamName, now: ClockTime) {
         if let Some(guarded) = self.upstreams.get_mut(name) {
             let left = now.after(LONGEST_OPENING);
             guarded.sends.push_back(GuardedSend { chosen: now, left, has_left: false });
@@ -310,7 +319,7 @@
     }
 
     /// Notes that the request whose place was chosen then leaves now.
-    pub fn note_left(&mut self, name: &UpstreamName, chosen: ClockTime, now: ClockTime) {
+    pub fn note_dispatched(&mut self, name: &UpstreamName, chosen: ClockTime, now: ClockTime) {
         let sends = self.upstreams.get_mut(name).map(|guarded| &mut guarded.sends);
         let mut sends = sends.into_iter().flatten();
         if let Some(send) = sends.find(|send| send.chosen == chosen && !send.has_left) {
@@ -347,7 +356,7 @@
     }
 
     /// How many upstreams want nothing from this instance.
-    pub fn resting_count(&self, now: ClockTime) -> usize {
+    pub fn backoff_count(&self, now: ClockTime) -> usize {
         self.upstreams.values().filter(|guarded| !guarded.rest_left(now).is_zero()).count()
     }
 
--- a/crates/sagespool-forward/src/guard/shares.rs
+++ b/crates/sagespool-forward/src/guard/shares.rs
@@ -6,7 +6,7 @@
 
 derives! { record;
     /// What a service's upstreams bear while they are cold.
-    pub struct WarmupTraits {
+    pub struct WarmupProfile {
         /// How long an upstream stays cold after a start.
         pub span: Duration,
         /// Requests that a cold one takes in a second.
@@ -17,7 +17,7 @@
 /// What all instances together may send to a cold upstream in a second: its own figure times
 /// `overage`, and `slack` beside.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct WarmupTerms {
+pub struct WarmupPolicy {
     /// Factor on what a cold upstream takes.
     pub overage: f64,
     /// Requests beside that.
@@ -42,7 +42,7 @@
 
 impl SenderShares {
     /// Divides what a cold upstream bears.
-    pub(super) fn of(traits: &WarmupTraits, terms: WarmupTerms) -> Self {
+    pub(super) fn of(traits: &WarmupProfile, terms: WarmupPolicy) -> Self {
         let limit = (traits.per_second * terms.overage + terms.slack) as usize;
         let each = (limit / (MOST_SENDERS + SPARE_SENDERS)).max(1);
         let senders = (limit / each).saturating_sub(SPARE_SENDERS).min(MOST_SENDERS);
--- a/crates/sagespool-forward/src/lib.rs
+++ b/crates/sagespool-forward/src/lib.rs
@@ -1,16 +1,16 @@
 //! Decisions of forwarding requests straight to upstreams, without any I/O.
 //!
 //! A [`ForwardPlan`] is one version of the configuration: routes, services and client accounts.
-//! [`PlanIndex`] finds the route and the account of a request. [`UpstreamRoster`] holds the
-//! upstreams that may get work, [`PlacementBoard`] chooses among them, [`RetryBudget`] says
-//! whether a request may be sent once more, [`AdmissionBoard`] turns requests away that a busy
-//! instance can't answer in time, [`SendGuard`] spares upstreams that are cold, name a limit or rest, and
-//! [`EventCutter`] splits streams into whole events.
+//! [`PlanIndex`] finds the route and the account of a request. [`UpstreamRegistry`] holds the
+//! upstreams that may get work, [`LoadBalancer`] chooses among them, [`RetryBudget`] says
+//! whether a request may be sent once more, [`AdmissionController`] turns requests away that a busy
+//! instance can't answer in time, [`UpstreamThrottle`] spares upstreams that are cold, name a limit or rest, and
+//! [`EventSplitter`] splits streams into whole events.
 //!
 //! ```
-//! use sagespool_forward::EventCutter;
+//! use sagespool_forward::EventSplitter;
 //!
-//! let mut cutter = EventCutter::default();
+//! let mut cutter = EventSplitter::default();
 //! let whole = cutter.push(b"id: 1\ndata: a\n\nid: 2\nda");
 //! assert_eq!(whole.bytes, b"id: 1\ndata: a\n\n");
 //! assert_eq!(whole.last_id, Some(1));
@@ -29,18 +29,20 @@
 mod roster;
 mod senders;
 
-pub use admission::{AdmissionBoard, ArrivedRequest};
-pub use demand::{CallerDemand, PromptPart, TokenDemand};
+pub use admission::{AdmissionController, ArrivedRequest};
+pub use demand::{DeclaredTokens, PromptPart, RequestAttributes};
 pub use engine::PartCache;
-pub use events::{EventCutter, WholeEvents};
-pub use feed::{ANSWER_TIME, FeedObject, FeedPage, FeedSource, FeedSources, FeedTerms, ObjectFeed};
-pub use guard::{LimitChange, LimitNotice, SendGuard, WarmupTerms, WarmupTraits};
+pub use events::{EventSplitter, WholeEvents};
+pub use feed::{
+    ChangeFeed, FeedObject, FeedPage, FeedSource, FeedSourceSelector, FeedTiming, REPLY_TIMEOUT,
+};
+pub use guard::{RateLimitChange, RateLimitStatus, UpstreamThrottle, WarmupPolicy, WarmupProfile};
 pub use index::{PlanIndex, RouteMatch};
-pub use placement::{PlacementBoard, PlacementPolicy, SendOutcome, SendTicket, WorkShape};
+pub use placement::{LoadBalancer, PlacedAttempt, PlacementPolicy, RequestProfile, SendOutcome};
 pub use plan::{
-    BranchPlan, CallerLimits, EngineTraits, ForwardPlan, ForwardRoute, HomeRegions, RepeatRule,
+    AllowedRegions, BranchPlan, CallerLimits, EngineProfile, ForwardPlan, ForwardRoute, RepeatRule,
     RouteTarget, ServicePlan,
 };
-pub use retry::{RetryBudget, RetryTerms};
-pub use roster::{RosterChange, UpstreamRecord, UpstreamRoster, UpstreamRun};
-pub use senders::{LEAST_INSTANCES, SenderPanel};
+pub use retry::{RetryBudget, RetryPolicy};
+pub use roster::{UpstreamChange, UpstreamRecord, UpstreamRegistry, UpstreamRun};
+pub use senders::{MIN_INSTANCES, SenderSelector};
--- a/crates/sagespool-forward/src/placement.rs
+++ b/crates/sagespool-forward/src/placement.rs
@@ -6,7 +6,7 @@
 use sagespool_types::{CentreName, ClockTime, TokenCount, UpstreamName};
 
 use crate::engine::{chain_ids, hash_text, mix};
-use crate::{EngineTraits, PromptPart, UpstreamRecord, UpstreamRun};
+use crate::{EngineProfile, PromptPart, UpstreamRecord, UpstreamRun};
 
 mod health;
 mod load;
@@ -51,11 +51,11 @@
 
 /// What a request is like, as far as its place matters.
 #[derive(Debug, Clone, Copy)]
-pub struct WorkShape<'a> {
+pub struct RequestProfile<'a> {
     /// The parts of its prompt; none for plain services.
     pub parts: &'a [PromptPart],
     /// The engines' traits, if it goes to an engine.
-    pub engine: Option<&'a EngineTraits>,
+    pub engine: Option<&'a EngineProfile>,
     /// The data centre that it is sent from.
     pub centre: &'a CentreName,
     /// Whether it may go to another upstream if this one fails.
@@ -64,11 +64,11 @@
 
 /// A request's place at an upstream, from the choice to the end.
 #[derive(Debug, Clone)]
-pub struct SendTicket {
+pub struct PlacedAttempt {
     /// Where it goes.
     pub upstream: UpstreamRecord,
     /// When it was chosen.
-    pub sent: ClockTime,
+    pub chosen_at: ClockTime,
     /// When its first event, or its answer, was expected.
     pub expected: Duration,
     /// Tokens that the upstream probably has to read for it.
@@ -95,7 +95,7 @@
 
 /// What this instance knows of each upstream's load, and the choice made from it.
 #[derive(Debug)]
-pub struct PlacementBoard {
+pub struct LoadBalancer {
     policy: PlacementPolicy,
     loads: HashMap<UpstreamName, UpstreamLoad>,
     /// Loads so far.
@@ -117,7 +117,7 @@
 /// Costs closer than this are as good as equal.
 const TIE_SPREAD_MS: f64 = 0.5;
 
-impl PlacementBoard {
+impl LoadBalancer {
     /// A board that knows nothing yet.
     pub fn new(policy: PlacementPolicy) -> Self {
         Self { policy, loads: HashMap::new(), counted: 0 }
@@ -128,10 +128,10 @@
     pub fn choose<'a>(
         &mut self,
         candidates: impl Iterator<Item = &'a UpstreamRecord>,
-        shape: WorkShape<'_>,
+        shape: RequestProfile<'_>,
         tried: &[UpstreamRun],
         now: ClockTime,
-    ) -> Option<SendTicket> {
+    ) -> Option<PlacedAttempt> {
         let candidates: Vec<&UpstreamRecord> =
             candidates.filter(|record| !tried.contains(&record.run())).collect();
         let sound: Vec<&UpstreamRecord> =
@@ -147,7 +147,7 @@
         Some(self.take(record.clone(), rating, shape, now))
     }
 
-    fn admits(&self, record: &UpstreamRecord, shape: WorkShape<'_>, now: ClockTime) -> bool {
+    fn admits(&self, record: &UpstreamRecord, shape: RequestProfile<'_>, now: ClockTime) -> bool {
         self.loads.get(&record.name).is_none_or(|load| {
             load.health.admits(shape.repeatable, now) && !load.silence.is_silent(now)
         })
@@ -156,7 +156,7 @@
     fn rate(
         &mut self,
         record: &UpstreamRecord,
-        shape: WorkShape<'_>,
+        shape: RequestProfile<'_>,
         is_home: bool,
         now: ClockTime,
     ) -> UpstreamRating {
@@ -199,9 +199,9 @@
         &mut self,
         upstream: UpstreamRecord,
         rating: UpstreamRating,
-        shape: WorkShape<'_>,
+        shape: RequestProfile<'_>,
         now: ClockTime,
-    ) -> SendTicket {
+    ) -> PlacedAttempt {
         let load = self.load_of(&upstream.name, shape.engine);
         load.running += 1;
         load.chosen = now;
@@ -213,10 +213,21 @@
         let expected = Duration::from_secs_f64(rating.expected_ms / 1000.0);
         load.silence.sent(expected, now);
         let load = load.id;
-        SendTicket { upstream, sent: now, expected, unread: rating.unread, began: false, load }
+        PlacedAttempt {
+            upstream,
+            chosen_at: now,
+            expected,
+            unread: rating.unread,
+            began: false,
+            load,
+        }
     }
 
-    fn load_of(&mut self, name: &UpstreamName, engine: Option<&EngineTraits>) -> &mut UpstreamLoad {
+    fn load_of(
+        &mut self,
+        name: &UpstreamName,
+        engine: Option<&EngineProfile>,
+    ) -> &mut UpstreamLoad {
         let counted = &mut self.counted;
         self.loads.entry(name.clone()).or_insert_with(|| {
             *counted += 1;
@@ -226,13 +237,13 @@
 
     /// The load that a request is counted in. Nothing if the upstream was forgotten since: what its
     /// earlier run still answers, or fails to, says nothing of the present one.
-    fn load_counting(&mut self, ticket: &SendTicket) -> Option<&mut UpstreamLoad> {
+    fn load_counting(&mut self, ticket: &PlacedAttempt) -> Option<&mut UpstreamLoad> {
         let load = self.loads.get_mut(&ticket.upstream.name)?;
         (load.id == ticket.load).then_some(load)
     }
 
     /// Notes that the first event, or the answer, of a request has come.
-    pub fn began(&mut self, ticket: &mut SendTicket, now: ClockTime) {
+    pub fn note_first_event(&mut self, ticket: &mut PlacedAttempt, now: ClockTime) {
         if ticket.began {
             return;
         }
@@ -243,7 +254,7 @@
         load.unread = load.unread.less(ticket.unread);
         load.silence.heard(now);
         let expected = ticket.expected.as_secs_f64().max(0.001);
-        let ratio = now.since(ticket.sent).as_secs_f64() / expected * load.slowness;
+        let ratio = now.since(ticket.chosen_at).as_secs_f64() / expected * load.slowness;
         let is_old = now.since(load.observed) > FORGOTTEN_AFTER;
         let weight = if is_old { 1.0 } else { SPEED_WEIGHT };
         load.observed = now;
@@ -252,9 +263,9 @@
     }
 
     /// Notes how a request ended.
-    pub fn finish(&mut self, mut ticket: SendTicket, outcome: SendOutcome, now: ClockTime) {
+    pub fn finish(&mut self, mut ticket: PlacedAttempt, outcome: SendOutcome, now: ClockTime) {
         if outcome == SendOutcome::Answered {
-            self.began(&mut ticket, now);
+            self.note_first_event(&mut ticket, now);
         }
         let Some(load) = self.load_counting(&ticket) else {
             return;
@@ -281,7 +292,7 @@
     }
 
     /// Notes that a further event of a stream has come.
-    pub fn heard(&mut self, ticket: &SendTicket, now: ClockTime) {
+    pub fn note_progress(&mut self, ticket: &PlacedAttempt, now: ClockTime) {
         if let Some(load) = self.load_counting(ticket) {
             load.silence.heard(now);
         }
--- a/crates/sagespool-forward/src/placement/load.rs
+++ b/crates/sagespool-forward/src/placement/load.rs
@@ -6,7 +6,7 @@
 
 use super::health::UpstreamHealth;
 use super::silence::SilenceWatch;
-use crate::EngineTraits;
+use crate::EngineProfile;
 use crate::engine::PartCache;
 
 /// Word of other instances' requests is half as good after this time: requests last about a second.
@@ -37,7 +37,7 @@
 
 impl UpstreamLoad {
     /// An upstream of which nothing is known yet.
-    pub(super) fn new(id: u64, engine: Option<&EngineTraits>) -> Self {
+    pub(super) fn new(id: u64, engine: Option<&EngineProfile>) -> Self {
         Self {
             id,
             running: 0,
--- a/crates/sagespool-forward/src/plan.rs
+++ b/crates/sagespool-forward/src/plan.rs
@@ -6,7 +6,7 @@
     BranchName, ByteCount, ConfigVersion, RegionName, ServiceName, TokenCount, derives,
 };
 
-use crate::WarmupTraits;
+use crate::WarmupProfile;
 
 derives! { record;
     /// Everything that forwarding is told by operators, in full.
@@ -62,17 +62,17 @@
         /// The services that its requests are spread over.
         pub targets: Vec<RouteTarget>,
         /// Where its requests may run.
-        pub homes: HomeRegions,
+        pub homes: AllowedRegions,
     }
 }
 
 derives! { record;
     /// The regions that requests must not leave. If there are none, they may go anywhere.
     #[derive(Default)]
-    pub struct HomeRegions(pub Vec<RegionName>);
+    pub struct AllowedRegions(pub Vec<RegionName>);
 }
 
-impl HomeRegions {
+impl AllowedRegions {
     /// Whether a request may run in a region. An unknown region is nobody's home.
     pub fn allow(&self, region: Option<&RegionName>) -> bool {
         self.0.is_empty() || region.is_some_and(|region| self.0.contains(region))
@@ -97,15 +97,15 @@
         /// The connections that each of its upstreams takes from all instances together.
         pub most_connections: u32,
         /// What its upstreams are like if they are model engines.
-        pub engine: Option<EngineTraits>,
+        pub engine: Option<EngineProfile>,
         /// What its upstreams bear while they are cold; nothing if they never are.
-        pub warmup: Option<WarmupTraits>,
+        pub warmup: Option<WarmupProfile>,
     }
 }
 
 derives! { record;
     /// What a model engine is like.
-    pub struct EngineTraits {
+    pub struct EngineProfile {
         /// Requests that it runs at once.
         pub slots: u32,
         /// Tokens that its memory holds.
@@ -141,6 +141,6 @@
         /// All tokens that it may use; no limit if there is none.
         pub prepaid: Option<TokenCount>,
         /// Where its requests may run.
-        pub homes: HomeRegions,
+        pub homes: AllowedRegions,
     }
 }
--- a/crates/sagespool-forward/src/retry.rs
+++ b/crates/sagespool-forward/src/retry.rs
@@ -7,7 +7,7 @@
 
 /// What all instances together may repeat, for each service.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RetryTerms {
+pub struct RetryPolicy {
     /// Repeats allowed for each request of the window.
     pub ratio: f64,
     /// Repeats allowed beside them in a window.
@@ -22,7 +22,7 @@
 /// number of instances seen: the sum over all instances never passes the terms, whoever is cut off.
 #[derive(Debug)]
 pub struct RetryBudget {
-    terms: RetryTerms,
+    terms: RetryPolicy,
     services: HashMap<ServiceName, ServiceWindow>,
 }
 
@@ -38,19 +38,19 @@
 
 impl RetryBudget {
     /// An unused budget.
-    pub fn new(terms: RetryTerms) -> Self {
+    pub fn new(terms: RetryPolicy) -> Self {
         Self { terms, services: HashMap::new() }
     }
 
     /// Counts a request that is sent for the first time.
-    pub fn count_first(&mut self, service: &ServiceName, now: ClockTime) {
+    pub fn count_request(&mut self, service: &ServiceName, now: ClockTime) {
         let window = self.services.entry(service.clone()).or_default();
         window.firsts.push_back(now);
         window.forget(self.terms.window, now);
     }
 
     /// Takes leave to send a request once more; false if there is none.
-    pub fn take_repeat(&mut self, service: &ServiceName, instances: usize, now: ClockTime) -> bool {
+    pub fn try_retry(&mut self, service: &ServiceName, instances: usize, now: ClockTime) -> bool {
         let window = self.services.entry(service.clone()).or_default();
         window.forget(self.terms.window, now);
         let for_requests = self.terms.ratio * window.firsts.len() as f64;
--- a/crates/sagespool-forward/src/roster.rs
+++ b/crates/sagespool-forward/src/roster.rs
@@ -46,7 +46,7 @@
 
 /// What a change of the list did.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RosterChange {
+pub enum UpstreamChange {
     /// An upstream came, or is another than before.
     Joined,
     /// An upstream has started again under its name: what was known of it is of its earlier run.
@@ -84,7 +84,7 @@
 /// the larger part of a service. What is removed later, or alone, is gone at once: it leaves, and
 /// serves for a limited time only.
 #[derive(Debug, Default)]
-pub struct UpstreamRoster {
+pub struct UpstreamRegistry {
     entries: BTreeMap<UpstreamName, RosterEntry>,
     /// Data centres whose upstreams get no new work, whatever they say themselves.
     evacuated: BTreeSet<CentreName>,
@@ -106,7 +106,7 @@
 /// an outage shows from the first call that fails, two or three seconds into it.
 const LEAST_OUTAGE: Duration = Duration::from_millis(500);
 
-impl UpstreamRoster {
+impl UpstreamRegistry {
     /// Whether the list was ever read.
     pub fn is_loaded(&self) -> bool {
         self.loaded
@@ -128,7 +128,7 @@
         &mut self,
         records: Vec<UpstreamRecord>,
         now: ClockTime,
-    ) -> Vec<(UpstreamName, RosterChange)> {
+    ) -> Vec<(UpstreamName, UpstreamChange)> {
         self.loaded = true;
         let listed: Vec<UpstreamName> = records.iter().map(|record| record.name.clone()).collect();
         let missing: Vec<UpstreamName> =
@@ -142,7 +142,7 @@
             self.mark_missing(name, now);
         }
         changes.extend(missing.into_iter().map(|name| self.remove(&name, now)));
-        changes.retain(|(_, change)| *change != RosterChange::Unchanged);
+        changes.retain(|(_, change)| *change != UpstreamChange::Unchanged);
         changes
     }
 
@@ -164,7 +164,7 @@
     }
 
     /// Takes an entry that is new or has changed.
-    pub fn put(&mut self, record: UpstreamRecord) -> (UpstreamName, RosterChange) {
+    pub fn put(&mut self, record: UpstreamRecord) -> (UpstreamName, UpstreamChange) {
         if self.entries.contains_key(&record.name) {
             return self.put_after(record, &BTreeMap::new());
         }
@@ -177,7 +177,7 @@
         &mut self,
         record: UpstreamRecord,
         known: &BTreeMap<SocketAddr, UpstreamName>,
-    ) -> (UpstreamName, RosterChange) {
+    ) -> (UpstreamName, UpstreamChange) {
         let name = record.name.clone();
         let is_new = !self.entries.contains_key(&name);
         let former = known.get(&record.address).filter(|former| is_new && **former != name);
@@ -187,10 +187,10 @@
         let known = self.entries.get(&name);
         let restarted = known.is_some_and(|known| is_later_run(known.record.born, record.born));
         let change = match known {
-            Some(known) if known.record == record => RosterChange::Unchanged,
-            _ if restarted => RosterChange::Restarted,
-            _ if record.leaving => RosterChange::Leaving,
-            _ => RosterChange::Joined,
+            Some(known) if known.record == record => UpstreamChange::Unchanged,
+            _ if restarted => UpstreamChange::Restarted,
+            _ if record.leaving => UpstreamChange::Leaving,
+            _ => UpstreamChange::Joined,
         };
         // Whoever has the address now answered for the run before.
         let replaced = !restarted && known.is_some_and(|known| known.replaced);
@@ -203,21 +203,21 @@
     /// What an upstream's entry stands for that can't be read: another writer has written over it.
     /// The upstream may be well and busy, so nothing of it is cut off, but the entry names nobody to
     /// use. Nothing if the upstream wasn't known.
-    pub fn unreadable(&self, name: &UpstreamName) -> Option<UpstreamRecord> {
+    pub fn record_for_unreadable(&self, name: &UpstreamName) -> Option<UpstreamRecord> {
         let known = self.entries.get(name)?;
         Some(UpstreamRecord { leaving: true, ..known.record.clone() })
     }
 
     /// Takes an upstream out that another one has replaced at its address. Its entry may stay on the
     /// list for some time, which doesn't bring it back.
-    pub fn replaced(&mut self, name: &UpstreamName) {
+    pub fn mark_replaced(&mut self, name: &UpstreamName) {
         if let Some(entry) = self.entries.get_mut(name) {
             entry.replaced = true;
         }
     }
 
     /// Takes a run's own word, in an answer, that it leaves. True if that is news.
-    pub fn says_leaving(&mut self, run: &UpstreamRun, now: ClockTime) -> bool {
+    pub fn note_leaving(&mut self, run: &UpstreamRun, now: ClockTime) -> bool {
         let said = self.said_leaving.entry(run.name.clone()).or_default();
         said.insert(run.born, now).is_none()
     }
@@ -230,17 +230,21 @@
     }
 
     /// Takes word that an entry was removed.
-    pub fn remove(&mut self, name: &UpstreamName, now: ClockTime) -> (UpstreamName, RosterChange) {
+    pub fn remove(
+        &mut self,
+        name: &UpstreamName,
+        now: ClockTime,
+    ) -> (UpstreamName, UpstreamChange) {
         self.mark_missing(name, now);
         let Some(entry) = self.entries.get(name) else {
-            return (name.clone(), RosterChange::Unchanged);
+            return (name.clone(), UpstreamChange::Unchanged);
         };
         let (leaving, service) = (self.is_leaving(&entry.record), entry.record.service.clone());
         if !leaving && self.is_within(LAPSE_FOUND, now) && self.is_mostly_missing(&service) {
-            return (name.clone(), RosterChange::Missing);
+            return (name.clone(), UpstreamChange::Missing);
         }
         self.entries.remove(name);
-        (name.clone(), RosterChange::Gone)
+        (name.clone(), UpstreamChange::Gone)
     }
 
     fn mark_missing(&mut self, name: &UpstreamName, now: ClockTime) {
--- a/crates/sagespool-forward/src/senders.rs
+++ b/crates/sagespool-forward/src/senders.rs
@@ -12,7 +12,7 @@
 /// Instances are remembered for longer than cuts last: in a cut, each instance would otherwise take
 /// itself for the only one, and all would send.
 #[derive(Debug)]
-pub struct SenderPanel {
+pub struct SenderSelector {
     own: InstanceName,
     /// Whether the others were ever listed.
     listed: bool,
@@ -21,11 +21,11 @@
 
 /// How many instances share what all may do, before this one has heard of others: the users' smallest
 /// fleet has four.
-pub const LEAST_INSTANCES: usize = 4;
+pub const MIN_INSTANCES: usize = 4;
 /// How long an instance that isn't heard of is remembered.
 const REMEMBERED: Duration = Duration::from_secs(60);
 
-impl SenderPanel {
+impl SenderSelector {
     /// The panel of an instance that knows no other yet.
     pub fn new(own: InstanceName) -> Self {
         Self { own, listed: false, seen: HashMap::new() }
@@ -56,7 +56,7 @@
     /// How many instances there are, this one among them.
     pub fn size(&self) -> usize {
         let others = self.seen.keys().filter(|other| **other != self.own).count();
-        (others + 1).max(LEAST_INSTANCES)
+        (others + 1).max(MIN_INSTANCES)
     }
 
     /// Whether this instance is one of so many that send to an upstream that takes little.
--- a/crates/sagespool-forward/tests/cold_upstreams.rs
+++ b/crates/sagespool-forward/tests/cold_upstreams.rs
@@ -8,19 +8,19 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use sagespool_forward::{SendGuard, SenderPanel, WarmupTerms, WarmupTraits};
+use sagespool_forward::{SenderSelector, UpstreamThrottle, WarmupPolicy, WarmupProfile};
 use sagespool_types::{ClockTime, InstanceName, UpstreamName};
 
-const TERMS: WarmupTerms = WarmupTerms { overage: 1.5, slack: 5.0 };
+const TERMS: WarmupPolicy = WarmupPolicy { overage: 1.5, slack: 5.0 };
 const SECOND: Duration = Duration::from_secs(1);
 const STEP: Duration = Duration::from_millis(5);
 
-fn traits() -> WarmupTraits {
-    WarmupTraits { span: Duration::from_secs(3), per_second: 6.6 }
+fn traits() -> WarmupProfile {
+    WarmupProfile { span: Duration::from_secs(3), per_second: 6.6 }
 }
 
 /// The most that all instances may send in a second.
-fn limit(traits: &WarmupTraits, terms: WarmupTerms) -> usize {
+fn limit(traits: &WarmupProfile, terms: WarmupPolicy) -> usize {
     (traits.per_second * terms.overage + terms.slack) as usize
 }
 
@@ -33,8 +33,8 @@
 }
 
 struct Sender {
-    panel: SenderPanel,
-    guard: SendGuard,
+    panel: SenderSelector,
+    guard: UpstreamThrottle,
 }
 
 /// Instances that know all that were listed, and perhaps newcomers that the others don't know.
@@ -43,12 +43,12 @@
     let all = || (0..listed + newcomers).map(instance);
     (0..listed + newcomers)
         .map(|number| {
-            let mut panel = SenderPanel::new(instance(number));
+            let mut panel = SenderSelector::new(instance(number));
             match number < listed {
                 true => panel.observe_listed(old(), now),
                 false => panel.observe_listed(all(), now),
             }
-            Sender { panel, guard: SendGuard::new(TERMS) }
+            Sender { panel, guard: UpstreamThrottle::new(TERMS) }
         })
         .collect()
 }
@@ -61,14 +61,14 @@
     all: usize,
 }
 
-fn play(seed: u64, instances: usize, newcomers: usize, terms: WarmupTerms) -> ColdSecond {
+fn play(seed: u64, instances: usize, newcomers: usize, terms: WarmupPolicy) -> ColdSecond {
     let mut random = fastrand::Rng::with_seed(seed);
     let traits = traits();
     let name = upstream(random.usize(0..1_000));
     let mut now = ClockTime::from_millis(1_000);
     let mut senders = fleet(instances, newcomers, now);
     for sender in &mut senders {
-        sender.guard = SendGuard::new(terms);
+        sender.guard = UpstreamThrottle::new(terms);
         sender.guard.note_cold(&name, traits.span, now);
     }
     let end = now.after(traits.span);
@@ -79,13 +79,13 @@
     while now < end {
         for (number, sender) in senders.iter_mut().enumerate() {
             if random.f64() < 0.3 && sender.guard.admits(&name, Some(&traits), &sender.panel, now) {
-                sender.guard.count_send(&name, now);
+                sender.guard.count_placement(&name, now);
                 let pause = if random.bool() { 0 } else { random.u64(0..300) };
                 opening.push((number, now, now.after(Duration::from_millis(pause))));
             }
         }
         for (number, chosen, at) in opening.extract_if(.., |(_, _, at)| *at <= now) {
-            senders[number].guard.note_left(&name, chosen, at);
+            senders[number].guard.note_dispatched(&name, chosen, at);
             left.push_back(at);
             seen.all += 1;
         }
@@ -116,7 +116,7 @@
 fn narrow_terms() {
     for (overage, slack) in [(0.0, 0.0), (0.1, 0.0), (0.3, 0.0), (0.5, 0.0), (1.0, 0.0), (1.0, 1.0)]
     {
-        let terms = WarmupTerms { overage, slack };
+        let terms = WarmupPolicy { overage, slack };
         for seed in 0..4 {
             let seen = play(seed, 40, usize::from(seed % 2 == 0), terms);
             assert!(seen.most <= limit(&traits(), terms), "{terms:?}, seed {seed}: {seen:?}");
@@ -155,7 +155,7 @@
 #[test]
 fn fresh_instances() {
     let now = ClockTime::from_millis(1_000);
-    let mut panel = SenderPanel::new(instance(1));
+    let mut panel = SenderSelector::new(instance(1));
     panel.observe(std::iter::once(instance(1)), now);
     assert!(!panel.is_sender(&upstream(1), 6));
     panel.observe_listed((0..4).map(instance), now);
@@ -167,14 +167,14 @@
 #[test]
 fn late_word() {
     let now = ClockTime::from_millis(1_000);
-    let mut guard = SendGuard::new(TERMS);
+    let mut guard = UpstreamThrottle::new(TERMS);
     let name = upstream(1);
     assert!(guard.note_cold(&name, Duration::from_secs(3), now));
     assert!(!guard.note_cold(&name, Duration::from_secs(1), now));
     assert!(guard.is_cold(&name, now.after(Duration::from_millis(2_900))));
     let warm = now.after(Duration::from_secs(3));
     assert!(!guard.is_cold(&name, warm));
-    let panel = SenderPanel::new(instance(1));
+    let panel = SenderSelector::new(instance(1));
     assert!(guard.admits(&name, Some(&traits()), &panel, warm));
     // It may turn cold again at any moment.
     assert!(guard.note_cold(&name, Duration::from_secs(3), warm));
--- a/crates/sagespool-forward/tests/crowded_instances.rs
+++ b/crates/sagespool-forward/tests/crowded_instances.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use sagespool_forward::{AdmissionBoard, ArrivedRequest};
+use sagespool_forward::{AdmissionController, ArrivedRequest};
 use sagespool_types::{BranchName, ClockTime};
 
 /// One turn of a task at the processor, in microseconds.
@@ -73,7 +73,7 @@
 
 struct Instance {
     guard: Guard,
-    board: AdmissionBoard,
+    board: AdmissionController,
     names: Vec<BranchName>,
     requests: Vec<Request>,
     ready: VecDeque<usize>,
@@ -92,7 +92,7 @@
         let names = (0..ACCOUNTS).map(|number| format!("branch-{number}").parse().unwrap());
         Self {
             guard,
-            board: AdmissionBoard::default(),
+            board: AdmissionController::default(),
             names: names.collect(),
             requests: Vec::new(),
             ready: VecDeque::new(),
@@ -120,7 +120,7 @@
     fn admit(&mut self, index: usize, now: u64) -> u64 {
         let request = &self.requests[index];
         let waited = Duration::from_micros(now - request.looked);
-        self.board.note_turn(waited, at(now));
+        self.board.note_scheduling_delay(waited, at(now));
         let arrived = ArrivedRequest {
             branch: Some(&self.names[request.branch]),
             rank: request.rank,
@@ -284,10 +284,10 @@
 #[test]
 fn single_hiccups() {
     let branch: BranchName = "branch-1".parse().unwrap();
-    let mut board = AdmissionBoard::default();
+    let mut board = AdmissionController::default();
     for round in 1..20 {
         let now = ClockTime::from_millis(round * 700);
-        board.note_turn(Duration::from_millis(40), now);
+        board.note_scheduling_delay(Duration::from_millis(40), now);
         let request = ArrivedRequest {
             branch: Some(&branch),
             rank: 2,
--- a/crates/sagespool-forward/tests/evacuated_centres.rs
+++ b/crates/sagespool-forward/tests/evacuated_centres.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use sagespool_forward::{HomeRegions, RosterChange, UpstreamRecord, UpstreamRoster};
+use sagespool_forward::{AllowedRegions, UpstreamChange, UpstreamRecord, UpstreamRegistry};
 use sagespool_types::{CentreName, ClockTime, RegionName, ServiceName};
 
 const NOW: ClockTime = ClockTime(1_000_000);
@@ -29,14 +29,14 @@
     }
 }
 
-fn ready(roster: &UpstreamRoster) -> Vec<String> {
+fn ready(roster: &UpstreamRegistry) -> Vec<String> {
     roster.ready(&service()).map(|record| record.name.to_string()).collect()
 }
 
 /// Guards against work for an evacuated data centre, also by upstreams that come to it later.
 #[test]
 fn nothing_new() {
-    let mut roster = UpstreamRoster::default();
+    let mut roster = UpstreamRegistry::default();
     roster.replace(vec![record("i-1", "east", 1), record("i-2", "west", 2)], NOW);
     assert!(roster.evacuate(centre("east")));
     assert!(!roster.evacuate(centre("east")));
@@ -54,7 +54,7 @@
 /// Guards against a service that is told apart wrongly from one that has no upstream at all.
 #[test]
 fn nowhere_left() {
-    let mut roster = UpstreamRoster::default();
+    let mut roster = UpstreamRegistry::default();
     assert!(!roster.is_evacuated(&service()));
     roster.replace(vec![record("i-1", "east", 1)], NOW);
     roster.evacuate(centre("west"));
@@ -67,28 +67,28 @@
 /// shows both.
 #[test]
 fn later_owner() {
-    let mut roster = UpstreamRoster::default();
+    let mut roster = UpstreamRegistry::default();
     roster.replace(vec![record("i-9", "east", 1), record("i-2", "east", 2)], NOW);
     let (_, change) = roster.put(record("i-1", "east", 1));
-    assert_eq!(change, RosterChange::Joined);
+    assert_eq!(change, UpstreamChange::Joined);
     assert_eq!(ready(&roster), ["i-1", "i-2"]);
     // The former one's entry is written over by somebody, which doesn't bring it back.
     roster.put(record("i-9", "west", 1));
     assert_eq!(ready(&roster), ["i-1", "i-2"]);
     // The successor was sent away there: its entry was the false one.
-    roster.replaced(&"i-1".parse().expect("a name"));
+    roster.mark_replaced(&"i-1".parse().expect("a name"));
     assert_eq!(ready(&roster), ["i-2", "i-9"]);
 }
 
 /// Guards against a whole listing in which the order of names decides who owns an address.
 #[test]
 fn listed_together() {
-    let mut roster = UpstreamRoster::default();
+    let mut roster = UpstreamRegistry::default();
     roster.replace(vec![record("i-1", "east", 1), record("i-2", "east", 1)], NOW);
     assert_eq!(ready(&roster), ["i-1", "i-2"]);
     let mut fresh = record("i-1", "east", 1);
     fresh.cold_left = Duration::from_secs(3);
-    let mut roster = UpstreamRoster::default();
+    let mut roster = UpstreamRegistry::default();
     roster.replace(vec![fresh, record("i-2", "east", 1)], NOW);
     assert_eq!(ready(&roster), ["i-1"]);
 }
@@ -97,9 +97,9 @@
 #[test]
 fn home_regions() {
     let region = |name: &str| -> RegionName { name.parse().expect("a name") };
-    let anywhere = HomeRegions::default();
+    let anywhere = AllowedRegions::default();
     assert!(anywhere.allow(None));
-    let homes = HomeRegions(vec![region("local"), region("near")]);
+    let homes = AllowedRegions(vec![region("local"), region("near")]);
     assert!(homes.allow(Some(&region("near"))));
     assert!(!homes.allow(Some(&region("far"))));
     assert!(!homes.allow(None));
--- a/crates/sagespool-forward/tests/failing_upstreams.rs
+++ b/crates/sagespool-forward/tests/failing_upstreams.rs
@@ -4,7 +4,9 @@
 
 use std::time::Duration;
 
-use sagespool_forward::{PlacementBoard, PlacementPolicy, SendOutcome, UpstreamRecord, WorkShape};
+use sagespool_forward::{
+    LoadBalancer, PlacementPolicy, RequestProfile, SendOutcome, UpstreamRecord,
+};
 use sagespool_types::{CentreName, ClockTime};
 
 fn centre() -> CentreName {
@@ -26,10 +28,10 @@
 }
 
 /// Plays requests one after the other, 20 ms apart, and counts those that go to the first upstream.
-fn play(board: &mut PlacementBoard, from_ms: u64, count: u64, bad: SendOutcome) -> u64 {
+fn play(board: &mut LoadBalancer, from_ms: u64, count: u64, bad: SendOutcome) -> u64 {
     let upstreams = upstreams();
     let centre = centre();
-    let shape = WorkShape { parts: &[], engine: None, centre: &centre, repeatable: true };
+    let shape = RequestProfile { parts: &[], engine: None, centre: &centre, repeatable: true };
     let mut hits = 0;
     for step in 0..count {
         let now = ClockTime::from_millis(from_ms + step * 20);
@@ -46,7 +48,7 @@
 /// tries only, ever more seldom, in place of a quarter of all requests.
 #[test]
 fn cut_off_upstream() {
-    let mut board = PlacementBoard::new(PlacementPolicy::default());
+    let mut board = LoadBalancer::new(PlacementPolicy::default());
     let hits = play(&mut board, 1_000, 500, SendOutcome::Broken);
     assert!(hits <= 12, "{hits} of 500 requests went to the cut-off upstream");
 }
@@ -54,7 +56,7 @@
 /// It is well again: within a few seconds it has its share back.
 #[test]
 fn back_again() {
-    let mut board = PlacementBoard::new(PlacementPolicy::default());
+    let mut board = LoadBalancer::new(PlacementPolicy::default());
     play(&mut board, 1_000, 500, SendOutcome::Broken);
     play(&mut board, 11_000, 300, SendOutcome::Answered);
     let hits = play(&mut board, 17_000, 400, SendOutcome::Answered);
@@ -65,10 +67,10 @@
 /// request all the same.
 #[test]
 fn all_fail() {
-    let mut board = PlacementBoard::new(PlacementPolicy::default());
+    let mut board = LoadBalancer::new(PlacementPolicy::default());
     let upstreams = upstreams();
     let centre = centre();
-    let shape = WorkShape { parts: &[], engine: None, centre: &centre, repeatable: true };
+    let shape = RequestProfile { parts: &[], engine: None, centre: &centre, repeatable: true };
     for step in 0..200 {
         let now = ClockTime::from_millis(1_000 + step * 20);
         let ticket = board.choose(upstreams.iter(), shape, &[], now);
@@ -79,9 +81,9 @@
 /// Guards against upstreams that never get a request, since another one answers within a millisecond.
 #[test]
 fn untried_upstreams() {
-    let mut board = PlacementBoard::new(PlacementPolicy::default());
+    let mut board = LoadBalancer::new(PlacementPolicy::default());
     let (upstreams, centre) = (upstreams(), centre());
-    let shape = WorkShape { parts: &[], engine: None, centre: &centre, repeatable: true };
+    let shape = RequestProfile { parts: &[], engine: None, centre: &centre, repeatable: true };
     let mut chosen = std::collections::BTreeSet::new();
     for step in 0..1_000 {
         let now = ClockTime::from_millis(1_000 + step * 20);
--- a/crates/sagespool-forward/tests/named_limits.rs
+++ b/crates/sagespool-forward/tests/named_limits.rs
@@ -8,10 +8,10 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use sagespool_forward::{LimitChange, SendGuard, SenderPanel, WarmupTerms};
+use sagespool_forward::{RateLimitChange, SenderSelector, UpstreamThrottle, WarmupPolicy};
 use sagespool_types::{ClockTime, InstanceName, SendRate, UpstreamName};
 
-const TERMS: WarmupTerms = WarmupTerms { overage: 1.5, slack: 5.0 };
+const TERMS: WarmupPolicy = WarmupPolicy { overage: 1.5, slack: 5.0 };
 /// The span in which upstreams count what reaches them.
 const COUNTED_SPAN: Duration = Duration::from_secs(4);
 /// Requests of an instance count from this time after it was told the present figure.
@@ -28,8 +28,8 @@
 }
 
 struct Sender {
-    panel: SenderPanel,
-    guard: SendGuard,
+    panel: SenderSelector,
+    guard: UpstreamThrottle,
     /// The lowest figure since the present one was first named, and since when it has known it.
     told: Option<(f64, ClockTime)>,
     /// The share of its steps at which it has a request.
@@ -38,9 +38,9 @@
 
 impl Sender {
     fn new(number: usize, listed: usize, now: ClockTime) -> Self {
-        let mut panel = SenderPanel::new(instance(number));
+        let mut panel = SenderSelector::new(instance(number));
         panel.observe_listed((0..listed.max(number + 1)).map(instance), now);
-        Self { panel, guard: SendGuard::new(TERMS), told: None, demand: 1.0 }
+        Self { panel, guard: UpstreamThrottle::new(TERMS), told: None, demand: 1.0 }
     }
 }
 
@@ -141,9 +141,9 @@
                 continue;
             }
             let asked = self.random.usize(0..self.senders.len());
-            for name in self.senders[number].guard.unheard(self.now) {
-                if let Some(word) = self.senders[asked].guard.word_on(&name) {
-                    self.senders[number].guard.take_word(&name, word);
+            for name in self.senders[number].guard.stale_rate_limits(self.now) {
+                if let Some(word) = self.senders[asked].guard.rate_limit_status(&name) {
+                    self.senders[number].guard.merge_rate_limit(&name, word);
                 }
             }
         }
@@ -157,7 +157,7 @@
             if !sender.guard.admits(&self.name, None, &sender.panel, self.now) {
                 continue;
             }
-            sender.guard.count_send(&self.name, self.now);
+            sender.guard.count_placement(&self.name, self.now);
             let opening = if self.random.bool() { 0 } else { self.random.u64(0..300) };
             let due = self.now.after(Duration::from_millis(opening));
             let (sender, chosen) = (number, self.now);
@@ -170,10 +170,10 @@
         match travel.stage {
             TravelStage::Opening => {
                 let guard = &mut self.senders[sender].guard;
-                if guard.holds_back(&self.name, chosen, self.now) {
+                if guard.blocks_dispatch(&self.name, chosen, self.now) {
                     return;
                 }
-                guard.note_left(&self.name, chosen, self.now);
+                guard.note_dispatched(&self.name, chosen, self.now);
                 self.arrive(sender);
                 let due =
                     self.now.after(Duration::from_millis(self.random.u64(1..=self.slowest_ms)));
@@ -187,7 +187,7 @@
             }
             TravelStage::Answered { named } => {
                 let told = &mut self.senders[sender];
-                told.guard.note_limit(&self.name, named.map(rate), chosen, self.now);
+                told.guard.note_rate_limit(&self.name, named.map(rate), chosen, self.now);
                 let Some(named) = named else {
                     return;
                 };
@@ -325,19 +325,22 @@
 #[test]
 fn order_of_words() {
     let name: UpstreamName = "i-1".parse().expect("a name");
-    let mut guard = SendGuard::new(TERMS);
+    let mut guard = UpstreamThrottle::new(TERMS);
     let [first, second, told, third] = [1_000, 1_100, 1_200, 1_300].map(ClockTime::from_millis);
-    assert_eq!(guard.note_limit(&name, None, first, told), LimitChange::Unchanged);
-    let named = guard.note_limit(&name, Some(rate(1.0)), first, told);
-    assert_eq!(named, LimitChange::Named(rate(1.0)));
-    assert!(guard.holds_back(&name, second, told));
-    assert!(!guard.holds_back(&name, third, third));
+    assert_eq!(guard.note_rate_limit(&name, None, first, told), RateLimitChange::Unchanged);
+    let named = guard.note_rate_limit(&name, Some(rate(1.0)), first, told);
+    assert_eq!(named, RateLimitChange::Named(rate(1.0)));
+    assert!(guard.blocks_dispatch(&name, second, told));
+    assert!(!guard.blocks_dispatch(&name, third, third));
     let later = third.after(Duration::from_millis(100));
-    assert_eq!(guard.note_limit(&name, None, second, later), LimitChange::Unchanged);
-    assert_eq!(guard.note_limit(&name, Some(rate(1.0)), third, later), LimitChange::Unchanged);
+    assert_eq!(guard.note_rate_limit(&name, None, second, later), RateLimitChange::Unchanged);
+    assert_eq!(
+        guard.note_rate_limit(&name, Some(rate(1.0)), third, later),
+        RateLimitChange::Unchanged
+    );
     let after = later.after(Duration::from_millis(1));
-    assert_eq!(guard.note_limit(&name, None, after, after), LimitChange::Ended);
-    assert!(guard.next_turn(&name, &SenderPanel::new(instance(1)), after).is_none());
+    assert_eq!(guard.note_rate_limit(&name, None, after, after), RateLimitChange::Ended);
+    assert!(guard.next_send_delay(&name, &SenderSelector::new(instance(1)), after).is_none());
 }
 
 /// Guards against figures that are no rates.
--- a/crates/sagespool-forward/tests/neighbour_feeds.rs
+++ b/crates/sagespool-forward/tests/neighbour_feeds.rs
@@ -11,7 +11,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sagespool_forward::{ANSWER_TIME, FeedObject, FeedSource, FeedSources, FeedTerms, ObjectFeed};
+use sagespool_forward::{
+    ChangeFeed, FeedObject, FeedSource, FeedSourceSelector, FeedTiming, REPLY_TIMEOUT,
+};
 use sagespool_types::{ClockTime, IncarnationId, StoreRevision};
 
 const IN_FORCE: Duration = Duration::from_millis(4000);
@@ -30,35 +32,35 @@
 
 /// The choice of an instance whose own word is new.
 fn choose_fresh(
-    sources: &mut FeedSources,
+    sources: &mut FeedSourceSelector,
     own: IncarnationId,
     others: &[IncarnationId],
     now: ClockTime,
 ) -> FeedSource {
-    let terms = FeedTerms::within(IN_FORCE).unwrap();
+    let terms = FeedTiming::within(IN_FORCE).unwrap();
     sources.choose(own, others, Some(Duration::ZERO), terms, now)
 }
 
-fn keys(feed: &ObjectFeed, after: u64) -> Vec<(String, bool)> {
+fn keys(feed: &ChangeFeed, after: u64) -> Vec<(String, bool)> {
     let page = feed.page(StoreRevision(after));
     page.objects.into_iter().map(|object| (object.key, object.value.is_some())).collect()
 }
 
 #[test]
 fn only_news() {
-    let mut feed = ObjectFeed::default();
+    let mut feed = ChangeFeed::default();
     assert_eq!(feed.age(ClockTime(5)), None);
-    feed.take_listing(
+    feed.apply_listing(
         StoreRevision(10),
         vec![object("a", 3, Some("1")), object("b", 9, Some("1"))],
         ClockTime(100),
     );
-    feed.take_change(object("b", 12, None));
+    feed.apply_change(object("b", 12, None));
     feed.advance(StoreRevision(20), ClockTime(300));
     assert_eq!(feed.age(ClockTime(500)), Some(Duration::from_micros(200)));
     // Who knows the listing learns of the removal alone, who knows all learns nothing.
     assert_eq!(keys(&feed, 10), [("b".to_owned(), false)]);
-    assert!(!feed.has_after(StoreRevision(12)));
+    assert!(!feed.has_changes_after(StoreRevision(12)));
     assert_eq!(feed.page(StoreRevision(12)).revision, StoreRevision(20));
     // Who knows less than the listing gets all that there is, without what was removed.
     let page = feed.page(StoreRevision(9));
@@ -68,8 +70,8 @@
 
 #[test]
 fn late_answers() {
-    let mut feed = ObjectFeed::default();
-    feed.take_listing(StoreRevision(10), Vec::new(), ClockTime(300));
+    let mut feed = ChangeFeed::default();
+    feed.apply_listing(StoreRevision(10), Vec::new(), ClockTime(300));
     // Word of a neighbour that lags behind doesn't take back what is known.
     feed.advance(StoreRevision(7), ClockTime(200));
     assert_eq!(feed.revision(), StoreRevision(10));
@@ -83,7 +85,7 @@
     let mut asked = Vec::new();
     for own in &ids {
         let others: Vec<IncarnationId> = ids.iter().copied().filter(|id| id != own).collect();
-        let mut sources = FeedSources::default();
+        let mut sources = FeedSourceSelector::default();
         match choose_fresh(&mut sources, *own, &others, ClockTime(1)) {
             FeedSource::Store => readers += 1,
             FeedSource::Neighbour(id) => asked.push(id),
@@ -99,10 +101,10 @@
 #[test]
 fn avoided_neighbours() {
     let others: Vec<IncarnationId> = (1..=40).map(IncarnationId).collect();
-    let mut sources = FeedSources::default();
+    let mut sources = FeedSourceSelector::default();
     let now = ClockTime::from_millis(1_000);
     let own = (100..200).map(IncarnationId).find(|own| {
-        choose_fresh(&mut FeedSources::default(), *own, &others, now) != FeedSource::Store
+        choose_fresh(&mut FeedSourceSelector::default(), *own, &others, now) != FeedSource::Store
     });
     let own = own.unwrap();
     let FeedSource::Neighbour(first) = choose_fresh(&mut sources, own, &others, now) else {
@@ -122,14 +124,14 @@
 #[test]
 fn short_times() {
     // Where changes must be in force within two seconds, nobody goes by a neighbour's word.
-    assert_eq!(FeedTerms::within(Duration::from_millis(2000)), None);
+    assert_eq!(FeedTiming::within(Duration::from_millis(2000)), None);
     for in_force in [3000, 4000, 5000] {
         let in_force = Duration::from_millis(in_force);
-        let terms = FeedTerms::within(in_force).unwrap();
-        let latest = terms.longest_age + terms.ask_wait + ANSWER_TIME;
+        let terms = FeedTiming::within(in_force).unwrap();
+        let latest = terms.max_age + terms.poll_wait + REPLY_TIMEOUT;
         assert!(latest < in_force, "{latest:?} of {in_force:?}");
         // A follower that is well always has word that may be taken.
-        assert!(terms.watch_wait < terms.longest_age);
+        assert!(terms.watch_wait < terms.max_age);
     }
 }
 
@@ -145,7 +147,7 @@
 }
 
 struct Follower {
-    feed: ObjectFeed,
+    feed: ChangeFeed,
     /// The fault and when it comes and goes.
     fault: FollowerFault,
     from: u64,
@@ -162,7 +164,7 @@
     }
 
     /// Follows the store for a step.
-    fn step(&mut self, store: &[(u64, u64)], terms: FeedTerms, now: u64) {
+    fn step(&mut self, store: &[(u64, u64)], terms: FeedTiming, now: u64) {
         if self.suffers(FollowerFault::Frozen, now) || self.suffers(FollowerFault::Killed, now) {
             return;
         }
@@ -184,7 +186,7 @@
         let newest = StoreRevision(newest.unwrap_or(1));
         let at = ClockTime::from_millis(now);
         if newest > known {
-            self.feed.take_change(object("upstream", newest.0, Some("leaving")));
+            self.feed.apply_change(object("upstream", newest.0, Some("leaving")));
             self.feed.advance(newest, at);
             self.next = now + STEP_MS;
         } else {
@@ -197,10 +199,10 @@
 /// A reader that asks one of two followers, and the store where it can't rely on them.
 struct Reader {
     own: IncarnationId,
-    sources: FeedSources,
+    sources: FeedSourceSelector,
     revision: StoreRevision,
     /// When what it knows was true.
-    true_at: ClockTime,
+    valid_at: ClockTime,
     /// The question under way: whom, since when.
     asked: Option<(IncarnationId, u64)>,
     calls: usize,
@@ -211,18 +213,18 @@
         &mut self,
         followers: &[(IncarnationId, Follower)],
         store: &[(u64, u64)],
-        terms: FeedTerms,
+        terms: FeedTiming,
         now: u64,
     ) {
         let ids: Vec<IncarnationId> = followers.iter().map(|(id, _)| *id).collect();
         let at = ClockTime::from_millis(now);
         let Some((id, since)) = self.asked else {
-            let age = at.since(self.true_at);
+            let age = at.since(self.valid_at);
             match self.sources.choose(self.own, &ids, Some(age), terms, at) {
                 FeedSource::Neighbour(id) => self.asked = Some((id, now)),
                 FeedSource::Store => {
                     self.calls += 1;
-                    self.true_at = at;
+                    self.valid_at = at;
                     let newest = store.iter().filter(|(at, _)| *at <= now).map(|(_, new)| *new);
                     self.revision = self.revision.max(StoreRevision(newest.max().unwrap_or(1)));
                 }
@@ -233,18 +235,18 @@
         let waited = Duration::from_millis(now - since);
         let answers = !follower.suffers(FollowerFault::Frozen, now)
             && !follower.suffers(FollowerFault::Killed, now);
-        let is_due = waited >= terms.ask_wait || follower.feed.has_after(self.revision);
+        let is_due = waited >= terms.poll_wait || follower.feed.has_changes_after(self.revision);
         if answers && is_due {
             self.asked = None;
-            match follower.feed.age(at).filter(|age| *age <= terms.longest_age) {
+            match follower.feed.age(at).filter(|age| *age <= terms.max_age) {
                 Some(age) => {
                     self.revision = self.revision.max(follower.feed.revision());
-                    let true_at = ClockTime(at.0 - age.as_micros() as u64);
-                    self.true_at = self.true_at.max(true_at);
+                    let valid_at = ClockTime(at.0 - age.as_micros() as u64);
+                    self.valid_at = self.valid_at.max(valid_at);
                 }
                 None => self.sources.avoid(id, at),
             }
-        } else if waited > terms.ask_wait + ANSWER_TIME {
+        } else if waited > terms.poll_wait + REPLY_TIMEOUT {
             self.asked = None;
             self.sources.avoid(id, at);
         }
@@ -255,12 +257,12 @@
 /// time until a reader had a change, and its calls of the store.
 fn play(seed: u64) -> (u64, usize) {
     let mut random = fastrand::Rng::with_seed(seed);
-    let terms = FeedTerms::within(IN_FORCE).unwrap();
+    let terms = FeedTiming::within(IN_FORCE).unwrap();
     let three = [(); 3].map(|()| IncarnationId(random.u64(1..1 << 40)));
     // Of three, two are followers; the third asks them.
     let others = |own: &IncarnationId| three.into_iter().filter(|id| id != own).collect::<Vec<_>>();
     let is_reader = |own: &IncarnationId| {
-        choose_fresh(&mut FeedSources::default(), *own, &others(own), ClockTime(1))
+        choose_fresh(&mut FeedSourceSelector::default(), *own, &others(own), ClockTime(1))
             != FeedSource::Store
     };
     let own = three.into_iter().find(is_reader).unwrap();
@@ -271,7 +273,7 @@
         .map(|id| {
             let from = random.u64(2_000..PLAY_MS);
             let follower = Follower {
-                feed: ObjectFeed::default(),
+                feed: ChangeFeed::default(),
                 fault: faults[random.usize(0..faults.len())],
                 from,
                 until: from + random.u64(200..12_000),
@@ -282,7 +284,7 @@
         })
         .collect();
     for (_, follower) in &mut followers {
-        follower.feed.take_listing(StoreRevision(1), Vec::new(), ClockTime::from_millis(0));
+        follower.feed.apply_listing(StoreRevision(1), Vec::new(), ClockTime::from_millis(0));
     }
     let mut store: Vec<(u64, u64)> = (2..12).map(|new| (random.u64(1_000..PLAY_MS), new)).collect();
     store.sort_unstable();
@@ -291,9 +293,9 @@
     }
     let mut reader = Reader {
         own,
-        sources: FeedSources::default(),
+        sources: FeedSourceSelector::default(),
         revision: StoreRevision(1),
-        true_at: ClockTime::default(),
+        valid_at: ClockTime::default(),
         asked: None,
         calls: 0,
     };
--- a/crates/sagespool-forward/tests/restarted_upstreams.rs
+++ b/crates/sagespool-forward/tests/restarted_upstreams.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use sagespool_forward::{
-    PlacementBoard, PlacementPolicy, RosterChange, SendOutcome, SendTicket, UpstreamRecord,
-    UpstreamRoster, UpstreamRun, WorkShape,
+    LoadBalancer, PlacedAttempt, PlacementPolicy, RequestProfile, SendOutcome, UpstreamChange,
+    UpstreamRecord, UpstreamRegistry, UpstreamRun,
 };
 use sagespool_types::{CentreName, ClockTime, UpstreamBirth};
 
@@ -34,32 +34,32 @@
 }
 
 fn choose(
-    board: &mut PlacementBoard,
+    board: &mut LoadBalancer,
     record: &UpstreamRecord,
     tried: &[UpstreamRun],
-) -> Option<SendTicket> {
+) -> Option<PlacedAttempt> {
     let centre = centre();
-    let shape = WorkShape { parts: &[], engine: None, centre: &centre, repeatable: true };
+    let shape = RequestProfile { parts: &[], engine: None, centre: &centre, repeatable: true };
     board.choose(std::iter::once(record), shape, tried, at(10))
 }
 
 #[test]
 fn restart_noticed() {
-    let mut roster = UpstreamRoster::default();
-    assert_eq!(roster.put(record(1)).1, RosterChange::Joined);
-    assert_eq!(roster.put(record(1)).1, RosterChange::Unchanged);
-    assert_eq!(roster.put(record(2)).1, RosterChange::Restarted);
+    let mut roster = UpstreamRegistry::default();
+    assert_eq!(roster.put(record(1)).1, UpstreamChange::Joined);
+    assert_eq!(roster.put(record(1)).1, UpstreamChange::Unchanged);
+    assert_eq!(roster.put(record(2)).1, UpstreamChange::Restarted);
     // Clocks step back: another time is another run, whichever is later.
-    assert_eq!(roster.put(record(1)).1, RosterChange::Restarted);
+    assert_eq!(roster.put(record(1)).1, UpstreamChange::Restarted);
 }
 
 /// A new run is counted busy with requests of the run before, which never end there: it seems full
 /// for the rest of the day, and gets less work than others.
 #[test]
 fn requests_of_before() {
-    let mut board = PlacementBoard::new(PlacementPolicy::default());
+    let mut board = LoadBalancer::new(PlacementPolicy::default());
     let name = record(1).name;
-    let tickets: Vec<SendTicket> =
+    let tickets: Vec<PlacedAttempt> =
         (0..REQUESTS).map(|_| choose(&mut board, &record(1), &[]).unwrap()).collect();
     assert_eq!(board.running(&name) as usize, REQUESTS);
     board.forget(&name);
@@ -75,7 +75,7 @@
 
 #[test]
 fn tried_before() {
-    let mut board = PlacementBoard::new(PlacementPolicy::default());
+    let mut board = LoadBalancer::new(PlacementPolicy::default());
     let tried = [record(1).run()];
     assert!(choose(&mut board, &record(1), &tried).is_none());
     assert!(choose(&mut board, &record(2), &tried).is_some());
@@ -83,10 +83,10 @@
 
 #[test]
 fn replaced_then_back() {
-    let mut roster = UpstreamRoster::default();
+    let mut roster = UpstreamRegistry::default();
     let service = record(1).service;
     roster.put(record(1));
-    roster.replaced(&record(1).name);
+    roster.mark_replaced(&record(1).name);
     assert_eq!(roster.ready(&service).count(), 0);
     roster.put(record(2));
     assert_eq!(roster.ready(&service).count(), 1);
@@ -96,14 +96,14 @@
 /// that was never known it tells nothing.
 #[test]
 fn unreadable_entry() {
-    let mut roster = UpstreamRoster::default();
+    let mut roster = UpstreamRegistry::default();
     let name = record(1).name;
-    assert!(roster.unreadable(&name).is_none());
+    assert!(roster.record_for_unreadable(&name).is_none());
     roster.put(record(1));
-    let stands_for = roster.unreadable(&name).unwrap();
-    assert_eq!(roster.put(stands_for).1, RosterChange::Leaving);
+    let stands_for = roster.record_for_unreadable(&name).unwrap();
+    assert_eq!(roster.put(stands_for).1, UpstreamChange::Leaving);
     assert_eq!(roster.ready(&record(1).service).count(), 0);
     assert!(roster.get(&name).is_some());
-    assert_eq!(roster.put(record(1)).1, RosterChange::Joined);
+    assert_eq!(roster.put(record(1)).1, UpstreamChange::Joined);
     assert_eq!(roster.ready(&record(1).service).count(), 1);
 }
--- a/crates/sagespool-forward/tests/retry_share.rs
+++ b/crates/sagespool-forward/tests/retry_share.rs
@@ -4,10 +4,10 @@
 
 use std::time::Duration;
 
-use sagespool_forward::{RetryBudget, RetryTerms};
+use sagespool_forward::{RetryBudget, RetryPolicy};
 use sagespool_types::{ClockTime, ServiceName};
 
-const TERMS: RetryTerms = RetryTerms { ratio: 0.2, slack: 52.0, window: Duration::from_secs(10) };
+const TERMS: RetryPolicy = RetryPolicy { ratio: 0.2, slack: 52.0, window: Duration::from_secs(10) };
 const INSTANCES: usize = 4;
 
 fn service() -> ServiceName {
@@ -23,8 +23,8 @@
     for millis in (0..60_000u64).step_by(25) {
         let now = ClockTime::from_millis(millis);
         let budget = &mut budgets[(millis / 25) as usize % INSTANCES];
-        budget.count_first(&service(), now);
-        if budget.take_repeat(&service(), INSTANCES, now) {
+        budget.count_request(&service(), now);
+        if budget.try_retry(&service(), INSTANCES, now) {
             repeats.push(millis);
         }
     }
@@ -41,6 +41,6 @@
 #[test]
 fn first_repeat() {
     let mut budget = RetryBudget::new(TERMS);
-    assert!(budget.take_repeat(&service(), 31, ClockTime::from_millis(5)));
-    assert!(!budget.take_repeat(&service(), 31, ClockTime::from_millis(6)));
+    assert!(budget.try_retry(&service(), 31, ClockTime::from_millis(5)));
+    assert!(!budget.try_retry(&service(), 31, ClockTime::from_millis(6)));
 }
--- a/crates/sagespool-forward/tests/roster_lapse.rs
+++ b/crates/sagespool-forward/tests/roster_lapse.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use sagespool_forward::{RosterChange, UpstreamRecord, UpstreamRoster};
+use sagespool_forward::{UpstreamChange, UpstreamRecord, UpstreamRegistry};
 use sagespool_types::{ClockTime, ServiceName, UpstreamName};
 
 const OUTAGE: Duration = Duration::from_secs(4);
@@ -33,8 +33,8 @@
     name.parse().unwrap()
 }
 
-fn roster() -> UpstreamRoster {
-    let mut roster = UpstreamRoster::default();
+fn roster() -> UpstreamRegistry {
+    let mut roster = UpstreamRegistry::default();
     roster.replace(vec![record("i-1"), record("i-2")], at(0));
     roster
 }
@@ -43,7 +43,7 @@
     ClockTime::from_millis(10_000 + millis)
 }
 
-fn ready(roster: &UpstreamRoster) -> usize {
+fn ready(roster: &UpstreamRegistry) -> usize {
     roster.ready(&service()).count()
 }
 
@@ -55,7 +55,7 @@
     let mut roster = roster();
     roster.store_returned(HICCUP, at(0));
     let (_, change) = roster.remove(&name("i-1"), at(1000));
-    assert_eq!(change, RosterChange::Gone);
+    assert_eq!(change, UpstreamChange::Gone);
     assert_eq!(ready(&roster), 1);
 }
 
@@ -82,7 +82,7 @@
     let mut roster = roster();
     roster.store_returned(OUTAGE, at(0));
     let (_, change) = roster.remove(&name("i-1"), at(1200));
-    assert_eq!(change, RosterChange::Gone);
+    assert_eq!(change, UpstreamChange::Gone);
 }
 
 /// An upstream that said that it leaves is gone when its entry is, outage or not.
@@ -91,10 +91,10 @@
     let mut roster = roster();
     let mut leaving = record("i-1");
     leaving.leaving = true;
-    assert_eq!(roster.put(leaving).1, RosterChange::Leaving);
+    assert_eq!(roster.put(leaving).1, UpstreamChange::Leaving);
     assert_eq!(ready(&roster), 1);
     roster.store_returned(OUTAGE, at(0));
-    assert_eq!(roster.remove(&name("i-1"), at(10)).1, RosterChange::Gone);
+    assert_eq!(roster.remove(&name("i-1"), at(10)).1, UpstreamChange::Gone);
 }
 
 /// One instance was cut off from the store for eight seconds, the upstreams weren't. Just then one
@@ -102,13 +102,13 @@
 /// listed: it has gone, it didn't lapse, and its two seconds of further service are running out.
 #[test]
 fn one_missing() {
-    let mut roster = UpstreamRoster::default();
+    let mut roster = UpstreamRegistry::default();
     let all = ["i-1", "i-2", "i-3", "i-4"].map(record);
     roster.replace(all.to_vec(), at(0));
     roster.store_returned(OUTAGE, at(0));
     let changes = roster.replace(all[1..].to_vec(), at(10));
-    assert_eq!(changes, [(name("i-1"), RosterChange::Gone)]);
-    assert_eq!(roster.remove(&name("i-2"), at(20)).1, RosterChange::Gone);
+    assert_eq!(changes, [(name("i-1"), UpstreamChange::Gone)]);
+    assert_eq!(roster.remove(&name("i-2"), at(20)).1, UpstreamChange::Gone);
 }
 
 /// An upstream's machine lost power; a new run of it has the address and answers that it isn't the
@@ -117,7 +117,7 @@
 #[test]
 fn replaced_run() {
     let mut roster = roster();
-    roster.replaced(&name("i-1"));
+    roster.mark_replaced(&name("i-1"));
     assert_eq!(ready(&roster), 1);
     let mut late = record("i-1");
     late.slots = 5;
--- a/crates/sagespool-forward/tests/said_leaving.rs
+++ b/crates/sagespool-forward/tests/said_leaving.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use quickcheck::quickcheck;
-use sagespool_forward::{UpstreamRecord, UpstreamRoster, UpstreamRun};
+use sagespool_forward::{UpstreamRecord, UpstreamRegistry, UpstreamRun};
 use sagespool_types::{ClockTime, ServiceName, UpstreamBirth};
 
 const UPSTREAMS: u64 = 3;
@@ -36,7 +36,7 @@
     /// Guards against work for a run that has said that it leaves, whatever the store shows, and against
     /// a next run that gets none.
     fn never_again(steps: Vec<Step>) -> bool {
-        let mut roster = UpstreamRoster::default();
+        let mut roster = UpstreamRegistry::default();
         let mut born = [1; UPSTREAMS as usize];
         let mut left: HashSet<UpstreamRun> = HashSet::new();
         let mut now = ClockTime::from_millis(1_000);
@@ -53,13 +53,13 @@
                     drop(roster.put(record(number, *run)));
                 }
                 3 => {
-                    roster.says_leaving(&known.run(), now);
+                    roster.note_leaving(&known.run(), now);
                     left.insert(known.run());
                 }
                 // An answer of the run before, which comes late.
                 4 if *run > 1 => {
                     let former = record(number, *run - 1).run();
-                    roster.says_leaving(&former, now);
+                    roster.note_leaving(&former, now);
                     left.insert(former);
                 }
                 5 => roster.store_returned(Duration::from_secs(3), now),
--- a/crates/sagespool-forward/tests/shared_prompts.rs
+++ b/crates/sagespool-forward/tests/shared_prompts.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 use sagespool_forward::{
-    EngineTraits, PlacementBoard, PlacementPolicy, PromptPart, SendOutcome, SendTicket,
-    UpstreamRecord, WorkShape,
+    EngineProfile, LoadBalancer, PlacedAttempt, PlacementPolicy, PromptPart, RequestProfile,
+    SendOutcome, UpstreamRecord,
 };
 use sagespool_types::{CentreName, ClockTime, TokenCount};
 
@@ -46,9 +46,9 @@
     (0..ENGINES).map(engine).collect()
 }
 
-fn traits() -> EngineTraits {
+fn traits() -> EngineProfile {
     let (memory, event_tokens) = (TokenCount(384_564), TokenCount(7));
-    EngineTraits { slots: 64, memory, event_tokens }
+    EngineProfile { slots: 64, memory, event_tokens }
 }
 
 /// The shared part of a request: low numbers come more often.
@@ -65,14 +65,14 @@
 }
 
 fn play(
-    choose: impl Fn(&mut [PlacementBoard], u64, &[PromptPart], ClockTime) -> SendTicket,
+    choose: impl Fn(&mut [LoadBalancer], u64, &[PromptPart], ClockTime) -> PlacedAttempt,
 ) -> Outcome {
-    let mut boards: Vec<PlacementBoard> =
-        (0..INSTANCES).map(|_| PlacementBoard::new(PlacementPolicy::default())).collect();
+    let mut boards: Vec<LoadBalancer> =
+        (0..INSTANCES).map(|_| LoadBalancer::new(PlacementPolicy::default())).collect();
     let mut kept: HashSet<(String, u64)> = HashSet::new();
     let mut seen: HashSet<u64> = HashSet::new();
     let mut sent: HashMap<String, usize> = HashMap::new();
-    let mut running: Vec<(u64, usize, SendTicket)> = Vec::new();
+    let mut running: Vec<(u64, usize, PlacedAttempt)> = Vec::new();
     let mut read_again = 0;
     for request in 0..REQUESTS {
         let at = 1_000 + request * GAP_MS;
@@ -92,7 +92,7 @@
         }
         let instance = (request % INSTANCES as u64) as usize;
         let reading = if fresh { (SHARED_TOKENS + OWN_TOKENS) / 48 } else { OWN_TOKENS / 48 };
-        boards[instance].began(&mut ticket, ClockTime::from_millis(at + reading));
+        boards[instance].note_first_event(&mut ticket, ClockTime::from_millis(at + reading));
         running.push((at + reading + RUN_MS, instance, ticket));
     }
     Outcome { read_again, busiest: sent.values().copied().max().unwrap() }
@@ -106,7 +106,8 @@
     let traits = traits();
     let centre = centre();
     let outcome = play(|boards, request, parts, now| {
-        let shape = WorkShape { parts, engine: Some(&traits), centre: &centre, repeatable: true };
+        let shape =
+            RequestProfile { parts, engine: Some(&traits), centre: &centre, repeatable: true };
         let board = &mut boards[(request % INSTANCES as u64) as usize];
         board.choose(engines.iter(), shape, &[], now).unwrap()
     });
@@ -123,7 +124,8 @@
     let traits = traits();
     let centre = centre();
     let outcome = play(|boards, request, parts, now| {
-        let shape = WorkShape { parts, engine: Some(&traits), centre: &centre, repeatable: true };
+        let shape =
+            RequestProfile { parts, engine: Some(&traits), centre: &centre, repeatable: true };
         let only = &engines[request as usize % ENGINES];
         let board = &mut boards[(request % INSTANCES as u64) as usize];
         board.choose(std::iter::once(only), shape, &[], now).unwrap()
--- a/crates/sagespool-forward/tests/silent_upstreams.rs
+++ b/crates/sagespool-forward/tests/silent_upstreams.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use sagespool_forward::{
-    PlacementBoard, PlacementPolicy, SendOutcome, SendTicket, UpstreamRecord, WorkShape,
+    LoadBalancer, PlacedAttempt, PlacementPolicy, RequestProfile, SendOutcome, UpstreamRecord,
 };
 use sagespool_types::{CentreName, ClockTime};
 
@@ -42,7 +42,7 @@
 }
 
 struct OpenRequest {
-    ticket: SendTicket,
+    ticket: PlacedAttempt,
     ends: ClockTime,
     outcome: SendOutcome,
 }
@@ -50,7 +50,7 @@
 /// Plays ten seconds; `i-1` says nothing from the start.
 fn play(repeatable_each: u64) -> LostRequests {
     let centre: CentreName = "east".parse().unwrap();
-    let mut board = PlacementBoard::new(PlacementPolicy::default());
+    let mut board = LoadBalancer::new(PlacementPolicy::default());
     let upstreams = upstreams();
     let mut open: Vec<OpenRequest> = Vec::new();
     let mut lost = LostRequests::default();
@@ -60,7 +60,7 @@
             board.finish(request.ticket, request.outcome, request.ends);
         }
         let repeatable = repeatable_each > 0 && step % repeatable_each == 0;
-        let shape = WorkShape { parts: &[], engine: None, centre: &centre, repeatable };
+        let shape = RequestProfile { parts: &[], engine: None, centre: &centre, repeatable };
         let ticket = board.choose(upstreams.iter(), shape, &[], now).unwrap();
         let (wait, outcome) = match (ticket.upstream.name.as_str(), repeatable) {
             ("i-1", true) => (REPEAT_AFTER, SendOutcome::Broken),
@@ -97,15 +97,15 @@
 #[test]
 fn slow_engine() {
     let centre: CentreName = "east".parse().unwrap();
-    let mut board = PlacementBoard::new(PlacementPolicy::default());
+    let mut board = LoadBalancer::new(PlacementPolicy::default());
     let only = &upstreams()[..1];
-    let shape = WorkShape { parts: &[], engine: None, centre: &centre, repeatable: false };
+    let shape = RequestProfile { parts: &[], engine: None, centre: &centre, repeatable: false };
     let at = ClockTime::from_millis;
     let long = board.choose(only.iter(), shape, &[], at(1_000)).unwrap();
     let mut stream = board.choose(only.iter(), shape, &[], at(1_000)).unwrap();
-    board.began(&mut stream, at(1_040));
+    board.note_first_event(&mut stream, at(1_040));
     for step in 0..30 {
-        board.heard(&stream, at(1_040 + step * 100));
+        board.note_progress(&stream, at(1_040 + step * 100));
     }
     board.finish(long, SendOutcome::Cancelled, at(4_000));
     // Had it counted as a failure, two of them would eject the engine; it takes new work.
--- a/crates/sagespool-gateway/src/attempt.rs
+++ b/crates/sagespool-gateway/src/attempt.rs
@@ -8,7 +8,7 @@
 use hyper::client::conn::TrySendError;
 use hyper::http::response::Parts;
 use hyper::{Request, Response};
-use sagespool_forward::{SendOutcome, SendTicket, WorkShape};
+use sagespool_forward::{PlacedAttempt, RequestProfile, SendOutcome};
 use sagespool_link::within;
 use sagespool_log::log_event;
 use sagespool_types::ClockTime;
@@ -115,25 +115,25 @@
 /// in the middle of a send.
 pub(crate) struct SendPlace {
     state: Arc<GatewayState>,
-    ticket: Option<SendTicket>,
+    ticket: Option<PlacedAttempt>,
 }
 
 impl SendPlace {
-    pub(crate) fn ticket(&self) -> &SendTicket {
+    pub(crate) fn ticket(&self) -> &PlacedAttempt {
         self.ticket.as_ref().expect("a place holds its ticket until it is finished")
     }
 
     /// Notes that the first event, or the answer, has come.
     pub(crate) fn began(&mut self, now: ClockTime) {
         if let Some(ticket) = &mut self.ticket {
-            self.state.board().began(ticket, now);
+            self.state.board().note_first_event(ticket, now);
         }
     }
 
     /// Notes that a further event has come.
     pub(crate) fn heard(&self, now: ClockTime) {
         if let Some(ticket) = &self.ticket {
-            self.state.board().heard(ticket, now);
+            self.state.board().note_progress(ticket, now);
         }
     }
 
@@ -154,17 +154,17 @@
 }
 
 /// Sends a request to the upstream that is expected to answer first, and waits for the head of its
-/// answer, for at most `patience`.
+/// answer, for at most `timeout`.
 pub(crate) async fn send_once(
     flight: &mut Flight,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<OpenAnswer, SendFailure> {
     let now = ClockTime::now();
     let place = choose_place(flight, now).map_err(SendFailure::NoUpstream)?;
     let upstream = place.ticket().upstream.clone();
     flight.tried.push(upstream.run());
     flight.record.upstream = Some(upstream.name.clone());
-    let result = exchange(flight, &place, patience).await;
+    let result = exchange(flight, &place, timeout).await;
     let now = ClockTime::now();
     let failure = match result {
         Ok((response, connection)) => match judge(flight, response, connection, place, now) {
@@ -210,7 +210,7 @@
 fn choose_place(flight: &Flight, now: ClockTime) -> Result<SendPlace, ShortCause> {
     let state = &flight.state;
     let service = flight.request.index.service(&flight.request.service);
-    let shape = WorkShape {
+    let shape = RequestProfile {
         parts: &flight.request.demand.parts,
         engine: service.and_then(|service| service.engine.as_ref()),
         centre: &state.settings.centre,
@@ -232,20 +232,20 @@
         }
         let admitted = guard.admits(&record.name, warmup, &senders, now);
         if !admitted {
-            let turn = guard.next_turn(&record.name, &senders, now);
+            let turn = guard.next_send_delay(&record.name, &senders, now);
             short = turn.map_or(short.or_cold(), |turn| short.or_limited(turn));
         }
         admitted
     });
     let ticket = state.board().choose(ready, shape, &flight.tried, now).ok_or(short)?;
-    guard.count_send(&ticket.upstream.name, now);
+    guard.count_placement(&ticket.upstream.name, now);
     Ok(SendPlace { state: state.clone(), ticket: Some(ticket) })
 }
 
 async fn exchange(
     flight: &mut Flight,
     place: &SendPlace,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<(Response<Incoming>, UpstreamConnection), SendFailure> {
     let upstream = &place.ticket().upstream;
     let kept = flight.state.pool.take(upstream, ClockTime::now());
@@ -268,7 +268,7 @@
     flight.record.sends = flight.sends;
     flight.charge_prompt();
     let sent = connection.sender.try_send_request(request);
-    let response = match within(patience, sent).await {
+    let response = match within(timeout, sent).await {
         None => return Err(SendFailure::Silent),
         Some(Ok(response)) => response,
         Some(Err(error)) => return Err(failed_send(flight, error)),
@@ -277,12 +277,12 @@
 }
 
 /// Notes that a request leaves now; false if it must not any more.
-fn leaves(state: &GatewayState, ticket: &SendTicket, now: ClockTime) -> bool {
+fn leaves(state: &GatewayState, ticket: &PlacedAttempt, now: ClockTime) -> bool {
     let mut guard = state.guard();
-    if guard.holds_back(&ticket.upstream.name, ticket.sent, now) {
+    if guard.blocks_dispatch(&ticket.upstream.name, ticket.chosen_at, now) {
         return false;
     }
-    guard.note_left(&ticket.upstream.name, ticket.sent, now);
+    guard.note_dispatched(&ticket.upstream.name, ticket.chosen_at, now);
     true
 }
 
@@ -369,7 +369,7 @@
 }
 
 /// Takes in what an upstream says of itself in the answer to a request that was sent to it.
-fn note_marks(flight: &Flight, ticket: &SendTicket, marks: &AnswerMarks, now: ClockTime) {
+fn note_marks(flight: &Flight, ticket: &PlacedAttempt, marks: &AnswerMarks, now: ClockTime) {
     let (state, name) = (&flight.state, &ticket.upstream.name);
     if let Some(load) = marks.load {
         state.board().note_load(name, load, now);
@@ -377,12 +377,12 @@
     if let Some(left) = marks.cold_left {
         state.note_cold(name, left, now);
     }
-    state.note_limit(name, marks.rate_limit, ticket.sent, now);
-    if marks.leaving && state.roster().says_leaving(&ticket.upstream.run(), now) {
+    state.note_rate_limit(name, marks.rate_limit, ticket.chosen_at, now);
+    if marks.leaving && state.roster().note_leaving(&ticket.upstream.run(), now) {
         log_event!(info, "upstream-says-leaving", upstream = name);
     }
     if let Some(rest) = marks.rest {
-        state.note_rest(name, rest, now);
+        state.note_backoff(name, rest, now);
     }
     if let Some(mark) = marks.unreadable {
         state.note_unreadable(name, mark, now);
--- a/crates/sagespool-gateway/src/dialect.rs
+++ b/crates/sagespool-gateway/src/dialect.rs
@@ -5,7 +5,7 @@
 
 use hyper::StatusCode;
 use hyper::header::HeaderMap;
-use sagespool_forward::{CallerDemand, ForwardPlan, UpstreamRecord};
+use sagespool_forward::{ForwardPlan, RequestAttributes, UpstreamRecord};
 use sagespool_platform::StoreDialect;
 use sagespool_types::{BranchName, SendRate, UpstreamName};
 use serde_json::value::RawValue;
@@ -30,7 +30,7 @@
     /// Reads an upstream's entry, by its name.
     pub read_upstream: fn(&str, &RawValue) -> Result<UpstreamRecord, String>,
     /// Reads the terms of a caller's request.
-    pub read_demand: fn(&HeaderMap) -> Result<CallerDemand, DemandFault>,
+    pub read_demand: fn(&HeaderMap) -> Result<RequestAttributes, DemandFault>,
     /// Turns a caller's header into the one that an upstream gets.
     pub write_onward: fn(&mut HeaderMap, &OnwardTerms<'_>),
     /// Reads what an upstream's answer says beside its content.
--- a/crates/sagespool-gateway/src/feeds.rs
+++ b/crates/sagespool-gateway/src/feeds.rs
@@ -6,7 +6,7 @@
 use event_listener::Event;
 use rustix::time::{ClockId, clock_gettime};
 use sagespool_forward::{
-    ANSWER_TIME, FeedObject, FeedPage, FeedSource, FeedSources, FeedTerms, ObjectFeed,
+    ChangeFeed, FeedObject, FeedPage, FeedSource, FeedSourceSelector, FeedTiming, REPLY_TIMEOUT,
 };
 use sagespool_link::within;
 use sagespool_log::log_event;
@@ -39,7 +39,7 @@
 
 #[derive(Debug, Default)]
 struct SlotState {
-    feed: ObjectFeed,
+    feed: ChangeFeed,
     store_lost: bool,
 }
 
@@ -49,13 +49,13 @@
     }
 
     /// Takes a whole listing of the store.
-    pub(crate) fn take_listing(
+    pub(crate) fn apply_listing(
         &self,
         revision: StoreRevision,
         objects: Vec<FeedObject>,
-        true_at: ClockTime,
+        valid_at: ClockTime,
     ) {
-        self.state().feed.take_listing(revision, objects, true_at);
+        self.state().feed.apply_listing(revision, objects, valid_at);
         self.changed.notify(usize::MAX);
     }
 
@@ -64,14 +64,14 @@
         &self,
         changes: Vec<FeedObject>,
         revision: StoreRevision,
-        true_at: ClockTime,
+        valid_at: ClockTime,
     ) {
         let is_news = !changes.is_empty();
         let mut state = self.state();
         for change in changes {
-            state.feed.take_change(change);
+            state.feed.apply_change(change);
         }
-        state.feed.advance(revision, true_at);
+        state.feed.advance(revision, valid_at);
         drop(state);
         if is_news {
             self.changed.notify(usize::MAX);
@@ -99,7 +99,7 @@
     /// Answers a neighbour, as soon as there is something that it doesn't know.
     async fn answer(&self, ask: FollowAsk) -> FollowReply {
         let changed = self.changed.listen();
-        let has_news = self.state().feed.has_after(ask.after);
+        let has_news = self.state().feed.has_changes_after(ask.after);
         if !has_news {
             within(ask.wait, changed).await;
         }
@@ -123,9 +123,9 @@
 /// All that is followed, and from whom.
 #[derive(Debug)]
 pub(crate) struct FeedDesk {
-    terms: Option<FeedTerms>,
-    evacuation_terms: Option<FeedTerms>,
-    sources: Mutex<FeedSources>,
+    terms: Option<FeedTiming>,
+    evacuation_terms: Option<FeedTiming>,
+    sources: Mutex<FeedSourceSelector>,
     configuration: FeedSlot,
     upstreams: FeedSlot,
     evacuations: FeedSlot,
@@ -135,8 +135,8 @@
     pub(crate) fn new(in_force: Option<InForceSettings>) -> Self {
         let evacuations = in_force.and_then(|times| times.evacuations);
         Self {
-            terms: in_force.and_then(|times| FeedTerms::within(times.changes)),
-            evacuation_terms: evacuations.and_then(FeedTerms::within),
+            terms: in_force.and_then(|times| FeedTiming::within(times.changes)),
+            evacuation_terms: evacuations.and_then(FeedTiming::within),
             sources: Mutex::default(),
             configuration: FeedSlot::default(),
             upstreams: FeedSlot::default(),
@@ -145,7 +145,7 @@
     }
 
     /// The terms under which a kind is learnt from neighbours; nothing if the store is always asked.
-    pub(crate) fn terms(&self, kind: FollowedKind) -> Option<FeedTerms> {
+    pub(crate) fn terms(&self, kind: FollowedKind) -> Option<FeedTiming> {
         match kind {
             FollowedKind::Configuration | FollowedKind::Upstreams => self.terms,
             FollowedKind::Evacuations => self.evacuation_terms,
@@ -160,7 +160,7 @@
         }
     }
 
-    fn sources(&self) -> MutexGuard<'_, FeedSources> {
+    fn sources(&self) -> MutexGuard<'_, FeedSourceSelector> {
         self.sources.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -196,8 +196,8 @@
     ) -> Option<FollowReply> {
         let terms = self.terms(kind)?;
         let after = self.slot(kind).revision();
-        let request = PeerRequest::Follow(FollowAsk { kind, after, wait: terms.ask_wait });
-        let limit = terms.ask_wait + ANSWER_TIME;
+        let request = PeerRequest::Follow(FollowAsk { kind, after, wait: terms.poll_wait });
+        let limit = terms.poll_wait + REPLY_TIMEOUT;
         let reply = match fleet.ask(neighbour.address, &request, limit).await {
             Ok(PeerReply::Follow(reply)) => Some(reply),
             _ => None,
@@ -207,7 +207,7 @@
             Some(None) => "no word".to_owned(),
             Some(Some(age)) => format!("word of {} ms ago", age.as_millis()),
         };
-        let fresh = reply.filter(|reply| reply.age.is_some_and(|age| age <= terms.longest_age));
+        let fresh = reply.filter(|reply| reply.age.is_some_and(|age| age <= terms.max_age));
         if fresh.is_none() {
             log_event!(
                 info,
@@ -223,7 +223,7 @@
 
     /// Answers a neighbour.
     pub(crate) async fn answer(&self, ask: FollowAsk) -> FollowReply {
-        let longest = self.terms(ask.kind).map_or(ANSWER_TIME, |terms| terms.ask_wait);
+        let longest = self.terms(ask.kind).map_or(REPLY_TIMEOUT, |terms| terms.poll_wait);
         let ask = FollowAsk { wait: ask.wait.min(longest), ..ask };
         self.slot(ask.kind).answer(ask).await
     }
--- a/crates/sagespool-gateway/src/fleet.rs
+++ b/crates/sagespool-gateway/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bon::Builder;
-use sagespool_forward::LEAST_INSTANCES;
+use sagespool_forward::MIN_INSTANCES;
 use sagespool_link::{LinkEndpoint, LinkError, PeerHandler};
 use sagespool_log::log_event;
 use sagespool_membership::{MemberTable, MembershipPolicy, first_number};
@@ -125,7 +125,7 @@
 
     /// How many gateways share what is shared, this one among them.
     pub(crate) fn instances(&self) -> usize {
-        self.count(MemberRole::Entry).max(LEAST_INSTANCES)
+        self.count(MemberRole::Entry).max(MIN_INSTANCES)
     }
 
     /// Whether this process is an account's home.
--- a/crates/sagespool-gateway/src/flight.rs
+++ b/crates/sagespool-gateway/src/flight.rs
@@ -7,7 +7,7 @@
 use hyper::body::Bytes;
 use hyper::http::request::Parts;
 use sagespool_forward::{
-    CallerDemand, ForwardRoute, HomeRegions, PlanIndex, RepeatRule, UpstreamRun,
+    AllowedRegions, ForwardRoute, PlanIndex, RepeatRule, RequestAttributes, UpstreamRun,
 };
 use sagespool_log::log_event;
 use sagespool_types::{BranchName, CentreName, ClockTime, ServiceName, TokenCount, UpstreamName};
@@ -25,9 +25,9 @@
     pub(crate) service: ServiceName,
     pub(crate) branch: Option<BranchName>,
     /// Where its account lets it run.
-    pub(crate) branch_homes: HomeRegions,
+    pub(crate) branch_homes: AllowedRegions,
     pub(crate) priority: u8,
-    pub(crate) demand: CallerDemand,
+    pub(crate) demand: RequestAttributes,
     pub(crate) body: Bytes,
     pub(crate) reservation: Option<Reservation>,
     /// Its part of what this instance takes in.
--- a/crates/sagespool-gateway/src/follow.rs
+++ b/crates/sagespool-gateway/src/follow.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sagespool_forward::{ANSWER_TIME, FeedObject, PlanIndex, RosterChange, UpstreamRecord};
+use sagespool_forward::{FeedObject, PlanIndex, REPLY_TIMEOUT, UpstreamChange, UpstreamRecord};
 use sagespool_log::log_event;
 use sagespool_messages::{FollowReply, FollowedKind, FollowedObject};
 use sagespool_platform::{ObjectChange, ObjectListing, StoreError, StoredObject};
@@ -97,7 +97,7 @@
                 None => name.parse().ok().map(|name| state.roster().remove(&name, now)),
             };
             let matters =
-                noted.as_ref().is_some_and(|(_, change)| *change != RosterChange::Unchanged);
+                noted.as_ref().is_some_and(|(_, change)| *change != UpstreamChange::Unchanged);
             if let Some(noted) = noted {
                 note_change(state, noted);
             }
@@ -132,7 +132,7 @@
             revision = listing.revision,
         );
         let objects = listing.items.iter().map(listed_object);
-        state.feeds.slot(followed.kind).take_listing(listing.revision, objects.collect(), read);
+        state.feeds.slot(followed.kind).apply_listing(listing.revision, objects.collect(), read);
         (followed.on_listing)(state, listing);
         while follow_changes(state, &followed, &mut contact).await.is_ok() {}
     }
@@ -172,13 +172,13 @@
         }
     }
     let slot = state.feeds.slot(followed.kind);
-    let told = ClockTime(unsuspended_now().0.saturating_sub(ANSWER_TIME.as_micros() as u64));
-    let true_at =
+    let told = ClockTime(unsuspended_now().0.saturating_sub(REPLY_TIMEOUT.as_micros() as u64));
+    let valid_at =
         ClockTime(told.0.saturating_sub(reply.age.unwrap_or(Duration::MAX).as_micros() as u64));
     let changes: Vec<RawChange> = reply.objects.into_iter().filter_map(raw_change).collect();
     if !reply.whole {
         let news = changes.into_iter().filter_map(|change| apply(state, followed, change));
-        slot.take_changes(news.collect(), reply.revision, true_at);
+        slot.take_changes(news.collect(), reply.revision, valid_at);
         return;
     }
     let items = changes.into_iter().filter_map(|change| {
@@ -186,7 +186,7 @@
     });
     let listing = ObjectListing { revision: reply.revision, items: items.collect() };
     let objects = listing.items.iter().map(listed_object);
-    slot.take_listing(reply.revision, objects.collect(), true_at);
+    slot.apply_listing(reply.revision, objects.collect(), valid_at);
     (followed.on_listing)(state, listing);
 }
 
@@ -273,7 +273,7 @@
         Ok(record) => Some(record),
         Err(detail) => {
             let name: Option<UpstreamName> = key_name(key).parse().ok();
-            let stands_for = name.and_then(|name| state.roster().unreadable(&name));
+            let stands_for = name.and_then(|name| state.roster().record_for_unreadable(&name));
             let known = stands_for.is_some();
             log_event!(warn, "upstream-unreadable", key = key, known = known, detail = detail);
             stands_for
@@ -286,21 +286,21 @@
     key.rsplit_once('/').map_or(key, |(_, name)| name)
 }
 
-fn note_change(state: &GatewayState, (name, change): (UpstreamName, RosterChange)) {
+fn note_change(state: &GatewayState, (name, change): (UpstreamName, UpstreamChange)) {
     let word = match change {
-        RosterChange::Unchanged => return,
-        RosterChange::Joined => "joined",
-        RosterChange::Restarted => "restarted",
-        RosterChange::Leaving => "leaving",
-        RosterChange::Missing => "missing",
-        RosterChange::Gone => "gone",
+        UpstreamChange::Unchanged => return,
+        UpstreamChange::Joined => "joined",
+        UpstreamChange::Restarted => "restarted",
+        UpstreamChange::Leaving => "leaving",
+        UpstreamChange::Missing => "missing",
+        UpstreamChange::Gone => "gone",
     };
     log_event!(info, "upstream-changed", upstream = name, change = word);
-    if matches!(change, RosterChange::Gone | RosterChange::Restarted) {
+    if matches!(change, UpstreamChange::Gone | UpstreamChange::Restarted) {
         state.board().forget(&name);
     }
     // An entry may lapse and come back: what its upstream asked holds until another run of it begins.
-    if change == RosterChange::Restarted {
+    if change == UpstreamChange::Restarted {
         state.guard().forget(&name);
     }
 }
@@ -315,7 +315,7 @@
         let now = ClockTime::now();
         let expired = state.roster().expire(now);
         for name in expired {
-            note_change(&state, (name, RosterChange::Gone));
+            note_change(&state, (name, UpstreamChange::Gone));
         }
         let is_listed = |name: &UpstreamName| state.roster().get(name).is_some();
         state.pool.sweep(is_listed, now);
--- a/crates/sagespool-gateway/src/intake.rs
+++ b/crates/sagespool-gateway/src/intake.rs
@@ -8,7 +8,7 @@
 
 use futures_lite::future::yield_now;
 use rustix::process::{Resource, getrlimit};
-use sagespool_forward::{AdmissionBoard, ArrivedRequest};
+use sagespool_forward::{AdmissionController, ArrivedRequest};
 use sagespool_settings::LimitSettings;
 use sagespool_types::{BranchName, ByteCount, ClockTime};
 
@@ -52,7 +52,7 @@
 
 /// The bounds and what is used of them.
 pub(crate) struct CallerIntake {
-    board: Mutex<AdmissionBoard>,
+    board: Mutex<AdmissionController>,
     memory_limit: u64,
     connection_limit: usize,
     /// Bytes that connections, requests and their answers are counted with.
@@ -85,7 +85,7 @@
         }
     }
 
-    fn board(&self) -> MutexGuard<'_, AdmissionBoard> {
+    fn board(&self) -> MutexGuard<'_, AdmissionController> {
         self.board.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -95,7 +95,7 @@
             held: ByteCount(self.held.load(Ordering::Relaxed)),
             limit: ByteCount(self.memory_limit),
             connections: self.connections(),
-            turn: self.board().turn(now),
+            turn: self.board().scheduling_delay(now),
         }
     }
 
@@ -111,7 +111,7 @@
     /// machine's memory is full within seconds. Everybody's requests are lost then. A connection
     /// that is closed unread tells its caller that nothing has run.
     pub(crate) fn open_connection(self: &Arc<Self>) -> Option<ConnectionPass> {
-        if self.board().turn(ClockTime::now()) > SWAMPED_TURN {
+        if self.board().scheduling_delay(ClockTime::now()) > SWAMPED_TURN {
             return None;
         }
         let open = self.connections.load(Ordering::Relaxed);
@@ -125,7 +125,7 @@
 
     /// How long a task that is ready waits for its turn.
     pub(crate) fn turn(&self, now: ClockTime) -> Duration {
-        self.board().turn(now)
+        self.board().scheduling_delay(now)
     }
 
     /// Counts a connection that was closed unread. Gives how many there were since the last time that
@@ -158,7 +158,7 @@
         yield_now().await;
         let now = ClockTime::now();
         let mut board = self.board();
-        board.note_turn(now.since(asked), now);
+        board.note_scheduling_delay(now.since(asked), now);
         if !board.admits(request, now) {
             return Err(Refusal::Crowded(ShortResource::Processor));
         }
--- a/crates/sagespool-gateway/src/limits.rs
+++ b/crates/sagespool-gateway/src/limits.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sagespool_forward::LimitNotice;
+use sagespool_forward::RateLimitStatus;
 use sagespool_messages::{LimitAsk, LimitReply, LimitWord, MemberRole, PeerReply, PeerRequest};
 use sagespool_types::{ClockTime, SendRate};
 use smol::Timer;
@@ -23,7 +23,7 @@
     loop {
         Timer::after(ASK_PERIOD.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
         let now = ClockTime::now();
-        let upstreams = state.guard().unheard(now);
+        let upstreams = state.guard().stale_rate_limits(now);
         if upstreams.is_empty() {
             continue;
         }
@@ -44,10 +44,10 @@
     for LimitWord { upstream, per_second, age } in reply.words {
         let notice = match per_second.map(SendRate::new) {
             Some(None) => continue,
-            Some(rate) => LimitNotice { rate, at: now.before(age) },
-            None => LimitNotice { rate: None, at: asked.before(age) },
+            Some(rate) => RateLimitStatus { rate, at: now.before(age) },
+            None => RateLimitStatus { rate: None, at: asked.before(age) },
         };
-        let change = state.guard().take_word(&upstream, notice);
+        let change = state.guard().merge_rate_limit(&upstream, notice);
         state.log_limit(&upstream, change, "gateway");
     }
 }
@@ -55,7 +55,8 @@
 /// What this gateway knows of upstreams' limits.
 pub(crate) fn answer_limits(state: &GatewayState, ask: &LimitAsk, now: ClockTime) -> LimitReply {
     let guard = state.guard();
-    let known = ask.upstreams.iter().filter_map(|name| Some((name, guard.word_on(name)?)));
+    let known =
+        ask.upstreams.iter().filter_map(|name| Some((name, guard.rate_limit_status(name)?)));
     let words = known.map(|(name, notice)| LimitWord {
         upstream: name.clone(),
         per_second: notice.rate.map(SendRate::per_second),
--- a/crates/sagespool-gateway/src/pipeline.rs
+++ b/crates/sagespool-gateway/src/pipeline.rs
@@ -10,7 +10,7 @@
 use hyper::http::request::Parts as RequestParts;
 use hyper::http::response::Parts as ResponseParts;
 use hyper::{Request, Response};
-use sagespool_forward::{ArrivedRequest, BranchPlan, CallerDemand, PlanIndex, SendOutcome};
+use sagespool_forward::{ArrivedRequest, BranchPlan, PlanIndex, RequestAttributes, SendOutcome};
 use sagespool_link::within;
 use sagespool_types::{ByteCount, ClockTime};
 
@@ -53,7 +53,7 @@
         Ok(request) => request,
         Err(refusal) => return refuse(record, refusal, refusal.reason()),
     };
-    state.retries().count_first(&request.service, ClockTime::now());
+    state.retries().count_request(&request.service, ClockTime::now());
     let flight = Flight {
         state,
         request,
@@ -102,8 +102,8 @@
     let (route, service) = (found.route.clone(), found.service.clone());
     let branch = find_branch(&index, &demand, route.open)?;
     record.branch = branch.map(|branch| branch.name.clone());
-    let patience = demand.patience.unwrap_or(route.time_limit).min(route.time_limit);
-    let deadline = began.after(patience.saturating_sub(ANSWER_WAY));
+    let timeout = demand.timeout.unwrap_or(route.time_limit).min(route.time_limit);
+    let deadline = began.after(timeout.saturating_sub(ANSWER_WAY));
     if state.ends_before(deadline) {
         return Err(Refusal::Stopping);
     }
@@ -161,7 +161,7 @@
 /// The client account whose key a request shows.
 fn find_branch<'a>(
     index: &'a PlanIndex,
-    demand: &CallerDemand,
+    demand: &RequestAttributes,
     open: bool,
 ) -> Result<Option<&'a BranchPlan>, Refusal> {
     let branch = demand.key.as_deref().and_then(|key| index.branch(key));
@@ -176,7 +176,7 @@
     state: &GatewayState,
     index: &PlanIndex,
     branch: &BranchPlan,
-    demand: &CallerDemand,
+    demand: &RequestAttributes,
     deadline: ClockTime,
 ) -> Result<Option<Reservation>, Refusal> {
     let (Some(prepaid), Some(tokens)) = (branch.prepaid, demand.tokens) else {
@@ -209,8 +209,8 @@
     // The failure that an upstream answered with, in case no other upstream does better.
     let mut failed: Option<WholeAnswer> = None;
     loop {
-        let patience = send_patience(&flight, ClockTime::now());
-        let result = match send_once(&mut flight, patience).await {
+        let timeout = send_patience(&flight, ClockTime::now());
+        let result = match send_once(&mut flight, timeout).await {
             Ok(answer) if is_stream(&flight, &answer) => return start_stream(flight, answer).await,
             Ok(answer) => collect(&mut flight, answer).await,
             Err(failure) => Err(failure),
@@ -265,7 +265,7 @@
         return true;
     }
     let instances = flight.state.instances();
-    flight.state.retries().take_repeat(&flight.request.service, instances, now)
+    flight.state.retries().try_retry(&flight.request.service, instances, now)
 }
 
 fn give_up(mut flight: Flight, failure: SendFailure) -> Response<AnswerBody> {
--- a/crates/sagespool-gateway/src/state.rs
+++ b/crates/sagespool-gateway/src/state.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use sagespool_forward::{
-    LimitChange, PlacementBoard, PlacementPolicy, PlanIndex, RetryBudget, RetryTerms, SendGuard,
-    SenderPanel, UpstreamRoster, WarmupTerms, WarmupTraits,
+    LoadBalancer, PlacementPolicy, PlanIndex, RateLimitChange, RetryBudget, RetryPolicy,
+    SenderSelector, UpstreamRegistry, UpstreamThrottle, WarmupPolicy, WarmupProfile,
 };
 use sagespool_ledger::GrantTerms;
 use sagespool_log::log_event;
@@ -56,11 +56,11 @@
     pub(crate) feeds: FeedDesk,
     pub(crate) fleet: Arc<FleetBoard>,
     plan: RwLock<Option<KnownPlan>>,
-    roster: Mutex<UpstreamRoster>,
-    board: Mutex<PlacementBoard>,
+    roster: Mutex<UpstreamRegistry>,
+    board: Mutex<LoadBalancer>,
     retries: Mutex<RetryBudget>,
-    guard: Mutex<SendGuard>,
-    senders: Mutex<SenderPanel>,
+    guard: Mutex<UpstreamThrottle>,
+    senders: Mutex<SenderSelector>,
     /// When a mark that can't be read was last noted.
     unreadable: Mutex<Option<ClockTime>>,
 }
@@ -92,17 +92,17 @@
             .build();
         let fleet = Arc::new(FleetBoard::new(place, run));
         store.set_detour(fleet.detour());
-        let terms = RetryTerms {
+        let terms = RetryPolicy {
             ratio: settings.retries.ratio,
             slack: settings.retries.slack,
             window: settings.retries.window,
         };
         let warmup_terms =
-            WarmupTerms { overage: settings.warmup.overage, slack: settings.warmup.slack };
+            WarmupPolicy { overage: settings.warmup.overage, slack: settings.warmup.slack };
         // Without a link there are no others to divide anything with.
         let senders = match settings.link {
-            Some(_) => SenderPanel::new(settings.instance.clone()),
-            None => SenderPanel::alone(settings.instance.clone()),
+            Some(_) => SenderSelector::new(settings.instance.clone()),
+            None => SenderSelector::alone(settings.instance.clone()),
         };
         let feeds = FeedDesk::new(settings.in_force);
         let intake = Arc::new(CallerIntake::new(settings.limits));
@@ -124,9 +124,9 @@
             fleet,
             plan: RwLock::default(),
             roster: Mutex::default(),
-            board: Mutex::new(PlacementBoard::new(PlacementPolicy::default())),
+            board: Mutex::new(LoadBalancer::new(PlacementPolicy::default())),
             retries: Mutex::new(RetryBudget::new(terms)),
-            guard: Mutex::new(SendGuard::new(warmup_terms)),
+            guard: Mutex::new(UpstreamThrottle::new(warmup_terms)),
             senders: Mutex::new(senders),
             unreadable: Mutex::default(),
         }
@@ -165,20 +165,20 @@
         true
     }
 
-    pub(crate) fn roster(&self) -> MutexGuard<'_, UpstreamRoster> {
+    pub(crate) fn roster(&self) -> MutexGuard<'_, UpstreamRegistry> {
         self.roster.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Drops an upstream whose address another one has: its name is one run, which has ended, though
     /// the list may show it for some seconds more.
     pub(crate) fn forget_upstream(&self, name: &UpstreamName) {
-        self.roster().replaced(name);
+        self.roster().mark_replaced(name);
         self.board().forget(name);
         self.guard().forget(name);
         log_event!(info, "upstream-changed", upstream = name, change = "replaced");
     }
 
-    pub(crate) fn board(&self) -> MutexGuard<'_, PlacementBoard> {
+    pub(crate) fn board(&self) -> MutexGuard<'_, LoadBalancer> {
         self.board.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -186,11 +186,11 @@
         self.retries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn guard(&self) -> MutexGuard<'_, SendGuard> {
+    pub(crate) fn guard(&self) -> MutexGuard<'_, UpstreamThrottle> {
         self.guard.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn senders(&self) -> MutexGuard<'_, SenderPanel> {
+    pub(crate) fn senders(&self) -> MutexGuard<'_, SenderSelector> {
         self.senders.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -213,37 +213,37 @@
     }
 
     /// Takes what the answer to a request whose place was chosen then says of its upstream's limit.
-    pub(crate) fn note_limit(
+    pub(crate) fn note_rate_limit(
         &self,
         name: &UpstreamName,
         named: Option<SendRate>,
         chosen: ClockTime,
         now: ClockTime,
     ) {
-        let change = self.guard().note_limit(name, named, chosen, now);
+        let change = self.guard().note_rate_limit(name, named, chosen, now);
         self.log_limit(name, change, "answer");
     }
 
     /// Writes what has changed of an upstream's limit, and who told it.
-    pub(crate) fn log_limit(&self, name: &UpstreamName, change: LimitChange, told_by: &str) {
+    pub(crate) fn log_limit(&self, name: &UpstreamName, change: RateLimitChange, told_by: &str) {
         match change {
-            LimitChange::Unchanged => {}
-            LimitChange::Named(rate) => log_event!(
+            RateLimitChange::Unchanged => {}
+            RateLimitChange::Named(rate) => log_event!(
                 info,
                 "upstream-limit",
                 upstream = name,
                 per_second = rate,
                 told_by = told_by,
             ),
-            LimitChange::Ended => {
+            RateLimitChange::Ended => {
                 log_event!(info, "upstream-limit-ended", upstream = name, told_by = told_by);
             }
         }
     }
 
     /// Notes that an upstream wants nothing from this instance for so long.
-    pub(crate) fn note_rest(&self, name: &UpstreamName, rest: Duration, now: ClockTime) {
-        if self.guard().note_rest(name, rest, now) {
+    pub(crate) fn note_backoff(&self, name: &UpstreamName, rest: Duration, now: ClockTime) {
+        if self.guard().note_backoff(name, rest, now) {
             log_event!(info, "upstream-rests", upstream = name, rest_ms = rest.as_millis());
         }
     }
@@ -259,7 +259,7 @@
     }
 
     /// What cold upstreams of a service bear; nothing if it has none.
-    fn warmup_traits(&self, service: &ServiceName) -> Option<WarmupTraits> {
+    fn warmup_traits(&self, service: &ServiceName) -> Option<WarmupProfile> {
         self.plan()?.service(service)?.warmup.clone()
     }
 
--- a/crates/sagespool-gateway/src/status.rs
+++ b/crates/sagespool-gateway/src/status.rs
@@ -46,7 +46,7 @@
     let evacuated = state.roster().evacuated().count();
     let guard = state.guard();
     let (cold, limited) = (guard.cold_count(now), guard.limited_count());
-    let resting = guard.resting_count(now);
+    let resting = guard.backoff_count(now);
     drop(guard);
     let spared = SparedReading { evacuated, cold, limited, resting };
     state.metrics.encode(state.fleet.count(MemberRole::Entry), intake, spared)
--- a/crates/sagespool-gateway/src/stream.rs
+++ b/crates/sagespool-gateway/src/stream.rs
@@ -7,7 +7,7 @@
 use http_body_util::BodyExt;
 use hyper::Response;
 use hyper::body::{Bytes, Incoming};
-use sagespool_forward::{EventCutter, SendOutcome};
+use sagespool_forward::{EventSplitter, SendOutcome};
 use sagespool_link::within;
 use sagespool_types::ClockTime;
 
@@ -100,8 +100,8 @@
 /// Sends the request to another upstream, to go on after the last event that was passed on.
 async fn go_on(flight: &mut Flight, mut failure: SendFailure) -> Option<OpenAnswer> {
     while flight.request.route.resumable && may_send_again(flight, failure, ClockTime::now()) {
-        let patience = send_patience(flight, ClockTime::now());
-        match send_once(flight, patience).await {
+        let timeout = send_patience(flight, ClockTime::now());
+        match send_once(flight, timeout).await {
             Ok(mut answer) if answer.head.status.is_success() => {
                 answer.place.began(ClockTime::now());
                 return Some(answer);
@@ -143,7 +143,7 @@
     place: &SendPlace,
     sender: &Sender<BodyPiece>,
 ) -> StreamEnd {
-    let mut cutter = EventCutter::default();
+    let mut cutter = EventSplitter::default();
     loop {
         let Some(frame) = in_time(flight, body.frame()).await else {
             return StreamEnd::TimeOver;
@@ -177,10 +177,10 @@
 /// Passes on what stands after the last whole event: the upstream ended the stream there itself.
 async fn finish_stream(
     flight: &mut Flight,
-    cutter: &mut EventCutter,
+    cutter: &mut EventSplitter,
     sender: &Sender<BodyPiece>,
 ) -> StreamEnd {
-    let rest = cutter.take_rest();
+    let rest = cutter.take_remainder();
     if rest.is_empty() {
         return StreamEnd::Whole;
     }
