--- a/crates/sagespool-gateway/src/attempt.rs
+++ b/crates/sagespool-gateway/src/attempt.rs
@@ -13,7 +13,7 @@
 use sagespool_log::log_event;
 use sagespool_types::ClockTime;
 
-use crate::dialect::{AnswerMarks, OnwardTerms};
+use crate::dialect::{ResponseMetadata, UpstreamRequestTerms};
 use crate::flight::Flight;
 use crate::hop::strip_hop;
 use crate::pool::{UpstreamConnection, connect};
@@ -306,14 +306,14 @@
 ) -> Request<Full<hyper::body::Bytes>> {
     let mut headers = flight.head.headers.clone();
     strip_hop(&mut headers);
-    let terms = OnwardTerms {
+    let terms = UpstreamRequestTerms {
         upstream: &place.ticket().upstream.name,
         branch: flight.request.branch.as_ref(),
         time_left: flight.time_left(now),
         priority: Some(flight.request.priority),
         resume_after: flight.last_event.or(flight.request.demand.resume_after),
     };
-    (flight.state.dialect.write_onward)(&mut headers, &terms);
+    (flight.state.dialect.write_upstream_headers)(&mut headers, &terms);
     let mut request = Request::new(Full::new(flight.request.body.clone()));
     *request.method_mut() = flight.head.method.clone();
     *request.uri_mut() = flight.head.uri.clone();
@@ -331,7 +331,7 @@
 ) -> Result<OpenAnswer, SendFailure> {
     let (mut head, body) = response.into_parts();
     connection.note_idle_limit(idle_limit(&head));
-    let marks = (flight.state.dialect.mark_answer)(head.status, &mut head.headers);
+    let marks = (flight.state.dialect.read_response_metadata)(head.status, &mut head.headers);
     // An upstream may send a second answer, which the connection's next request would get. The
     // request that was sent on it may be running, and its own answer can't be found any more.
     let crossed =
@@ -369,7 +369,7 @@
 }
 
 /// Takes in what an upstream says of itself in the answer to a request that was sent to it.
-fn note_marks(flight: &Flight, ticket: &PlacedAttempt, marks: &AnswerMarks, now: ClockTime) {
+fn note_marks(flight: &Flight, ticket: &PlacedAttempt, marks: &ResponseMetadata, now: ClockTime) {
     let (state, name) = (&flight.state, &ticket.upstream.name);
     if let Some(load) = marks.load {
         state.board().note_load(name, load, now);
@@ -381,7 +381,7 @@
     if marks.leaving && state.roster().note_leaving(&ticket.upstream.run(), now) {
         log_event!(info, "upstream-says-leaving", upstream = name);
     }
-    if let Some(rest) = marks.rest {
+    if let Some(rest) = marks.backoff {
         state.note_backoff(name, rest, now);
     }
     if let Some(mark) = marks.unreadable {
--- a/crates/sagespool-gateway/src/dialect.rs
+++ b/crates/sagespool-gateway/src/dialect.rs
@@ -30,11 +30,11 @@
     /// Reads an upstream's entry, by its name.
     pub read_upstream: fn(&str, &RawValue) -> Result<UpstreamRecord, String>,
     /// Reads the terms of a caller's request.
-    pub read_demand: fn(&HeaderMap) -> Result<RequestAttributes, DemandFault>,
+    pub read_caller_headers: fn(&HeaderMap) -> Result<RequestAttributes, CallerHeaderError>,
     /// Turns a caller's header into the one that an upstream gets.
-    pub write_onward: fn(&mut HeaderMap, &OnwardTerms<'_>),
+    pub write_upstream_headers: fn(&mut HeaderMap, &UpstreamRequestTerms<'_>),
     /// Reads what an upstream's answer says beside its content.
-    pub mark_answer: fn(StatusCode, &mut HeaderMap) -> AnswerMarks,
+    pub read_response_metadata: fn(StatusCode, &mut HeaderMap) -> ResponseMetadata,
 }
 
 impl fmt::Debug for WireDialect {
@@ -45,14 +45,14 @@
 
 /// What is wrong with the header of a caller's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DemandFault {
+pub enum CallerHeaderError {
     /// Something that every request needs isn't there.
     Missing(&'static str),
     /// Something can't be read.
     Malformed(&'static str),
 }
 
-impl fmt::Display for DemandFault {
+impl fmt::Display for CallerHeaderError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Missing(what) => write!(f, "the {what} is missing"),
@@ -63,7 +63,7 @@
 
 /// What an upstream is told beside what the caller said.
 #[derive(Debug, Clone, Copy)]
-pub struct OnwardTerms<'a> {
+pub struct UpstreamRequestTerms<'a> {
     /// The run of an upstream that is meant.
     pub upstream: &'a UpstreamName,
     /// The client account.
@@ -78,7 +78,7 @@
 
 /// What an upstream's answer says beside its content.
 #[derive(Debug, Clone, PartialEq)]
-pub struct AnswerMarks {
+pub struct ResponseMetadata {
     /// The request that it answers, if it says so.
     pub request: Option<String>,
     /// The upstream promises that it hasn't run the request.
@@ -96,7 +96,7 @@
     /// The upstream leaves, and wants no new work.
     pub leaving: bool,
     /// How long the upstream wants nothing from this instance, if it asks for rest.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
     /// The first mark that can't be read, by its wire name. The others stand all the same.
     pub unreadable: Option<&'static str>,
 }
--- a/crates/sagespool-gateway/src/lib.rs
+++ b/crates/sagespool-gateway/src/lib.rs
@@ -38,7 +38,7 @@
 
 pub use body::{AnswerBody, AnswerCut, BodyPiece, StreamedBody};
 pub use desk::{FailedRound, KnownShortage};
-pub use dialect::{AnswerMarks, DemandFault, OnwardTerms, WireDialect};
+pub use dialect::{CallerHeaderError, ResponseMetadata, UpstreamRequestTerms, WireDialect};
 pub use flush::{CountedStream, FlushCounter};
 pub use relay_role::RelayRole;
 pub use role::{GatewayError, GatewayRole, StopReport};
--- a/crates/sagespool-gateway/src/pipeline.rs
+++ b/crates/sagespool-gateway/src/pipeline.rs
@@ -93,7 +93,7 @@
     record: &mut FlightRecord,
 ) -> Result<AdmittedRequest, Refusal> {
     let index = state.plan().ok_or(Refusal::NoPlan)?;
-    let demand = (state.dialect.read_demand)(&head.headers).map_err(Refusal::Demand)?;
+    let demand = (state.dialect.read_caller_headers)(&head.headers).map_err(Refusal::Demand)?;
     record.request.clone_from(&demand.request);
     let host = host_of(head).ok_or(Refusal::NoHost)?;
     let found = index.route(&host, head.uri.path(), &demand.request);
--- a/crates/sagespool-gateway/src/refusal.rs
+++ b/crates/sagespool-gateway/src/refusal.rs
@@ -7,7 +7,7 @@
 use hyper::{Response, StatusCode};
 
 use crate::body::AnswerBody;
-use crate::dialect::DemandFault;
+use crate::dialect::CallerHeaderError;
 use crate::intake::ShortResource;
 
 /// Callers who were refused together come back within this time at least.
@@ -19,7 +19,7 @@
     /// No configuration is known yet.
     NoPlan,
     /// The header can't be used.
-    Demand(DemandFault),
+    Demand(CallerHeaderError),
     /// The request has no host.
     NoHost,
     /// No route of the host begins the path.
