--- a/crates/sagespool-daemon/tests/claimed_letter.rs
+++ b/crates/sagespool-daemon/tests/claimed_letter.rs
@@ -63,7 +63,7 @@
         until("the other entry holds grants ahead of need", || {
             let grants = account(&fleet, BRANCH).grants.into_iter();
             let own = grants.filter(|(id, _)| id.holder == holder);
-            own.map(|(_, grant)| grant.rest().0).sum::<u64>() >= HELD
+            own.map(|(_, grant)| grant.unsettled_amount().0).sum::<u64>() >= HELD
         })
         .await;
         outage(&fleet, true);
--- a/crates/sagespool-entry/src/configuration.rs
+++ b/crates/sagespool-entry/src/configuration.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use sagespool_configuration::FollowContext;
-use sagespool_ledger::HeldBack;
+use sagespool_ledger::ClassHoldback;
 use sagespool_log::log_event;
 use sagespool_messages::ConfigObject;
 use sagespool_settings::{
@@ -94,7 +94,8 @@
 fn hold_back(state: &EntryState, object: &BranchObject) {
     for (branch, entry) in &object.branches {
         let held = entry.held_back.iter();
-        let held = held.map(|held| HeldBack { class: held.class.clone(), tokens: held.tokens });
-        state.ledger.hold_back(branch, held.collect());
+        let held =
+            held.map(|held| ClassHoldback { class: held.class.clone(), tokens: held.tokens });
+        state.ledger.set_holdbacks(branch, held.collect());
     }
 }
--- a/crates/sagespool-entry/src/home/books.rs
+++ b/crates/sagespool-entry/src/home/books.rs
@@ -92,7 +92,7 @@
         let (base, seen) = (stored.version, state.objects.seen_revision());
         let now = ClockTime::now();
         let changed = match cause {
-            WriteCause::Round => state.ledger.apply_needed(book, &mut record, base, seen, now),
+            WriteCause::Round => state.ledger.apply_for_waiting(book, &mut record, base, seen, now),
             WriteCause::Turn | WriteCause::Recall => {
                 state.ledger.apply(book, &mut record, base, seen, now)
             }
--- a/crates/sagespool-entry/src/home/finish.rs
+++ b/crates/sagespool-entry/src/home/finish.rs
@@ -48,10 +48,10 @@
 pub(crate) fn take_report(state: &EntryState, report: &ChargeReport) -> ChargesDurable {
     let now = ClockTime::now();
     for record in &report.charges {
-        state.ledger.witness(record, now);
+        state.ledger.note_usage(record, now);
     }
     state.budget_changed.notify(usize::MAX);
     let charges: Vec<_> =
         report.charges.iter().map(|record| (record.branch.clone(), record.charge)).collect();
-    ChargesDurable { charges: state.ledger.durable(&charges) }
+    ChargesDurable { charges: state.ledger.durable_charges(&charges) }
 }
--- a/crates/sagespool-entry/src/home/recall.rs
+++ b/crates/sagespool-entry/src/home/recall.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use sagespool_ledger::{ShortNotice, book_of};
+use sagespool_ledger::{BudgetShortfall, book_of};
 use sagespool_log::log_event;
 use sagespool_messages::{PeerReply, PeerRequest, RecallReply, RecallRequest};
 use sagespool_types::{BranchName, ClockTime, GrantId, IncarnationId, TokenCount};
@@ -31,14 +31,14 @@
 /// partition it can account for them at once. One that is gone isn't waited for.
 pub(super) fn to_ask(
     state: &EntryState,
-    short: ShortNotice,
+    short: BudgetShortfall,
 ) -> Vec<(GrantId, IncarnationId, TokenCount)> {
     let now = ClockTime::now();
     let lives = |holder: IncarnationId| {
         state.members.find(holder).is_some() && !state.members.is_gone(holder, now)
     };
-    let doubted = short.doubted.into_iter().filter(|(_, holder, _)| lives(*holder));
-    short.others.into_iter().chain(doubted).collect()
+    let doubted = short.grants_in_doubt.into_iter().filter(|(_, holder, _)| lives(*holder));
+    short.other_grants.into_iter().chain(doubted).collect()
 }
 
 fn holders(others: &[(GrantId, IncarnationId, TokenCount)]) -> Vec<IncarnationId> {
@@ -94,9 +94,9 @@
 
 /// Gives back what this home holds of a branch and doesn't need, durable before it says so.
 pub(crate) async fn give_back(state: &EntryState, request: &RecallRequest) -> RecallReply {
-    let returned = state.ledger.give_back(&request.branch, request.wanted, ClockTime::now());
+    let returned = state.ledger.return_unspent(&request.branch, request.wanted, ClockTime::now());
     let written = write_book(state, book_of(&request.branch), WriteCause::Recall).await;
-    let running = state.ledger.may_return(&request.branch);
+    let running = state.ledger.returnable(&request.branch);
     let returned = if written.is_ok() { returned } else { TokenCount::ZERO };
     log_event!(
         info,
--- a/crates/sagespool-entry/src/home/recovery.rs
+++ b/crates/sagespool-entry/src/home/recovery.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use sagespool_ledger::{
-    BOOK_COUNT, BookRecord, OrphanCharge, RecoveryCase, RecoveryVerdict, book_key,
+    BOOK_COUNT, BookRecord, GrantRecovery, OrphanCharge, RecoveryVerdict, book_key,
 };
 use sagespool_log::log_event;
 use sagespool_messages::{MemberRole, SealRequest, SealScope};
@@ -127,8 +127,8 @@
         Ok(None) => return true,
         Err(_) => return false,
     };
-    let to_seal = stored.value.to_seal(|holder| is_dead(state, holder));
-    let mine = stored.value.sealed_by(state.incarnation);
+    let to_seal = stored.value.grants_to_seal(|holder| is_dead(state, holder));
+    let mine = stored.value.grants_sealed_by(state.incarnation);
     if to_seal.is_empty() && mine.is_empty() {
         desk.open_books.remove(&book);
         return true;
@@ -152,7 +152,7 @@
     state: &EntryState,
     book: BookNumber,
     grants: &[(BranchName, GrantId)],
-) -> Result<Vec<RecoveryCase>, StoreError> {
+) -> Result<Vec<GrantRecovery>, StoreError> {
     let own = state.incarnation;
     let seal = |record: &mut BookRecord| {
         let mut changed = false;
@@ -163,22 +163,22 @@
     };
     let updated = update_object(&state.objects, &book_key(book), UPDATE_LIMIT, seal).await?;
     state.ledger.observe(book, &updated.value, updated.version, ClockTime::now());
-    let cases = updated.value.sealed_by(own).into_iter().map(|(branch, grant)| {
+    let cases = updated.value.grants_sealed_by(own).into_iter().map(|(branch, grant)| {
         let account = updated.value.branches.get(&branch);
         let record = account.and_then(|account| account.grants.get(&grant));
         let asked_at = record.map_or(StoreRevision::ZERO, |record| record.asked_at);
-        RecoveryCase::new(branch, grant, asked_at, state.witnesses.ids())
+        GrantRecovery::new(branch, grant, asked_at, state.witnesses.ids())
     });
     Ok(cases.collect())
 }
 
 /// Settles what is accounted for, and closes or doubts what is complete; false if the store didn't
 /// answer.
-async fn settle_cases(state: &EntryState, book: BookNumber, cases: &[RecoveryCase]) -> bool {
+async fn settle_cases(state: &EntryState, book: BookNumber, cases: &[GrantRecovery]) -> bool {
     let settle = |record: &mut BookRecord| {
         let mut changed = false;
         for case in cases {
-            changed |= record.recover(&case.branch, &case.grant, &case.verdict());
+            changed |= record.apply_recovery(&case.branch, &case.grant, &case.verdict());
         }
         if changed { UpdateChoice::Write } else { UpdateChoice::Keep }
     };
@@ -196,7 +196,7 @@
         let verdict = match case.verdict() {
             RecoveryVerdict::Close(_) => "closed",
             RecoveryVerdict::Wait(_) => "waiting",
-            RecoveryVerdict::Doubt(_) => "in-doubt",
+            RecoveryVerdict::InDoubt(_) => "in-doubt",
         };
         let missing = case.missing().count();
         log_event!(
@@ -225,9 +225,9 @@
         let sequences = charges.iter().map(|charge| charge.sequence).collect();
         let scope = SealScope::Charges(sequences);
         let request = SealRequest { grant, scope, reporter: state.incarnation };
-        let mut case = RecoveryCase::new(branch, grant, since, state.witnesses.ids());
+        let mut case = GrantRecovery::new(branch, grant, since, state.witnesses.ids());
         ask_witnesses(state, &mut case, &request).await;
-        let resolved = state.ledger.resolve_case(&case, &charges);
+        let resolved = state.ledger.resolve_recovery(&case, &charges);
         log_event!(
             info,
             "orphans-asked",
--- a/crates/sagespool-entry/src/home/reserve.rs
+++ b/crates/sagespool-entry/src/home/reserve.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sagespool_ledger::{ReserveDecision, ShortNotice};
+use sagespool_ledger::{BudgetShortfall, ReserveDecision};
 use sagespool_messages::{RefusalNotice, ReserveReply, ReserveRequest};
 use sagespool_types::{ClockTime, RefusalReason, RunState, TokenCount};
 
@@ -75,7 +75,7 @@
         let now = ClockTime::now();
         let short = match state.ledger.reserve(order, now) {
             ReserveDecision::Reserved(reserved) => return ReserveReply::Reserved(reserved),
-            ReserveDecision::Short(short) => short,
+            ReserveDecision::Insufficient(short) => short,
         };
         let Some(round) = round else {
             return ReserveReply::Refused(refusal(state, order, &short, now));
@@ -97,13 +97,13 @@
 /// that stays away isn't waited for.
 fn is_hopeless(
     state: &EntryState,
-    short: &ShortNotice,
+    short: &BudgetShortfall,
     round: &RoundResult,
     now: ClockTime,
 ) -> bool {
-    let may_come = short.may_return + round.others_running + round.unanswered;
+    let may_come = short.returnable + round.others_running + round.unanswered;
     if round.store_away {
-        return short.may_return < short.missing && state.store_away_for(now) >= STORE_PATIENCE;
+        return short.returnable < short.missing && state.store_away_for(now) >= STORE_PATIENCE;
     }
     short.missing > may_come
 }
@@ -120,7 +120,7 @@
 fn refusal(
     state: &EntryState,
     order: &ReserveRequest,
-    short: &ShortNotice,
+    short: &BudgetShortfall,
     now: ClockTime,
 ) -> RefusalNotice {
     if state.store_away_for(now) > Duration::ZERO {
--- a/crates/sagespool-entry/src/home/rounds.rs
+++ b/crates/sagespool-entry/src/home/rounds.rs
@@ -53,7 +53,7 @@
     since: ClockTime,
     deadline: ClockTime,
 ) -> Option<RoundResult> {
-    state.ledger.urgent(&order.branch, order.amount, ClockTime::now());
+    state.ledger.note_waiting(&order.branch, order.amount, ClockTime::now());
     let held = state.rounds.of(&order.branch);
     let round = async {
         let mut newest = held.lock().await;
@@ -84,7 +84,7 @@
     result.others_running = recalled.running;
     result.unanswered = recalled.unanswered;
     if !result.store_away {
-        state.ledger.urgent(&order.branch, order.amount, ClockTime::now());
+        state.ledger.note_waiting(&order.branch, order.amount, ClockTime::now());
         result.store_away = !ask_book(state, order).await;
     }
     log_short(state, order, &recalled, &result);
@@ -99,7 +99,7 @@
     result: &RoundResult,
 ) {
     let Err(short) = state.ledger.covers(order) else { return };
-    let others: TokenCount = short.others.iter().map(|(_, _, rest)| *rest).sum();
+    let others: TokenCount = short.other_grants.iter().map(|(_, _, rest)| *rest).sum();
     log_event!(
         info,
         "budget-short",
--- a/crates/sagespool-entry/src/home/witnesses.rs
+++ b/crates/sagespool-entry/src/home/witnesses.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use sagespool_ledger::RecoveryCase;
+use sagespool_ledger::GrantRecovery;
 use sagespool_messages::{MemberInfo, MemberRole, PeerReply, PeerRequest, SealRequest};
 use sagespool_types::{ClockTime, IncarnationId, InstanceName};
 use twox_hash::XxHash3_64;
@@ -79,7 +79,7 @@
 /// Asks every witness of a case to seal, and takes in what they list.
 pub(super) async fn ask_witnesses(
     state: &Arc<EntryState>,
-    case: &mut RecoveryCase,
+    case: &mut GrantRecovery,
     request: &SealRequest,
 ) {
     let mut asked = Vec::new();
@@ -96,14 +96,14 @@
             (member, Ok(PeerReply::Seal(reply))) => {
                 // Another run answers at the address: the one that was meant won't any more.
                 if reply.sidecar != member.incarnation {
-                    case.give_up(member.incarnation);
+                    case.mark_gone(member.incarnation);
                 }
                 case.take_reply(&reply);
             }
             (member, _) => {
                 let gone = state.members.is_gone(member.incarnation, ClockTime::now());
                 if gone && !state.witnesses.is_listed(&member.instance) {
-                    case.give_up(member.incarnation);
+                    case.mark_gone(member.incarnation);
                 }
             }
         }
--- a/crates/sagespool-entry/src/role.rs
+++ b/crates/sagespool-entry/src/role.rs
@@ -164,7 +164,7 @@
     state.ledger.return_all(ClockTime::now());
     let mut unwritten = 0;
     for book in (0..BOOK_COUNT).map(BookNumber) {
-        if state.ledger.holds(book)
+        if state.ledger.holds_grants(book)
             && home::write_book(state, book, home::WriteCause::Turn).await.is_err()
         {
             unwritten += 1;
--- a/crates/sagespool-gateway/src/desk.rs
+++ b/crates/sagespool-gateway/src/desk.rs
@@ -14,7 +14,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use sagespool_ledger::GrantTerms;
+use sagespool_ledger::GrantPolicy;
 use sagespool_log::log_event;
 use sagespool_platform::{ObjectClient, StoreError};
 use sagespool_types::{
@@ -52,7 +52,7 @@
     store: ObjectClient,
     run: IncarnationId,
     instance: InstanceName,
-    terms: GrantTerms,
+    terms: GrantPolicy,
     /// Instances at which accounts have their homes, this one among them.
     homes: AtomicUsize,
     accounts: Mutex<HashMap<BranchName, Arc<AccountDesk>>>,
@@ -65,7 +65,7 @@
         store: ObjectClient,
         run: IncarnationId,
         instance: InstanceName,
-        terms: GrantTerms,
+        terms: GrantPolicy,
     ) -> Self {
         Self {
             store,
@@ -84,8 +84,8 @@
     }
 
     /// The terms of supplies in a fleet of the present size.
-    fn supply_terms(&self) -> GrantTerms {
-        self.terms.in_fleet(self.homes.load(Ordering::Relaxed))
+    fn supply_policy(&self) -> GrantPolicy {
+        self.terms.scaled_to_homes(self.homes.load(Ordering::Relaxed))
     }
 
     fn account(&self, branch: &BranchName) -> Arc<AccountDesk> {
@@ -94,15 +94,15 @@
         accounts.entry(branch.clone()).or_insert_with(fresh).clone()
     }
 
-    /// Asks the store for more if the purse holds less than an order, and a supply beside it. If even
-    /// the book can't cover the order, tells how much purse and book can.
+    /// Asks the store for more if the balance holds less than an order, and a supply beside it. If even
+    /// the book can't cover the order, tells how much balance and book can.
     pub(crate) async fn stock_up(self: &Arc<Self>, order: &BudgetOrder) -> Option<TokenCount> {
         let account = self.account(&order.branch);
         let now = ClockTime::now();
         let holds_enough = {
-            let mut purse = lock(&account.purse);
-            purse.note_demand(order.amount, now);
-            order.amount <= purse.free()
+            let mut balance = lock(&account.balance);
+            balance.note_demand(order.amount, now);
+            order.amount <= balance.free()
         };
         if holds_enough {
             self.top_up_early(&account, order, now);
@@ -119,7 +119,7 @@
         match asked.await {
             // What was reserved for the order is lent instead.
             Ok(GrantOutcome::Granted) => {
-                lock(&account.purse).settle(wanted, TokenCount::ZERO);
+                lock(&account.balance).settle(wanted, TokenCount::ZERO);
                 None
             }
             Ok(GrantOutcome::Short(room)) => {
@@ -137,11 +137,11 @@
     /// Gives a part of this instance's grant to another one.
     pub(crate) fn lend(&self, branch: &BranchName, wanted: TokenCount) -> TokenCount {
         let account = self.account(branch);
-        lock(&account.purse).lend(wanted)
+        lock(&account.balance).lend(wanted)
     }
 
     /// How much of a loan for the time ahead another instance gets from this one as the home.
-    pub(crate) fn ahead_to_lend(
+    pub(crate) fn allowed_loan_ahead(
         &self,
         branch: &BranchName,
         prepaid: TokenCount,
@@ -149,7 +149,7 @@
         now: ClockTime,
     ) -> TokenCount {
         let account = self.account(branch);
-        lock(&account.purse).ahead_to_lend(self.terms, prepaid, ahead, now)
+        lock(&account.balance).allowed_loan_ahead(self.terms, prepaid, ahead, now)
     }
 
     /// Sets the most that a request can cost aside, out of what the store granted or others lent.
@@ -161,7 +161,7 @@
     ) -> Result<Reservation, Refusal> {
         let account = self.account(&order.branch);
         let now = ClockTime::now();
-        if lock(&account.purse).reserve(order.amount, now) {
+        if lock(&account.balance).reserve(order.amount, now) {
             if self.runs_low(&account, order, now) && fleet.is_home(&order.branch, now) {
                 self.top_up_early(&account, order, now);
             }
@@ -186,7 +186,7 @@
         let asks_all = matches!(asked, Ok(GrantOutcome::Short(_)));
         let mut failed = account.round.lock().await;
         let now = ClockTime::now();
-        if lock(&account.purse).reserve(order.amount, now) {
+        if lock(&account.balance).reserve(order.amount, now) {
             drop(failed);
             return Ok(Reservation::new(account, order.amount));
         }
@@ -196,7 +196,7 @@
         if failed.is_some_and(|failed| failed.stands_for(order.amount, now)) {
             return Err(self.refuse(&account, order, Refusal::BudgetUnreachable, "peers-away"));
         }
-        let missing = order.amount.less(lock(&account.purse).free());
+        let missing = order.amount.less(lock(&account.balance).free());
         let lenders = if asks_all { Lenders::All } else { Lenders::Only(account.holders()) };
         let loan = borrow(fleet, &account, order, missing, lenders).await;
         let reserved = account.reserve_with(order, loan.lent);
@@ -226,9 +226,10 @@
         fleet: &Arc<FleetBoard>,
     ) -> Option<GrantOutcome> {
         let (missing, ahead) = {
-            let purse = lock(&account.purse);
-            let ahead = purse.loan_ahead(self.terms, order.prepaid, order.amount, ClockTime::now());
-            (order.amount.less(purse.free()), ahead)
+            let balance = lock(&account.balance);
+            let ahead =
+                balance.loan_ahead(self.terms, order.prepaid, order.amount, ClockTime::now());
+            (order.amount.less(balance.free()), ahead)
         };
         let size = LoanSize { missing, ahead };
         let mut reply = borrow_at_home(fleet, account, order, size).await?;
@@ -237,14 +238,14 @@
         }
         if ahead > TokenCount::ZERO {
             // Near the end of a total it may cover the request, if not the time ahead.
-            let missing = order.amount.less(lock(&account.purse).free());
+            let missing = order.amount.less(lock(&account.balance).free());
             let size = LoanSize { missing, ahead: TokenCount::ZERO };
             reply = borrow_at_home(fleet, account, order, size).await?;
             if account.reserve_with(order, reply.lent) {
                 return Some(GrantOutcome::Granted);
             }
         }
-        let own = lock(&account.purse).free();
+        let own = lock(&account.balance).free();
         reply.room.map(|room| GrantOutcome::Short(room + own))
     }
 
@@ -296,7 +297,7 @@
         refusal: Refusal,
         cause: &str,
     ) -> Refusal {
-        let free = lock(&account.purse).free();
+        let free = lock(&account.balance).free();
         log_event!(
             info,
             "budget-refused",
@@ -313,14 +314,14 @@
     }
 
     fn runs_low(&self, account: &AccountDesk, order: &BudgetOrder, now: ClockTime) -> bool {
-        lock(&account.purse).runs_low(self.supply_terms(), order.prepaid, now)
+        lock(&account.balance).runs_low(self.supply_policy(), order.prepaid, now)
     }
 
     fn store_is_away(&self, now: ClockTime) -> bool {
         lock(&self.store_failed).is_some_and(|failed| now.since(failed) < STORE_PAUSE)
     }
 
-    /// Asks for more before the purse is empty, so that requests seldom wait for the store.
+    /// Asks for more before the balance is empty, so that requests seldom wait for the store.
     fn top_up_early(
         self: &Arc<Self>,
         account: &Arc<AccountDesk>,
--- a/crates/sagespool-gateway/src/desk/account.rs
+++ b/crates/sagespool-gateway/src/desk/account.rs
@@ -1,10 +1,10 @@
-//! One account at this instance: its purse, the book as it is known, and reservations.
+//! One account at this instance: its balance, the book as it is known, and reservations.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use async_lock::Mutex as TurnLock;
-use sagespool_ledger::{PrepaidBook, PrepaidPurse};
+use sagespool_ledger::{PrepaidBalance, PrepaidRecord};
 use sagespool_types::{
     BranchName, ClockTime, ConfigVersion, IncarnationId, StoreRevision, TokenCount,
 };
@@ -15,7 +15,7 @@
 /// One account's.
 pub(crate) struct AccountDesk {
     pub(super) branch: BranchName,
-    pub(super) purse: Mutex<PrepaidPurse>,
+    pub(super) balance: Mutex<PrepaidBalance>,
     /// The book as it was last read or written. Whoever holds the lock writes.
     pub(super) book: TurnLock<Option<KnownBook>>,
     shortage: Mutex<Option<KnownShortage>>,
@@ -30,7 +30,7 @@
 #[derive(Clone)]
 pub(super) struct KnownBook {
     pub(super) version: StoreRevision,
-    pub(super) value: PrepaidBook,
+    pub(super) value: PrepaidRecord,
 }
 
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -41,7 +41,7 @@
     pub(super) fn new(branch: &BranchName) -> Self {
         Self {
             branch: branch.clone(),
-            purse: Mutex::default(),
+            balance: Mutex::default(),
             book: TurnLock::new(None),
             shortage: Mutex::default(),
             holders: Mutex::default(),
@@ -52,13 +52,13 @@
 
     /// Takes a loan, and reserves what a request needs; false if that is too much even so.
     pub(super) fn reserve_with(&self, order: &BudgetOrder, lent: TokenCount) -> bool {
-        let mut purse = lock(&self.purse);
-        purse.borrow(lent);
-        purse.reserve(order.amount, ClockTime::now())
+        let mut balance = lock(&self.balance);
+        balance.borrow(lent);
+        balance.reserve(order.amount, ClockTime::now())
     }
 
     /// Notes the runs that a book names.
-    pub(super) fn see_holders(&self, book: &PrepaidBook) {
+    pub(super) fn see_holders(&self, book: &PrepaidRecord) {
         *lock(&self.holders) = book.holders.keys().copied().collect();
     }
 
@@ -115,6 +115,6 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        lock(&self.account.purse).settle(self.amount, self.charged());
+        lock(&self.account.balance).settle(self.amount, self.charged());
     }
 }
--- a/crates/sagespool-gateway/src/desk/grants.rs
+++ b/crates/sagespool-gateway/src/desk/grants.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sagespool_ledger::{PrepaidBook, prepaid_key};
+use sagespool_ledger::{PrepaidRecord, prepaid_key};
 use sagespool_link::within;
 use sagespool_log::log_event;
 use sagespool_platform::{StoreError, UpdateChoice, update_object};
@@ -51,7 +51,8 @@
         let mut known = account.book.lock().await;
         let key = prepaid_key(&account.branch);
         for tries in 0..MOST_TRIES {
-            if missing > TokenCount::ZERO && lock(&account.purse).reserve(missing, ClockTime::now())
+            if missing > TokenCount::ZERO
+                && lock(&account.balance).reserve(missing, ClockTime::now())
             {
                 return Ok(GrantOutcome::Granted);
             }
@@ -63,20 +64,20 @@
                 continue;
             };
             let mut book = read.value;
-            book.take_total(order.version, order.prepaid);
-            book.close_earlier(self.run, &self.instance);
+            book.set_total(order.version, order.prepaid);
+            book.close_earlier_runs(self.run, &self.instance);
             account.see_holders(&book);
             let present = book.granted(self.run);
             let now = ClockTime::now();
-            let terms = self.supply_terms().of_one(instances);
+            let terms = self.supply_policy().per_instance(instances);
             let wanted = {
-                let mut purse = lock(&account.purse);
-                purse.see_book(&book);
-                purse.grant_to_ask(&book, present, missing, terms, now)
+                let mut balance = lock(&account.balance);
+                balance.observe_record(&book);
+                balance.grant_to_request(&book, present, missing, terms, now)
             };
             let Some(wanted) = wanted else {
                 if fresh {
-                    let needed = lock(&account.purse).needed();
+                    let needed = lock(&account.balance).min_grant();
                     return Ok(GrantOutcome::Short((book.free() + present).less(needed)));
                 }
                 // What was known may be old: others give back.
@@ -84,12 +85,12 @@
                 continue;
             };
             book.set_granted(self.run, &self.instance, wanted);
-            let supply = lock(&account.purse).supply_under(wanted, missing);
-            book.note_supply(self.run, supply);
+            let supply = lock(&account.balance).supply_in_grant(wanted, missing);
+            book.set_supply(self.run, supply);
             *known = None;
             match self.store.put(&key, read.version, &book).await {
                 Ok(version) => {
-                    lock(&account.purse).acknowledged(wanted);
+                    lock(&account.balance).set_acknowledged(wanted);
                     self.log_grant(account, &book, wanted, version);
                     *known = Some(KnownBook { version, value: book });
                     if missing == TokenCount::ZERO {
@@ -106,17 +107,17 @@
     }
 
     async fn read_book(&self, key: &str) -> Result<KnownBook, StoreError> {
-        let found = self.store.get::<PrepaidBook>(key).await?;
+        let found = self.store.get::<PrepaidRecord>(key).await?;
         Ok(match found {
             Some(object) => KnownBook { version: object.version, value: object.value },
-            None => KnownBook { version: StoreRevision::ZERO, value: PrepaidBook::default() },
+            None => KnownBook { version: StoreRevision::ZERO, value: PrepaidRecord::default() },
         })
     }
 
     fn log_grant(
         &self,
         account: &AccountDesk,
-        book: &PrepaidBook,
+        book: &PrepaidRecord,
         granted: TokenCount,
         version: StoreRevision,
     ) {
@@ -148,10 +149,10 @@
     }
 
     async fn close(&self, account: &AccountDesk, limit: Duration) {
-        let spent = lock(&account.purse).needed();
-        lock(&account.purse).lower_to(spent);
+        let spent = lock(&account.balance).min_grant();
+        lock(&account.balance).lower_grant_to(spent);
         let key = prepaid_key(&account.branch);
-        let close = |book: &mut PrepaidBook| {
+        let close = |book: &mut PrepaidRecord| {
             if !book.holders.contains_key(&self.run) {
                 return UpdateChoice::Keep;
             }
--- a/crates/sagespool-gateway/src/desk/loans.rs
+++ b/crates/sagespool-gateway/src/desk/loans.rs
@@ -125,7 +125,7 @@
 }
 
 /// A loan on its way to the request that asked for it. If nobody takes it, it goes to the account's
-/// purse.
+/// balance.
 ///
 /// Guards against loans that are lost: what a lender gave counts as spent there, and a busy instance
 /// sees the answer only after its request has given up, or its caller has gone. Such losses add up to
@@ -146,7 +146,7 @@
 impl Drop for ArrivedLoan {
     fn drop(&mut self) {
         if !self.taken {
-            lock(&self.account.purse).borrow(self.reply.lent);
+            lock(&self.account.balance).borrow(self.reply.lent);
         }
     }
 }
--- a/crates/sagespool-gateway/src/desk/rests.rs
+++ b/crates/sagespool-gateway/src/desk/rests.rs
@@ -18,7 +18,7 @@
     pub(crate) async fn return_rests(self: &Arc<Self>, fleet: &Arc<FleetBoard>, limit: Duration) {
         let accounts: Vec<Arc<AccountDesk>> = lock(&self.accounts).values().cloned().collect();
         let returning = accounts.into_iter().filter_map(|account| {
-            let amount = lock(&account.purse).take_surplus();
+            let amount = lock(&account.balance).take_surplus();
             if amount == TokenCount::ZERO {
                 return None;
             }
@@ -35,7 +35,7 @@
     /// Takes what an instance that stops had left.
     pub(crate) fn take_rest(&self, rest: &BudgetRest) {
         let account = self.account(&rest.branch);
-        lock(&account.purse).borrow(rest.amount);
+        lock(&account.balance).borrow(rest.amount);
         log_event!(info, "rest-taken", branch = rest.branch, amount = rest.amount);
     }
 }
--- a/crates/sagespool-gateway/src/desk/shortage.rs
+++ b/crates/sagespool-gateway/src/desk/shortage.rs
@@ -12,7 +12,7 @@
 /// known at once.
 const LONGEST_LIFE: Duration = Duration::from_millis(1200);
 
-/// A book, and purses beside it, that couldn't cover a request.
+/// A book, and balances beside it, that couldn't cover a request.
 ///
 /// Callers of a spent account go on asking, and each reading of its book is a call of the store and
 /// a question to every other instance. Each that finds no more lets the next one wait twice as
--- a/crates/sagespool-gateway/src/peers.rs
+++ b/crates/sagespool-gateway/src/peers.rs
@@ -110,7 +110,8 @@
     let branch = index.plan().branches.iter().find(|branch| branch.name == request.branch);
     let prepaid = branch.and_then(|branch| branch.prepaid)?;
     let missing = request.wanted.less(request.ahead);
-    let ahead = state.desk.ahead_to_lend(&request.branch, prepaid, request.ahead, ClockTime::now());
+    let ahead =
+        state.desk.allowed_loan_ahead(&request.branch, prepaid, request.ahead, ClockTime::now());
     Some(BudgetOrder {
         branch: request.branch.clone(),
         version: index.plan().version,
--- a/crates/sagespool-gateway/src/state.rs
+++ b/crates/sagespool-gateway/src/state.rs
@@ -8,7 +8,7 @@
     LoadBalancer, PlacementPolicy, PlanIndex, RateLimitChange, RetryBudget, RetryPolicy,
     SenderSelector, UpstreamRegistry, UpstreamThrottle, WarmupPolicy, WarmupProfile,
 };
-use sagespool_ledger::GrantTerms;
+use sagespool_ledger::GrantPolicy;
 use sagespool_log::log_event;
 use sagespool_messages::{FollowedKind, MemberRole};
 use sagespool_platform::ObjectClient;
@@ -79,7 +79,7 @@
         store: ObjectClient,
     ) -> Self {
         let GrantSettings { ahead, share, idle } = settings.grants;
-        let grants = GrantTerms { ahead, share, idle, instances: 1 };
+        let grants = GrantPolicy { ahead, share, idle, instances: 1 };
         let desk = BudgetDesk::new(store.clone(), run, settings.instance.clone(), grants);
         let place = OwnPlace::builder()
             .instance(settings.instance.clone())
--- a/crates/sagespool-ledger/examples/budget_cost.rs
+++ b/crates/sagespool-ledger/examples/budget_cost.rs
@@ -72,7 +72,7 @@
     let now = ClockTime::from_millis(1);
     for branch in &branches {
         ledger.reserve(&order(branch, &class, &service), now);
-        ledger.urgent(branch, AMOUNT, now);
+        ledger.note_waiting(branch, AMOUNT, now);
     }
     let started = Instant::now();
     for number in 0..BOOK_COUNT {
--- a/crates/sagespool-ledger/examples/home_choice.rs
+++ b/crates/sagespool-ledger/examples/home_choice.rs
@@ -78,7 +78,7 @@
 fn serve(home: &HomeLedger, branch: &BranchName, now: ClockTime) -> bool {
     let order = order(branch);
     let ReserveDecision::Reserved(reserved) = home.reserve(&order, now) else {
-        home.urgent(branch, AMOUNT, now);
+        home.note_waiting(branch, AMOUNT, now);
         return false;
     };
     let record = ChargeRecord {
--- a/crates/sagespool-ledger/src/account.rs
+++ b/crates/sagespool-ledger/src/account.rs
@@ -51,7 +51,7 @@
     }
 
     /// What isn't settled.
-    pub fn rest(&self) -> TokenCount {
+    pub fn unsettled_amount(&self) -> TokenCount {
         self.amount.less(self.settled)
     }
 
@@ -67,7 +67,7 @@
     /// What is known to be used of what isn't settled.
     pub fn known_use(&self) -> TokenCount {
         let open = self.known.iter().filter(|(sequence, _)| !self.charges.contains(*sequence));
-        open.map(|(_, used)| *used).sum::<TokenCount>().min(self.rest())
+        open.map(|(_, used)| *used).sum::<TokenCount>().min(self.unsettled_amount())
     }
 
     /// Marks what isn't settled as in doubt, with what is known of it; false if that is known.
--- a/crates/sagespool-ledger/src/book.rs
+++ b/crates/sagespool-ledger/src/book.rs
@@ -118,9 +118,9 @@
         for grant in account.grants.values() {
             if grant.is_unaccounted() {
                 bounds.settled += grant.known_use();
-                bounds.in_doubt += grant.rest().less(grant.known_use());
+                bounds.in_doubt += grant.unsettled_amount().less(grant.known_use());
             } else {
-                bounds.granted += grant.rest();
+                bounds.granted += grant.unsettled_amount();
             }
         }
         Some(bounds)
@@ -140,7 +140,10 @@
 
     /// The grants that a process has to seal: their holder is dead, and nobody who lives recovers
     /// them yet. Those in doubt wait for an operator.
-    pub fn to_seal(&self, dead: impl Fn(IncarnationId) -> bool) -> Vec<(BranchName, GrantId)> {
+    pub fn grants_to_seal(
+        &self,
+        dead: impl Fn(IncarnationId) -> bool,
+    ) -> Vec<(BranchName, GrantId)> {
         self.grants_where(|grant, record| {
             let recovered = record.sealed_by.is_some_and(|sealer| !dead(sealer));
             dead(grant.holder) && !recovered && !record.in_doubt
@@ -148,7 +151,7 @@
     }
 
     /// The grants that a process has sealed and has to account for.
-    pub fn sealed_by(&self, own: IncarnationId) -> Vec<(BranchName, GrantId)> {
+    pub fn grants_sealed_by(&self, own: IncarnationId) -> Vec<(BranchName, GrantId)> {
         self.grants_where(|_, record| record.sealed_by == Some(own) && !record.in_doubt)
     }
 
@@ -215,7 +218,7 @@
     }
 
     /// Does what the recovery of a sealed grant came to; false if that changes nothing.
-    pub fn recover(
+    pub fn apply_recovery(
         &mut self,
         branch: &BranchName,
         grant: &GrantId,
@@ -230,7 +233,7 @@
                     settled.iter().filter(|(charge, used)| record.settle(charge.sequence, *used));
                 new.count() > 0
             }
-            RecoveryVerdict::Doubt(known) => {
+            RecoveryVerdict::InDoubt(known) => {
                 let known = known.iter().map(|(charge, used)| (charge.sequence, *used));
                 record.doubt(known.collect())
             }
@@ -252,7 +255,7 @@
             return ReleaseOutcome::NotInDoubt;
         }
         let known = record.known_use();
-        let rest = record.rest().less(known);
+        let rest = record.unsettled_amount().less(known);
         account.settled += known;
         account.close(grant);
         ReleaseOutcome::Released(rest)
--- a/crates/sagespool-ledger/src/grant.rs
+++ b/crates/sagespool-ledger/src/grant.rs
@@ -165,7 +165,7 @@
     }
 
     /// What is reserved for charges that may still end.
-    pub(crate) fn may_return(&self) -> TokenCount {
+    pub(crate) fn returnable(&self) -> TokenCount {
         let lost = self.open.values().filter(|open| open.lost);
         let lost: TokenCount = lost.map(|open| open.reserved).sum();
         self.reserved.less(lost)
@@ -232,7 +232,7 @@
 
     /// Gives up to `most` of the unspent part back. Nothing is reserved from that from now on, so the
     /// book's amount may be lowered at any later time, also by a write whose answer is lost.
-    pub(crate) fn give_back(&mut self, most: TokenCount) -> TokenCount {
+    pub(crate) fn return_unspent(&mut self, most: TokenCount) -> TokenCount {
         let given = self.unspent().min(most);
         self.amount = self.amount.less(given);
         given
@@ -240,6 +240,6 @@
 
     /// Gives all of the unspent part back.
     pub(crate) fn shrink(&mut self) -> TokenCount {
-        self.give_back(TokenCount(u64::MAX))
+        self.return_unspent(TokenCount(u64::MAX))
     }
 }
--- a/crates/sagespool-ledger/src/home.rs
+++ b/crates/sagespool-ledger/src/home.rs
@@ -16,24 +16,24 @@
 use crate::grant::OpenCharge;
 use crate::purse::{AskMoment, BranchPurse};
 use crate::{
-    BOOK_COUNT, BookRecord, BudgetMode, HeldBack, LedgerPolicy, OrphanCharge, RecoveryCase,
+    BOOK_COUNT, BookRecord, BudgetMode, ClassHoldback, GrantRecovery, LedgerPolicy, OrphanCharge,
     RecoveryVerdict, SequenceSet, book_of,
 };
 
 /// Why a reservation isn't possible from what the home holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ShortNotice {
+pub struct BudgetShortfall {
     /// What the fleet lacks for it as far as this home knows; zero if asking the store may do.
     pub missing: TokenCount,
     /// What this home's running requests hold and may give back.
-    pub may_return: TokenCount,
+    pub returnable: TokenCount,
     /// Free in the book as last read; none if it was never read.
     pub book_free: Option<TokenCount>,
     /// Grants of other holders, with what isn't settled of them.
-    pub others: Vec<(GrantId, IncarnationId, TokenCount)>,
+    pub other_grants: Vec<(GrantId, IncarnationId, TokenCount)>,
     /// The same for grants in doubt. A holder that is gone gives nothing of them back, so nobody is
     /// to wait for that; one that was only cut off accounts for them once it is asked.
-    pub doubted: Vec<(GrantId, IncarnationId, TokenCount)>,
+    pub grants_in_doubt: Vec<(GrantId, IncarnationId, TokenCount)>,
 }
 
 /// The answer to a reservation.
@@ -42,7 +42,7 @@
     /// Held.
     Reserved(ReservedCharge),
     /// Not from what is held now.
-    Short(ShortNotice),
+    Insufficient(BudgetShortfall),
 }
 
 /// The purses of one book's branches.
@@ -94,7 +94,7 @@
     }
 
     /// Says which parts of a branch's budget are kept for which classes.
-    pub fn hold_back(&self, branch: &BranchName, held_back: Vec<HeldBack>) {
+    pub fn set_holdbacks(&self, branch: &BranchName, held_back: Vec<ClassHoldback>) {
         self.shard_of(branch).purses.entry(branch.clone()).or_default().held_back = held_back;
     }
 
@@ -118,14 +118,14 @@
             let amount = order.amount;
             return ReserveDecision::Reserved(ReservedCharge { charge, grant_revision, amount });
         }
-        ReserveDecision::Short(purse.short(&order.class, order.amount))
+        ReserveDecision::Insufficient(purse.short(&order.class, order.amount))
     }
 
     /// What a reservation would find now, without holding anything.
     ///
     /// # Errors
     /// What is missing.
-    pub fn covers(&self, order: &ReserveRequest) -> Result<(), ShortNotice> {
+    pub fn covers(&self, order: &ReserveRequest) -> Result<(), BudgetShortfall> {
         let mut shard = self.shard_of(&order.branch);
         let purse = shard.purses.entry(order.branch.clone()).or_default();
         if purse.covers(&order.class, order.amount) {
@@ -135,7 +135,7 @@
     }
 
     /// Notes that a request waits for a grant; the next apply asks for it.
-    pub fn urgent(&self, branch: &BranchName, amount: TokenCount, now: ClockTime) {
+    pub fn note_waiting(&self, branch: &BranchName, amount: TokenCount, now: ClockTime) {
         let mut shard = self.shard_of(branch);
         shard.purses.entry(branch.clone()).or_default().note_need(amount, now);
     }
@@ -169,7 +169,7 @@
     }
 
     /// Takes in what a sidecar witnessed: the least that a charge used, should its witness be lost.
-    pub fn witness(&self, record: &ChargeRecord, _now: ClockTime) {
+    pub fn note_usage(&self, record: &ChargeRecord, _now: ClockTime) {
         let mut shard = self.shard_of(&record.branch);
         let purse = shard.purses.get_mut(&record.branch);
         let Some(grant) = purse.and_then(|purse| purse.grant_mut(&record.charge.grant)) else {
@@ -255,7 +255,7 @@
     /// Ends orphaned charges of one grant, as far as the sidecars that have sealed them account for
     /// them; false if some have to be asked again. Where a witness is lost, the charges' reservations
     /// stay held, and the book will say that they are in doubt.
-    pub fn resolve_case(&self, case: &RecoveryCase, charges: &[ChargeId]) -> bool {
+    pub fn resolve_recovery(&self, case: &GrantRecovery, charges: &[ChargeId]) -> bool {
         let mut shard = self.shard_of(&case.branch);
         let purse = shard.purses.get_mut(&case.branch);
         let Some(grant) = purse.and_then(|purse| purse.grant_mut(&case.grant)) else {
@@ -270,7 +270,7 @@
         let (settled, whole) = match case.verdict() {
             RecoveryVerdict::Close(settled) => (settled, true),
             RecoveryVerdict::Wait(settled) => (settled, false),
-            RecoveryVerdict::Doubt(_) => {
+            RecoveryVerdict::InDoubt(_) => {
                 own.for_each(|charge| grant.lose(charge.sequence));
                 return true;
             }
@@ -346,7 +346,7 @@
     /// [`HomeLedger::apply`] for requests that wait: the same, if it gives some of them what they
     /// lack or ends the doubt about an earlier write; else nothing, and false. What else there is to
     /// write waits for the book's turn.
-    pub fn apply_needed(
+    pub fn apply_for_waiting(
         &self,
         book: BookNumber,
         record: &mut BookRecord,
@@ -408,7 +408,7 @@
     ///
     /// A charge of a grant that isn't outstanding counts as settled only for this process's own
     /// grants and those it sealed: of others it may not have heard yet.
-    pub fn durable(&self, charges: &[(BranchName, ChargeId)]) -> Vec<ChargeId> {
+    pub fn durable_charges(&self, charges: &[(BranchName, ChargeId)]) -> Vec<ChargeId> {
         let is_durable = |(branch, charge): &(BranchName, ChargeId)| {
             let mut shard = self.shard_of(branch);
             let purse = shard.purses.get_mut(branch);
@@ -425,20 +425,20 @@
     }
 
     /// Gives up to `wanted` of a branch's unspent tokens back; the next apply returns them.
-    pub fn give_back(
+    pub fn return_unspent(
         &self,
         branch: &BranchName,
         wanted: TokenCount,
         _now: ClockTime,
     ) -> TokenCount {
         let mut shard = self.shard_of(branch);
-        shard.purses.get_mut(branch).map_or(TokenCount::ZERO, |purse| purse.give_back(wanted))
+        shard.purses.get_mut(branch).map_or(TokenCount::ZERO, |purse| purse.return_unspent(wanted))
     }
 
     /// What running requests of a branch hold here and may give back.
-    pub fn may_return(&self, branch: &BranchName) -> TokenCount {
+    pub fn returnable(&self, branch: &BranchName) -> TokenCount {
         let shard = self.shard_of(branch);
-        shard.purses.get(branch).map_or(TokenCount::ZERO, BranchPurse::may_return)
+        shard.purses.get(branch).map_or(TokenCount::ZERO, BranchPurse::returnable)
     }
 
     /// Hands every grant back, for a graceful stop; nothing new is reserved.
@@ -451,7 +451,7 @@
     }
 
     /// True if grants of the book's branches are held, or may be.
-    pub fn holds(&self, book: BookNumber) -> bool {
+    pub fn holds_grants(&self, book: BookNumber) -> bool {
         self.shard(book).purses.values().any(|purse| !purse.is_empty())
     }
 
--- a/crates/sagespool-ledger/src/lib.rs
+++ b/crates/sagespool-ledger/src/lib.rs
@@ -32,9 +32,9 @@
 pub use book::{
     BOOK_COUNT, BookRecord, ReleaseOutcome, SpendBounds, TopUpOutcome, book_key, book_of,
 };
-pub use home::{HomeLedger, ReserveDecision, ShortNotice};
+pub use home::{BudgetShortfall, HomeLedger, ReserveDecision};
 pub use intervals::SequenceSet;
 pub use policy::{BudgetMode, LedgerPolicy};
-pub use prepaid::{GrantTerms, HolderRecord, PrepaidBook, PrepaidPurse, prepaid_key};
-pub use purse::{HeldBack, OrphanCharge};
-pub use recovery::{RecoveryCase, RecoveryVerdict};
+pub use prepaid::{GrantPolicy, HolderRecord, PrepaidBalance, PrepaidRecord, prepaid_key};
+pub use purse::{ClassHoldback, OrphanCharge};
+pub use recovery::{GrantRecovery, RecoveryVerdict};
--- a/crates/sagespool-ledger/src/prepaid.rs
+++ b/crates/sagespool-ledger/src/prepaid.rs
@@ -1,8 +1,8 @@
 //! Budgets that are declared as one total for each client account.
 //!
 //! The total stands in the configuration, and nobody beside the spending instances witnesses a
-//! request. A [`PrepaidBook`] is the store's object of one account: who may spend how much. A
-//! [`PrepaidPurse`] is one instance's side: it spends only what a write to the book granted it
+//! request. A [`PrepaidRecord`] is the store's object of one account: who may spend how much. A
+//! [`PrepaidBalance`] is one instance's side: it spends only what a write to the book granted it
 //! and the store acknowledged, or what another instance lent it out of such a grant. So the sum
 //! of all purses never passes the total, in any partition and over any restart.
 //!
@@ -13,5 +13,5 @@
 mod book;
 mod purse;
 
-pub use book::{HolderRecord, PrepaidBook, prepaid_key};
-pub use purse::{GrantTerms, PrepaidPurse};
+pub use book::{HolderRecord, PrepaidRecord, prepaid_key};
+pub use purse::{GrantPolicy, PrepaidBalance};
--- a/crates/sagespool-ledger/src/prepaid/book.rs
+++ b/crates/sagespool-ledger/src/prepaid/book.rs
@@ -22,7 +22,7 @@
 derives! { record;
     /// Who may spend how much of an account's total.
     #[derive(Default)]
-    pub struct PrepaidBook {
+    pub struct PrepaidRecord {
         /// The configuration that the total is from.
         pub version: ConfigVersion,
         /// The total.
@@ -47,7 +47,7 @@
     format!("prepaid/{branch}")
 }
 
-impl PrepaidBook {
+impl PrepaidRecord {
     /// What nobody may spend yet.
     pub fn free(&self) -> TokenCount {
         let granted: TokenCount = self.holders.values().map(|holder| holder.granted).sum();
@@ -55,7 +55,7 @@
     }
 
     /// Takes the total of a configuration, unless the book has a newer one's.
-    pub fn take_total(&mut self, version: ConfigVersion, prepaid: TokenCount) {
+    pub fn set_total(&mut self, version: ConfigVersion, prepaid: TokenCount) {
         if version >= self.version {
             self.version = version;
             self.prepaid = prepaid;
@@ -81,7 +81,7 @@
     }
 
     /// Notes what of a run's grant is for the time ahead.
-    pub fn note_supply(&mut self, run: IncarnationId, supply: TokenCount) {
+    pub fn set_supply(&mut self, run: IncarnationId, supply: TokenCount) {
         if let Some(holder) = self.holders.get_mut(&run) {
             holder.supply = supply;
         }
@@ -89,7 +89,7 @@
 
     /// Closes the grants of earlier runs of an instance. What they hadn't spent is given up:
     /// whether they had isn't known.
-    pub fn close_earlier(&mut self, run: IncarnationId, instance: &InstanceName) {
+    pub fn close_earlier_runs(&mut self, run: IncarnationId, instance: &InstanceName) {
         let earlier =
             |id: &IncarnationId, holder: &HolderRecord| *id != run && holder.instance == *instance;
         let ended = self.holders.extract_if(.., |id, holder| earlier(id, holder));
--- a/crates/sagespool-ledger/src/prepaid/purse.rs
+++ b/crates/sagespool-ledger/src/prepaid/purse.rs
@@ -4,11 +4,11 @@
 
 use sagespool_types::{ClockTime, TokenCount};
 
-use super::PrepaidBook;
+use super::PrepaidRecord;
 
 /// How large grants are.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct GrantTerms {
+pub struct GrantPolicy {
     /// A grant covers the use of so long a time: the store may be away without a warning, and
     /// what isn't granted can't be spent then.
     pub ahead: Duration,
@@ -28,16 +28,16 @@
     pub instances: usize,
 }
 
-impl GrantTerms {
+impl GrantPolicy {
     /// The terms of one of several instances: its part of what is free.
-    pub fn of_one(self, instances: usize) -> Self {
+    pub fn per_instance(self, instances: usize) -> Self {
         Self { instances: instances.max(1), ..self }
     }
 
     /// The terms in a fleet in which accounts have their homes at so many instances. A supply lies with its
     /// account's home: the more homes there are, the fewer accounts lose theirs when an instance is
     /// killed, and the longer may supplies bridge outages of the store, which all accounts meet at once.
-    pub fn in_fleet(self, homes: usize) -> Self {
+    pub fn scaled_to_homes(self, homes: usize) -> Self {
         let factor = (homes as f64 / HOMES_FOR_IDLE).clamp(1.0, MOST_IDLE_FACTOR);
         Self { ahead: self.ahead.mul_f64(factor), idle: (self.idle * factor).min(1.0), ..self }
     }
@@ -57,7 +57,7 @@
 
 /// What this instance may spend of one account, and has spent.
 #[derive(Debug, Clone, Default)]
-pub struct PrepaidPurse {
+pub struct PrepaidBalance {
     /// The newest grant that the store acknowledged, or a lower one that was asked for since.
     granted: TokenCount,
     /// What other instances lent to this one in all.
@@ -102,7 +102,7 @@
 /// Of the largest supply, a loan ahead is this part at most.
 const LOAN_PART: f64 = 0.25;
 
-impl PrepaidPurse {
+impl PrepaidBalance {
     /// What can be spent beside what is reserved.
     pub fn free(&self) -> TokenCount {
         (self.granted + self.borrowed).less(self.lent + self.used + self.reserved)
@@ -137,12 +137,12 @@
     }
 
     /// The least grant under which everything that was spent or promised is covered.
-    pub fn needed(&self) -> TokenCount {
+    pub fn min_grant(&self) -> TokenCount {
         (self.lent + self.used + self.reserved).less(self.borrowed)
     }
 
     /// Whether a larger grant should be asked for before the purse is empty.
-    pub fn runs_low(&self, terms: GrantTerms, total: TokenCount, now: ClockTime) -> bool {
+    pub fn runs_low(&self, terms: GrantPolicy, total: TokenCount, now: ClockTime) -> bool {
         let wanted = self.wanted_ahead(terms, total, self.given_up, now);
         (self.free().0 as f64) < wanted / 2.0
     }
@@ -150,7 +150,7 @@
     /// What to borrow for the time ahead, beside what a request of some amount misses.
     pub fn loan_ahead(
         &self,
-        terms: GrantTerms,
+        terms: GrantPolicy,
         total: TokenCount,
         amount: TokenCount,
         now: ClockTime,
@@ -168,9 +168,9 @@
     ///
     /// Guards against totals that can't be used up: what a borrower holds is lost when it is killed,
     /// and with a loan for a whole second at each of many, single kills lost 4 in 100 of a total.
-    pub fn ahead_to_lend(
+    pub fn allowed_loan_ahead(
         &self,
-        terms: GrantTerms,
+        terms: GrantPolicy,
         total: TokenCount,
         ahead: TokenCount,
         now: ClockTime,
@@ -191,7 +191,7 @@
     /// The supply that is aimed at.
     fn wanted_ahead(
         &self,
-        terms: GrantTerms,
+        terms: GrantPolicy,
         total: TokenCount,
         given_up: TokenCount,
         now: ClockTime,
@@ -201,13 +201,13 @@
     }
 
     /// Takes note of what the book says of losses.
-    pub fn see_book(&mut self, book: &PrepaidBook) {
+    pub fn observe_record(&mut self, book: &PrepaidRecord) {
         self.given_up = book.given_up;
     }
 
     /// What a grant holds beyond what is spent, promised, or missing.
-    pub fn supply_under(&self, granted: TokenCount, missing: TokenCount) -> TokenCount {
-        granted.less(self.needed() + missing)
+    pub fn supply_in_grant(&self, granted: TokenCount, missing: TokenCount) -> TokenCount {
+        granted.less(self.min_grant() + missing)
     }
 
     /// The grant to ask a book for, so that `missing` more can be reserved: that and a supply for
@@ -215,18 +215,18 @@
     ///
     /// Never less than the grant that this purse goes by, however large that is by now. A write
     /// that lowers it may take effect without an answer; the purse would go on spending what the
-    /// book has given to others. [`lower_to`](Self::lower_to) comes first where a grant is to shrink.
-    pub fn grant_to_ask(
+    /// book has given to others. [`lower_grant_to`](Self::lower_grant_to) comes first where a grant is to shrink.
+    pub fn grant_to_request(
         &self,
-        book: &PrepaidBook,
+        book: &PrepaidRecord,
         present: TokenCount,
         missing: TokenCount,
-        terms: GrantTerms,
+        terms: GrantPolicy,
         now: ClockTime,
     ) -> Option<TokenCount> {
         // What the book has for this run counts as free: it is about to be set anew.
         let room = book.free() + present;
-        let least = self.needed() + missing;
+        let least = self.min_grant() + missing;
         if least > room {
             return None;
         }
@@ -238,13 +238,13 @@
     }
 
     /// Takes the grant that the store acknowledged.
-    pub fn acknowledged(&mut self, granted: TokenCount) {
+    pub fn set_acknowledged(&mut self, granted: TokenCount) {
         self.granted = granted;
     }
 
     /// Lowers the grant before a write that says so is sent: the write may take effect without an
     /// answer, and what it gave back may then be granted to others.
-    pub fn lower_to(&mut self, granted: TokenCount) {
+    pub fn lower_grant_to(&mut self, granted: TokenCount) {
         self.granted = self.granted.min(granted);
     }
 
--- a/crates/sagespool-ledger/src/purse.rs
+++ b/crates/sagespool-ledger/src/purse.rs
@@ -11,11 +11,11 @@
 
 use crate::account::BranchAccount;
 use crate::grant::{HeldGrant, OpenCharge};
-use crate::{BudgetMode, GrantRecord, LedgerPolicy, ShortNotice};
+use crate::{BudgetMode, BudgetShortfall, GrantRecord, LedgerPolicy};
 
 /// Part of a branch's remaining budget that only one class may use.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeldBack {
+pub struct ClassHoldback {
     /// The class.
     pub class: ClassName,
     /// How much is kept for it.
@@ -97,8 +97,8 @@
 #[derive(Debug, Clone, Default)]
 pub(crate) struct BookView {
     pub(crate) free: TokenCount,
-    pub(crate) others: Vec<(GrantId, IncarnationId, TokenCount)>,
-    pub(crate) doubted: Vec<(GrantId, IncarnationId, TokenCount)>,
+    pub(crate) other_grants: Vec<(GrantId, IncarnationId, TokenCount)>,
+    pub(crate) grants_in_doubt: Vec<(GrantId, IncarnationId, TokenCount)>,
     pub(crate) seen: bool,
 }
 
@@ -118,7 +118,7 @@
     pub(crate) grants: Vec<HeldGrant>,
     asked: Vec<AskedGrant>,
     pub(crate) view: BookView,
-    pub(crate) held_back: Vec<HeldBack>,
+    pub(crate) held_back: Vec<ClassHoldback>,
     need: WaitingNeed,
     /// True from when something was given back until the book shows it.
     has_given_back: bool,
@@ -145,8 +145,8 @@
 
     /// What running requests may give back. A charge whose witness is lost gives nothing back: a
     /// request that waited for it would be refused at its deadline instead of at once.
-    pub(crate) fn may_return(&self) -> TokenCount {
-        self.grants.iter().map(HeldGrant::may_return).sum()
+    pub(crate) fn returnable(&self) -> TokenCount {
+        self.grants.iter().map(HeldGrant::returnable).sum()
     }
 
     /// What is kept from a class for the others.
@@ -168,13 +168,13 @@
     }
 
     /// Why an amount isn't covered.
-    pub(crate) fn short(&self, class: &ClassName, amount: TokenCount) -> ShortNotice {
-        ShortNotice {
+    pub(crate) fn short(&self, class: &ClassName, amount: TokenCount) -> BudgetShortfall {
+        BudgetShortfall {
             missing: self.missing(class, amount),
-            may_return: self.may_return(),
+            returnable: self.returnable(),
             book_free: self.view.seen.then_some(self.view.free),
-            others: self.view.others.clone(),
-            doubted: self.view.doubted.clone(),
+            other_grants: self.view.other_grants.clone(),
+            grants_in_doubt: self.view.grants_in_doubt.clone(),
         }
     }
 
@@ -441,13 +441,13 @@
     }
 
     /// Gives back up to what is wanted; what was given back isn't reserved from any more.
-    pub(crate) fn give_back(&mut self, wanted: TokenCount) -> TokenCount {
+    pub(crate) fn return_unspent(&mut self, wanted: TokenCount) -> TokenCount {
         let mut given = TokenCount::ZERO;
         for grant in &mut self.grants {
             if given >= wanted {
                 break;
             }
-            given += grant.give_back(wanted.less(given));
+            given += grant.return_unspent(wanted.less(given));
         }
         self.has_given_back |= given > TokenCount::ZERO;
         given
@@ -471,12 +471,15 @@
         let others = account.grants.iter().filter(|(id, _)| id.holder != own);
         let (doubted, others): (Vec<_>, Vec<_>) = others.partition(|(_, record)| record.in_doubt);
         let rests = |grants: Vec<(&GrantId, &GrantRecord)>| {
-            grants.into_iter().map(|(id, record)| (*id, id.holder, record.rest())).collect()
+            grants
+                .into_iter()
+                .map(|(id, record)| (*id, id.holder, record.unsettled_amount()))
+                .collect()
         };
         self.view = BookView {
             free: account.free(),
-            others: rests(others),
-            doubted: rests(doubted),
+            other_grants: rests(others),
+            grants_in_doubt: rests(doubted),
             seen: true,
         };
         // In this order: a grant that was sealed before this home heard of it is taken in, found
--- a/crates/sagespool-ledger/src/recovery.rs
+++ b/crates/sagespool-ledger/src/recovery.rs
@@ -17,7 +17,7 @@
     /// What a lost witness may have run can't be known, so what isn't settled is in doubt. These are
     /// known; they aren't final, since the lost one may have run later attempts, and are settled by
     /// an operator's release.
-    Doubt(Vec<(ChargeId, TokenCount)>),
+    InDoubt(Vec<(ChargeId, TokenCount)>),
 }
 
 /// A charge as the sidecar of its last known attempt listed it.
@@ -29,7 +29,7 @@
 
 /// The recovery of one sealed grant, or of sealed charges of one grant.
 #[derive(Debug, Clone)]
-pub struct RecoveryCase {
+pub struct GrantRecovery {
     /// The branch.
     pub branch: BranchName,
     /// The grant.
@@ -44,7 +44,7 @@
     charges: BTreeMap<SequenceNumber, ListedCharge>,
 }
 
-impl RecoveryCase {
+impl GrantRecovery {
     /// A case that has heard nobody yet. Nothing can have run before the store's revision `asked_at`:
     /// [`crate::GrantRecord::asked_at`] for a whole grant, [`crate::OrphanCharge::since`] for charges.
     /// `sidecars` are all that could have run something: every one that was there at that revision
@@ -105,7 +105,7 @@
 
     /// Notes that a sidecar is gone for good: what it ran and didn't list can't be known, nor how an
     /// attempt ended that it listed as running.
-    pub fn give_up(&mut self, sidecar: IncarnationId) {
+    pub fn mark_gone(&mut self, sidecar: IncarnationId) {
         self.gone.insert(sidecar);
         let unheard = self.missing.remove(&sidecar);
         let runs = |listed: &ListedCharge| listed.sidecar == sidecar && !listed.record.ended;
@@ -130,7 +130,7 @@
         }
         match (self.lost_witness, self.still_runs()) {
             (true, true) => RecoveryVerdict::Wait(Vec::new()),
-            (true, false) => RecoveryVerdict::Doubt(self.uses(|_| true)),
+            (true, false) => RecoveryVerdict::InDoubt(self.uses(|_| true)),
             (false, true) => RecoveryVerdict::Wait(self.uses(|record| record.ended)),
             (false, false) => RecoveryVerdict::Close(self.uses(|record| record.ended)),
         }
--- a/crates/sagespool-ledger/tests/borrowed_rests.rs
+++ b/crates/sagespool-ledger/tests/borrowed_rests.rs
@@ -7,49 +7,49 @@
 
 use std::time::Duration;
 
-use sagespool_ledger::{GrantTerms, PrepaidBook, PrepaidPurse};
+use sagespool_ledger::{GrantPolicy, PrepaidBalance, PrepaidRecord};
 use sagespool_types::{ClockTime, ConfigVersion, IncarnationId, InstanceName, TokenCount};
 
 const TOTAL: TokenCount = TokenCount(5_000_000);
 const REQUEST: TokenCount = TokenCount(7_000);
-const TERMS: GrantTerms =
-    GrantTerms { ahead: Duration::from_secs(3), share: 0.2, idle: 0.04, instances: 1 };
+const TERMS: GrantPolicy =
+    GrantPolicy { ahead: Duration::from_secs(3), share: 0.2, idle: 0.04, instances: 1 };
 const HOME: IncarnationId = IncarnationId(7);
 const INSTANCES: usize = 25;
 /// Between two requests of the account: 400 a second.
 const PACE: Duration = Duration::from_micros(2_500);
 
 struct LentAccount {
-    book: PrepaidBook,
-    home: PrepaidPurse,
-    borrowers: Vec<PrepaidPurse>,
+    book: PrepaidRecord,
+    home: PrepaidBalance,
+    borrowers: Vec<PrepaidBalance>,
     name: InstanceName,
     used: TokenCount,
 }
 
 impl LentAccount {
     fn new() -> Self {
-        let mut book = PrepaidBook::default();
-        book.take_total(ConfigVersion(1), TOTAL);
+        let mut book = PrepaidRecord::default();
+        book.set_total(ConfigVersion(1), TOTAL);
         Self {
             book,
-            home: PrepaidPurse::default(),
-            borrowers: vec![PrepaidPurse::default(); INSTANCES],
+            home: PrepaidBalance::default(),
+            borrowers: vec![PrepaidBalance::default(); INSTANCES],
             name: "gateway-1".parse().expect("a name"),
             used: TokenCount::ZERO,
         }
     }
 
     fn lend(&mut self, missing: TokenCount, ahead: TokenCount, now: ClockTime) -> TokenCount {
-        let wanted = missing + self.home.ahead_to_lend(TERMS, TOTAL, ahead, now);
+        let wanted = missing + self.home.allowed_loan_ahead(TERMS, TOTAL, ahead, now);
         self.home.note_demand(wanted, now);
         if wanted > self.home.free() {
             let present = self.book.granted(HOME);
             let missing = wanted.less(self.home.free());
-            let granted = self.home.grant_to_ask(&self.book, present, missing, TERMS, now);
+            let granted = self.home.grant_to_request(&self.book, present, missing, TERMS, now);
             if let Some(granted) = granted {
                 self.book.set_granted(HOME, &self.name, granted);
-                self.home.acknowledged(granted);
+                self.home.set_acknowledged(granted);
             }
         }
         self.home.lend(wanted)
@@ -79,7 +79,7 @@
     }
 
     fn idle(&self) -> TokenCount {
-        self.borrowers.iter().map(PrepaidPurse::free).sum()
+        self.borrowers.iter().map(PrepaidBalance::free).sum()
     }
 }
 
@@ -126,13 +126,13 @@
 #[test]
 fn own_grant() {
     let now = ClockTime(1_000_000);
-    let mut purse = PrepaidPurse::default();
-    purse.acknowledged(TokenCount(100));
+    let mut purse = PrepaidBalance::default();
+    purse.set_acknowledged(TokenCount(100));
     purse.borrow(TokenCount(50));
     assert!(purse.reserve(TokenCount(30), now));
     purse.settle(TokenCount(30), TokenCount(30));
     assert_eq!(purse.take_surplus(), TokenCount(20));
     // The loan is gone, the own grant is whole.
-    assert_eq!((purse.free(), purse.needed()), (TokenCount(100), TokenCount::ZERO));
+    assert_eq!((purse.free(), purse.min_grant()), (TokenCount(100), TokenCount::ZERO));
     assert_eq!(purse.take_surplus(), TokenCount::ZERO);
 }
--- a/crates/sagespool-ledger/tests/busy_borrowers.rs
+++ b/crates/sagespool-ledger/tests/busy_borrowers.rs
@@ -6,13 +6,13 @@
 
 use std::time::Duration;
 
-use sagespool_ledger::{GrantTerms, PrepaidBook, PrepaidPurse};
+use sagespool_ledger::{GrantPolicy, PrepaidBalance, PrepaidRecord};
 use sagespool_types::{ClockTime, ConfigVersion, IncarnationId, InstanceName, TokenCount};
 
 const TOTAL: TokenCount = TokenCount(16_000_000);
 const REQUEST: TokenCount = TokenCount(7_000);
-const TERMS: GrantTerms =
-    GrantTerms { ahead: Duration::from_secs(3), share: 0.2, idle: 0.04, instances: 1 };
+const TERMS: GrantPolicy =
+    GrantPolicy { ahead: Duration::from_secs(3), share: 0.2, idle: 0.04, instances: 1 };
 const HOME: IncarnationId = IncarnationId(7);
 const START: ClockTime = ClockTime(1_000_000);
 
@@ -28,17 +28,17 @@
 /// Plays requests in a distance until the total is spent, or so many were served.
 fn play(pace: Duration, most: u64) -> BorrowedUse {
     let instance: InstanceName = "gateway-1".parse().expect("a name");
-    let mut book = PrepaidBook::default();
-    book.take_total(ConfigVersion(1), TOTAL);
-    let (mut home, mut purse) = (PrepaidPurse::default(), PrepaidPurse::default());
+    let mut book = PrepaidRecord::default();
+    book.set_total(ConfigVersion(1), TOTAL);
+    let (mut home, mut purse) = (PrepaidBalance::default(), PrepaidBalance::default());
     let mut lend = |wanted: TokenCount, now: ClockTime| {
         home.note_demand(wanted, now);
         if wanted > home.free() {
             let present = book.granted(HOME);
             let missing = wanted.less(home.free());
-            if let Some(granted) = home.grant_to_ask(&book, present, missing, TERMS, now) {
+            if let Some(granted) = home.grant_to_request(&book, present, missing, TERMS, now) {
                 book.set_granted(HOME, &instance, granted);
-                home.acknowledged(granted);
+                home.set_acknowledged(granted);
             }
         }
         home.lend(wanted)
@@ -97,10 +97,10 @@
 #[test]
 fn early_outage() {
     let instance: InstanceName = "gateway-1".parse().expect("a name");
-    let terms = GrantTerms { idle: 1.0, ..TERMS };
-    let mut book = PrepaidBook::default();
-    book.take_total(ConfigVersion(1), TOTAL);
-    let mut purse = PrepaidPurse::default();
+    let terms = GrantPolicy { idle: 1.0, ..TERMS };
+    let mut book = PrepaidRecord::default();
+    book.set_total(ConfigVersion(1), TOTAL);
+    let mut purse = PrepaidBalance::default();
     let pace = Duration::from_millis(50);
     let mut now = START;
     let mut served_after = 0;
@@ -109,10 +109,10 @@
         if !is_away && (purse.free() < REQUEST || purse.runs_low(terms, TOTAL, now)) {
             let present = book.granted(HOME);
             let missing = REQUEST.less(purse.free());
-            let granted = purse.grant_to_ask(&book, present, missing, terms, now);
+            let granted = purse.grant_to_request(&book, present, missing, terms, now);
             let granted = granted.expect("the book covers it");
             book.set_granted(HOME, &instance, granted);
-            purse.acknowledged(granted);
+            purse.set_acknowledged(granted);
         }
         if !purse.reserve(REQUEST, now) {
             break;
--- a/crates/sagespool-ledger/tests/charge_settlement.rs
+++ b/crates/sagespool-ledger/tests/charge_settlement.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use fixture::*;
-use sagespool_ledger::{RecoveryCase, ReserveDecision};
+use sagespool_ledger::{GrantRecovery, ReserveDecision};
 use sagespool_messages::FinishState;
 use sagespool_types::{IncarnationId, TokenCount};
 
@@ -13,9 +13,9 @@
     book: &StoredBook,
     orphan: &sagespool_ledger::OrphanCharge,
     sidecars: &[IncarnationId],
-) -> RecoveryCase {
+) -> GrantRecovery {
     let grant = orphan.charge.grant;
-    RecoveryCase::new(book.branch.clone(), grant, orphan.since, sidecars.iter().copied())
+    GrantRecovery::new(book.branch.clone(), grant, orphan.since, sidecars.iter().copied())
 }
 
 /// A home settles a charge, and the store's answer is lost after the write took effect. The home
@@ -65,9 +65,9 @@
     let branch = book.branch.clone();
     let grant = reserved.charge.grant;
     let asked_at = book.record.branches[&branch].grants[&grant].asked_at;
-    let mut case = RecoveryCase::new(branch.clone(), grant, asked_at, [SIDECAR]);
+    let mut case = GrantRecovery::new(branch.clone(), grant, asked_at, [SIDECAR]);
     case.take_reply(&listed(SIDECAR, vec![whole(&branch, reserved.charge, 1, 30)]));
-    book.record.recover(&branch, &grant, &case.verdict());
+    book.record.apply_recovery(&branch, &grant, &case.verdict());
     assert_eq!((book.settled(), book.free()), (30, 70));
 }
 
@@ -92,7 +92,7 @@
     let mut book = StoredBook::new(100);
     let owner = home(HOME);
     let reserved = book.reserve(&owner, 100, at(1));
-    owner.witness(&whole(&book.branch, reserved.charge, 1, 30), at(2));
+    owner.note_usage(&whole(&book.branch, reserved.charge, 1, 30), at(2));
     book.write(&owner, at(2));
     assert_eq!((book.settled(), book.free()), (0, 0));
 
@@ -103,9 +103,9 @@
 
     let mut case = charge_case(&book, &orphans[0], &[SIDECAR, OTHER_SIDECAR]);
     case.take_reply(&listed(SIDECAR, vec![whole(&book.branch, reserved.charge, 1, 30)]));
-    assert!(!owner.resolve_case(&case, &[reserved.charge]));
+    assert!(!owner.resolve_recovery(&case, &[reserved.charge]));
     case.take_reply(&listed(OTHER_SIDECAR, vec![whole(&book.branch, reserved.charge, 2, 90)]));
-    assert!(owner.resolve_case(&case, &[reserved.charge]));
+    assert!(owner.resolve_recovery(&case, &[reserved.charge]));
     book.write(&owner, at(4));
     assert_eq!(book.settled(), 90);
 }
@@ -125,7 +125,7 @@
 
     let mut case = charge_case(&book, &orphans[0], &[SIDECAR]);
     case.take_reply(&listed(SIDECAR, Vec::new()));
-    assert!(owner.resolve_case(&case, &[reserved.charge]));
+    assert!(owner.resolve_recovery(&case, &[reserved.charge]));
     let ReserveDecision::Reserved(_) = book.try_reserve(&owner, 50, at(3)) else {
         panic!("nothing ran, so the reservation is back");
     };
@@ -151,16 +151,16 @@
     let mut book = StoredBook::new(100);
     let owner = home(HOME);
     let reserved = book.reserve(&owner, 50, at(1));
-    owner.witness(&broken(&book.branch, reserved.charge, 1, 20), at(1));
+    owner.note_usage(&broken(&book.branch, reserved.charge, 1, 20), at(1));
     let orphans = owner.entry_gone(ENTRY, at(2));
     let mut case = charge_case(&book, &orphans[0], &[SIDECAR]);
-    case.give_up(SIDECAR);
-    assert!(owner.resolve_case(&case, &[reserved.charge]));
+    case.mark_gone(SIDECAR);
+    assert!(owner.resolve_recovery(&case, &[reserved.charge]));
     book.write(&owner, at(3));
     owner.return_all(at(4));
     book.write(&owner, at(4));
 
-    assert!(!owner.holds(book.book));
+    assert!(!owner.holds_grants(book.book));
     let bounds = book.record.spend(&book.branch).unwrap();
     assert_eq!((bounds.settled, bounds.in_doubt), (TokenCount(20), TokenCount(30)));
     assert_eq!(bounds.free, TokenCount(50));
@@ -174,16 +174,16 @@
     let reserved = book.reserve(&owner, 50, at(1));
     let orphans = owner.entry_gone(ENTRY, at(2));
     let mut case = charge_case(&book, &orphans[0], &[SIDECAR]);
-    case.give_up(SIDECAR);
-    owner.resolve_case(&case, &[reserved.charge]);
+    case.mark_gone(SIDECAR);
+    owner.resolve_recovery(&case, &[reserved.charge]);
     book.write(&owner, at(3));
     let asked = [(book.branch.clone(), reserved.charge)];
-    assert!(owner.durable(&asked).is_empty(), "its witness is still needed");
+    assert!(owner.durable_charges(&asked).is_empty(), "its witness is still needed");
 
     book.ran(&owner, reserved.charge, 35, at(60));
     book.write(&owner, at(60));
     assert_eq!((book.settled(), book.free()), (35, 65));
-    assert_eq!(owner.durable(&asked), vec![reserved.charge]);
+    assert_eq!(owner.durable_charges(&asked), vec![reserved.charge]);
 }
 
 /// A sidecar may forget a charge only once it is settled in the store: until then it is the only
@@ -194,12 +194,15 @@
     let owner = home(HOME);
     let reserved = book.reserve(&owner, 50, at(1));
     let asked = [(book.branch.clone(), reserved.charge)];
-    assert!(owner.durable(&asked).is_empty());
+    assert!(owner.durable_charges(&asked).is_empty());
     book.ran(&owner, reserved.charge, 35, at(2));
-    assert!(owner.durable(&asked).is_empty());
+    assert!(owner.durable_charges(&asked).is_empty());
     book.write_unheard(&owner, at(3));
-    assert!(owner.durable(&asked).is_empty());
+    assert!(owner.durable_charges(&asked).is_empty());
     book.write(&owner, at(4));
-    assert_eq!(owner.durable(&asked), vec![reserved.charge]);
-    assert!(home(OTHER_HOME).durable(&asked).is_empty(), "another home knows nothing of it");
+    assert_eq!(owner.durable_charges(&asked), vec![reserved.charge]);
+    assert!(
+        home(OTHER_HOME).durable_charges(&asked).is_empty(),
+        "another home knows nothing of it"
+    );
 }
--- a/crates/sagespool-ledger/tests/grant_raise.rs
+++ b/crates/sagespool-ledger/tests/grant_raise.rs
@@ -10,7 +10,7 @@
 fn short_home(book: &mut StoredBook) -> HomeLedger {
     let owner = home(HOME);
     book.reserve(&owner, 40, at(1));
-    owner.urgent(&book.branch, TokenCount(30), at(12));
+    owner.note_waiting(&book.branch, TokenCount(30), at(12));
     owner
 }
 
@@ -57,9 +57,9 @@
     let mut book = StoredBook::new(100);
     let owner = home(HOME);
     book.grant(&owner, 40, at(1));
-    owner.urgent(&book.branch, TokenCount(70), at(12));
+    owner.note_waiting(&book.branch, TokenCount(70), at(12));
     book.write_unheard(&owner, at(12));
-    owner.give_back(&book.branch, TokenCount(40), at(12));
+    owner.return_unspent(&book.branch, TokenCount(40), at(12));
     book.write(&owner, at(17));
     assert_eq!(book.free(), 70);
     assert!(book.short(&owner, 31, at(17)).is_some());
@@ -95,13 +95,13 @@
     book.ran(&owner, charge, 50, at(1));
     for (second, amount) in [(2, 60), (2, 70), (3, 55), (3, 90)] {
         assert!(book.short(&owner, amount, at(second)).is_some());
-        owner.urgent(&book.branch, TokenCount(amount), at(second));
+        owner.note_waiting(&book.branch, TokenCount(amount), at(second));
         owner.observe(book.book, &book.record, book.version, at(second));
         let (mut draft, version) = (book.record.clone(), book.version);
-        assert!(!owner.apply_needed(book.book, &mut draft, version, version, at(second)));
+        assert!(!owner.apply_for_waiting(book.book, &mut draft, version, version, at(second)));
     }
     book.top_up(100);
     owner.observe(book.book, &book.record, book.version, at(3));
     let (mut draft, version) = (book.record.clone(), book.version);
-    assert!(owner.apply_needed(book.book, &mut draft, version, version, at(3)));
+    assert!(owner.apply_for_waiting(book.book, &mut draft, version, version, at(3)));
 }
--- a/crates/sagespool-ledger/tests/model/checks.rs
+++ b/crates/sagespool-ledger/tests/model/checks.rs
@@ -113,7 +113,7 @@
         check_now(world);
     }
     let book = world.book;
-    if world.homes[home].ledger.holds(book) {
+    if world.homes[home].ledger.holds_grants(book) {
         let blocked = has_open_charge(world, home);
         assert!(blocked, "a home can't leave though all its charges ended");
         world.crash_home(slot);
--- a/crates/sagespool-ledger/tests/model/recovery.rs
+++ b/crates/sagespool-ledger/tests/model/recovery.rs
@@ -1,6 +1,6 @@
 //! Sealing and recovery: of dead homes' grants, and of charges whose entry is gone.
 
-use sagespool_ledger::{BookRecord, OrphanCharge, RecoveryCase};
+use sagespool_ledger::{BookRecord, GrantRecovery, OrphanCharge};
 use sagespool_types::{ChargeId, IncarnationId, StoreRevision};
 
 use super::sidecar::ModelSidecar;
@@ -12,7 +12,7 @@
     /// A home that finds its own seal in the book starts to ask sidecars.
     pub(super) fn open_cases(&mut self, home: usize, record: &BookRecord) {
         let own = self.homes[home].incarnation;
-        for (branch, grant) in record.sealed_by(own) {
+        for (branch, grant) in record.grants_sealed_by(own) {
             if self.homes[home].cases.iter().any(|case| case.grant == grant) {
                 continue;
             }
@@ -23,7 +23,7 @@
             if grant.number % 2 == 1 {
                 witnesses.retain(|known| self.lives(*known));
             }
-            let case = RecoveryCase::new(branch, grant, asked_at, witnesses);
+            let case = GrantRecovery::new(branch, grant, asked_at, witnesses);
             self.homes[home].cases.push(case);
         }
     }
@@ -47,7 +47,7 @@
         let known = sidecar.ended();
         let asked: Vec<_> =
             known.iter().map(|record| (record.branch.clone(), record.charge)).collect();
-        for charge in self.homes[home].ledger.durable(&asked) {
+        for charge in self.homes[home].ledger.durable_charges(&asked) {
             let settled = is_settled(&self.store.record, charge);
             assert!(settled, "charge {charge} was called durable and isn't settled");
             sidecar.forget(charge);
@@ -119,10 +119,10 @@
         };
         let case = &mut self.homes[home].cases[place];
         for sidecar in self.sidecars.iter().filter(|sidecar| !sidecar.is_alive()) {
-            case.give_up(sidecar.incarnation);
+            case.mark_gone(sidecar.incarnation);
         }
         let (branch, grant) = (case.branch.clone(), case.grant);
-        if draft.record.recover(&branch, &grant, &case.verdict()) {
+        if draft.record.apply_recovery(&branch, &grant, &case.verdict()) {
             self.store.write(&draft, fate);
         }
     }
@@ -178,7 +178,7 @@
             }
             let witnesses = self.witnesses_since(orphan.since);
             let (branch, grant) = (orphan.branch.clone(), orphan.charge.grant);
-            let case = RecoveryCase::new(branch, grant, orphan.since, witnesses);
+            let case = GrantRecovery::new(branch, grant, orphan.since, witnesses);
             self.homes[home].charge_cases.push(ChargeCase { orphan, case });
         }
     }
@@ -216,9 +216,9 @@
         let home = &mut self.homes[home];
         let open = &mut home.charge_cases[place];
         for sidecar in self.sidecars.iter().filter(|sidecar| !sidecar.is_alive()) {
-            open.case.give_up(sidecar.incarnation);
+            open.case.mark_gone(sidecar.incarnation);
         }
-        home.ledger.resolve_case(&open.case, &[open.orphan.charge]);
+        home.ledger.resolve_recovery(&open.case, &[open.orphan.charge]);
     }
 
     /// An operator releases a doubtful grant that everything is known of by other ways.
--- a/crates/sagespool-ledger/tests/model/requests.rs
+++ b/crates/sagespool-ledger/tests/model/requests.rs
@@ -149,7 +149,7 @@
         let Some(home) = home.filter(|home| home.state == ProcessState::Running) else {
             return;
         };
-        home.ledger.witness(record, self.now);
+        home.ledger.note_usage(record, self.now);
     }
 
     /// What is billed for a charge: its last attempt.
--- a/crates/sagespool-ledger/tests/model/world.rs
+++ b/crates/sagespool-ledger/tests/model/world.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use sagespool_ledger::{
-    BookRecord, BudgetMode, HomeLedger, LedgerPolicy, OrphanCharge, RecoveryCase, ReserveDecision,
+    BookRecord, BudgetMode, GrantRecovery, HomeLedger, LedgerPolicy, OrphanCharge, ReserveDecision,
     book_of,
 };
 use sagespool_messages::{ChargeRecord, FinishReport, ReserveRequest, ReservedCharge};
@@ -39,7 +39,7 @@
 /// A charge whose entry is gone, being asked about.
 pub struct ChargeCase {
     pub orphan: OrphanCharge,
-    pub case: RecoveryCase,
+    pub case: GrantRecovery,
 }
 
 /// One incarnation of a home.
@@ -50,7 +50,7 @@
     pub draft: Option<DraftWrite>,
     /// A read whose answer it hasn't looked at yet.
     pub(super) late_read: Option<DraftWrite>,
-    pub cases: Vec<RecoveryCase>,
+    pub cases: Vec<GrantRecovery>,
     pub charge_cases: Vec<ChargeCase>,
 }
 
@@ -275,7 +275,7 @@
                 sent: Vec::new(),
                 finished: false,
             }),
-            ReserveDecision::Short(_) => ledger.urgent(&branch, amount, self.now),
+            ReserveDecision::Insufficient(_) => ledger.note_waiting(&branch, amount, self.now),
         }
     }
 
@@ -292,7 +292,7 @@
         let Some(home) = self.running_home(slot) else {
             return;
         };
-        self.draft_by(home, HomeLedger::apply_needed);
+        self.draft_by(home, HomeLedger::apply_for_waiting);
         self.write_draft(home, fate);
     }
 
@@ -387,7 +387,7 @@
     pub(super) fn give_back(&mut self, slot: usize, branch: usize, wanted: u64) {
         let branch = self.branch(branch);
         if let Some(home) = self.running_home(slot) {
-            self.homes[home].ledger.give_back(&branch, TokenCount(wanted), self.now);
+            self.homes[home].ledger.return_unspent(&branch, TokenCount(wanted), self.now);
         }
     }
 
--- a/crates/sagespool-ledger/tests/prepaid_partition.rs
+++ b/crates/sagespool-ledger/tests/prepaid_partition.rs
@@ -10,13 +10,13 @@
 use std::time::Duration;
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use sagespool_ledger::{GrantTerms, PrepaidBook, PrepaidPurse};
+use sagespool_ledger::{GrantPolicy, PrepaidBalance, PrepaidRecord};
 use sagespool_types::{ClockTime, ConfigVersion, IncarnationId, InstanceName, TokenCount};
 
 const PURSES: usize = 4;
 const PREPAID: u64 = 10_000;
-const TERMS: GrantTerms =
-    GrantTerms { ahead: Duration::from_secs(10), share: 0.5, idle: 1.0, instances: 1 };
+const TERMS: GrantPolicy =
+    GrantPolicy { ahead: Duration::from_secs(10), share: 0.5, idle: 1.0, instances: 1 };
 
 /// What becomes of a write.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -74,17 +74,17 @@
 struct Instance {
     name: InstanceName,
     run: IncarnationId,
-    purse: PrepaidPurse,
+    purse: PrepaidBalance,
     running: Vec<u64>,
 }
 
 struct LateWrite {
     version: u64,
-    book: PrepaidBook,
+    book: PrepaidRecord,
 }
 
 struct World {
-    book: PrepaidBook,
+    book: PrepaidRecord,
     version: u64,
     late: Vec<LateWrite>,
     instances: Vec<Instance>,
@@ -99,11 +99,11 @@
         let instance = |at: usize| Instance {
             name: format!("gateway-{at}").parse().unwrap(),
             run: IncarnationId(at as u64),
-            purse: PrepaidPurse::default(),
+            purse: PrepaidBalance::default(),
             running: Vec::new(),
         };
         Self {
-            book: PrepaidBook::default(),
+            book: PrepaidRecord::default(),
             version: 1,
             late: Vec::new(),
             instances: (0..PURSES).map(instance).collect(),
@@ -116,19 +116,24 @@
     fn ask(&mut self, at: usize, missing: u64, fate: WriteFate) {
         let (version, mut book) = (self.version, self.book.clone());
         let instance = &mut self.instances[at];
-        book.take_total(ConfigVersion(1), TokenCount(PREPAID));
-        book.close_earlier(instance.run, &instance.name);
+        book.set_total(ConfigVersion(1), TokenCount(PREPAID));
+        book.close_earlier_runs(instance.run, &instance.name);
         let present = book.granted(instance.run);
         let missing = TokenCount(missing);
-        let wanted =
-            instance.purse.grant_to_ask(&book, present, missing, TERMS.of_one(PURSES), self.now);
+        let wanted = instance.purse.grant_to_request(
+            &book,
+            present,
+            missing,
+            TERMS.per_instance(PURSES),
+            self.now,
+        );
         let Some(wanted) = wanted else {
             return;
         };
         book.set_granted(instance.run, &instance.name, wanted);
         match fate {
             WriteFate::Done => {
-                instance.purse.acknowledged(wanted);
+                instance.purse.set_acknowledged(wanted);
                 self.write(book);
             }
             WriteFate::AnswerLost => self.write(book),
@@ -137,7 +142,7 @@
         }
     }
 
-    fn write(&mut self, book: PrepaidBook) {
+    fn write(&mut self, book: PrepaidRecord) {
         self.book = book;
         self.version += 1;
     }
@@ -182,7 +187,7 @@
                 self.runs += 1;
                 let instance = &mut self.instances[purse];
                 instance.run = IncarnationId(self.runs);
-                instance.purse = PrepaidPurse::default();
+                instance.purse = PrepaidBalance::default();
                 // What ran was charged at its most.
                 instance.running.clear();
             }
--- a/crates/sagespool-ledger/tests/recalled_grants.rs
+++ b/crates/sagespool-ledger/tests/recalled_grants.rs
@@ -19,10 +19,10 @@
     book.ran(&holder, charge, 91, at(1));
     book.grant(&holder, 9, at(2));
     assert!(book.short(&holder, 94, at(3)).is_some());
-    holder.urgent(&book.branch, TokenCount(94), at(3));
-    holder.urgent(&book.branch, TokenCount(2), at(3));
+    holder.note_waiting(&book.branch, TokenCount(94), at(3));
+    holder.note_waiting(&book.branch, TokenCount(2), at(3));
 
-    assert_eq!(holder.give_back(&book.branch, TokenCount(94), at(3)), TokenCount(9));
+    assert_eq!(holder.return_unspent(&book.branch, TokenCount(94), at(3)), TokenCount(9));
     book.write(&holder, at(3));
 
     assert_eq!(book.free(), 9, "given back and taken again by one write");
--- a/crates/sagespool-ledger/tests/seal_recovery.rs
+++ b/crates/sagespool-ledger/tests/seal_recovery.rs
@@ -3,18 +3,18 @@
 mod fixture;
 
 use fixture::*;
-use sagespool_ledger::{RecoveryCase, RecoveryVerdict, ReleaseOutcome};
+use sagespool_ledger::{GrantRecovery, RecoveryVerdict, ReleaseOutcome};
 use sagespool_messages::{FinishState, SealReply};
 use sagespool_types::{StoreRevision, TokenCount};
 
-fn case_of(book: &StoredBook, sidecars: &[sagespool_types::IncarnationId]) -> RecoveryCase {
+fn case_of(book: &StoredBook, sidecars: &[sagespool_types::IncarnationId]) -> GrantRecovery {
     let grant = book.grants()[0];
     let asked_at = book.record.branches[&book.branch].grants[&grant].asked_at;
-    RecoveryCase::new(book.branch.clone(), grant, asked_at, sidecars.iter().copied())
+    GrantRecovery::new(book.branch.clone(), grant, asked_at, sidecars.iter().copied())
 }
 
-fn recover(book: &mut StoredBook, case: &RecoveryCase) {
-    book.record.recover(&case.branch, &case.grant, &case.verdict());
+fn recover(book: &mut StoredBook, case: &GrantRecovery) {
+    book.record.apply_recovery(&case.branch, &case.grant, &case.verdict());
     book.written();
 }
 
@@ -69,7 +69,7 @@
     let mut case = case_of(&book, &[SIDECAR]);
     let started_at = Some(book.version);
     case.take_reply(&SealReply { sidecar: SIDECAR, started_at, charges: Vec::new() });
-    assert_eq!(case.verdict(), RecoveryVerdict::Doubt(Vec::new()));
+    assert_eq!(case.verdict(), RecoveryVerdict::InDoubt(Vec::new()));
     recover(&mut book, &case);
     assert_eq!(book.free(), 0);
     let bounds = book.record.spend(&book.branch).unwrap();
@@ -87,7 +87,7 @@
     let mut case = case_of(&book, &[SIDECAR]);
     case.take_reply(&listed(SIDECAR, vec![running(&book.branch, reserved.charge, 1, 40)]));
     assert_eq!(case.verdict(), RecoveryVerdict::Wait(Vec::new()));
-    case.give_up(SIDECAR);
+    case.mark_gone(SIDECAR);
     recover(&mut book, &case);
     let bounds = book.record.spend(&book.branch).unwrap();
     assert_eq!((bounds.settled, bounds.in_doubt), (TokenCount(40), TokenCount(60)));
@@ -102,7 +102,7 @@
     book.mark_sealed(HOME, OTHER_HOME);
     let mut case = case_of(&book, &[SIDECAR, OTHER_SIDECAR]);
     case.take_reply(&listed(SIDECAR, vec![broken(&book.branch, reserved.charge, 1, 10)]));
-    case.give_up(OTHER_SIDECAR);
+    case.mark_gone(OTHER_SIDECAR);
     recover(&mut book, &case);
 
     book.mark_sealed(HOME, THIRD_HOME);
@@ -125,7 +125,7 @@
     book.mark_sealed(HOME, OTHER_HOME);
     let mut case = case_of(&book, &[SIDECAR, OTHER_SIDECAR]);
     case.take_reply(&listed(SIDECAR, vec![broken(&branch, reserved.charge, 1, 10)]));
-    case.give_up(OTHER_SIDECAR);
+    case.mark_gone(OTHER_SIDECAR);
     recover(&mut book, &case);
     assert_eq!(book.record.release(&branch, &grant), ReleaseOutcome::Released(TokenCount(90)));
     assert_eq!((book.settled(), book.free()), (10, 90));
@@ -142,7 +142,7 @@
     book.mark_sealed(HOME, OTHER_HOME);
     let mut case = case_of(&book, &[SIDECAR, OTHER_SIDECAR]);
     case.take_reply(&listed(SIDECAR, vec![broken(&book.branch, reserved.charge, 1, 10)]));
-    case.give_up(OTHER_SIDECAR);
+    case.mark_gone(OTHER_SIDECAR);
     recover(&mut book, &case);
 
     let second = whole(&book.branch, reserved.charge, 2, 90);
@@ -175,7 +175,7 @@
 fn sealed_unheard() {
     let mut book = StoredBook::new(100);
     let paused = home(HOME);
-    paused.urgent(&book.branch, TokenCount(100), at(1));
+    paused.note_waiting(&book.branch, TokenCount(100), at(1));
     book.write_unheard(&paused, at(1));
     book.mark_sealed(HOME, OTHER_HOME);
 
@@ -191,15 +191,15 @@
 fn stuck_ask() {
     let mut book = StoredBook::new(100);
     let leaving = home(HOME);
-    leaving.urgent(&book.branch, TokenCount(50), at(1));
+    leaving.note_waiting(&book.branch, TokenCount(50), at(1));
     let base = book.version;
     assert!(book.draft(&leaving, at(1)).is_some(), "this write is stuck");
 
     leaving.return_all(at(2));
-    assert!(leaving.holds(book.book));
+    assert!(leaving.holds_grants(book.book));
     assert!(book.write(&leaving, at(2)), "a write that only moves the version on");
     assert!(book.version > base, "the stuck write can't take effect any more");
-    assert!(!leaving.holds(book.book));
+    assert!(!leaving.holds_grants(book.book));
     assert_eq!(book.free(), 100);
 }
 
@@ -208,7 +208,7 @@
 fn stuck_ask_idle() {
     let mut book = StoredBook::new(100);
     let idle = home(HOME);
-    idle.urgent(&book.branch, TokenCount(50), at(1));
+    idle.note_waiting(&book.branch, TokenCount(50), at(1));
     book.write_unheard(&idle, at(1));
     assert_eq!(idle.books_due(at(20)), vec![book.book]);
     book.write(&idle, at(20));
@@ -232,12 +232,12 @@
     book.draft(&second, at(3));
 
     let asked = [(book.branch.clone(), reserved.charge)];
-    assert!(first.durable(&asked).is_empty());
+    assert!(first.durable_charges(&asked).is_empty());
     let mut case = case_of(&book, &[SIDECAR]);
     case.take_reply(&listed(SIDECAR, vec![whole(&book.branch, reserved.charge, 1, 60)]));
     recover(&mut book, &case);
     book.draft(&first, at(4));
-    assert_eq!(first.durable(&asked), vec![reserved.charge]);
+    assert_eq!(first.durable_charges(&asked), vec![reserved.charge]);
 }
 
 /// A live home's grant was sealed by mistake, and a charge settled from the sidecars' lists, so that
@@ -269,12 +269,12 @@
     let mut book = StoredBook::new(100);
     book.reserve(&home(HOME), 100, at(1));
     let dead = |found| found == HOME;
-    assert_eq!(book.record.to_seal(dead).len(), 1);
+    assert_eq!(book.record.grants_to_seal(dead).len(), 1);
     book.mark_sealed(HOME, OTHER_HOME);
-    assert!(book.record.to_seal(dead).is_empty());
-    assert_eq!(book.record.sealed_by(OTHER_HOME).len(), 1);
+    assert!(book.record.grants_to_seal(dead).is_empty());
+    assert_eq!(book.record.grants_sealed_by(OTHER_HOME).len(), 1);
     let sealer_too = |found| found == HOME || found == OTHER_HOME;
-    assert_eq!(book.record.to_seal(sealer_too).len(), 1);
+    assert_eq!(book.record.grants_to_seal(sealer_too).len(), 1);
 }
 
 /// A sidecar asked about some charges of a grant lists others too, or an old sidecar answers about
@@ -285,8 +285,12 @@
     let reserved = book.reserve(&home(HOME), 100, at(1));
     let mut foreign = reserved.charge;
     foreign.grant.number += 1;
-    let mut case =
-        RecoveryCase::new(book.branch.clone(), reserved.charge.grant, StoreRevision(11), [SIDECAR]);
+    let mut case = GrantRecovery::new(
+        book.branch.clone(),
+        reserved.charge.grant,
+        StoreRevision(11),
+        [SIDECAR],
+    );
     case.take_reply(&listed(SIDECAR, vec![whole(&book.branch, foreign, 1, 60)]));
     assert_eq!(case.verdict(), RecoveryVerdict::Close(Vec::new()));
 }
@@ -300,17 +304,17 @@
     book.reserve(&home(HOME), 60, at(1));
     let next = home(OTHER_HOME);
     book.grant(&next, 40, at(1));
-    assert_eq!(book.short(&next, 50, at(1)).expect("it is short").others.len(), 1);
+    assert_eq!(book.short(&next, 50, at(1)).expect("it is short").other_grants.len(), 1);
 
     book.mark_sealed(HOME, OTHER_HOME);
     let grant = book.grants().into_iter().find(|grant| grant.holder == HOME);
     let grant = grant.expect("the grant is outstanding");
-    let mut case = RecoveryCase::new(book.branch.clone(), grant, StoreRevision(1), [SIDECAR]);
-    case.give_up(SIDECAR);
+    let mut case = GrantRecovery::new(book.branch.clone(), grant, StoreRevision(1), [SIDECAR]);
+    case.mark_gone(SIDECAR);
     recover(&mut book, &case);
     book.write(&next, at(2));
-    assert_eq!(book.short(&next, 50, at(2)).expect("it is short").others, []);
-    assert_eq!(book.short(&next, 50, at(2)).expect("it is short").doubted.len(), 1);
+    assert_eq!(book.short(&next, 50, at(2)).expect("it is short").other_grants, []);
+    assert_eq!(book.short(&next, 50, at(2)).expect("it is short").grants_in_doubt.len(), 1);
 }
 
 /// A partition has a home taken for dead, and its grant is put in doubt, as a sidecar has restarted.
@@ -327,14 +331,14 @@
 
     book.mark_sealed(HOME, OTHER_HOME);
     let mut case = case_of(&book, &[SIDECAR]);
-    case.give_up(SIDECAR);
+    case.mark_gone(SIDECAR);
     recover(&mut book, &case);
     book.write(&next, at(2));
     let short = book.short(&next, 70, at(2)).expect("it is short");
-    let asked: Vec<_> = short.doubted.iter().map(|(_, holder, _)| *holder).collect();
+    let asked: Vec<_> = short.grants_in_doubt.iter().map(|(_, holder, _)| *holder).collect();
     assert_eq!(asked, [HOME]);
 
-    holder.give_back(&book.branch, TokenCount(70), at(2));
+    holder.return_unspent(&book.branch, TokenCount(70), at(2));
     book.write(&holder, at(2));
     assert_eq!((book.settled(), book.spend_in_doubt()), (20, 0));
     book.reserve(&next, 70, at(2));
@@ -348,13 +352,13 @@
     let mut book = StoredBook::new(100);
     let holder = home(HOME);
     let reserved = book.reserve(&holder, 60, at(1));
-    assert_eq!(book.short(&holder, 80, at(1)).expect("it is short").may_return, TokenCount(60));
+    assert_eq!(book.short(&holder, 80, at(1)).expect("it is short").returnable, TokenCount(60));
 
     book.finish(&holder, reserved.charge, FinishState::Unknown, at(1));
     let mut case = case_of(&book, &[SIDECAR]);
-    case.give_up(SIDECAR);
-    holder.resolve_case(&case, &[reserved.charge]);
+    case.mark_gone(SIDECAR);
+    holder.resolve_recovery(&case, &[reserved.charge]);
     let short = book.short(&holder, 80, at(2)).expect("it is short");
-    assert_eq!(short.may_return, TokenCount::ZERO);
-    assert_eq!(holder.may_return(&book.branch), TokenCount::ZERO);
+    assert_eq!(short.returnable, TokenCount::ZERO);
+    assert_eq!(holder.returnable(&book.branch), TokenCount::ZERO);
 }
--- a/crates/sagespool-ledger/tests/supply_sizes.rs
+++ b/crates/sagespool-ledger/tests/supply_sizes.rs
@@ -7,16 +7,16 @@
 
 use std::time::Duration;
 
-use sagespool_ledger::{GrantTerms, PrepaidBook, PrepaidPurse};
+use sagespool_ledger::{GrantPolicy, PrepaidBalance, PrepaidRecord};
 use sagespool_types::{ClockTime, ConfigVersion, IncarnationId, InstanceName, TokenCount};
 
 const TOTAL: u64 = 1_000_000;
 const REQUEST: TokenCount = TokenCount(4_000);
 /// Supplies as large as three seconds of use.
-const TERMS: GrantTerms =
-    GrantTerms { ahead: Duration::from_secs(3), share: 0.2, idle: 1.0, instances: 1 };
+const TERMS: GrantPolicy =
+    GrantPolicy { ahead: Duration::from_secs(3), share: 0.2, idle: 1.0, instances: 1 };
 /// The same, and never more than four hundredths of a total.
-const BOUNDED: GrantTerms = GrantTerms { idle: 0.04, ..TERMS };
+const BOUNDED: GrantPolicy = GrantPolicy { idle: 0.04, ..TERMS };
 /// Requests of an account come in this distance, so that three seconds are a fifteenth of a total.
 const PACE: Duration = Duration::from_millis(160);
 const RUN: IncarnationId = IncarnationId(7);
@@ -32,10 +32,10 @@
     most_idle_late: TokenCount,
 }
 
-fn spend(terms: GrantTerms) -> SpentTotal {
+fn spend(terms: GrantPolicy) -> SpentTotal {
     let instance: InstanceName = "gateway-1".parse().expect("a name");
-    let (mut book, mut purse) = (PrepaidBook::default(), PrepaidPurse::default());
-    book.take_total(ConfigVersion(1), TokenCount(TOTAL));
+    let (mut book, mut purse) = (PrepaidRecord::default(), PrepaidBalance::default());
+    book.set_total(ConfigVersion(1), TokenCount(TOTAL));
     let mut spent = SpentTotal {
         early_writes: 0,
         late_writes: 0,
@@ -47,13 +47,13 @@
     loop {
         if !purse.reserve(REQUEST, now) {
             let present = book.granted(RUN);
-            let Some(wanted) = purse.grant_to_ask(&book, present, REQUEST, terms, now) else {
+            let Some(wanted) = purse.grant_to_request(&book, present, REQUEST, terms, now) else {
                 return spent;
             };
             let is_late = spent.served * REQUEST.0 > TOTAL * 6 / 7;
             *(if is_late { &mut spent.late_writes } else { &mut spent.early_writes }) += 1;
             book.set_granted(RUN, &instance, wanted);
-            purse.acknowledged(wanted);
+            purse.set_acknowledged(wanted);
             assert!(purse.reserve(REQUEST, now), "the grant covers the request");
         }
         purse.settle(REQUEST, REQUEST);
@@ -105,24 +105,24 @@
 
 /// Serves requests of one run until the book or the count ends, and kills it then.
 fn serve_until_kill(
-    book: &mut PrepaidBook,
+    book: &mut PrepaidRecord,
     run: IncarnationId,
     most: u64,
     now: &mut ClockTime,
 ) -> u64 {
     let instance: InstanceName = "gateway-1".parse().expect("a name");
-    let mut purse = PrepaidPurse::default();
-    book.close_earlier(run, &instance);
+    let mut purse = PrepaidBalance::default();
+    book.close_earlier_runs(run, &instance);
     for served in 0..most {
         if !purse.reserve(REQUEST, *now) {
             let present = book.granted(run);
-            let wanted = purse.grant_to_ask(book, present, REQUEST, BOUNDED, *now);
+            let wanted = purse.grant_to_request(book, present, REQUEST, BOUNDED, *now);
             let Some(wanted) = wanted else {
                 return served;
             };
             book.set_granted(run, &instance, wanted);
-            book.note_supply(run, purse.supply_under(wanted, REQUEST));
-            purse.acknowledged(wanted);
+            book.set_supply(run, purse.supply_in_grant(wanted, REQUEST));
+            purse.set_acknowledged(wanted);
             assert!(purse.reserve(REQUEST, *now), "the grant covers the request");
         }
         purse.settle(REQUEST, REQUEST);
@@ -136,8 +136,8 @@
 /// last run still serves what the book holds.
 #[test]
 fn killed_often() {
-    let mut book = PrepaidBook::default();
-    book.take_total(ConfigVersion(1), TokenCount(TOTAL));
+    let mut book = PrepaidRecord::default();
+    book.set_total(ConfigVersion(1), TokenCount(TOTAL));
     let mut now = ClockTime(1);
     let mut served = 0;
     for kill in 1..=5 {
@@ -154,11 +154,11 @@
 /// takes few accounts' supplies, and against large ones in a fleet of a few homes.
 #[test]
 fn fleet_sizes() {
-    let idle = |homes| BOUNDED.in_fleet(homes).idle;
-    assert_eq!(BOUNDED.in_fleet(4), BOUNDED);
-    assert!(BOUNDED.in_fleet(26).ahead > BOUNDED.ahead * 2);
+    let idle = |homes| BOUNDED.scaled_to_homes(homes).idle;
+    assert_eq!(BOUNDED.scaled_to_homes(4), BOUNDED);
+    assert!(BOUNDED.scaled_to_homes(26).ahead > BOUNDED.ahead * 2);
     assert!(idle(26) > BOUNDED.idle * 2.0);
     assert!(idle(26) < idle(30));
     assert!((idle(300) - BOUNDED.idle * 3.0).abs() < 1e-9);
-    assert!((GrantTerms { idle: 0.9, ..BOUNDED }.in_fleet(300).idle - 1.0).abs() < 1e-9);
+    assert!((GrantPolicy { idle: 0.9, ..BOUNDED }.scaled_to_homes(300).idle - 1.0).abs() < 1e-9);
 }
--- a/crates/sagespool-operations/src/edit/branch.rs
+++ b/crates/sagespool-operations/src/edit/branch.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use sagespool_settings::{BranchEntry, BranchObject, BranchRule, HeldBack};
+use sagespool_settings::{BranchEntry, BranchObject, BranchRule, ClassHoldback};
 use sagespool_types::{BranchName, SecretHash};
 
 use super::{BranchChange, EditRefusal, HashStart, write_declaration};
@@ -51,7 +51,7 @@
     }
 }
 
-fn hold_back(entry: &mut BranchEntry, held: &HeldBack) {
+fn hold_back(entry: &mut BranchEntry, held: &ClassHoldback) {
     entry.held_back.retain(|present| present.class != held.class);
     if held.tokens.0 > 0 {
         entry.held_back.push(held.clone());
--- a/crates/sagespool-operations/src/edit/mod.rs
+++ b/crates/sagespool-operations/src/edit/mod.rs
@@ -12,8 +12,8 @@
 use std::str::FromStr;
 
 use sagespool_settings::{
-    BranchEntry, BranchRule, FLEET_OBJECT_KEY, HeldBack, LimitEntry, RouteRule, branch_object_key,
-    branch_shard,
+    BranchEntry, BranchRule, ClassHoldback, FLEET_OBJECT_KEY, LimitEntry, RouteRule,
+    branch_object_key, branch_shard,
 };
 use sagespool_types::{BranchName, ClassName, ParseFault, SecretHash, ServiceName, derives};
 
@@ -75,7 +75,7 @@
         /// One of its limits.
         Limit(LimitChange),
         /// What is held back for a class; 0 for nothing.
-        HoldBack(HeldBack),
+        HoldBack(ClassHoldback),
         /// Which of its calls may never run twice.
         Declare {
             /// The calls.
--- a/crates/sagespool-operations/src/line/changes.rs
+++ b/crates/sagespool-operations/src/line/changes.rs
@@ -1,6 +1,6 @@
 //! Lines that edit the configuration.
 
-use sagespool_settings::{BranchEntry, BranchRule, HeldBack, RouteRule};
+use sagespool_settings::{BranchEntry, BranchRule, ClassHoldback, RouteRule};
 use sagespool_types::{BranchName, SecretHash, TokenCount};
 
 use super::LineFault;
@@ -162,7 +162,7 @@
     let branch = reader.value("a branch name")?;
     let class = reader.value("a class name")?;
     let tokens = TokenCount(reader.number("a number of tokens", 0..=MOST_TOKENS)?);
-    let change = BranchChange::HoldBack(HeldBack { class, tokens });
+    let change = BranchChange::HoldBack(ClassHoldback { class, tokens });
     Ok(ConfigEdit::Branch { branch, change })
 }
 
--- a/crates/sagespool-operations/src/spend.rs
+++ b/crates/sagespool-operations/src/spend.rs
@@ -151,7 +151,7 @@
         Some(word) => (word.reserved, word.reserved),
         // Its holder answered and lists it no more: it was closed, and nothing runs under it.
         None if answered => (TokenCount::ZERO, TokenCount::ZERO),
-        None => (TokenCount::ZERO, record.rest()),
+        None => (TokenCount::ZERO, record.unsettled_amount()),
     };
     TokenRange { least: held.least + least, most: held.most.map(|sum| sum + most) }
 }
--- a/crates/sagespool-operations/tests/line_parsing.rs
+++ b/crates/sagespool-operations/tests/line_parsing.rs
@@ -8,7 +8,7 @@
     BranchChange, ClassChange, CommandItem, ConfigEdit, ConfigPlace, LimitChange, LimitKind,
     OperatorCommand, OperatorLine, OperatorQuery, ServiceChange, parse_line, verb_help,
 };
-use sagespool_settings::{BranchEntry, BranchRule, HeldBack, LimitEntry, RouteRule};
+use sagespool_settings::{BranchEntry, BranchRule, ClassHoldback, LimitEntry, RouteRule};
 use sagespool_types::{CommandId, ConfigVersion, ContentDigest, RequestId, SecretHash, TokenCount};
 
 fn query(line: &str) -> OperatorQuery {
@@ -102,7 +102,7 @@
     let service = |change| {
         CommandItem::Edit(ConfigEdit::Service { service: "notes".parse().unwrap(), change })
     };
-    let held = HeldBack { class: "lookup".parse().unwrap(), tokens: TokenCount(500) };
+    let held = ClassHoldback { class: "lookup".parse().unwrap(), tokens: TokenCount(500) };
     let order = |order| CommandItem::Order { upstream: "engine-1".parse().unwrap(), order };
     let grant = "00c0ffee00c0ffee-7";
     let table = [
--- a/crates/sagespool-operations/tests/spend_bounds.rs
+++ b/crates/sagespool-operations/tests/spend_bounds.rs
@@ -240,7 +240,7 @@
             FleetStep::Finish { home, place, part } => self.finish(*home, *place, *part),
             FleetStep::Write { home, is_lost } => self.write(*home, *is_lost),
             FleetStep::GiveBack { home, amount } => {
-                self.homes[*home].give_back(&branch(), TokenCount(*amount), self.now);
+                self.homes[*home].return_unspent(&branch(), TokenCount(*amount), self.now);
             }
             FleetStep::TopUp { amount } => {
                 self.commands += 1;
@@ -267,8 +267,8 @@
             ReserveDecision::Reserved(reserved) => {
                 self.running[home].push((reserved.charge, amount));
             }
-            ReserveDecision::Short(_) => {
-                self.homes[home].urgent(&branch(), TokenCount(amount), self.now);
+            ReserveDecision::Insufficient(_) => {
+                self.homes[home].note_waiting(&branch(), TokenCount(amount), self.now);
             }
         }
     }
--- a/crates/sagespool-report/src/accounts.rs
+++ b/crates/sagespool-report/src/accounts.rs
@@ -31,12 +31,12 @@
     pub grants: u64,
     /// Loans given.
     pub loans: u64,
-    /// What was lent, from purse to purse; it is counted again where it is spent.
+    /// What was lent, from balance to balance; it is counted again where it is spent.
     pub lent: TokenCount,
 }
 
 impl AccountSpend {
-    /// What is neither charged nor free: given up by runs that ended, or idle in purses.
+    /// What is neither charged nor free: given up by runs that ended, or idle in balances.
     pub fn stranded(&self) -> TokenCount {
         self.total.less(self.answered + self.failed + self.left + self.free)
     }
--- a/crates/sagespool-settings/src/configuration/branches.rs
+++ b/crates/sagespool-settings/src/configuration/branches.rs
@@ -45,7 +45,7 @@
         /// Tokens of its budget that only a class may spend.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         #[builder(default)]
-        pub held_back: Vec<HeldBack>,
+        pub held_back: Vec<ClassHoldback>,
     }
 }
 
@@ -63,7 +63,7 @@
 derives! { record;
     /// Tokens of a branch's budget that only one class may spend.
     #[derive(Eq)]
-    pub struct HeldBack {
+    pub struct ClassHoldback {
         /// The class.
         pub class: ClassName,
         /// How many.
@@ -131,7 +131,9 @@
     let non_idempotent = object
         .or("non_idempotent", Vec::new(), |node| node.list(|rule| rule.object(read_branch_rule)));
     let held_back = object.or("held_back", Vec::new(), |node| {
-        node.named_list(0..=MOST_HELD_BACK, read_held_back, |held: &HeldBack| held.class.as_str())
+        node.named_list(0..=MOST_HELD_BACK, read_held_back, |held: &ClassHoldback| {
+            held.class.as_str()
+        })
     });
     Some(BranchEntry {
         key_hashes: key_hashes?,
@@ -169,10 +171,10 @@
     Some(BranchRule { service: service?, route: route? })
 }
 
-fn read_held_back(object: &ObjectNode) -> Option<HeldBack> {
+fn read_held_back(object: &ObjectNode) -> Option<ClassHoldback> {
     let class = object.required("class", CheckNode::parse);
     let tokens = object.required("tokens", |node| node.number(1..=MOST_TOKENS).map(TokenCount));
-    Some(HeldBack { class: class?, tokens: tokens? })
+    Some(ClassHoldback { class: class?, tokens: tokens? })
 }
 
 const MOST_TOKENS: u64 = 1 << 53;
--- a/crates/sagespool-settings/src/configuration/mod.rs
+++ b/crates/sagespool-settings/src/configuration/mod.rs
@@ -9,7 +9,7 @@
 mod token;
 
 pub use branches::{
-    BranchEntry, BranchObject, BranchRule, HeldBack, check_branches, read_branches,
+    BranchEntry, BranchObject, BranchRule, ClassHoldback, check_branches, read_branches,
 };
 pub use fleet::{ClassEntry, FleetObject, ModelEntry, ServiceEntry, check_fleet, read_fleet};
 pub use index::FleetConfiguration;
--- a/crates/sagespool-settings/src/lib.rs
+++ b/crates/sagespool-settings/src/lib.rs
@@ -21,8 +21,8 @@
 
 pub use configuration::{
     BRANCH_SHARDS, BranchEntry, BranchObject, BranchRule, CONFIGURATION_PREFIX, ClassEntry,
-    FLEET_OBJECT_KEY, FleetConfiguration, FleetObject, HeldBack, LimitEntry, ModelEntry, RouteRule,
-    ServiceEntry, branch_object_key, branch_object_shard, branch_shard, check_branches,
+    ClassHoldback, FLEET_OBJECT_KEY, FleetConfiguration, FleetObject, LimitEntry, ModelEntry,
+    RouteRule, ServiceEntry, branch_object_key, branch_object_shard, branch_shard, check_branches,
     check_fleet, read_branches, read_fleet, split_branches,
 };
 pub use fault::{SettingsFault, SettingsFaults};
--- a/crates/sagespool-settings/tests/fleet_schema.rs
+++ b/crates/sagespool-settings/tests/fleet_schema.rs
@@ -4,8 +4,8 @@
 
 use quickcheck::quickcheck;
 use sagespool_settings::{
-    BranchEntry, BranchObject, BranchRule, FleetConfiguration, FleetObject, HeldBack, RouteRule,
-    branch_object_key, branch_object_shard, branch_shard, check_branches, check_fleet,
+    BranchEntry, BranchObject, BranchRule, ClassHoldback, FleetConfiguration, FleetObject,
+    RouteRule, branch_object_key, branch_object_shard, branch_shard, check_branches, check_fleet,
     read_branches, read_fleet, split_branches,
 };
 use sagespool_types::{BranchName, ConfigVersion, SecretHash, TokenCount};
@@ -316,7 +316,8 @@
     let mut object = branches();
     let name: BranchName = "ruwi-bids".parse().unwrap();
     let entry = object.branches.get_mut(&name).unwrap();
-    entry.held_back = vec![HeldBack { class: "lookups".parse().unwrap(), tokens: TokenCount(1) }];
+    entry.held_back =
+        vec![ClassHoldback { class: "lookups".parse().unwrap(), tokens: TokenCount(1) }];
     let route = RouteRule { method: None, path_prefix: "/".to_owned() };
     entry.non_idempotent = vec![BranchRule { service: "portal".parse().unwrap(), route }];
     let shard = branch_shard(&name);
