--- a/crates/sagespool-claims/src/refusal.rs
+++ b/crates/sagespool-claims/src/refusal.rs
@@ -21,14 +21,16 @@
 /// know can have run before.
 ///
 /// `absent_at` is when this home last saw the key's shard, without the key in
-/// it: nothing can have run under it before. `sole_since` is since when, by the
+/// it: nothing can have run under it before. `exclusive_since` is since when, by the
 /// view of this home, no other process can have taken the branch's requests:
 /// none of another region, and no entry lost, suspected or out of reach since.
 /// If that reaches back to the copy, a run would have gone through this home,
 /// and it would know.
-pub fn earlier_run(absent_at: Option<ClockTime>, sole_since: Option<ClockTime>) -> EarlierRun {
-    match (absent_at, sole_since) {
-        (Some(absent_at), Some(sole_since)) if sole_since <= absent_at => EarlierRun::Excluded,
+pub fn earlier_run(absent_at: Option<ClockTime>, exclusive_since: Option<ClockTime>) -> EarlierRun {
+    match (absent_at, exclusive_since) {
+        (Some(absent_at), Some(exclusive_since)) if exclusive_since <= absent_at => {
+            EarlierRun::Excluded
+        }
         _ => EarlierRun::Possible,
     }
 }
--- a/crates/sagespool-configuration/src/follower.rs
+++ b/crates/sagespool-configuration/src/follower.rs
@@ -22,7 +22,7 @@
 
 /// What a follower works with. `apply` puts one object in force; it is called for one at a time.
 #[derive(Clone, Copy)]
-pub struct FollowContext<'a> {
+pub struct FollowerContext<'a> {
     /// Who is in the fleet.
     pub members: &'a MemberTable,
     /// The store.
@@ -33,7 +33,7 @@
     pub apply: &'a (dyn Fn(&ConfigObject) + Send + Sync),
 }
 
-impl FollowContext<'_> {
+impl FollowerContext<'_> {
     /// The other members that can be reached.
     pub(crate) fn live(&self, now: ClockTime) -> Vec<MemberInfo> {
         let mut live = self.members.live(MemberRole::Entry, now);
@@ -70,12 +70,12 @@
     }
 
     /// Follows the configuration; never returns.
-    pub async fn run(&self, context: FollowContext<'_>) {
+    pub async fn run(&self, context: FollowerContext<'_>) {
         futures_lite::future::zip(self.watch(context), self.relay(context)).await;
     }
 
     /// Takes in what a member's heartbeat says of its configuration.
-    pub fn heard(&self, member: &MemberInfo) {
+    pub fn observe_member(&self, member: &MemberInfo) {
         if relay::can_answer(self.scope, member.role) {
             self.hint(RelayHint {
                 address: member.address,
@@ -85,7 +85,7 @@
     }
 
     /// Takes in a neighbour's notice.
-    pub fn noticed(&self, notice: &ConfigNotice) {
+    pub fn handle_notice(&self, notice: &ConfigNotice) {
         self.hint(RelayHint { address: notice.from, newest: notice.newest });
     }
 
@@ -97,7 +97,7 @@
 
     /// The answer to a neighbour; that there is none, if this process doesn't have all that is asked
     /// for.
-    pub fn answer(&self, ask: &ConfigAsk, now: ClockTime) -> PeerReply {
+    pub fn handle_query(&self, ask: &ConfigAsk, now: ClockTime) -> PeerReply {
         let absent = "this process doesn't have the configuration that is asked for";
         let reply = self.reply(ask, now).map(PeerReply::Configuration);
         reply.unwrap_or_else(|| PeerReply::Unsupported(absent.to_owned()))
@@ -122,7 +122,7 @@
     /// So one lock is held from the decision until the object is in force.
     pub(crate) fn take(
         &self,
-        context: FollowContext<'_>,
+        context: FollowerContext<'_>,
         take: impl FnOnce(&mut FollowState) -> Vec<ConfigObject>,
     ) {
         let mut state = self.state();
@@ -150,7 +150,7 @@
     }
 
     /// Puts a configuration in force that was read before the members were known.
-    pub(crate) fn begin(&self, context: FollowContext<'_>) {
+    pub(crate) fn begin(&self, context: FollowerContext<'_>) {
         if !self.state().in_force {
             self.take(context, |_| Vec::new());
         }
@@ -163,7 +163,7 @@
     /// replaced. Each member's heartbeat tells what it has in force, sidecars' too, so nothing older
     /// than the newest of them is taken, and the view has to be settled to know them. What nobody
     /// in reach has ever seen can't be known here.
-    fn may_begin(&self, state: &mut FollowState, context: FollowContext<'_>) -> bool {
+    fn may_begin(&self, state: &mut FollowState, context: FollowerContext<'_>) -> bool {
         if !state.is_whole() || !(state.from_store || context.members.is_settled()) {
             return false;
         }
--- a/crates/sagespool-configuration/src/lib.rs
+++ b/crates/sagespool-configuration/src/lib.rs
@@ -9,4 +9,4 @@
 mod state;
 mod watcher;
 
-pub use follower::{ConfigFollower, FollowContext};
+pub use follower::{ConfigFollower, FollowerContext};
--- a/crates/sagespool-configuration/src/relay.rs
+++ b/crates/sagespool-configuration/src/relay.rs
@@ -11,7 +11,7 @@
 use sagespool_types::{ClockTime, StoreRevision};
 use smol::Timer;
 
-use crate::{ConfigFollower, FollowContext};
+use crate::{ConfigFollower, FollowerContext};
 
 /// Between two questions of a process that has a configuration, on average; only for the age of the
 /// store's word, since heartbeats and notices tell of changes.
@@ -36,7 +36,7 @@
 
 impl ConfigFollower {
     /// Asks neighbours whenever one has something newer, and now and then without a cause.
-    pub(crate) async fn relay(&self, context: FollowContext<'_>) {
+    pub(crate) async fn relay(&self, context: FollowerContext<'_>) {
         for round in 0.. {
             let hinted = self.wait_for_hint().await;
             let now = ClockTime::now();
@@ -74,7 +74,7 @@
     /// Whom to ask without a cause.
     fn choose(
         &self,
-        context: &FollowContext<'_>,
+        context: &FollowerContext<'_>,
         round: usize,
         now: ClockTime,
     ) -> Option<SocketAddr> {
@@ -96,7 +96,7 @@
     }
 
     /// Asks a neighbour for all that is newer, part by part.
-    async fn ask(&self, context: FollowContext<'_>, address: SocketAddr) {
+    async fn ask(&self, context: FollowerContext<'_>, address: SocketAddr) {
         let mut ask = self.state().book.ask();
         for _ in 0..MOST_PARTS {
             let request = PeerRequest::AskConfiguration(ask);
@@ -119,7 +119,7 @@
     /// Tells a few neighbours of a change; whoever lacks it asks for it, and passes it on in turn.
     pub(crate) fn tell_neighbours(
         &self,
-        context: FollowContext<'_>,
+        context: FollowerContext<'_>,
         newest: StoreRevision,
         is_fleet: bool,
     ) {
--- a/crates/sagespool-configuration/src/watcher.rs
+++ b/crates/sagespool-configuration/src/watcher.rs
@@ -10,7 +10,7 @@
 use serde_json::Value;
 use smol::Timer;
 
-use crate::{ConfigFollower, FollowContext};
+use crate::{ConfigFollower, FollowerContext};
 
 /// How long a watch waits for a change. Each answer is a word of the store to the others.
 const WATCH_WAIT: Duration = Duration::from_secs(5);
@@ -23,7 +23,7 @@
 
 impl ConfigFollower {
     /// Watches the store whenever this process is to.
-    pub(crate) async fn watch(&self, context: FollowContext<'_>) {
+    pub(crate) async fn watch(&self, context: FollowerContext<'_>) {
         loop {
             let Some(place) = self.place_to_watch(context, ClockTime::now()) else {
                 Timer::after(LOOK_PAUSE).await;
@@ -38,7 +38,7 @@
     }
 
     /// This process's place among the watchers, if it is to watch now.
-    fn place_to_watch(&self, context: FollowContext<'_>, now: ClockTime) -> Option<WatchPlace> {
+    fn place_to_watch(&self, context: FollowerContext<'_>, now: ClockTime) -> Option<WatchPlace> {
         let own = context.members.own();
         let live = context.live(now);
         let is_new = now.since(self.started) < self.policy.start_grace;
@@ -62,7 +62,7 @@
         !state.in_force && (state.book.is_filled() || has_waited)
     }
 
-    async fn watch_once(&self, context: FollowContext<'_>) -> Result<(), StoreError> {
+    async fn watch_once(&self, context: FollowerContext<'_>) -> Result<(), StoreError> {
         let (is_filled, after, wait) = {
             let state = self.state();
             let wait = if state.in_force { WATCH_WAIT } else { Duration::ZERO };
@@ -89,7 +89,7 @@
         }
     }
 
-    async fn list(&self, context: FollowContext<'_>) -> Result<(), StoreError> {
+    async fn list(&self, context: FollowerContext<'_>) -> Result<(), StoreError> {
         let listing = context.objects.list::<Value>(self.scope.prefix()).await?;
         let items = listing.items.into_iter();
         let items = items.map(|(key, stored)| object_of(key, stored.version, Some(stored.value)));
--- a/crates/sagespool-entry/src/configuration.rs
+++ b/crates/sagespool-entry/src/configuration.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use sagespool_configuration::FollowContext;
+use sagespool_configuration::FollowerContext;
 use sagespool_ledger::ClassHoldback;
 use sagespool_log::log_event;
 use sagespool_messages::ConfigObject;
@@ -17,7 +17,7 @@
 
 /// Follows the configuration for the process's whole life.
 pub(crate) async fn run_configuration(state: Arc<EntryState>) {
-    let context = FollowContext {
+    let context = FollowerContext {
         members: &state.members,
         objects: &state.objects,
         link: state.link(),
--- a/crates/sagespool-entry/src/heartbeats.rs
+++ b/crates/sagespool-entry/src/heartbeats.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use sagespool_log::log_event;
-use sagespool_membership::ListedAddress;
+use sagespool_membership::ListedMember;
 use sagespool_messages::{MemberInfo, MemberRole, PeerReply, PeerRequest};
 use sagespool_platform::ListedState;
 use sagespool_types::{ClockTime, IncarnationId, UpstreamName};
@@ -24,17 +24,17 @@
     loop {
         let now = ClockTime::now();
         was_settled = note_settled(&state, was_settled, now);
-        for (address, beat) in state.members.due(now) {
+        for (address, beat) in state.members.due_heartbeats(now) {
             let state = Arc::clone(&state);
             smol::spawn(async move {
                 let request = PeerRequest::Heartbeat(beat);
                 match state.link().ask(address, &request, BEAT_LIMIT).await {
                     Ok(PeerReply::Heartbeat(reply)) => {
-                        state.members.answered(address, &reply, ClockTime::now());
-                        state.follower.heard(&reply.from);
+                        state.members.handle_reply(address, &reply, ClockTime::now());
+                        state.follower.observe_member(&reply.from);
                         refresh_upstreams(&state);
                     }
-                    _ => state.members.unanswered(address, ClockTime::now()),
+                    _ => state.members.record_call_failure(address, ClockTime::now()),
                 }
             })
             .detach();
@@ -126,10 +126,10 @@
             continue;
         };
         after = Some(listing.revision);
-        let listed: Vec<ListedAddress> = listing
+        let listed: Vec<ListedMember> = listing
             .instances
             .into_iter()
-            .map(|item| ListedAddress {
+            .map(|item| ListedMember {
                 instance: item.instance,
                 role: item.role,
                 address: item.address,
@@ -139,7 +139,7 @@
         let sidecars = listed.iter().filter(|listed| listed.role == MemberRole::Sidecar);
         state.witnesses.list(sidecars.map(|listed| listed.instance.clone()));
         // The platform may say that this instance leaves before anybody told the process.
-        if state.members.listed(&listed, ClockTime::now()) {
+        if state.members.apply_instance_list(&listed, ClockTime::now()) {
             state.leave();
         }
     }
--- a/crates/sagespool-entry/src/home/claims.rs
+++ b/crates/sagespool-entry/src/home/claims.rs
@@ -108,7 +108,7 @@
     let shards = state.claims.shards();
     let absent_at = shards.get(&claim_shard(key)).and_then(|shard| shard.batch.absent_at(key));
     drop(shards);
-    let earlier = earlier_run(absent_at, state.members.sole_since(ClockTime::now()));
+    let earlier = earlier_run(absent_at, state.members.exclusive_since(ClockTime::now()));
     let notice = refuse_claim(verdict, earlier, RETRY_AFTER);
     notice.unwrap_or_else(|| RefusalNotice {
         reason: RefusalReason::ClaimUnreachable,
--- a/crates/sagespool-entry/src/peers.rs
+++ b/crates/sagespool-entry/src/peers.rs
@@ -43,8 +43,8 @@
 async fn answer(state: &Arc<EntryState>, request: PeerRequest) -> PeerReply {
     match request {
         PeerRequest::Heartbeat(beat) => {
-            let reply = state.members.received(&beat, ClockTime::now());
-            state.follower.heard(&beat.from);
+            let reply = state.members.handle_heartbeat(&beat, ClockTime::now());
+            state.follower.observe_member(&beat.from);
             if beat.from.role == MemberRole::Sidecar {
                 crate::heartbeats::refresh_upstreams(state);
             }
@@ -70,9 +70,9 @@
         }
         PeerRequest::Status(query) => PeerReply::Status(status(state, &query)),
         PeerRequest::Leave(request) => crate::operator::leave(state, &request),
-        PeerRequest::AskConfiguration(ask) => state.follower.answer(&ask, ClockTime::now()),
+        PeerRequest::AskConfiguration(ask) => state.follower.handle_query(&ask, ClockTime::now()),
         PeerRequest::NoticeConfiguration(notice) => {
-            state.follower.noticed(&notice);
+            state.follower.handle_notice(&notice);
             PeerReply::Done
         }
         PeerRequest::Dispatch(_)
--- a/crates/sagespool-entry/src/state.rs
+++ b/crates/sagespool-entry/src/state.rs
@@ -11,7 +11,7 @@
 use sagespool_configuration::ConfigFollower;
 use sagespool_ledger::{BudgetMode, HomeLedger, LedgerPolicy};
 use sagespool_link::LinkEndpoint;
-use sagespool_membership::{MemberTable, MembershipPolicy, first_number};
+use sagespool_membership::{MemberTable, MembershipPolicy, initial_heartbeat_number};
 use sagespool_messages::{ConfigScope, MemberInfo, MemberRole};
 use sagespool_metrics::FleetMetrics;
 use sagespool_platform::{InstanceClient, ObjectClient, ObjectOptions};
@@ -55,7 +55,7 @@
     MemberInfo {
         instance: process.instance.clone(),
         incarnation,
-        number: first_number(WallTime::now()),
+        number: initial_heartbeat_number(WallTime::now()),
         role: MemberRole::Entry,
         region: process.region.clone(),
         centre: process.centre.clone(),
@@ -163,7 +163,7 @@
         let instances = InstanceClient::new(platform.instance_list, token);
         let own = own_description(&process, incarnation);
         let members = MemberTable::new(own, MembershipPolicy::default(), incarnation.0);
-        members.seeds(&process.peers, ClockTime::now());
+        members.add_seeds(&process.peers, ClockTime::now());
         Self {
             upstreams: UpstreamTable::new(
                 routing_policy(&settings, incarnation),
--- a/crates/sagespool-gateway/src/fleet.rs
+++ b/crates/sagespool-gateway/src/fleet.rs
@@ -8,7 +8,7 @@
 use sagespool_forward::MIN_INSTANCES;
 use sagespool_link::{LinkEndpoint, LinkError, PeerHandler};
 use sagespool_log::log_event;
-use sagespool_membership::{MemberTable, MembershipPolicy, first_number};
+use sagespool_membership::{MemberTable, MembershipPolicy, initial_heartbeat_number};
 use sagespool_messages::{
     Heartbeat, MemberInfo, MemberRole, PeerReply, PeerRequest, StoreCall, StoreCallReply,
     StoreMethod,
@@ -97,7 +97,7 @@
         let own = MemberInfo {
             instance: place.instance.clone(),
             incarnation: run,
-            number: first_number(WallTime::now()),
+            number: initial_heartbeat_number(WallTime::now()),
             role: place.role,
             region: place.region.clone(),
             centre: place.centre.clone(),
@@ -114,7 +114,7 @@
             .suspect_after(SUSPECT_AFTER)
             .build();
         let members = MemberTable::new(own, policy, run.0);
-        members.seeds(&place.peers, ClockTime::now());
+        members.add_seeds(&place.peers, ClockTime::now());
         Self { place, run, members, link: OnceLock::new(), listed: Mutex::default() }
     }
 
@@ -155,7 +155,7 @@
 
     /// The reply to a heartbeat.
     pub(crate) fn answer_heartbeat(&self, beat: &Heartbeat) -> PeerReply {
-        PeerReply::Heartbeat(self.members.received(beat, ClockTime::now()))
+        PeerReply::Heartbeat(self.members.handle_heartbeat(beat, ClockTime::now()))
     }
 
     /// Opens the link and stays in touch for ever. `heard` is told of each member that answers.
@@ -175,7 +175,7 @@
         }
         smol::spawn(self.clone().follow_addresses(store)).detach();
         loop {
-            for (address, beat) in self.members.due(ClockTime::now()) {
+            for (address, beat) in self.members.due_heartbeats(ClockTime::now()) {
                 smol::spawn(self.clone().beat(address, beat, heard.clone())).detach();
             }
             Timer::after(ROUND).await;
@@ -190,10 +190,10 @@
     ) {
         match self.ask(address, &PeerRequest::Heartbeat(beat), BEAT_LIMIT).await {
             Ok(PeerReply::Heartbeat(reply)) => {
-                self.members.answered(address, &reply, ClockTime::now());
+                self.members.handle_reply(address, &reply, ClockTime::now());
                 heard(&reply.from);
             }
-            _ => self.members.unanswered(address, ClockTime::now()),
+            _ => self.members.record_call_failure(address, ClockTime::now()),
         }
     }
 
@@ -242,7 +242,7 @@
                         .filter_map(|(_, object)| object.value.address)
                         .filter(|address| *address != own)
                         .collect();
-                    self.members.seeds(&addresses, ClockTime::now());
+                    self.members.add_seeds(&addresses, ClockTime::now());
                     Timer::after(LISTING_PERIOD.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
                 }
                 Err(error) => {
--- a/crates/sagespool-membership/examples/gossip_bench.rs
+++ b/crates/sagespool-membership/examples/gossip_bench.rs
@@ -161,7 +161,7 @@
     for place in 1..size {
         let bytes = postcard::to_allocvec(&beat_from(place)).unwrap_or_default();
         if let Ok(beat) = postcard::from_bytes(&bytes) {
-            table.received(&beat, now);
+            table.handle_heartbeat(&beat, now);
         }
     }
     let memory = resident_bytes().saturating_sub(before);
@@ -171,13 +171,13 @@
         now = now.after(Duration::from_millis(100));
         let mut beat = beat_from(1 + number % (size - 1).min(6));
         beat.from.number += 1 + u64::from(number);
-        black_box(table.received(&beat, now));
+        black_box(table.handle_heartbeat(&beat, now));
     }
     let received = timer.elapsed().as_micros() as f64 / f64::from(tries);
     let timer = Instant::now();
     for _ in 0..tries {
         now = now.after(Duration::from_millis(100));
-        black_box(table.due(now));
+        black_box(table.due_heartbeats(now));
     }
     let due = timer.elapsed().as_micros() as f64 / f64::from(tries);
     let timer = Instant::now();
--- a/crates/sagespool-membership/src/lib.rs
+++ b/crates/sagespool-membership/src/lib.rs
@@ -1,7 +1,7 @@
 //! Heartbeats, incarnations, leaving and configuration versions as pure decisions.
 //!
 //! [`MemberTable`] is one process's view of the fleet. Its owner calls
-//! [`MemberTable::due`] every 100 ms or so, sends what it returns, and hands
+//! [`MemberTable::due_heartbeats`] every 100 ms or so, sends what it returns, and hands
 //! back what the peers answered. Nothing here opens a socket or reads a clock.
 //!
 //! Nothing that must always hold rests on this view: it says who should try,
@@ -29,8 +29,8 @@
 pub use config_book::ConfigBook;
 pub use config_watch::{WatchPlace, WatchPolicy, watch_order};
 pub use policy::MembershipPolicy;
-pub use record::ListedAddress;
-pub use seniority::first_number;
+pub use record::ListedMember;
+pub use seniority::initial_heartbeat_number;
 pub use sizing::encoded_bytes;
 pub use table::{MemberChanges, MemberTable};
 pub use versions::{AppliedVersions, VersionOffer};
--- a/crates/sagespool-membership/src/record.rs
+++ b/crates/sagespool-membership/src/record.rs
@@ -11,7 +11,7 @@
 
 derives! { record;
     /// An instance as the platform's list shows it.
-    pub struct ListedAddress {
+    pub struct ListedMember {
         /// Its name.
         pub instance: InstanceName,
         /// Its role.
--- a/crates/sagespool-membership/src/seniority.rs
+++ b/crates/sagespool-membership/src/seniority.rs
@@ -8,7 +8,7 @@
 /// Numbers grow by a few a second, the wall clock by a thousand: a restarted
 /// process starts above the last number of its predecessor, unless the
 /// instance's clock was set back. `is_newer` says what holds then.
-pub fn first_number(started: WallTime) -> u64 {
+pub fn initial_heartbeat_number(started: WallTime) -> u64 {
     started.0
 }
 
--- a/crates/sagespool-membership/src/table.rs
+++ b/crates/sagespool-membership/src/table.rs
@@ -9,7 +9,7 @@
 
 use crate::home::home_order;
 use crate::policy::MembershipPolicy;
-use crate::record::ListedAddress;
+use crate::record::ListedMember;
 use crate::view::MemberView;
 
 /// What changed in a view after some point.
@@ -36,7 +36,7 @@
 
 impl MemberTable {
     /// A view that knows only its own process. Give `own.number` the value of
-    /// [`crate::first_number`]; `seed` drives the choice of neighbours.
+    /// [`crate::initial_heartbeat_number`]; `seed` drives the choice of neighbours.
     pub fn new(own: MemberInfo, policy: MembershipPolicy, seed: u64) -> Self {
         Self { view: Mutex::new(MemberView::new(own, policy, seed)) }
     }
@@ -48,7 +48,7 @@
     /// Changes the own description. `number` rises by itself, instance and
     /// incarnation stay, and `leaving` is never taken back. A change that
     /// every member should know (leaving, health, models, capacity) makes the
-    /// next call of [`Self::due`] a round.
+    /// next call of [`Self::due_heartbeats`] a round.
     pub fn update_own(&self, change: impl FnOnce(&mut MemberInfo)) {
         self.view().update_own(change);
     }
@@ -61,22 +61,22 @@
     /// The heartbeats to send now, each to an address. To be called every
     /// 100 ms or so; a longer pause than the policy's `stall_limit` is taken
     /// for a pause of this process, and all its peers get their time anew.
-    pub fn due(&self, now: ClockTime) -> Vec<(SocketAddr, Heartbeat)> {
+    pub fn due_heartbeats(&self, now: ClockTime) -> Vec<(SocketAddr, Heartbeat)> {
         self.view().due(now)
     }
 
     /// Takes in a peer's heartbeat and returns the answer to it.
-    pub fn received(&self, beat: &Heartbeat, now: ClockTime) -> Heartbeat {
+    pub fn handle_heartbeat(&self, beat: &Heartbeat, now: ClockTime) -> Heartbeat {
         self.view().received(beat, now)
     }
 
     /// Takes in the answer to a heartbeat sent to `address`.
-    pub fn answered(&self, address: SocketAddr, beat: &Heartbeat, now: ClockTime) {
+    pub fn handle_reply(&self, address: SocketAddr, beat: &Heartbeat, now: ClockTime) {
         self.view().answered(address, beat, now);
     }
 
     /// A heartbeat, or any other request, to `address` was not answered.
-    pub fn unanswered(&self, address: SocketAddr, now: ClockTime) {
+    pub fn record_call_failure(&self, address: SocketAddr, now: ClockTime) {
         let mut view = self.view();
         view.advance(now);
         view.missed(address, now);
@@ -91,7 +91,7 @@
     /// soon as it began. So a run that the list has never shown otherwise waits
     /// for as long as a list may lag before it takes the word for its own; it
     /// takes no work meanwhile, see `is_listed_leaving`.
-    pub fn listed(&self, instances: &[ListedAddress], now: ClockTime) -> bool {
+    pub fn apply_instance_list(&self, instances: &[ListedMember], now: ClockTime) -> bool {
         let addresses: BTreeSet<_> = instances.iter().map(|listed| listed.address).collect();
         let leaving = instances.iter().filter(|listed| listed.leaving);
         let leaving: BTreeSet<_> = leaving.map(|listed| listed.instance.clone()).collect();
@@ -109,7 +109,7 @@
     }
 
     /// Addresses to try from the settings; they are never dropped.
-    pub fn seeds(&self, addresses: &[SocketAddr], now: ClockTime) {
+    pub fn add_seeds(&self, addresses: &[SocketAddr], now: ClockTime) {
         self.view().seeds.settings(addresses, now);
     }
 
@@ -203,10 +203,10 @@
     /// one's place without its knowledge: no entry was lost, suspected, leaving
     /// or out of reach since. Nothing while there are entries of other regions,
     /// which have homes of their own.
-    pub fn sole_since(&self, now: ClockTime) -> Option<ClockTime> {
+    pub fn exclusive_since(&self, now: ClockTime) -> Option<ClockTime> {
         let mut view = self.view();
         view.advance(now);
-        view.sole_since(now)
+        view.exclusive_since(now)
     }
 
     /// What changed after `number`, 0 for everything.
--- a/crates/sagespool-membership/src/tenure.rs
+++ b/crates/sagespool-membership/src/tenure.rs
@@ -37,7 +37,7 @@
         Some(self.undoubted_since(now).max(lost))
     }
 
-    pub(crate) fn sole_since(&self, now: ClockTime) -> Option<ClockTime> {
+    pub(crate) fn exclusive_since(&self, now: ClockTime) -> Option<ClockTime> {
         let foreign =
             |record: &MemberRecord| record.is_present() && record.info.region != self.own.region;
         if self.entries().any(foreign) {
--- a/crates/sagespool-membership/tests/fleet/mod.rs
+++ b/crates/sagespool-membership/tests/fleet/mod.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use sagespool_membership::{ListedAddress, MemberTable, MembershipPolicy};
+use sagespool_membership::{ListedMember, MemberTable, MembershipPolicy};
 use sagespool_messages::{Heartbeat, MemberInfo, MemberRole};
 use sagespool_types::{ClockTime, ConfigVersion, IncarnationId, StoreRevision};
 
@@ -81,7 +81,7 @@
         let table = MemberTable::new(info.clone(), self.policy.clone(), info.incarnation.0);
         let seeds: Vec<_> =
             (0..3).map(|place| listed(&self::info(place, 1, MemberRole::Entry), false)).collect();
-        table.listed(&seeds, self.now);
+        table.apply_instance_list(&seeds, self.now);
         self.tables.insert(address, table);
     }
 
@@ -103,14 +103,14 @@
         self.count(beat);
         let open = !self.cut.contains(&(from, to)) && !self.paused.contains(&to);
         let peer = self.tables.get(&to).filter(|_| open);
-        let reply = peer.map(|peer| peer.received(beat, self.now));
+        let reply = peer.map(|peer| peer.handle_heartbeat(beat, self.now));
         if let Some(reply) = &reply {
             self.count(reply);
         }
         let sender = &self.tables[&from];
         match reply {
-            Some(reply) => sender.answered(to, &reply, self.now),
-            None => sender.unanswered(to, self.now),
+            Some(reply) => sender.handle_reply(to, &reply, self.now),
+            None => sender.record_call_failure(to, self.now),
         }
     }
 
@@ -125,7 +125,7 @@
             if self.paused.contains(&from) {
                 continue;
             }
-            for (to, beat) in self.tables[&from].due(self.now) {
+            for (to, beat) in self.tables[&from].due_heartbeats(self.now) {
                 self.deliver(from, to, &beat);
             }
         }
@@ -162,8 +162,8 @@
     }
 }
 
-pub fn listed(info: &MemberInfo, leaving: bool) -> ListedAddress {
-    ListedAddress {
+pub fn listed(info: &MemberInfo, leaving: bool) -> ListedMember {
+    ListedMember {
         instance: info.instance.clone(),
         role: info.role,
         address: info.address,
--- a/crates/sagespool-membership/tests/heartbeat_rounds.rs
+++ b/crates/sagespool-membership/tests/heartbeat_rounds.rs
@@ -103,7 +103,7 @@
         fleet.run(1000);
         assert_eq!(fleet.at(0).members().len(), usize::from(all / 2), "{size:?}");
         fleet.tables.values().for_each(|table| {
-            table.listed(&[], fleet.now);
+            table.apply_instance_list(&[], fleet.now);
         });
         fleet.cut.clear();
         let healed = fleet.run_until(1500, Fleet::is_complete);
@@ -135,7 +135,7 @@
     let calls = (fleet.exchanges - before) as f64 / fleet.tables.len() as f64;
     // Three neighbours every three seconds for a minute, and a repair now and then.
     assert!(calls < 72.0, "{calls} calls a member in a minute");
-    for (_, beat) in fleet.tables.values().flat_map(|table| table.due(fleet.now)) {
+    for (_, beat) in fleet.tables.values().flat_map(|table| table.due_heartbeats(fleet.now)) {
         let news: usize = beat.others.iter().map(encoded_bytes).sum();
         assert!(news <= MembershipPolicy::default().news_bytes);
     }
@@ -177,9 +177,9 @@
     fleet.run(300);
     assert!(fleet.at(0).is_gone(stranger, fleet.now));
     let alone = MemberTable::new(info(9, 1, MemberRole::Entry), MembershipPolicy::default(), 1);
-    alone.seeds(&[address(0)], ClockTime::default());
+    alone.add_seeds(&[address(0)], ClockTime::default());
     for tick in 0..600 {
-        alone.due(ClockTime::from_millis(tick * 100));
+        alone.due_heartbeats(ClockTime::from_millis(tick * 100));
     }
     assert!(!alone.is_gone(stranger, ClockTime::from_millis(60_000)), "nobody ever answered it");
 }
--- a/crates/sagespool-membership/tests/leaving_spread.rs
+++ b/crates/sagespool-membership/tests/leaving_spread.rs
@@ -44,11 +44,13 @@
     let mut fleet = Fleet::start(2, 2, MembershipPolicy::default());
     fleet.run(50);
     // Right after a round nothing is due.
-    fleet.run_until(20, |fleet| fleet.at(0).due(fleet.now).is_empty()).expect("rounds end");
+    fleet
+        .run_until(20, |fleet| fleet.at(0).due_heartbeats(fleet.now).is_empty())
+        .expect("rounds end");
     let now = fleet.now.after(std::time::Duration::from_millis(1));
-    assert!(fleet.at(0).due(now).is_empty());
+    assert!(fleet.at(0).due_heartbeats(now).is_empty());
     fleet.at(0).update_own(|own| own.leaving = true);
-    let beats = fleet.at(0).due(now);
+    let beats = fleet.at(0).due_heartbeats(now);
     assert_eq!(beats.len(), 3, "everyone is told at once");
     assert!(beats.iter().all(|(_, beat)| beat.from.leaving));
 }
@@ -62,7 +64,7 @@
     let sidecar = fleet.at(4).own();
     let before = fleet.at(0).changes_since(0).number;
     for leaving in [true, false] {
-        fleet.at(0).listed(&[listed(&sidecar, leaving)], fleet.now);
+        fleet.at(0).apply_instance_list(&[listed(&sidecar, leaving)], fleet.now);
         let live = fleet.at(0).live(MemberRole::Sidecar, fleet.now);
         let seen = live.iter().find(|info| info.incarnation == sidecar.incarnation);
         assert_eq!(seen.map(|info| info.leaving), Some(leaving));
@@ -70,7 +72,10 @@
         assert!(changes.updated.iter().any(|info| info.incarnation == sidecar.incarnation));
     }
     let own = fleet.at(0).own();
-    assert!(fleet.at(0).listed(&[listed(&own, true)], fleet.now), "it is told of itself");
+    assert!(
+        fleet.at(0).apply_instance_list(&[listed(&own, true)], fleet.now),
+        "it is told of itself"
+    );
     assert!(fleet.is_complete(), "the list removes nobody");
 }
 
@@ -82,13 +87,13 @@
     let own = info(0, 1, MemberRole::Sidecar);
     let table = MemberTable::new(own.clone(), MembershipPolicy::default(), 7);
     let now = sagespool_types::ClockTime(1);
-    assert!(!table.listed(&[listed(&own, true)], now), "the earlier run is meant");
+    assert!(!table.apply_instance_list(&[listed(&own, true)], now), "the earlier run is meant");
     assert!(table.is_listed_leaving());
-    assert!(!table.listed(&[listed(&own, false)], now));
+    assert!(!table.apply_instance_list(&[listed(&own, false)], now));
     assert!(!table.is_listed_leaving());
-    assert!(table.listed(&[listed(&own, true)], now), "now this run is meant");
+    assert!(table.apply_instance_list(&[listed(&own, true)], now), "now this run is meant");
     let table = MemberTable::new(own.clone(), MembershipPolicy::default(), 7);
-    assert!(!table.listed(&[listed(&own, true)], now));
+    assert!(!table.apply_instance_list(&[listed(&own, true)], now));
     let later = now.after(std::time::Duration::from_secs(60));
-    assert!(table.listed(&[listed(&own, true)], later), "no list lags for so long");
+    assert!(table.apply_instance_list(&[listed(&own, true)], later), "no list lags for so long");
 }
--- a/crates/sagespool-membership/tests/rendezvous_home.rs
+++ b/crates/sagespool-membership/tests/rendezvous_home.rs
@@ -88,7 +88,7 @@
     let order = fleet.at(9).homes_of(branch, 5, fleet.now);
     assert_eq!(fleet.at(9).home_of(branch, fleet.now).as_ref(), order.first());
     for _ in 0..2 {
-        fleet.at(9).unanswered(order[0].address, fleet.now);
+        fleet.at(9).record_call_failure(order[0].address, fleet.now);
     }
     assert_eq!(fleet.at(9).home_of(branch, fleet.now).as_ref(), order.get(1));
     assert!(fleet.at(9).find(order[0].incarnation).is_some());
@@ -112,7 +112,7 @@
     let paused_at = fleet.now;
     fleet.run(60);
     assert!(since(&fleet, order[1]).is_some_and(|since| since > paused_at));
-    assert!(fleet.at(order[2]).sole_since(fleet.now).is_some_and(|since| since > paused_at));
+    assert!(fleet.at(order[2]).exclusive_since(fleet.now).is_some_and(|since| since > paused_at));
     let resumed_at = fleet.now;
     fleet.paused.clear();
     fleet.run(60);
@@ -122,12 +122,16 @@
     let before = since(&fleet, order[0]);
     fleet.run(60);
     assert_eq!(since(&fleet, order[0]), before);
-    assert!(fleet.at(order[0]).sole_since(fleet.now) > before, "but it may have been");
+    assert!(fleet.at(order[0]).exclusive_since(fleet.now) > before, "but it may have been");
     let mut other = info(30, 1, MemberRole::Entry);
     other.region = "bc-coast".parse().expect("a valid name");
     fleet.join(other);
     fleet.run(60);
-    assert_eq!(fleet.at(order[0]).sole_since(fleet.now), None, "another region has its own homes");
+    assert_eq!(
+        fleet.at(order[0]).exclusive_since(fleet.now),
+        None,
+        "another region has its own homes"
+    );
 }
 
 fn place(info: &MemberInfo) -> u16 {
--- a/crates/sagespool-membership/tests/stale_incarnation.rs
+++ b/crates/sagespool-membership/tests/stale_incarnation.rs
@@ -4,7 +4,7 @@
 
 use fleet::{Fleet, address, info};
 use quickcheck::{TestResult, quickcheck};
-use sagespool_membership::{MemberTable, MembershipPolicy, first_number};
+use sagespool_membership::{MemberTable, MembershipPolicy, initial_heartbeat_number};
 use sagespool_messages::{Heartbeat, MemberInfo, MemberRole};
 use sagespool_types::{ClockTime, StoreRevision, WallTime};
 
@@ -47,11 +47,11 @@
         for order in [[&old, &new], [&new, &old]] {
             let table = table();
             for info in order {
-                table.received(&gossip(vec![info.clone()]), NOW);
+                table.handle_heartbeat(&gossip(vec![info.clone()]), NOW);
             }
             let mut later = old.clone();
             later.number = old.number + 3;
-            table.received(&gossip(vec![later]), NOW);
+            table.handle_heartbeat(&gossip(vec![later]), NOW);
             assert!(table.is_gone(old.incarnation, NOW), "{case}: the old run is gone");
             assert!(!table.is_gone(new.incarnation, NOW), "{case}: the new run is there");
             let sidecars = table.live(MemberRole::Sidecar, NOW);
@@ -132,11 +132,11 @@
 fn reused_address() {
     let table = table();
     let old = info(5, 1, MemberRole::Sidecar);
-    table.received(&gossip(vec![old.clone()]), NOW);
+    table.handle_heartbeat(&gossip(vec![old.clone()]), NOW);
     let mut new = info(6, 1, MemberRole::Sidecar);
     new.address = old.address;
     let answer = Heartbeat { from: new.clone(), ..gossip(Vec::new()) };
-    table.answered(old.address, &answer, NOW);
+    table.handle_reply(old.address, &answer, NOW);
     assert!(table.is_gone(old.incarnation, NOW));
     assert_eq!(table.live(MemberRole::Sidecar, NOW), [new]);
 }
@@ -146,7 +146,7 @@
     let started = WallTime(1_700_000_000_000);
     let restarted = WallTime(started.0 + 60_000);
     // A run counts a few heartbeats a second, the clock a thousand milliseconds.
-    assert!(first_number(started) + 60 * 10 < first_number(restarted));
+    assert!(initial_heartbeat_number(started) + 60 * 10 < initial_heartbeat_number(restarted));
 }
 
 quickcheck! {
@@ -160,7 +160,7 @@
             newest = newest.max(run);
             let mut said = info(5, run, MemberRole::Entry);
             said.number = u64::from(number);
-            table.received(&gossip(vec![said]), NOW);
+            table.handle_heartbeat(&gossip(vec![said]), NOW);
         }
         let entries = table.live(MemberRole::Entry, NOW);
         let found = entries.iter().find(|info| info.address == address(5));
--- a/crates/sagespool-sidecar/src/role/configuration.rs
+++ b/crates/sagespool-sidecar/src/role/configuration.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sagespool_configuration::FollowContext;
+use sagespool_configuration::FollowerContext;
 use sagespool_log::log_event;
 use sagespool_messages::ConfigObject;
 use sagespool_settings::check_fleet;
@@ -16,7 +16,7 @@
 
 /// Follows the fleet's object for the process's whole life.
 pub(super) async fn follow(state: Arc<SidecarState>) {
-    let context = FollowContext {
+    let context = FollowerContext {
         members: &state.members,
         objects: &state.objects,
         link: state.link(),
--- a/crates/sagespool-sidecar/src/role/members.rs
+++ b/crates/sagespool-sidecar/src/role/members.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sagespool_membership::ListedAddress;
+use sagespool_membership::ListedMember;
 use sagespool_messages::{PeerReply, PeerRequest};
 use sagespool_platform::{ListedInstance, ListedState};
 use sagespool_types::ClockTime;
@@ -27,16 +27,16 @@
 /// Sends heartbeats as they fall due.
 pub(super) async fn send_heartbeats(state: Arc<SidecarState>) {
     loop {
-        for (address, beat) in state.members.due(ClockTime::now()) {
+        for (address, beat) in state.members.due_heartbeats(ClockTime::now()) {
             let state = Arc::clone(&state);
             let request = PeerRequest::Heartbeat(beat);
             smol::spawn(async move {
                 match state.link().ask(address, &request, BEAT_LIMIT).await {
                     Ok(PeerReply::Heartbeat(reply)) => {
-                        state.members.answered(address, &reply, ClockTime::now());
-                        state.follower.heard(&reply.from);
+                        state.members.handle_reply(address, &reply, ClockTime::now());
+                        state.follower.observe_member(&reply.from);
                     }
-                    _ => state.members.unanswered(address, ClockTime::now()),
+                    _ => state.members.record_call_failure(address, ClockTime::now()),
                 }
             })
             .detach();
@@ -51,8 +51,8 @@
     loop {
         let pause = match state.instances.list(None, Duration::ZERO).await {
             Ok(listing) => {
-                let listed: Vec<_> = listing.instances.into_iter().map(listed_address).collect();
-                if state.members.listed(&listed, ClockTime::now()) {
+                let listed: Vec<_> = listing.instances.into_iter().map(listed_member).collect();
+                if state.members.apply_instance_list(&listed, ClockTime::now()) {
                     state.leave();
                 }
                 let is_held = state.members.is_listed_leaving();
@@ -66,8 +66,8 @@
     }
 }
 
-fn listed_address(listed: ListedInstance) -> ListedAddress {
-    ListedAddress {
+fn listed_member(listed: ListedInstance) -> ListedMember {
+    ListedMember {
         instance: listed.instance,
         role: listed.role,
         address: listed.address,
--- a/crates/sagespool-sidecar/src/role/peers.rs
+++ b/crates/sagespool-sidecar/src/role/peers.rs
@@ -50,13 +50,13 @@
         PeerRequest::Status(query) => PeerReply::Status(status(state, &query, now)),
         PeerRequest::Leave(request) => leave(state, &request),
         PeerRequest::Heartbeat(beat) => {
-            let reply = state.members.received(&beat, now);
-            state.follower.heard(&beat.from);
+            let reply = state.members.handle_heartbeat(&beat, now);
+            state.follower.observe_member(&beat.from);
             PeerReply::Heartbeat(reply)
         }
-        PeerRequest::AskConfiguration(ask) => state.follower.answer(&ask, now),
+        PeerRequest::AskConfiguration(ask) => state.follower.handle_query(&ask, now),
         PeerRequest::NoticeConfiguration(notice) => {
-            state.follower.noticed(&notice);
+            state.follower.handle_notice(&notice);
             PeerReply::Done
         }
         PeerRequest::Reserve(_)
--- a/crates/sagespool-sidecar/src/role/state.rs
+++ b/crates/sagespool-sidecar/src/role/state.rs
@@ -8,7 +8,7 @@
 use sagespool_configuration::ConfigFollower;
 use sagespool_link::LinkEndpoint;
 use sagespool_log::log_event;
-use sagespool_membership::{MemberTable, MembershipPolicy, first_number};
+use sagespool_membership::{MemberTable, MembershipPolicy, initial_heartbeat_number};
 use sagespool_messages::{ConfigScope, MemberInfo, MemberRole};
 use sagespool_metrics::FleetMetrics;
 use sagespool_platform::{InstanceClient, ObjectClient, ObjectOptions};
@@ -55,7 +55,7 @@
             .metrics(metrics.clone());
         let own = own_description(&process, incarnation);
         let members = MemberTable::new(own, MembershipPolicy::default(), incarnation.0);
-        members.seeds(&process.peers, ClockTime::now());
+        members.add_seeds(&process.peers, ClockTime::now());
         Self {
             dispatcher: Dispatcher::new(dispatch.build()),
             started: ClockTime::now(),
@@ -114,7 +114,7 @@
     MemberInfo {
         instance: process.instance.clone(),
         incarnation,
-        number: first_number(WallTime::now()),
+        number: initial_heartbeat_number(WallTime::now()),
         role: MemberRole::Sidecar,
         region: process.region.clone(),
         centre: process.centre.clone(),
