--- a/crates/sagespool-entry/src/run/admission.rs
+++ b/crates/sagespool-entry/src/run/admission.rs
@@ -101,7 +101,7 @@
         state.limits.ended(&rules);
         return Err(notice);
     }
-    state.retries.request(&order.service, now);
+    state.retries.count_request(&order.service, now);
     let waited = ClockTime::now().since(now);
     state.metrics.observe_queue_wait(&order.class, &order.branch, waited);
     let (service, request) = (order.service.clone(), order.request);
@@ -152,8 +152,8 @@
         return;
     };
     for service in config.services() {
-        if let Some(room) = state.upstreams.room(&service.name, ClockTime::now()) {
-            state.queue.set_limit(&service.name, room.limit);
+        if let Some(concurrency) = state.upstreams.concurrency(&service.name, ClockTime::now()) {
+            state.queue.set_limit(&service.name, concurrency.limit);
         }
         release(state, &service.name);
     }
--- a/crates/sagespool-entry/src/run/attempt.rs
+++ b/crates/sagespool-entry/src/run/attempt.rs
@@ -12,7 +12,7 @@
     DispatchRequest, KeyState, MemberRole, PeerRequest, RefusalNotice, ReservedCharge, StopCause,
 };
 use sagespool_metrics::DropCause;
-use sagespool_routing::{RouteChoice, RouteWish};
+use sagespool_routing::{PlacementQuery, UpstreamPlacement};
 use sagespool_types::{AttemptNumber, ClockTime, IncarnationId, RefusalReason, TokenCount};
 
 use super::cache_news::take_cache_news;
@@ -63,7 +63,7 @@
     /// It isn't a suspect.
     Anywhere,
     /// There, and nowhere else.
-    At(RouteChoice),
+    At(UpstreamPlacement),
     /// Others have to come through first.
     Later,
 }
@@ -125,16 +125,16 @@
     pub(super) async fn drive(&mut self) -> AttemptEnd {
         let mut last_failure = String::from("no upstream took it");
         while self.attempt.0 < MOST_ATTEMPTS {
-            let choice = match self.choose().await {
-                Ok(choice) => choice,
+            let placement = match self.choose().await {
+                Ok(placement) => placement,
                 Err(end) => return end,
             };
             self.attempt = self.attempt.next();
-            if let Some(end) = self.claim(&choice).await {
+            if let Some(end) = self.claim(&placement).await {
                 return end;
             }
-            let outcome = self.dispatch(&choice).await;
-            match self.judge(&choice, outcome).await {
+            let outcome = self.dispatch(&placement).await;
+            match self.judge(&placement, outcome).await {
                 Judgement::Ended(end) => return end,
                 Judgement::RunAgain(detail) => {
                     last_failure = detail;
@@ -154,12 +154,12 @@
         self.order.time_left(ClockTime::now())
     }
 
-    fn wish(&self) -> RouteWish {
+    fn query(&self) -> PlacementQuery {
         let model = match &self.order.target {
             CallTarget::Completion { model, .. } => Some(model.clone()),
             CallTarget::Service { .. } => None,
         };
-        RouteWish::builder()
+        PlacementQuery::builder()
             .service(self.order.service.clone())
             .maybe_model(model)
             .maybe_prefix(self.order.prefix)
@@ -193,15 +193,15 @@
             return ApartPlace::Anywhere;
         };
         let chosen = chosen.incarnation;
-        let mut wish = self.wish();
+        let mut query = self.query();
         let others = sidecars.iter().map(|member| member.incarnation);
-        wish.exclude.extend(others.filter(|incarnation| *incarnation != chosen));
-        let choice = self.state.upstreams.choose(&wish, now);
-        choice.map_or(ApartPlace::Anywhere, ApartPlace::At)
+        query.exclude.extend(others.filter(|incarnation| *incarnation != chosen));
+        let placement = self.state.upstreams.choose(&query, now);
+        placement.map_or(ApartPlace::Anywhere, ApartPlace::At)
     }
 
     /// An upstream to try: one not tried yet, else any, after a short wait for one to come back.
-    async fn choose(&mut self) -> Result<RouteChoice, AttemptEnd> {
+    async fn choose(&mut self) -> Result<UpstreamPlacement, AttemptEnd> {
         let started = ClockTime::now();
         loop {
             let now = ClockTime::now();
@@ -211,10 +211,10 @@
                 );
             }
             match self.place_apart(now.since(started), now) {
-                ApartPlace::At(choice) => return Ok(choice),
+                ApartPlace::At(placement) => return Ok(placement),
                 ApartPlace::Anywhere => {
-                    if let Some(choice) = self.state.upstreams.choose(&self.wish(), now) {
-                        return Ok(choice);
+                    if let Some(placement) = self.state.upstreams.choose(&self.query(), now) {
+                        return Ok(placement);
                     }
                 }
                 ApartPlace::Later => {
@@ -233,7 +233,7 @@
 
     /// A keyed request is placed at its sidecar before it is dispatched, so that a retry of the
     /// caller through any entry finds it there instead of running it again.
-    async fn claim(&mut self, choice: &RouteChoice) -> Option<AttemptEnd> {
+    async fn claim(&mut self, placement: &UpstreamPlacement) -> Option<AttemptEnd> {
         let key = self.order.key?;
         let claim = ClaimRequest {
             request: self.order.request,
@@ -242,8 +242,8 @@
             content: self.order.content,
             charge: self.reserved.charge,
             attempt: self.attempt,
-            sidecar: choice.sidecar,
-            upstream: choice.upstream.clone(),
+            sidecar: placement.sidecar,
+            upstream: placement.upstream.clone(),
             durable: self.order.non_idempotent,
             time_left: self.time_left(),
         };
@@ -256,7 +256,7 @@
         }
     }
 
-    fn request(&self, choice: &RouteChoice) -> DispatchRequest {
+    fn request(&self, placement: &UpstreamPlacement) -> DispatchRequest {
         let mut target = self.order.target.clone();
         if let CallTarget::Completion { resume, .. } = &mut target {
             *resume = self.passage.resume_point();
@@ -264,7 +264,7 @@
         DispatchRequest {
             request: self.order.request,
             attempt: self.attempt,
-            sidecar: choice.sidecar,
+            sidecar: placement.sidecar,
             branch: self.order.branch.clone(),
             reserved: self.reserved.clone(),
             key: self.order.key,
@@ -278,11 +278,11 @@
         }
     }
 
-    async fn dispatch(&mut self, choice: &RouteChoice) -> DispatchOutcome {
+    async fn dispatch(&mut self, placement: &UpstreamPlacement) -> DispatchOutcome {
         let started = ClockTime::now();
-        self.state.upstreams.started(choice, started);
-        let request = PeerRequest::Dispatch(self.request(choice));
-        let opened = self.state.link().open(choice.address, &request, self.time_left()).await;
+        self.state.upstreams.started(placement, started);
+        let request = PeerRequest::Dispatch(self.request(placement));
+        let opened = self.state.link().open(placement.address, &request, self.time_left()).await;
         let mut stream = match opened {
             Ok(stream) => stream,
             Err(error) => {
@@ -290,7 +290,7 @@
                 return DispatchOutcome::LinkLost { surely_not_sent, detail: error.to_string() };
             }
         };
-        let outcome = self.pass_on(&mut stream, choice, started).await;
+        let outcome = self.pass_on(&mut stream, placement, started).await;
         let dropped = match outcome {
             DispatchOutcome::CallerGone => Some(DropCause::CallerGone),
             DispatchOutcome::TimedOut => Some(DropCause::Late),
@@ -298,15 +298,15 @@
         };
         if let Some(cause) = dropped {
             self.note_dropped(cause, "the rest of the answer isn't waited for");
-            self.cancel(choice).await;
+            self.cancel(placement).await;
         }
         outcome
     }
 
-    async fn cancel(&self, choice: &RouteChoice) {
+    async fn cancel(&self, placement: &UpstreamPlacement) {
         let cancel = CancelRequest { request: self.order.request, attempt: self.attempt };
         let request = PeerRequest::Cancel(cancel);
-        let told = self.state.link().ask(choice.address, &request, CANCEL_LIMIT).await;
+        let told = self.state.link().ask(placement.address, &request, CANCEL_LIMIT).await;
         if let Err(error) = told {
             log_event!(warn, "cancel-untold", request = self.order.request, error = error);
         }
@@ -316,7 +316,7 @@
     async fn pass_on(
         &mut self,
         stream: &mut EventStream,
-        choice: &RouteChoice,
+        placement: &UpstreamPlacement,
         started: ClockTime,
     ) -> DispatchOutcome {
         let mut first_token = None;
@@ -352,11 +352,11 @@
             let taken = match event {
                 DispatchEvent::Started => true,
                 DispatchEvent::CacheNews(news) => {
-                    take_cache_news(&self.state.upstreams, choice.sidecar, &news, now);
+                    take_cache_news(&self.state.upstreams, placement.sidecar, &news, now);
                     true
                 }
                 DispatchEvent::Beside(count) => {
-                    self.state.upstreams.counted(choice.sidecar, count, now);
+                    self.state.upstreams.observe_in_flight(placement.sidecar, count, now);
                     true
                 }
                 DispatchEvent::Head { status, headers } => {
@@ -364,7 +364,13 @@
                 }
                 DispatchEvent::Piece { at, tokens, data } => {
                     if tokens > 0 {
-                        self.observe_piece(&mut first_token, &mut last_piece, choice, started, now);
+                        self.observe_piece(
+                            &mut first_token,
+                            &mut last_piece,
+                            placement,
+                            started,
+                            now,
+                        );
                     }
                     match self.passage.take_piece(at, tokens, data).await {
                         PieceTaken::Passed => true,
@@ -425,7 +431,7 @@
         &self,
         first_token: &mut Option<Duration>,
         last_piece: &mut ClockTime,
-        choice: &RouteChoice,
+        placement: &UpstreamPlacement,
         started: ClockTime,
         now: ClockTime,
     ) {
@@ -438,7 +444,7 @@
                 &self.order.branch,
                 whole_wait,
             );
-            self.state.upstreams.first_token(choice, waited, now);
+            self.state.upstreams.first_token(placement, waited, now);
         } else {
             let gap = now.since(*last_piece);
             self.state.metrics.observe_between_tokens(&self.order.class, &self.order.branch, gap);
--- a/crates/sagespool-entry/src/run/judge.rs
+++ b/crates/sagespool-entry/src/run/judge.rs
@@ -4,7 +4,7 @@
 
 use sagespool_log::log_event;
 use sagespool_messages::{ChargeRecord, CrashReport, DispatchEnd, RefusalNotice};
-use sagespool_routing::{AttemptOutcome, AttemptResult, RouteChoice};
+use sagespool_routing::{AttemptOutcome, AttemptResult, UpstreamPlacement};
 use sagespool_types::{ClockTime, RefusalReason, RequestId, RunState, TokenCount};
 
 use super::attempt::{AttemptEnd, AttemptRun, DispatchOutcome};
@@ -45,23 +45,23 @@
     /// Decides what follows a dispatch's outcome.
     pub(super) async fn judge(
         &mut self,
-        choice: &RouteChoice,
+        placement: &UpstreamPlacement,
         outcome: DispatchOutcome,
     ) -> Judgement {
         match outcome {
-            DispatchOutcome::Ended(end) => self.judge_end(choice, end).await,
+            DispatchOutcome::Ended(end) => self.judge_end(placement, end).await,
             DispatchOutcome::LinkLost { surely_not_sent, detail } => {
-                self.judge_loss(choice, surely_not_sent, detail).await
+                self.judge_loss(placement, surely_not_sent, detail).await
             }
             DispatchOutcome::CallerGone => {
-                self.note_end(choice, AttemptOutcome::Cancelled);
+                self.note_end(placement, AttemptOutcome::Cancelled);
                 self.maybe_ran = true;
                 Judgement::Ended(
                     self.give_up(RefusalReason::OutcomeUnknown, "the caller went away".into()),
                 )
             }
             DispatchOutcome::TimedOut => {
-                self.note_end(choice, AttemptOutcome::Failed);
+                self.note_end(placement, AttemptOutcome::Failed);
                 self.maybe_ran = true;
                 let message = "the deadline passed while it ran".into();
                 Judgement::Ended(self.give_up(RefusalReason::DeadlineExceeded, message))
@@ -69,15 +69,15 @@
         }
     }
 
-    async fn judge_end(&mut self, choice: &RouteChoice, end: DispatchEnd) -> Judgement {
+    async fn judge_end(&mut self, placement: &UpstreamPlacement, end: DispatchEnd) -> Judgement {
         match end {
             DispatchEnd::Whole { charge, stop } => {
-                self.note_end(choice, AttemptOutcome::Whole);
+                self.note_end(placement, AttemptOutcome::Whole);
                 crate::home::clear_suspect(self.state, self.order.content);
                 Judgement::Ended(AttemptEnd::Whole { charge, stop })
             }
             DispatchEnd::GrantUnusable(detail) => {
-                self.note_end(choice, AttemptOutcome::Refused);
+                self.note_end(placement, AttemptOutcome::Refused);
                 log_event!(
                     info,
                     "grant-unusable",
@@ -87,17 +87,17 @@
                 );
                 if self.ran.is_some() || self.maybe_ran {
                     // Something may have run under this charge, so it can't be given back.
-                    self.tried.push(choice.sidecar);
+                    self.tried.push(placement.sidecar);
                     return Judgement::TryElsewhere(detail);
                 }
                 Judgement::Ended(AttemptEnd::GrantUnusable)
             }
-            DispatchEnd::Refused(notice) => self.judge_refusal(choice, notice),
+            DispatchEnd::Refused(notice) => self.judge_refusal(placement, notice),
             DispatchEnd::Broken { ran, crashed, detail } => {
-                self.judge_break(choice, ran, crashed, detail).await
+                self.judge_break(placement, ran, crashed, detail).await
             }
             DispatchEnd::Cancelled { ran } => {
-                self.note_end(choice, AttemptOutcome::Cancelled);
+                self.note_end(placement, AttemptOutcome::Cancelled);
                 self.keep_ran(ran);
                 let message = "it was stopped at its deadline, or cancelled".into();
                 Judgement::Ended(self.give_up(RefusalReason::DeadlineExceeded, message))
@@ -105,7 +105,7 @@
         }
     }
 
-    fn judge_refusal(&mut self, choice: &RouteChoice, notice: RefusalNotice) -> Judgement {
+    fn judge_refusal(&mut self, placement: &UpstreamPlacement, notice: RefusalNotice) -> Judgement {
         let elsewhere = matches!(
             notice.reason,
             RefusalReason::Leaving
@@ -115,11 +115,11 @@
                 | RefusalReason::LimitReached
         );
         if !elsewhere {
-            self.note_end(choice, AttemptOutcome::Refused);
+            self.note_end(placement, AttemptOutcome::Refused);
         }
         if elsewhere && notice.run_state == RunState::NotRun {
-            self.note_end(choice, AttemptOutcome::Refused);
-            self.tried.push(choice.sidecar);
+            self.note_end(placement, AttemptOutcome::Refused);
+            self.tried.push(placement.sidecar);
             return Judgement::TryElsewhere(notice.message);
         }
         if self.ran.is_some() || self.maybe_ran {
@@ -142,25 +142,25 @@
     }
 
     /// Tells the routing table how an attempt ended; its first token was told when it came.
-    fn note_end(&self, choice: &RouteChoice, outcome: AttemptOutcome) {
+    fn note_end(&self, placement: &UpstreamPlacement, outcome: AttemptOutcome) {
         let tokens = TokenCount(u64::from(self.passage.tokens()));
         let result = AttemptResult { first_token: None, tokens, outcome };
-        self.state.upstreams.ended(choice, &result, ClockTime::now());
+        self.state.upstreams.ended(placement, &result, ClockTime::now());
     }
 
     async fn judge_break(
         &mut self,
-        choice: &RouteChoice,
+        placement: &UpstreamPlacement,
         ran: Option<ChargeRecord>,
         crashed: bool,
         detail: String,
     ) -> Judgement {
         let outcome = if crashed { AttemptOutcome::Unreachable } else { AttemptOutcome::Failed };
-        self.note_end(choice, outcome);
+        self.note_end(placement, outcome);
         let did_run = ran.is_some();
         self.keep_ran(ran);
         if crashed && did_run {
-            self.report_crash(choice).await;
+            self.report_crash(placement).await;
             smol::Timer::after(SUSPECT_PAUSE).await;
         }
         if self.state.crashes.stopped(self.order.content) {
@@ -171,18 +171,18 @@
             let message = format!("the upstream failed after it may have run: {detail}");
             return Judgement::Ended(self.give_up(RefusalReason::OutcomeUnknown, message));
         }
-        self.tried.push(choice.sidecar);
+        self.tried.push(placement.sidecar);
         match crashed {
             true => Judgement::RunAgain(detail),
             false => Judgement::TryElsewhere(detail),
         }
     }
 
-    async fn report_crash(&self, choice: &RouteChoice) {
+    async fn report_crash(&self, placement: &UpstreamPlacement) {
         let report = CrashReport {
             content: self.order.content,
             crash: RequestId(self.order.request.0 ^ u128::from(self.attempt.0)),
-            upstream: choice.upstream.clone(),
+            upstream: placement.upstream.clone(),
             attempt: self.attempt,
         };
         crate::home::spread_crash(self.state, &report).await;
@@ -192,12 +192,12 @@
     /// that may never run twice isn't tried elsewhere then.
     async fn judge_loss(
         &mut self,
-        choice: &RouteChoice,
+        placement: &UpstreamPlacement,
         surely_not_sent: bool,
         detail: String,
     ) -> Judgement {
-        self.note_end(choice, AttemptOutcome::Unreachable);
-        self.tried.push(choice.sidecar);
+        self.note_end(placement, AttemptOutcome::Unreachable);
+        self.tried.push(placement.sidecar);
         if surely_not_sent {
             return Judgement::RunAgain(detail);
         }
--- a/crates/sagespool-entry/src/state.rs
+++ b/crates/sagespool-entry/src/state.rs
@@ -16,8 +16,8 @@
 use sagespool_metrics::FleetMetrics;
 use sagespool_platform::{InstanceClient, ObjectClient, ObjectOptions};
 use sagespool_routing::{
-    AdmissionQueue, BranchLimits, PolicyKind, QueuePolicy, RetryBudget, RetryPolicy, RoutingPolicy,
-    UpstreamTable,
+    AdmissionQueue, PolicyKind, QueuePolicy, RequestLimits, RetryBudget, RetryPolicy,
+    RoutingPolicy, UpstreamTable,
 };
 use sagespool_settings::{
     BudgetChoice, EntrySettings, FleetConfiguration, ProcessSettings, RoutingChoice,
@@ -136,7 +136,7 @@
     store_away: Mutex<Option<ClockTime>>,
     pub(crate) operator: OperatorDesk,
     pub(crate) retries: RetryBudget,
-    pub(crate) limits: BranchLimits,
+    pub(crate) limits: RequestLimits,
     pub(crate) queue: AdmissionQueue,
     waiters: Mutex<HashMap<RequestId, Sender<QueueWord>>>,
     /// Sidecars that the routing table knows.
@@ -182,7 +182,7 @@
             store_away: Mutex::default(),
             operator: OperatorDesk::default(),
             retries: RetryBudget::new(RetryPolicy::default()),
-            limits: BranchLimits::new(),
+            limits: RequestLimits::new(),
             queue: AdmissionQueue::new(queue_policy(&settings)),
             waiters: Mutex::default(),
             known_sidecars: Mutex::default(),
--- a/crates/sagespool-routing/examples/policy_compare/model.rs
+++ b/crates/sagespool-routing/examples/policy_compare/model.rs
@@ -6,8 +6,8 @@
 use fastrand::Rng;
 use sagespool_messages::{LoadReport, MemberInfo, MemberRole, ServedUpstream, UpstreamKind};
 use sagespool_routing::{
-    AdmissionQueue, AttemptOutcome, AttemptResult, OfferOutcome, PolicyKind, QueueTicket,
-    RouteChoice, RouteWish, RoutingPolicy, UpstreamTable,
+    AdmissionQueue, AttemptOutcome, AttemptResult, OfferOutcome, PlacementQuery, PolicyKind,
+    QueueTicket, RoutingPolicy, UpstreamPlacement, UpstreamTable,
 };
 use sagespool_types::{ClockTime, ConfigVersion, IncarnationId, RequestId, TokenCount};
 
@@ -50,7 +50,7 @@
     sent: ClockTime,
     tokens: f64,
     prefix: u128,
-    choice: Option<RouteChoice>,
+    choice: Option<UpstreamPlacement>,
     tried: Vec<IncarnationId>,
     first_token: Option<Duration>,
     has_waited: bool,
@@ -246,7 +246,7 @@
 
     fn dispatch(&mut self, place: usize, now: ClockTime) {
         let job = &mut self.jobs[place];
-        let wish = RouteWish::builder()
+        let wish = PlacementQuery::builder()
             .service(name("sage-core"))
             .prefix(job.prefix)
             .exclude(job.tried.clone())
@@ -293,7 +293,7 @@
         let in_flight = engine.running + engine.waiting.len() as u32;
         let beside = in_flight.saturating_sub(outside + 1);
         let sidecar = IncarnationId(job.engine as u64);
-        self.entries[job.entry].table.counted(sidecar, beside, now);
+        self.entries[job.entry].table.observe_in_flight(sidecar, beside, now);
     }
 
     fn enter(&mut self, place: usize, now: ClockTime) {
@@ -393,7 +393,7 @@
     fn tick(&mut self, entry: usize, now: ClockTime) {
         let Entry { table, queue } = &self.entries[entry];
         let service = name("sage-core");
-        if let Some(room) = table.room(&service, now) {
+        if let Some(room) = table.concurrency(&service, now) {
             queue.set_limit(&service, room.limit);
         }
         self.release(entry, now);
--- a/crates/sagespool-routing/examples/routing_bench.rs
+++ b/crates/sagespool-routing/examples/routing_bench.rs
@@ -9,8 +9,8 @@
 
 use sagespool_messages::{LoadReport, MemberInfo, MemberRole, ServedUpstream, UpstreamKind};
 use sagespool_routing::{
-    AdmissionQueue, AttemptOutcome, AttemptResult, BranchLimits, LimitRule, LimitScope, PolicyKind,
-    QueuePolicy, QueueTicket, RouteWish, RoutingPolicy, UpstreamTable,
+    AdmissionQueue, AttemptOutcome, AttemptResult, LimitRule, LimitScope, PlacementQuery,
+    PolicyKind, QueuePolicy, QueueTicket, RequestLimits, RoutingPolicy, UpstreamTable,
 };
 use sagespool_types::{
     BranchName, ClockTime, ConfigVersion, IncarnationId, ParseFault, RequestId, ServiceName,
@@ -90,7 +90,7 @@
         AttemptResult { first_token: None, tokens: TokenCount(40), outcome: AttemptOutcome::Whole };
     time(ROUNDS, |number, now| {
         let prefix = with_prefix.then(|| u128::from(number * 31 % 997));
-        let wish = RouteWish::builder().service(service.clone()).maybe_prefix(prefix).build();
+        let wish = PlacementQuery::builder().service(service.clone()).maybe_prefix(prefix).build();
         let choice = black_box(table.choose(&wish, now)).expect("one is usable");
         table.started(&choice, now);
         running.push_back((choice, now));
@@ -116,7 +116,7 @@
     let table = table(PolicyKind::Sagespool, upstreams);
     let service: ServiceName = name("sage-core");
     time(ROUNDS, |_, now| {
-        black_box(table.room(&service, now));
+        black_box(table.concurrency(&service, now));
     })
 }
 
@@ -148,7 +148,7 @@
 }
 
 fn time_limits(branches: u64) -> f64 {
-    let limits = BranchLimits::new();
+    let limits = RequestLimits::new();
     let rules: Vec<[LimitRule; 1]> = (0..branches)
         .map(|number| {
             let scope = LimitScope::Branch(name(&format!("branch-{number}")));
--- a/crates/sagespool-routing/src/choice.rs
+++ b/crates/sagespool-routing/src/choice.rs
@@ -7,7 +7,7 @@
 
 /// What a request needs of an upstream.
 #[derive(Debug, Clone, bon::Builder)]
-pub struct RouteWish {
+pub struct PlacementQuery {
     /// The service that runs it.
     pub service: ServiceName,
     /// The model it names, for an engine.
@@ -30,7 +30,7 @@
 /// Where a request goes. Hand it back to [`crate::UpstreamTable::started`],
 /// [`crate::UpstreamTable::first_token`] and [`crate::UpstreamTable::ended`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RouteChoice {
+pub struct UpstreamPlacement {
     /// The sidecar's incarnation.
     pub sidecar: IncarnationId,
     /// Where its link listens.
@@ -81,7 +81,7 @@
 
 /// How many requests an entry may have running in a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ServiceRoom {
+pub struct ServiceConcurrency {
     /// Requests of this entry that may run at once, those that run included.
     pub limit: u32,
     /// How long a request holds its place, as measured lately.
--- a/crates/sagespool-routing/src/choose.rs
+++ b/crates/sagespool-routing/src/choose.rs
@@ -8,7 +8,7 @@
 use crate::ejection::UseState;
 use crate::load::LoadOutlook;
 use crate::service::ServiceState;
-use crate::{PolicyKind, RouteChoice, RouteWish, baseline};
+use crate::{PlacementQuery, PolicyKind, UpstreamPlacement, baseline};
 
 /// How many upstreams the ring offers for a prefix.
 const RING_CANDIDATES: usize = 2;
@@ -50,10 +50,10 @@
 impl ServiceState {
     pub(crate) fn choose(
         &mut self,
-        wish: &RouteWish,
+        wish: &PlacementQuery,
         entries: u32,
         now: ClockTime,
-    ) -> Option<RouteChoice> {
+    ) -> Option<UpstreamPlacement> {
         let usable = self.usable(wish.model.as_ref());
         let place = match self.policy.kind {
             PolicyKind::Sagespool => self.choose_predicted(&usable, wish, entries, now),
@@ -82,7 +82,7 @@
     fn choose_baseline(
         &mut self,
         usable: &[usize],
-        wish: &RouteWish,
+        wish: &PlacementQuery,
         kind: PolicyKind,
     ) -> Option<usize> {
         let is_untried = |place: &usize| !wish.exclude.contains(&self.upstreams[*place].id);
@@ -98,7 +98,7 @@
     fn choose_predicted(
         &mut self,
         usable: &[usize],
-        wish: &RouteWish,
+        wish: &PlacementQuery,
         entries: u32,
         now: ClockTime,
     ) -> Option<usize> {
@@ -130,7 +130,7 @@
 
     /// Looks at one suspect a time, whether it may be probed: an ejected one once its time is
     /// over, a slow or stalled one once it hasn't been tried for a while.
-    fn due_probe(&mut self, wish: &RouteWish, now: ClockTime) -> Option<usize> {
+    fn due_probe(&mut self, wish: &PlacementQuery, now: ClockTime) -> Option<usize> {
         self.unprobed = self.unprobed.saturating_add(1);
         let next = self.turn.checked_rem(self.suspects.len())?;
         self.turn = self.turn.wrapping_add(1);
@@ -157,7 +157,12 @@
     /// No open upstream was among the candidates. Looks at all, and where all are ejected
     /// tries one that no probe is out to: refusing everything until the first ejection ends
     /// would be worse.
-    fn choose_last(&mut self, usable: &[usize], wish: &RouteWish, now: ClockTime) -> Option<usize> {
+    fn choose_last(
+        &mut self,
+        usable: &[usize],
+        wish: &PlacementQuery,
+        now: ClockTime,
+    ) -> Option<usize> {
         let is_untried = |place: &&usize| !wish.exclude.contains(&self.upstreams[**place].id);
         let untried: Vec<usize> = usable.iter().filter(is_untried).copied().collect();
         let state = |place: &&usize| self.upstreams[**place].ejection.state(now);
@@ -186,7 +191,7 @@
         candidates
     }
 
-    fn prefix_candidates(&self, wish: &RouteWish, now: ClockTime) -> Vec<PrefixCandidate> {
+    fn prefix_candidates(&self, wish: &PlacementQuery, now: ClockTime) -> Vec<PrefixCandidate> {
         let Some(prefix) = wish.prefix else { return Vec::new() };
         let mut found: Vec<PrefixCandidate> = Vec::with_capacity(RING_CANDIDATES + 4);
         for id in self.ring.from(prefix).take(RING_STEPS) {
@@ -211,7 +216,7 @@
         found: &mut Vec<PrefixCandidate>,
         id: IncarnationId,
         belief: f64,
-        wish: &RouteWish,
+        wish: &PlacementQuery,
     ) {
         let Some(place) = self.places.get(&id).copied() else { return };
         if !self.fits(place, wish.model.as_ref()) {
@@ -266,7 +271,12 @@
         (first_token + wait).max(stalled) + failing + far - bonus
     }
 
-    fn make_choice(&mut self, place: usize, wish: &RouteWish, now: ClockTime) -> RouteChoice {
+    fn make_choice(
+        &mut self,
+        place: usize,
+        wish: &PlacementQuery,
+        now: ClockTime,
+    ) -> UpstreamPlacement {
         let upstream = &mut self.upstreams[place];
         let is_probe = self.policy.kind == PolicyKind::Sagespool && upstream.ejection.is_ejected();
         if is_probe {
@@ -279,7 +289,7 @@
             self.prefixes.sent(prefix, sidecar, now);
         }
         self.next_attempt += 1;
-        RouteChoice {
+        UpstreamPlacement {
             sidecar,
             address,
             upstream: name,
--- a/crates/sagespool-routing/src/lib.rs
+++ b/crates/sagespool-routing/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! The way of a request through an entry:
 //!
-//! 1. [`BranchLimits`] says whether its branch, class and upstream may take one more;
+//! 1. [`RequestLimits`] says whether its branch, class and upstream may take one more;
 //! 2. [`AdmissionQueue`] lets it go, lets it wait, or refuses it at once;
 //! 3. [`UpstreamTable`] chooses where it runs, and learns how that went;
 //! 4. after a failure, [`RetryBudget`] says whether it may be tried elsewhere.
@@ -35,8 +35,10 @@
 mod upstream;
 
 pub use affinity::{CacheEvent, CacheEventKind};
-pub use choice::{AttemptOutcome, AttemptResult, RouteChoice, RouteWish, ServiceRoom};
-pub use limits::{BranchLimits, LimitRefusal, LimitRule, LimitScope};
+pub use choice::{
+    AttemptOutcome, AttemptResult, PlacementQuery, ServiceConcurrency, UpstreamPlacement,
+};
+pub use limits::{LimitRefusal, LimitRule, LimitScope, RequestLimits};
 pub use policy::{PolicyKind, RoutingPolicy};
 pub use queue::{AdmissionQueue, OfferOutcome, QueueDepth, QueuePolicy, QueueRelease, QueueTicket};
 pub use retry::{RetryBudget, RetryPolicy};
--- a/crates/sagespool-routing/src/limits.rs
+++ b/crates/sagespool-routing/src/limits.rs
@@ -125,20 +125,20 @@
 
 /// Counts what runs and how fast it comes, in shards by scope.
 #[derive(Debug)]
-pub struct BranchLimits {
+pub struct RequestLimits {
     shards: [Mutex<HashMap<LimitScope, LimitUse>>; SHARDS],
     hasher: RandomState,
     entries: AtomicU32,
 }
 
-impl Default for BranchLimits {
+impl Default for RequestLimits {
     fn default() -> Self {
         let shards = std::array::from_fn(|_| Mutex::default());
         Self { shards, hasher: RandomState::new(), entries: AtomicU32::new(1) }
     }
 }
 
-impl BranchLimits {
+impl RequestLimits {
     /// Nothing runs.
     pub fn new() -> Self {
         Self::default()
--- a/crates/sagespool-routing/src/queue.rs
+++ b/crates/sagespool-routing/src/queue.rs
@@ -141,7 +141,7 @@
     }
 
     /// Sets how many requests of a service this entry may have running at once,
-    /// as [`crate::UpstreamTable::room`] says.
+    /// as [`crate::UpstreamTable::concurrency`] says.
     pub fn set_limit(&self, service: &ServiceName, limit: u32) {
         lock(&self.shard(service)).set_limit(limit);
     }
--- a/crates/sagespool-routing/src/retry.rs
+++ b/crates/sagespool-routing/src/retry.rs
@@ -79,7 +79,7 @@
     }
 
     /// Counts a request's first attempt.
-    pub fn request(&self, service: &ServiceName, now: ClockTime) {
+    pub fn count_request(&self, service: &ServiceName, now: ClockTime) {
         let window = self.window(service);
         lock(&window).slice(self.slice_number(now)).requests += 1;
     }
--- a/crates/sagespool-routing/src/service.rs
+++ b/crates/sagespool-routing/src/service.rs
@@ -15,7 +15,7 @@
 use crate::speed::{ServiceSpeed, WholeAnswer};
 use crate::totals::ServiceTotals;
 use crate::upstream::UpstreamState;
-use crate::{AttemptOutcome, AttemptResult, RouteChoice, RoutingPolicy, ServiceRoom};
+use crate::{AttemptOutcome, AttemptResult, RoutingPolicy, ServiceConcurrency, UpstreamPlacement};
 
 /// A report's surplus over the average fades over so many run times.
 const FADING_RUNS: f64 = 2.0;
@@ -132,7 +132,7 @@
         self.forget_usable();
     }
 
-    pub(crate) fn started(&mut self, choice: &RouteChoice, entries: u32, now: ClockTime) {
+    pub(crate) fn started(&mut self, choice: &UpstreamPlacement, entries: u32, now: ClockTime) {
         let Some(place) = self.places.get(&choice.sidecar).copied() else { return };
         let outlook = self.outlook(entries, now);
         let upstream = &mut self.upstreams[place];
@@ -148,7 +148,12 @@
         self.running.insert(choice.attempt, attempt);
     }
 
-    pub(crate) fn first_token(&mut self, choice: &RouteChoice, latency: Duration, now: ClockTime) {
+    pub(crate) fn first_token(
+        &mut self,
+        choice: &UpstreamPlacement,
+        latency: Duration,
+        now: ClockTime,
+    ) {
         let Some(attempt) = self.running.get_mut(&choice.attempt) else { return };
         let Some(place) = self.places.get(&attempt.sidecar).copied() else { return };
         let upstream = &mut self.upstreams[place];
@@ -163,7 +168,12 @@
         }
     }
 
-    pub(crate) fn ended(&mut self, choice: &RouteChoice, result: &AttemptResult, now: ClockTime) {
+    pub(crate) fn ended(
+        &mut self,
+        choice: &UpstreamPlacement,
+        result: &AttemptResult,
+        now: ClockTime,
+    ) {
         let whole = (result.outcome == AttemptOutcome::Whole).then_some(now);
         let started = self.running.get(&choice.attempt).map(|attempt| attempt.started);
         // An answer in one piece: its end was its first token.
@@ -277,7 +287,7 @@
     /// An equal share of the capacity, or what this entry has plus its part of what is free,
     /// whichever is more: an entry that gets more callers than the others may use what they
     /// leave, and goes back to its share as they need theirs.
-    pub(crate) fn room(&mut self, entries: u32, now: ClockTime) -> ServiceRoom {
+    pub(crate) fn room(&mut self, entries: u32, now: ClockTime) -> ServiceConcurrency {
         self.renew_totals(entries, now);
         let own = self.running.len() as f64;
         let capacity = self.totals.capacity * OVERCOMMIT;
@@ -286,7 +296,7 @@
         let part = self.share.own_part(entries);
         let limit = share.max(own + free * part).ceil();
         let run_time = Duration::from_secs_f64(self.speed.run_time(&self.policy, now));
-        ServiceRoom { limit: limit.max(1.0) as u32, run_time }
+        ServiceConcurrency { limit: limit.max(1.0) as u32, run_time }
     }
 
     /// Requests that run, as a share of what the upstreams run at once.
--- a/crates/sagespool-routing/src/table.rs
+++ b/crates/sagespool-routing/src/table.rs
@@ -9,7 +9,9 @@
 use sagespool_types::{CentreName, ClockTime, IncarnationId, ServiceName};
 
 use crate::service::ServiceState;
-use crate::{AttemptResult, CacheEvent, RouteChoice, RouteWish, RoutingPolicy, ServiceRoom};
+use crate::{
+    AttemptResult, CacheEvent, PlacementQuery, RoutingPolicy, ServiceConcurrency, UpstreamPlacement,
+};
 
 type ServiceShard = Arc<Mutex<ServiceState>>;
 
@@ -78,26 +80,26 @@
     /// Where a request goes, or nothing if no upstream may take it now.
     ///
     /// Follow it by [`Self::started`] at once, and by [`Self::ended`] in any case.
-    pub fn choose(&self, wish: &RouteWish, now: ClockTime) -> Option<RouteChoice> {
+    pub fn choose(&self, wish: &PlacementQuery, now: ClockTime) -> Option<UpstreamPlacement> {
         let shard = self.shard(&wish.service)?;
         lock(&shard).choose(wish, self.entries(), now)
     }
 
     /// The request was sent where the choice says.
-    pub fn started(&self, choice: &RouteChoice, now: ClockTime) {
+    pub fn started(&self, choice: &UpstreamPlacement, now: ClockTime) {
         let Some(shard) = self.shard(&choice.service) else { return };
         lock(&shard).started(choice, self.entries(), now);
     }
 
     /// The first token or byte came, so long after the dispatch. Optional, but
     /// a long answer's end comes too late to notice a slow upstream by.
-    pub fn first_token(&self, choice: &RouteChoice, latency: Duration, now: ClockTime) {
+    pub fn first_token(&self, choice: &UpstreamPlacement, latency: Duration, now: ClockTime) {
         let Some(shard) = self.shard(&choice.service) else { return };
         lock(&shard).first_token(choice, latency, now);
     }
 
     /// The attempt ended, however that was.
-    pub fn ended(&self, choice: &RouteChoice, result: &AttemptResult, now: ClockTime) {
+    pub fn ended(&self, choice: &UpstreamPlacement, result: &AttemptResult, now: ClockTime) {
         let Some(shard) = self.shard(&choice.service) else { return };
         lock(&shard).ended(choice, result, now);
     }
@@ -112,7 +114,7 @@
 
     /// Takes in how many requests a sidecar has at its upstream at this moment beside an own one
     /// that has started and not ended, on whose stream it tells so.
-    pub fn counted(&self, sidecar: IncarnationId, beside: u32, now: ClockTime) {
+    pub fn observe_in_flight(&self, sidecar: IncarnationId, beside: u32, now: ClockTime) {
         let service = lock(&self.sidecars).get(&sidecar).cloned();
         let Some(shard) = service.and_then(|service| self.shard(&service)) else { return };
         lock(&shard).counted(sidecar, beside, now);
@@ -120,7 +122,7 @@
 
     /// How many requests this entry may have running in a service. Ask a few times a second,
     /// and hand the limit to [`crate::AdmissionQueue::set_limit`].
-    pub fn room(&self, service: &ServiceName, now: ClockTime) -> Option<ServiceRoom> {
+    pub fn concurrency(&self, service: &ServiceName, now: ClockTime) -> Option<ServiceConcurrency> {
         let shard = self.shard(service)?;
         Some(lock(&shard).room(self.entries(), now))
     }
--- a/crates/sagespool-routing/tests/branch_limits.rs
+++ b/crates/sagespool-routing/tests/branch_limits.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use quickcheck::QuickCheck;
-use sagespool_routing::{BranchLimits, LimitRule, LimitScope};
+use sagespool_routing::{LimitRule, LimitScope, RequestLimits};
 use sagespool_types::{BranchName, ClockTime, RefusalReason};
 
 fn at(millis: u64) -> ClockTime {
@@ -26,7 +26,7 @@
 
 #[test]
 fn rate_held() {
-    let limits = BranchLimits::new();
+    let limits = RequestLimits::new();
     let rules = [rate(10)];
     let passed = (0..40).filter(|_| limits.admit(&rules, at(0)).is_ok()).count();
     assert_eq!(passed, 10);
@@ -39,7 +39,7 @@
 
 #[test]
 fn running_held() {
-    let limits = BranchLimits::new();
+    let limits = RequestLimits::new();
     let rules = [running(2)];
     assert!(limits.admit(&rules, at(0)).is_ok());
     assert!(limits.admit(&rules, at(0)).is_ok());
@@ -52,7 +52,7 @@
 // branch, a full class would use up the limits of every branch that keeps asking.
 #[test]
 fn refused_takes_nothing() {
-    let limits = BranchLimits::new();
+    let limits = RequestLimits::new();
     let class = LimitScope::Class("lookup".parse().expect("a valid name"));
     let full = LimitRule { scope: class.clone(), running: Some(0), requests_per_second: None };
     for step in 0..100 {
@@ -67,7 +67,7 @@
 // Three entries each let the whole rate through, and the branch gets three times its limit.
 #[test]
 fn entries_share() {
-    let entries = [(); 3].map(|()| BranchLimits::new());
+    let entries = [(); 3].map(|()| RequestLimits::new());
     entries.iter().for_each(|limits| limits.set_entries(3));
     let mut passed = 0;
     for millis in 0..60_000 {
@@ -88,7 +88,7 @@
 // sooner would hand out a fresh allowance, and the branch gets up to three times its rate.
 #[test]
 fn expiry_gives_nothing() {
-    let limits = BranchLimits::new();
+    let limits = RequestLimits::new();
     limits.set_entries(3);
     let mut passed = 0;
     for step in 0..60 {
@@ -102,7 +102,7 @@
 #[test]
 fn never_beyond_rate() {
     fn property(gaps: Vec<u16>, requests_per_second: u8) -> bool {
-        let limits = BranchLimits::new();
+        let limits = RequestLimits::new();
         let rules = [rate(u32::from(requests_per_second))];
         let (mut now, mut passed) = (0, 0);
         for gap in gaps {
--- a/crates/sagespool-routing/tests/load_choice.rs
+++ b/crates/sagespool-routing/tests/load_choice.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use quickcheck::{QuickCheck, TestResult};
-use sagespool_routing::{AttemptOutcome, PolicyKind, RouteWish, UpstreamTable};
+use sagespool_routing::{AttemptOutcome, PlacementQuery, PolicyKind, UpstreamTable};
 use sagespool_types::IncarnationId;
 use support::{CAPACITY, at, end, idle_table, member, name, send, table, wish};
 
@@ -135,7 +135,7 @@
             table.observe(&member(number as u64, 1, u32::from(*running)), at(0));
         }
         let tried = u64::from(excluded) % load.len() as u64;
-        let wish = RouteWish { exclude: vec![IncarnationId(tried)], ..wish() };
+        let wish = PlacementQuery { exclude: vec![IncarnationId(tried)], ..wish() };
         let choice = table.choose(&wish, at(1));
         let is_right = match choice {
             Some(choice) => choice.sidecar.0 != tried && (choice.sidecar.0 as usize) < load.len(),
@@ -153,7 +153,7 @@
     far.centre = name("seeb");
     far.serves.as_mut().expect("it serves").models = vec![name("sage-small")];
     table.observe(&far, at(0));
-    let wanted = |model| RouteWish { model: Some(name(model)), ..wish() };
+    let wanted = |model| PlacementQuery { model: Some(name(model)), ..wish() };
     assert_eq!(send(&table, &wanted("sage-small"), at(1)).sidecar.0, 2);
     assert!(send(&table, &wanted("sage-large"), at(1)).sidecar.0 < 2);
     assert_eq!(table.choose(&wanted("sage-none"), at(1)), None);
@@ -169,7 +169,8 @@
 fn room_follows_traffic() {
     let table = idle_table(4, 6);
     table.set_entries(4);
-    let room = |now| table.room(&name("sage-core"), now).expect("the service is known").limit;
+    let room =
+        |now| table.concurrency(&name("sage-core"), now).expect("the service is known").limit;
     let quarter = room(at(0));
     assert!((8..=18).contains(&quarter), "{quarter} of 32 places to start with");
     for report in 1..40u64 {
--- a/crates/sagespool-routing/tests/retry_budget.rs
+++ b/crates/sagespool-routing/tests/retry_budget.rs
@@ -14,7 +14,7 @@
     let (mut attempts, mut draw) = (0, 0);
     for request in 0..requests {
         let now = ClockTime::from_millis(request * 5);
-        budget.request(&service, now);
+        budget.count_request(&service, now);
         for _ in 0..4 {
             attempts += 1;
             draw = (draw + 7) % 10;
@@ -47,7 +47,7 @@
     let budget = RetryBudget::new(RetryPolicy::default());
     let (quiet, busy) = (name("portal-api"), name("sage-core"));
     let now = ClockTime::from_millis(40_000);
-    budget.request(&quiet, now);
+    budget.count_request(&quiet, now);
     let allowed = (0..10).filter(|_| budget.try_retry(&quiet, now)).count();
     assert_eq!(allowed, 3);
     // Another service's budget is its own, and the window moves on.
--- a/crates/sagespool-routing/tests/sidecar_counts.rs
+++ b/crates/sagespool-routing/tests/sidecar_counts.rs
@@ -32,7 +32,7 @@
 #[test]
 fn count_before_report() {
     let table = table_with_own();
-    table.counted(FULL, CAPACITY, at(100));
+    table.observe_in_flight(FULL, CAPACITY, at(100));
     assert_eq!(sent_to_full(&table, 10, at(110)), 0);
 }
 
@@ -41,7 +41,7 @@
 #[test]
 fn old_count_fades() {
     let table = table_with_own();
-    table.counted(FULL, CAPACITY, at(100));
+    table.observe_in_flight(FULL, CAPACITY, at(100));
     let later = 60_000;
     for number in 0..2 {
         table.observe(&member(number, 2, 0), at(later));
@@ -58,7 +58,7 @@
     for _ in 0..CAPACITY {
         let choice = send(&table, &wish(), at(0));
         if choice.sidecar == FULL {
-            table.counted(FULL, at_first, at(0));
+            table.observe_in_flight(FULL, at_first, at(0));
             at_first += 1;
         }
     }
--- a/crates/sagespool-routing/tests/slow_ejection.rs
+++ b/crates/sagespool-routing/tests/slow_ejection.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use sagespool_routing::{AttemptOutcome, RouteChoice, RouteWish, UpstreamTable};
+use sagespool_routing::{AttemptOutcome, PlacementQuery, UpstreamPlacement, UpstreamTable};
 use sagespool_types::{ClockTime, IncarnationId};
 use support::{at, end, idle_table, member, send, wish};
 
@@ -21,7 +21,7 @@
     slow_first_token: u64,
 ) -> (u32, u32) {
     let (mut first, mut all) = (0, 0);
-    let mut running: Vec<(u64, u64, RouteChoice)> = Vec::new();
+    let mut running: Vec<(u64, u64, UpstreamPlacement)> = Vec::new();
     for now in (from..until).step_by(gap) {
         running.retain(|(sent, latency, choice)| {
             if (sent + latency..sent + latency + gap as u64).contains(&now) {
@@ -48,14 +48,14 @@
     (first, all)
 }
 
-fn fail(table: &UpstreamTable, choice: &RouteChoice, now: ClockTime) {
+fn fail(table: &UpstreamTable, choice: &UpstreamPlacement, now: ClockTime) {
     end(table, choice, AttemptOutcome::Failed, now);
 }
 
 /// Fails upstream 0 until it is ejected.
 fn eject_first(table: &UpstreamTable, now: u64) {
     let others = (1..8).map(IncarnationId).collect();
-    let only_first = RouteWish { exclude: others, ..wish() };
+    let only_first = PlacementQuery { exclude: others, ..wish() };
     for _ in 0..3 {
         let choice = send(table, &only_first, at(now));
         fail(table, &choice, at(now));
@@ -119,7 +119,7 @@
     let table = idle_table(4, 3);
     let others: Vec<_> = (1..4).map(IncarnationId).collect();
     for _ in 0..3 {
-        send(&table, &RouteWish { exclude: others.clone(), ..wish() }, at(0));
+        send(&table, &PlacementQuery { exclude: others.clone(), ..wish() }, at(0));
     }
     let (early, _) = to_first(&table, 5_000, 35_000, 10, 20);
     assert_eq!(early, 0);
@@ -147,8 +147,9 @@
 fn single_probe() {
     let table = idle_table(2, 1);
     eject_first(&table, 100);
-    let after =
-        |now| -> Vec<RouteChoice> { (0..6).map(|_| send(&table, &wish(), at(now))).collect() };
+    let after = |now| -> Vec<UpstreamPlacement> {
+        (0..6).map(|_| send(&table, &wish(), at(now))).collect()
+    };
     let first = after(3_000);
     let probes: Vec<_> = first.iter().filter(|choice| choice.is_probe).collect();
     assert_eq!(probes.len(), 1);
@@ -165,7 +166,7 @@
 fn unrepeatable_never_probes() {
     let table = idle_table(2, 1);
     eject_first(&table, 100);
-    let careful = RouteWish { may_probe: false, ..wish() };
+    let careful = PlacementQuery { may_probe: false, ..wish() };
     assert!((0..20).all(|_| send(&table, &careful, at(3_000)).sidecar.0 != 0));
 }
 
--- a/crates/sagespool-routing/tests/support/mod.rs
+++ b/crates/sagespool-routing/tests/support/mod.rs
@@ -6,7 +6,8 @@
 
 use sagespool_messages::{LoadReport, MemberInfo, MemberRole, ServedUpstream, UpstreamKind};
 use sagespool_routing::{
-    AttemptOutcome, AttemptResult, PolicyKind, RouteChoice, RouteWish, RoutingPolicy, UpstreamTable,
+    AttemptOutcome, AttemptResult, PlacementQuery, PolicyKind, RoutingPolicy, UpstreamPlacement,
+    UpstreamTable,
 };
 use sagespool_types::{ClockTime, ConfigVersion, IncarnationId, ParseFault, TokenCount};
 
@@ -61,28 +62,33 @@
     table
 }
 
-pub fn wish() -> RouteWish {
-    RouteWish::builder().service(name("sage-core")).build()
+pub fn wish() -> PlacementQuery {
+    PlacementQuery::builder().service(name("sage-core")).build()
 }
 
-pub fn wish_for(prefix: u128) -> RouteWish {
-    RouteWish::builder().service(name("sage-core")).prefix(prefix).build()
+pub fn wish_for(prefix: u128) -> PlacementQuery {
+    PlacementQuery::builder().service(name("sage-core")).prefix(prefix).build()
 }
 
 /// Chooses and starts; the chosen upstream's number.
-pub fn send(table: &UpstreamTable, wish: &RouteWish, now: ClockTime) -> RouteChoice {
+pub fn send(table: &UpstreamTable, wish: &PlacementQuery, now: ClockTime) -> UpstreamPlacement {
     let choice = table.choose(wish, now).expect("an upstream may take it");
     table.started(&choice, now);
     choice
 }
 
-pub fn end(table: &UpstreamTable, choice: &RouteChoice, outcome: AttemptOutcome, now: ClockTime) {
+pub fn end(
+    table: &UpstreamTable,
+    choice: &UpstreamPlacement,
+    outcome: AttemptOutcome,
+    now: ClockTime,
+) {
     let result = AttemptResult { first_token: None, tokens: TokenCount::ZERO, outcome };
     table.ended(choice, &result, now);
 }
 
 /// Runs one request to its end, with a time to its first token.
-pub fn run(table: &UpstreamTable, choice: &RouteChoice, first_token: u64, sent: ClockTime) {
+pub fn run(table: &UpstreamTable, choice: &UpstreamPlacement, first_token: u64, sent: ClockTime) {
     let latency = Duration::from_millis(first_token);
     table.first_token(choice, latency, sent.after(latency));
     end(table, choice, AttemptOutcome::Whole, sent.after(latency));
