--- a/crates/sagespool-ledger/src/account.rs
+++ b/crates/sagespool-ledger/src/account.rs
@@ -1,4 +1,4 @@
-//! One branch's account in a book.
+//! The account of one branch in a book.
 
 use std::collections::BTreeMap;
 
@@ -9,31 +9,33 @@
 use crate::SequenceSet;
 
 derives! { record;
-    /// A grant that is outstanding: its amount isn't free, whatever became of its holder.
+    /// An outstanding grant. Its amount isn't free, whether its holder is alive or not.
     pub struct GrantRecord {
-        /// What its holder may spend in all.
+        /// Total that the holder may spend.
         pub amount: TokenCount,
-        /// What raises have added to the amount in all; never lowered, so that its holder finds in it
-        /// a raise whose answer was lost.
+        /// Sum of all raises included in the amount. Never lowered, so that the holder detects a
+        /// raise whose reply was lost.
         #[serde(default, skip_serializing_if = "is_zero")]
         pub raised: TokenCount,
-        /// What of that is settled.
+        /// Settled part of the amount.
         #[serde(default)]
         pub settled: TokenCount,
-        /// The charges that are settled; each counts once.
+        /// Settled charges; each counts once.
         #[serde(default)]
         pub charges: SequenceSet,
-        /// The store's revision when the grant was asked for: it was made after this. A sidecar that
-        /// started at or before it has seen the grant's whole life.
+        /// Store revision at the time of the grant request; the grant was created after it. A
+        /// sidecar that started at or before this revision covers the grant's whole lifetime.
         pub asked_at: StoreRevision,
-        /// Who sealed it, if its holder is believed dead.
+        /// The process that sealed the grant, if the holder is presumed dead.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub sealed_by: Option<IncarnationId>,
-        /// True if not all of it can be accounted for: what isn't settled is in doubt.
+        /// True if the use of the unsettled part can't be established completely: that part is in
+        /// doubt.
         #[serde(default, skip_serializing_if = "std::ops::Not::not")]
         pub in_doubt: bool,
-        /// Under a grant in doubt: charges of which some use is known, but whose last attempt's
-        /// witness may be lost. They aren't settled; whoever releases the grant settles them so.
+        /// For a grant in doubt: charges with some reported use whose last attempt may have run at
+        /// a lost sidecar. They are not settled until an operator releases the grant, which settles
+        /// them at these amounts.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         pub known: Vec<(SequenceNumber, TokenCount)>,
     }
@@ -44,18 +46,18 @@
 }
 
 impl GrantRecord {
-    /// Adds to what its holder may spend; the account has checked that so much is free.
+    /// Raises the amount; the account has checked that this much is free.
     pub(crate) fn raise(&mut self, by: TokenCount) {
         self.amount += by;
         self.raised += by;
     }
 
-    /// What isn't settled.
+    /// The amount less what is settled.
     pub fn unsettled_amount(&self) -> TokenCount {
         self.amount.less(self.settled)
     }
 
-    /// Settles a charge; false if it is settled already. What is settled never passes the amount.
+    /// Settles a charge; false if it is settled already. The settled sum is capped at the amount.
     pub(crate) fn settle(&mut self, sequence: SequenceNumber, used: TokenCount) -> bool {
         if !self.charges.insert(sequence) {
             return false;
@@ -64,14 +66,15 @@
         true
     }
 
-    /// What is known to be used of what isn't settled.
+    /// Reported use of charges that are not settled, capped at the unsettled amount.
     pub fn known_use(&self) -> TokenCount {
         let open = self.known.iter().filter(|(sequence, _)| !self.charges.contains(*sequence));
         open.map(|(_, used)| *used).sum::<TokenCount>().min(self.unsettled_amount())
     }
 
-    /// Marks what isn't settled as in doubt, with what is known of it; false if that is known.
-    pub(crate) fn doubt(&mut self, known: Vec<(SequenceNumber, TokenCount)>) -> bool {
+    /// Marks the unsettled part as in doubt and records its reported use; false if both are
+    /// recorded already.
+    pub(crate) fn mark_in_doubt(&mut self, known: Vec<(SequenceNumber, TokenCount)>) -> bool {
         if self.in_doubt && self.known == known {
             return false;
         }
@@ -80,53 +83,54 @@
         true
     }
 
-    /// True if its holder doesn't account for it any more, as far as its book knows.
+    /// True if, as far as the book shows, the holder no longer accounts for the grant.
     pub fn is_unaccounted(&self) -> bool {
         self.in_doubt || self.sealed_by.is_some()
     }
 }
 
 derives! { record;
-    /// A top-up that was applied.
+    /// An applied top-up command.
     pub struct AppliedTopUp {
-        /// The command.
+        /// Makes a repeated top-up idempotent.
         pub command: CommandId,
-        /// What it added.
+        /// Tokens that it added.
         pub amount: TokenCount,
     }
 }
 
 derives! { record;
-    /// One branch's account.
+    /// The account of one branch.
     #[derive(Default)]
     pub struct BranchAccount {
-        /// All that was ever prepaid.
+        /// Sum of all top-ups.
         pub prepaid: TokenCount,
-        /// What closed grants have settled.
+        /// Settled under closed grants.
         #[serde(default)]
         pub settled: TokenCount,
-        /// The newest commands applied, oldest first, so that one repeated changes nothing.
+        /// The most recent top-up commands, oldest first, so that a repeated command changes
+        /// nothing.
         #[serde(default)]
         pub commands: Vec<AppliedTopUp>,
-        /// Outstanding grants.
+        /// Grants that aren't closed.
         #[serde(default)]
         pub grants: BTreeMap<GrantId, GrantRecord>,
     }
 }
 
 impl BranchAccount {
-    /// What may still be granted.
+    /// Tokens that can still be granted.
     pub fn free(&self) -> TokenCount {
         let outstanding: TokenCount = self.grants.values().map(|grant| grant.amount).sum();
         self.prepaid.less(self.settled + outstanding)
     }
 
-    /// What is settled, under closed and outstanding grants.
-    pub fn settled_in_all(&self) -> TokenCount {
+    /// Settled under closed and outstanding grants.
+    pub fn total_settled(&self) -> TokenCount {
         self.settled + self.grants.values().map(|grant| grant.settled).sum()
     }
 
-    /// Closes a grant: what it settled stays settled, the rest is free.
+    /// Closes a grant: its settled part stays settled, the remainder becomes free.
     pub(crate) fn close(&mut self, grant: &GrantId) {
         if let Some(record) = self.grants.remove(grant) {
             self.settled += record.settled;
--- a/crates/sagespool-ledger/src/book.rs
+++ b/crates/sagespool-ledger/src/book.rs
@@ -1,4 +1,4 @@
-//! Books: the store's objects that hold the accounts.
+//! Books: the store objects that contain the branch accounts.
 
 use std::collections::BTreeMap;
 
@@ -10,75 +10,75 @@
 use crate::account::AppliedTopUp;
 use crate::{BranchAccount, GrantRecord, RecoveryVerdict};
 
-/// The number of books; fixed, since changing it would move branches between objects.
+/// Number of books. Fixed: another number would move branches between objects.
 pub const BOOK_COUNT: u64 = 64;
 
-/// Commands remembered for each branch. A command repeated after so many later ones of the same
-/// branch would be applied again; the command line repeats one within a minute.
-const COMMANDS_KEPT: usize = 32;
+/// Top-up commands kept for each branch. A command repeated after this many later commands of the
+/// same branch would be applied again; the command line repeats a command within a minute.
+const MAX_KEPT_COMMANDS: usize = 32;
 
-/// The book that holds a branch's account.
+/// The book that contains a branch's account.
 pub fn book_of(branch: &BranchName) -> BookNumber {
     BookNumber(XxHash3_64::oneshot(branch.as_str().as_bytes()) % BOOK_COUNT)
 }
 
-/// The key of a book's object in the store.
+/// The store key of a book.
 pub fn book_key(book: BookNumber) -> String {
     format!("books/{book}")
 }
 
 derives! { record;
-    /// The store's object of a book. Every change to it is one conditional update.
+    /// A book as stored. Every change is one conditional update.
     #[derive(Default)]
     pub struct BookRecord {
-        /// The accounts.
+        /// The accounts, by branch.
         pub branches: BTreeMap<BranchName, BranchAccount>,
     }
 }
 
-/// What became of a top-up.
+/// The result of a top-up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TopUpOutcome {
-    /// It was added.
+    /// The amount was added.
     Applied,
     /// The same command was applied before; nothing changed.
     AlreadyApplied,
-    /// The same command id came with another amount; nothing changed.
+    /// The same command id was applied before with another amount; nothing changed.
     OtherAmount {
         /// The amount that was applied.
         applied: TokenCount,
     },
 }
 
-/// What became of an order to release what is in doubt.
+/// The result of an operator's order to release a grant in doubt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReleaseOutcome {
-    /// The grant is closed and its rest is free.
+    /// The grant is closed; this much of it became free.
     Released(TokenCount),
-    /// There is no such grant; it was released, or settled, before.
+    /// There is no such grant: it was released or settled before.
     NoSuchGrant,
     /// The grant isn't in doubt: its holder accounts for it.
     NotInDoubt,
 }
 
-/// What is known of a branch's spend from its book alone.
+/// Bounds on a branch's spend, derived from its book alone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct SpendBounds {
-    /// All that was prepaid.
+    /// Sum of all top-ups.
     pub prepaid: TokenCount,
-    /// Settled: the spend is at least this.
+    /// Lower bound of the spend.
     pub settled: TokenCount,
-    /// Outstanding under grants of holders that account for it: the spend is at most this more.
+    /// Unsettled under grants whose holders account for them: the spend may be higher by this much.
     pub granted: TokenCount,
-    /// Outstanding under grants that nobody accounts for: sealed and being recovered, or with a
-    /// witness lost.
+    /// Unsettled under grants that no process accounts for: sealed and in recovery, or with a lost
+    /// sidecar that may have run charges.
     pub in_doubt: TokenCount,
-    /// Free to be granted.
+    /// Tokens that can still be granted.
     pub free: TokenCount,
 }
 
 impl BookRecord {
-    /// Adds prepaid tokens; a command applied before changes nothing.
+    /// Adds prepaid tokens. A command that was applied before changes nothing.
     pub fn top_up(
         &mut self,
         command: CommandId,
@@ -95,23 +95,23 @@
         }
         account.prepaid += amount;
         account.commands.push(AppliedTopUp { command, amount });
-        if account.commands.len() > COMMANDS_KEPT {
+        if account.commands.len() > MAX_KEPT_COMMANDS {
             account.commands.remove(0);
         }
         TopUpOutcome::Applied
     }
 
-    /// What may still be granted of a branch's budget.
+    /// Tokens of a branch's budget that can still be granted.
     pub fn free(&self, branch: &BranchName) -> TokenCount {
         self.branches.get(branch).map_or(TokenCount::ZERO, BranchAccount::free)
     }
 
-    /// What the book alone says of a branch's spend.
+    /// The bounds on a branch's spend; none if the book has no account of it.
     pub fn spend(&self, branch: &BranchName) -> Option<SpendBounds> {
         let account = self.branches.get(branch)?;
         let mut bounds = SpendBounds {
             prepaid: account.prepaid,
-            settled: account.settled_in_all(),
+            settled: account.total_settled(),
             free: account.free(),
             ..SpendBounds::default()
         };
@@ -135,27 +135,27 @@
         &self,
         dead: impl Fn(IncarnationId) -> bool,
     ) -> Vec<(BranchName, GrantId)> {
-        self.grants_where(|grant, _| dead(grant.holder))
+        self.filter_grants(|grant, _| dead(grant.holder))
     }
 
-    /// The grants that a process has to seal: their holder is dead, and nobody who lives recovers
-    /// them yet. Those in doubt wait for an operator.
+    /// The grants that a process has to seal: the holder is dead and no live process recovers them
+    /// yet. Grants in doubt are excluded; they wait for an operator.
     pub fn grants_to_seal(
         &self,
         dead: impl Fn(IncarnationId) -> bool,
     ) -> Vec<(BranchName, GrantId)> {
-        self.grants_where(|grant, record| {
+        self.filter_grants(|grant, record| {
             let recovered = record.sealed_by.is_some_and(|sealer| !dead(sealer));
             dead(grant.holder) && !recovered && !record.in_doubt
         })
     }
 
-    /// The grants that a process has sealed and has to account for.
+    /// The grants that a process has sealed and has to recover.
     pub fn grants_sealed_by(&self, own: IncarnationId) -> Vec<(BranchName, GrantId)> {
-        self.grants_where(|_, record| record.sealed_by == Some(own) && !record.in_doubt)
+        self.filter_grants(|_, record| record.sealed_by == Some(own) && !record.in_doubt)
     }
 
-    fn grants_where(
+    fn filter_grants(
         &self,
         fits: impl Fn(&GrantId, &GrantRecord) -> bool,
     ) -> Vec<(BranchName, GrantId)> {
@@ -167,11 +167,12 @@
         found
     }
 
-    /// Marks a grant as sealed; false if it is gone, or sealed by the same already.
+    /// Marks a grant as sealed; false if it is closed or sealed by the same process already.
     ///
-    /// The mark is durable before any sidecar is told. A holder that was only paused reads it before
-    /// it takes the grant's revision for proven, and a sidecar that starts later refuses the grant as
-    /// older than itself: between them no place is left where it could still be spent unseen.
+    /// The mark must be durable before any sidecar receives the seal request. A holder that was
+    /// only paused reads the mark before it uses the grant's revision, and a sidecar that starts
+    /// later refuses the grant as older than itself. Together these leave no place where the grant
+    /// can still be spent unnoticed.
     pub fn seal(&mut self, branch: &BranchName, grant: &GrantId, by: IncarnationId) -> bool {
         let Some(record) = self.grant_mut(branch, grant) else {
             return false;
@@ -184,22 +185,21 @@
     }
 
     /// Settles a charge of an outstanding grant; false if it is settled already or its grant is
-    /// closed. What is settled never passes the grant's amount.
+    /// closed. The settled sum is capped at the grant's amount.
     pub fn settle(&mut self, branch: &BranchName, charge: &ChargeId, used: TokenCount) -> bool {
         let record = self.grant_mut(branch, &charge.grant);
         record.is_some_and(|record| record.settle(charge.sequence, used))
     }
 
-    /// True if a charge that ran is settled here: by its number, or with its whole grant, which is
-    /// closed and gone.
+    /// True if a charge that ran is settled, either individually or because its grant is closed.
     pub fn is_settled(&self, branch: &BranchName, charge: &ChargeId) -> bool {
         let account = self.branches.get(branch);
         let grant = account.and_then(|account| account.grants.get(&charge.grant));
         grant.is_none_or(|record| record.charges.contains(charge.sequence))
     }
 
-    /// Closes a sealed grant whose every charge is settled; false if it is closed already, or in
-    /// doubt: what a lost witness ran doesn't become known by asking the others again.
+    /// Closes a sealed grant whose charges are all settled; false if it is closed already or in
+    /// doubt. Querying the remaining sidecars again can't reveal what a lost one ran.
     pub fn close(&mut self, branch: &BranchName, grant: &GrantId) -> bool {
         let Some(account) = self.branches.get_mut(branch) else {
             return false;
@@ -211,13 +211,13 @@
         closable
     }
 
-    /// Marks what is left of a sealed grant as in doubt; false if it is marked already.
-    pub fn doubt(&mut self, branch: &BranchName, grant: &GrantId) -> bool {
+    /// Marks the unsettled part of a sealed grant as in doubt; false if it is marked already.
+    pub fn mark_in_doubt(&mut self, branch: &BranchName, grant: &GrantId) -> bool {
         let record = self.grant_mut(branch, grant);
-        record.is_some_and(|record| record.doubt(record.known.clone()))
+        record.is_some_and(|record| record.mark_in_doubt(record.known.clone()))
     }
 
-    /// Does what the recovery of a sealed grant came to; false if that changes nothing.
+    /// Applies the state of a grant's recovery; false if that changes nothing.
     pub fn apply_recovery(
         &mut self,
         branch: &BranchName,
@@ -235,15 +235,15 @@
             }
             RecoveryVerdict::InDoubt(known) => {
                 let known = known.iter().map(|(charge, used)| (charge.sequence, *used));
-                record.doubt(known.collect())
+                record.mark_in_doubt(known.collect())
             }
         };
         let closed = matches!(verdict, RecoveryVerdict::Close(_)) && self.close(branch, grant);
         changed || closed
     }
 
-    /// Releases what nobody accounts for under a grant, by an operator's explicit order: the operator
-    /// vouches that nothing else than what is known ran, or will run, under it.
+    /// Releases a grant that no process accounts for, by an operator's explicit order. The operator
+    /// vouches that no charge ran, or will run, under it beyond the reported use.
     pub fn release(&mut self, branch: &BranchName, grant: &GrantId) -> ReleaseOutcome {
         let Some(account) = self.branches.get_mut(branch) else {
             return ReleaseOutcome::NoSuchGrant;
--- a/crates/sagespool-ledger/src/grant.rs
+++ b/crates/sagespool-ledger/src/grant.rs
@@ -1,4 +1,4 @@
-//! A grant as its holder sees it.
+//! A grant as seen by its holder.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -10,40 +10,42 @@
 };
 
 use crate::GrantRecord;
-use crate::recovery::rank;
+use crate::recovery::recency;
 
 /// A reservation that isn't settled yet.
 #[derive(Debug, Clone)]
 pub(crate) struct OpenCharge {
     pub(crate) request: RequestId,
     pub(crate) reserved: TokenCount,
-    /// The entry that will tell how it ended.
+    /// The entry that reports how the request ended.
     pub(crate) entry: IncarnationId,
-    /// When the request has to be answered.
+    /// Deadline of the request.
     pub(crate) deadline: ClockTime,
-    /// What sidecars witnessed: the highest attempt.
-    pub(crate) evidence: Option<ChargeRecord>,
-    /// The revision of its grant that it was handed out with.
+    /// Use reported by sidecars, for the highest attempt.
+    pub(crate) reported_usage: Option<ChargeRecord>,
+    /// The grant revision that was returned with the reservation.
     pub(crate) revision: StoreRevision,
-    /// True once the entry can't tell any more: the sidecars have to be asked.
-    pub(crate) entry_gone: bool,
-    /// True once a sidecar that may have run it is gone for good: what it used can't be known.
-    pub(crate) lost: bool,
-    /// When it was last handed out to be looked into.
-    pub(crate) asked: Option<ClockTime>,
+    /// True once the entry can't report the outcome: the sidecars have to be queried.
+    pub(crate) needs_inquiry: bool,
+    /// True once a sidecar that may have run the charge is gone for good: its use can't be
+    /// established.
+    pub(crate) usage_unknown: bool,
+    /// Time of the last inquiry at the sidecars.
+    pub(crate) last_inquiry: Option<ClockTime>,
 }
 
 impl OpenCharge {
-    /// Takes in what a sidecar witnessed; an older attempt, or an older word on the same, is nothing.
-    pub(crate) fn witness(&mut self, record: &ChargeRecord) {
-        if self.evidence.as_ref().is_none_or(|known| rank(record) > rank(known)) {
-            self.evidence = Some(record.clone());
+    /// Records the use reported by a sidecar. Reports of an older attempt, or older reports of the
+    /// same attempt, are ignored.
+    pub(crate) fn note_usage(&mut self, record: &ChargeRecord) {
+        if self.reported_usage.as_ref().is_none_or(|known| recency(record) > recency(known)) {
+            self.reported_usage = Some(record.clone());
         }
     }
 
-    /// What is known to be used at the least.
+    /// Lower bound of the use.
     fn known_use(&self) -> TokenCount {
-        let known = self.evidence.as_ref().map_or(TokenCount::ZERO, |record| record.used);
+        let known = self.reported_usage.as_ref().map_or(TokenCount::ZERO, |record| record.used);
         known.min(self.reserved)
     }
 }
@@ -52,26 +54,26 @@
 #[derive(Debug)]
 pub(crate) struct HeldGrant {
     pub(crate) id: GrantId,
-    /// A version of its book at which it was there, unsealed.
+    /// A version of the book in which the grant was present and not sealed.
     pub(crate) revision: StoreRevision,
-    /// What may be spent in all; lowered at once when some is to be given back, raised once a raise
-    /// is seen in the store.
+    /// Total that may be spent. Lowered immediately when tokens are to be returned; raised only
+    /// once the raise is seen in the store.
     pub(crate) amount: TokenCount,
-    /// The raises in the store that `amount` has in it.
+    /// Sum of the stored raises that `amount` includes.
     raised: TokenCount,
-    /// The amount in the store, as last seen.
+    /// The stored amount, as last seen.
     pub(crate) stored_amount: TokenCount,
-    /// Spent by ended requests.
+    /// Spent by finished requests.
     pub(crate) used: TokenCount,
-    /// Held for running requests.
+    /// Reserved for running requests.
     pub(crate) reserved: TokenCount,
-    next: u64,
+    next_sequence: u64,
     pub(crate) open: HashMap<SequenceNumber, OpenCharge>,
-    /// Ended and not known to be settled in the store.
+    /// Finished charges that aren't known to be settled in the store.
     pub(crate) unsettled: BTreeMap<SequenceNumber, TokenCount>,
-    /// Nothing new is reserved from it, and it is closed once nothing is open.
+    /// Takes no new reservations and is closed once no charge is open.
     pub(crate) closing: bool,
-    /// True if its book says that some of it is in doubt.
+    /// True if the book marks a part of it as in doubt.
     pub(crate) in_doubt: bool,
     pub(crate) last_used: ClockTime,
 }
@@ -91,7 +93,7 @@
             stored_amount: record.amount,
             used: TokenCount::ZERO,
             reserved: TokenCount::ZERO,
-            next: 0,
+            next_sequence: 0,
             open: HashMap::new(),
             unsettled: BTreeMap::new(),
             closing: false,
@@ -100,7 +102,7 @@
         }
     }
 
-    /// What new requests may reserve.
+    /// Tokens that new requests can reserve.
     pub(crate) fn available(&self) -> TokenCount {
         if self.closing {
             return TokenCount::ZERO;
@@ -108,32 +110,32 @@
         self.amount.less(self.used + self.reserved)
     }
 
-    /// What isn't spent or held, also while closing.
+    /// Tokens neither spent nor reserved; unlike `available`, also while closing.
     pub(crate) fn unspent(&self) -> TokenCount {
         self.amount.less(self.used + self.reserved)
     }
 
-    /// Holds an amount; the caller has checked that it is available.
+    /// Reserves an amount; the caller has checked that it is available.
     pub(crate) fn reserve(&mut self, open: OpenCharge, now: ClockTime) -> ChargeId {
-        let sequence = SequenceNumber(self.next);
-        self.next += 1;
+        let sequence = SequenceNumber(self.next_sequence);
+        self.next_sequence += 1;
         self.reserved += open.reserved;
         self.last_used = now;
         self.open.insert(sequence, open);
         ChargeId { grant: self.id, sequence }
     }
 
-    /// What is used and held of it, for operators.
+    /// Used and reserved tokens, for operators.
     pub(crate) fn usage(&self) -> GrantUse {
         GrantUse { grant: self.id, used: self.used, reserved: self.reserved }
     }
 
-    /// Spent and known to be settled in the store.
+    /// Spent tokens that are known to be settled in the store.
     pub(crate) fn settled_used(&self) -> TokenCount {
         self.used.less(self.unsettled.values().copied().sum())
     }
 
-    /// Ends a reservation; false if it had ended before. At most what was reserved is spent.
+    /// Ends a reservation; false if it has ended already. The use is capped at the reserved amount.
     pub(crate) fn settle(&mut self, sequence: SequenceNumber, used: TokenCount) -> bool {
         let Some(open) = self.open.remove(&sequence) else {
             return false;
@@ -145,41 +147,42 @@
         true
     }
 
-    /// True if nothing under it will change by itself any more.
-    pub(crate) fn is_done(&self) -> bool {
-        self.closing && self.open.values().all(|open| open.lost)
+    /// True if no further change is expected without an operator.
+    pub(crate) fn is_quiescent(&self) -> bool {
+        self.closing && self.open.values().all(|open| open.usage_unknown)
     }
 
-    /// True if only an operator's release is awaited.
-    pub(crate) fn is_left_in_doubt(&self) -> bool {
-        self.is_done() && self.in_doubt && !self.open.is_empty()
+    /// True if the grant only waits for an operator's release.
+    pub(crate) fn awaits_release(&self) -> bool {
+        self.is_quiescent() && self.in_doubt && !self.open.is_empty()
     }
 
-    /// Gives up on a charge whose witness is gone for good. Its whole reservation stays held.
-    pub(crate) fn lose(&mut self, sequence: SequenceNumber) {
+    /// Marks a charge whose use can't be established since its sidecar is gone for good. Its whole
+    /// reservation stays held.
+    pub(crate) fn mark_usage_unknown(&mut self, sequence: SequenceNumber) {
         if let Some(open) = self.open.get_mut(&sequence) {
-            open.lost = true;
+            open.usage_unknown = true;
             self.closing = true;
-            self.shrink();
+            self.return_all_unspent();
         }
     }
 
-    /// What is reserved for charges that may still end.
+    /// Tokens reserved for charges that may still end.
     pub(crate) fn returnable(&self) -> TokenCount {
-        let lost = self.open.values().filter(|open| open.lost);
+        let lost = self.open.values().filter(|open| open.usage_unknown);
         let lost: TokenCount = lost.map(|open| open.reserved).sum();
         self.reserved.less(lost)
     }
 
-    /// Puts what ended into the grant's record; true if that changed it. Each charge is found by its
-    /// number, so that one put in before counts once.
+    /// Writes finished charges into the grant's record; true if that changed it. Charges are
+    /// identified by number, so a charge that was written before counts once.
     pub(crate) fn settle_into(&self, record: &mut GrantRecord) -> bool {
         let mut changed = false;
         for (sequence, used) in &self.unsettled {
             changed |= record.settle(*sequence, *used);
         }
-        // Only ever lowered: `amount` was lowered here before anything of this is written, so what
-        // is returned isn't reserved from, however late the write takes effect.
+        // The stored amount is only ever lowered. `amount` was lowered here before this write, so
+        // the returned part can't be reserved from, however late the write takes effect.
         let amount = self.amount + record.raised.less(self.raised);
         if amount < record.amount {
             record.amount = amount.max(record.settled);
@@ -188,34 +191,34 @@
         changed
     }
 
-    /// What is known of the charges whose witness is lost.
-    pub(crate) fn known_uses(&self) -> Vec<(SequenceNumber, TokenCount)> {
+    /// Reported use of the charges whose sidecar is lost.
+    pub(crate) fn known_usage(&self) -> Vec<(SequenceNumber, TokenCount)> {
         let mut known: Vec<_> =
             self.open.iter().map(|(sequence, open)| (*sequence, open.known_use())).collect();
         known.sort_unstable();
         known
     }
 
-    /// Takes in what raises added since its record was last seen, also one whose answer was lost.
-    /// Under a grant that is closing it goes back unspent.
+    /// Adds raises made since the record was last seen, including one whose reply was lost. If the
+    /// grant is closing, they are returned unspent.
     fn observe_raise(&mut self, record: &GrantRecord) -> TokenCount {
         let new = record.raised.less(self.raised);
         self.raised += new;
         self.amount += new;
         if self.closing {
-            self.shrink();
+            self.return_all_unspent();
         }
         new
     }
 
-    /// Takes in its record as it is in the store; returns what raises added since it was last seen.
+    /// Merges the stored record; returns the raises since it was last seen.
     pub(crate) fn observe(&mut self, record: &GrantRecord) -> TokenCount {
         let raised = self.observe_raise(record);
         self.unsettled.retain(|sequence, _| !record.charges.contains(*sequence));
         self.stored_amount = record.amount;
         self.in_doubt = record.in_doubt;
-        // Sealed while this process was paused or cut off: sidecars start nothing more under it, and
-        // a recovery may have settled charges that are open here.
+        // The grant was sealed while this process was paused or partitioned. Sidecars start nothing
+        // more under it, and a recovery may have settled charges that are open here.
         self.closing |= record.sealed_by.is_some();
         let elsewhere: Vec<_> = self
             .open
@@ -230,16 +233,16 @@
         raised
     }
 
-    /// Gives up to `most` of the unspent part back. Nothing is reserved from that from now on, so the
-    /// book's amount may be lowered at any later time, also by a write whose answer is lost.
+    /// Returns up to `most` of the unspent part. It isn't reserved from any more, so the book's
+    /// amount can be lowered at any later time, also by a write whose reply is lost.
     pub(crate) fn return_unspent(&mut self, most: TokenCount) -> TokenCount {
         let given = self.unspent().min(most);
         self.amount = self.amount.less(given);
         given
     }
 
-    /// Gives all of the unspent part back.
-    pub(crate) fn shrink(&mut self) -> TokenCount {
+    /// Returns the whole unspent part.
+    pub(crate) fn return_all_unspent(&mut self) -> TokenCount {
         self.return_unspent(TokenCount(u64::MAX))
     }
 }
--- a/crates/sagespool-ledger/src/home.rs
+++ b/crates/sagespool-ledger/src/home.rs
@@ -1,4 +1,4 @@
-//! The budgets that one process holds grants of.
+//! The budget grants that one process holds.
 
 use std::collections::{BTreeMap, HashSet};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -13,55 +13,57 @@
     TokenCount,
 };
 
+use crate::branch_balance::{BranchBalance, WriteContext};
 use crate::grant::OpenCharge;
-use crate::purse::{AskMoment, BranchPurse};
 use crate::{
     BOOK_COUNT, BookRecord, BudgetMode, ClassHoldback, GrantRecovery, LedgerPolicy, OrphanCharge,
     RecoveryVerdict, SequenceSet, book_of,
 };
 
-/// Why a reservation isn't possible from what the home holds.
+/// Why a reservation isn't covered by the grants of this home.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BudgetShortfall {
-    /// What the fleet lacks for it as far as this home knows; zero if asking the store may do.
+    /// Tokens that the fleet lacks, as far as this home can tell; zero if a request to the store
+    /// may be enough.
     pub missing: TokenCount,
-    /// What this home's running requests hold and may give back.
+    /// Tokens reserved for running requests of this home, which may become free.
     pub returnable: TokenCount,
-    /// Free in the book as last read; none if it was never read.
+    /// Free tokens in the book as last read; none if it was never read.
     pub book_free: Option<TokenCount>,
-    /// Grants of other holders, with what isn't settled of them.
+    /// Grants of other holders, each with its unsettled amount.
     pub other_grants: Vec<(GrantId, IncarnationId, TokenCount)>,
-    /// The same for grants in doubt. A holder that is gone gives nothing of them back, so nobody is
-    /// to wait for that; one that was only cut off accounts for them once it is asked.
+    /// Grants in doubt of other holders, likewise. A holder that is gone returns nothing of them,
+    /// so requests must not wait for that; a holder that was only partitioned accounts for them
+    /// once it is queried.
     pub grants_in_doubt: Vec<(GrantId, IncarnationId, TokenCount)>,
 }
 
-/// The answer to a reservation.
+/// The result of a reservation.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ReserveDecision {
-    /// Held.
+    /// The amount is reserved.
     Reserved(ReservedCharge),
-    /// Not from what is held now.
+    /// The grants held now don't cover the amount.
     Insufficient(BudgetShortfall),
 }
 
-/// The purses of one book's branches.
+/// The balances of one book's branches.
 #[derive(Debug, Default)]
 struct BookShard {
-    purses: BTreeMap<BranchName, BranchPurse>,
+    balances: BTreeMap<BranchName, BranchBalance>,
     /// The newest version of the book seen.
     version: StoreRevision,
-    /// Grants of other holders that are outstanding, with their settled charges.
+    /// Outstanding grants of other holders, with their settled charges.
     outstanding: BTreeMap<GrantId, SequenceSet>,
     /// Grants that this process has sealed.
     sealed: HashSet<GrantId>,
     last_apply: Option<ClockTime>,
 }
 
-/// The least time between two writes of a book for grants that run low.
-const LOW_GAP: Duration = Duration::from_secs(1);
+/// Minimum time between two writes of a book for grants that run low.
+const LOW_GRANT_WRITE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The budgets that one process holds grants of, in shards by book, each under its own lock.
+/// The budget grants that one process holds, sharded by book with a lock for each shard.
 #[derive(Debug)]
 pub struct HomeLedger {
     incarnation: IncarnationId,
@@ -72,7 +74,7 @@
 }
 
 impl HomeLedger {
-    /// An empty ledger of one incarnation.
+    /// An empty ledger for one incarnation.
     pub fn new(incarnation: IncarnationId, policy: LedgerPolicy) -> Self {
         let shards = (0..BOOK_COUNT).map(|_| Mutex::default()).collect();
         Self {
@@ -93,58 +95,61 @@
         self.shard(book_of(branch))
     }
 
-    /// Says which parts of a branch's budget are kept for which classes.
+    /// Sets the parts of a branch's budget that are held back for classes.
     pub fn set_holdbacks(&self, branch: &BranchName, held_back: Vec<ClassHoldback>) {
-        self.shard_of(branch).purses.entry(branch.clone()).or_default().held_back = held_back;
+        self.shard_of(branch).balances.entry(branch.clone()).or_default().held_back = held_back;
     }
 
-    /// Holds a request's greatest possible cost, if a grant covers it.
+    /// Reserves a request's maximum cost if a grant covers it.
     pub fn reserve(&self, order: &ReserveRequest, now: ClockTime) -> ReserveDecision {
         let mut shard = self.shard_of(&order.branch);
-        let purse = shard.purses.entry(order.branch.clone()).or_default();
+        let balance = shard.balances.entry(order.branch.clone()).or_default();
         let open = OpenCharge {
             request: order.request,
             reserved: order.amount,
             entry: order.entry,
             deadline: now.after(order.time_left),
-            evidence: None,
+            reported_usage: None,
             revision: StoreRevision::ZERO,
-            entry_gone: false,
-            lost: false,
-            asked: None,
+            needs_inquiry: false,
+            usage_unknown: false,
+            last_inquiry: None,
         };
-        if let Some((charge, grant_revision)) = purse.reserve(&order.class, open, &self.policy, now)
+        if let Some((charge, grant_revision)) =
+            balance.reserve(&order.class, open, &self.policy, now)
         {
             let amount = order.amount;
             return ReserveDecision::Reserved(ReservedCharge { charge, grant_revision, amount });
         }
-        ReserveDecision::Insufficient(purse.short(&order.class, order.amount))
+        ReserveDecision::Insufficient(balance.shortfall(&order.class, order.amount))
     }
 
-    /// What a reservation would find now, without holding anything.
+    /// Checks whether a reservation would succeed now, without reserving anything.
     ///
     /// # Errors
-    /// What is missing.
+    ///
+    /// The shortfall, if it wouldn't.
     pub fn covers(&self, order: &ReserveRequest) -> Result<(), BudgetShortfall> {
         let mut shard = self.shard_of(&order.branch);
-        let purse = shard.purses.entry(order.branch.clone()).or_default();
-        if purse.covers(&order.class, order.amount) {
+        let balance = shard.balances.entry(order.branch.clone()).or_default();
+        if balance.covers(&order.class, order.amount) {
             return Ok(());
         }
-        Err(purse.short(&order.class, order.amount))
+        Err(balance.shortfall(&order.class, order.amount))
     }
 
-    /// Notes that a request waits for a grant; the next apply asks for it.
+    /// Records that a request waits for a grant; the next [`HomeLedger::apply`] requests it.
     pub fn note_waiting(&self, branch: &BranchName, amount: TokenCount, now: ClockTime) {
         let mut shard = self.shard_of(branch);
-        shard.purses.entry(branch.clone()).or_default().note_need(amount, now);
+        shard.balances.entry(branch.clone()).or_default().note_waiting_amount(amount, now);
     }
 
-    /// Takes in how a request ended, as its entry saw it.
+    /// Processes an entry's report on how a request ended.
     pub fn finish(&self, report: &FinishReport, _now: ClockTime) {
         let mut shard = self.shard_of(&report.branch);
-        let purse = shard.purses.get_mut(&report.branch);
-        let Some(grant) = purse.and_then(|purse| purse.grant_mut(&report.charge.grant)) else {
+        let balance = shard.balances.get_mut(&report.branch);
+        let Some(grant) = balance.and_then(|balance| balance.grant_mut(&report.charge.grant))
+        else {
             return;
         };
         let sequence = report.charge.sequence;
@@ -158,37 +163,39 @@
             FinishState::GrantUnusable => {
                 grant.settle(sequence, TokenCount::ZERO);
                 grant.closing = true;
-                grant.shrink();
+                grant.return_all_unspent();
             }
             FinishState::Unknown => {
                 if let Some(open) = grant.open.get_mut(&sequence) {
-                    open.entry_gone = true;
+                    open.needs_inquiry = true;
                 }
             }
         }
     }
 
-    /// Takes in what a sidecar witnessed: the least that a charge used, should its witness be lost.
+    /// Records the use reported by a sidecar: the lower bound for a charge if that sidecar is lost
+    /// later.
     pub fn note_usage(&self, record: &ChargeRecord, _now: ClockTime) {
         let mut shard = self.shard_of(&record.branch);
-        let purse = shard.purses.get_mut(&record.branch);
-        let Some(grant) = purse.and_then(|purse| purse.grant_mut(&record.charge.grant)) else {
+        let balance = shard.balances.get_mut(&record.branch);
+        let Some(grant) = balance.and_then(|balance| balance.grant_mut(&record.charge.grant))
+        else {
             return;
         };
         if let Some(open) = grant.open.get_mut(&record.charge.sequence) {
-            open.witness(record);
+            open.note_usage(record);
         }
     }
 
-    /// Gives back what is held for a request whose entry never got the answer and so dispatched
-    /// nothing; false if nothing is held for it.
+    /// Releases the reservation of a request whose entry never received the reply and so dispatched
+    /// nothing; false if nothing is reserved for it.
     pub fn abandon(&self, branch: &BranchName, request: RequestId) -> bool {
         let mut shard = self.shard_of(branch);
-        let Some(purse) = shard.purses.get_mut(branch) else {
+        let Some(balance) = shard.balances.get_mut(branch) else {
             return false;
         };
         let mut held = false;
-        for grant in &mut purse.grants {
+        for grant in &mut balance.grants {
             let open = grant.open.iter().filter(|(_, open)| open.request == request);
             let sequences: Vec<_> = open.map(|(sequence, _)| *sequence).collect();
             for sequence in sequences {
@@ -198,38 +205,44 @@
         held
     }
 
-    /// Notes that an entry is gone; returns its charges, to be sealed at the sidecars.
+    /// Handles the loss of an entry; returns its open charges, which have to be sealed at the
+    /// sidecars.
     ///
-    /// What sidecars reported so far settles none of them. An entry that was only cut off, or whose
-    /// dispatch is still on its way, may start another attempt, even after one whose whole answer it
-    /// didn't get; until every sidecar refuses the charge, its reservation is held.
+    /// The use that sidecars have reported so far settles none of them. An entry that was only
+    /// partitioned, or whose dispatch is still in flight, may start another attempt, even after one
+    /// whose complete response it didn't receive. The reservation is held until every sidecar
+    /// refuses the charge.
     pub fn entry_gone(&self, entry: IncarnationId, now: ClockTime) -> Vec<OrphanCharge> {
-        self.orphans(now, |open| open.entry == entry)
+        self.collect_orphans(now, |open| open.entry == entry)
     }
 
-    /// Charges to ask the sidecars about: their entry said that it can't tell, or they should have
-    /// ended long ago by their deadline, since their entry lost the word or never had the
-    /// reservation's answer. Each comes up again until it is resolved.
+    /// Charges to query the sidecars about. Either their entry reported that it can't tell the
+    /// outcome, or their deadline has long passed: the entry's report was lost, or it never
+    /// received the reply to its reservation. Each charge is listed again until it is resolved.
     pub fn overdue(&self, now: ClockTime) -> Vec<OrphanCharge> {
         let grace = self.policy.overdue_after;
-        self.orphans(now, |open| {
-            let late = open.entry_gone || now.since(open.deadline) >= grace;
-            late && open.asked.is_none_or(|asked| now.since(asked) >= grace)
+        self.collect_orphans(now, |open| {
+            let late = open.needs_inquiry || now.since(open.deadline) >= grace;
+            late && open.last_inquiry.is_none_or(|asked| now.since(asked) >= grace)
         })
     }
 
-    fn orphans(&self, now: ClockTime, concerns: impl Fn(&OpenCharge) -> bool) -> Vec<OrphanCharge> {
+    fn collect_orphans(
+        &self,
+        now: ClockTime,
+        concerns: impl Fn(&OpenCharge) -> bool,
+    ) -> Vec<OrphanCharge> {
         let mut orphans = Vec::new();
         for shard in &self.shards {
             let mut shard = shard.lock().unwrap_or_else(PoisonError::into_inner);
-            for (branch, purse) in &mut shard.purses {
-                for grant in &mut purse.grants {
+            for (branch, balance) in &mut shard.balances {
+                for grant in &mut balance.grants {
                     for (sequence, open) in &mut grant.open {
-                        if open.lost || !concerns(open) {
+                        if open.usage_unknown || !concerns(open) {
                             continue;
                         }
-                        open.entry_gone = true;
-                        open.asked = Some(now);
+                        open.needs_inquiry = true;
+                        open.last_inquiry = Some(now);
                         let charge = ChargeId { grant: grant.id, sequence: *sequence };
                         orphans.push(OrphanCharge {
                             branch: branch.clone(),
@@ -244,26 +257,26 @@
         orphans
     }
 
-    /// Ends an orphaned charge with what all sidecars together say it used.
+    /// Ends an orphaned charge with the use established from all sidecars.
     pub fn resolve(&self, branch: &BranchName, charge: &ChargeId, used: TokenCount) -> bool {
         let mut shard = self.shard_of(branch);
-        let purse = shard.purses.get_mut(branch);
-        let grant = purse.and_then(|purse| purse.grant_mut(&charge.grant));
+        let balance = shard.balances.get_mut(branch);
+        let grant = balance.and_then(|balance| balance.grant_mut(&charge.grant));
         grant.is_some_and(|grant| grant.settle(charge.sequence, used))
     }
 
-    /// Ends orphaned charges of one grant, as far as the sidecars that have sealed them account for
-    /// them; false if some have to be asked again. Where a witness is lost, the charges' reservations
-    /// stay held, and the book will say that they are in doubt.
+    /// Ends orphaned charges of one grant as far as the sidecars that sealed them account for them;
+    /// false if some sidecars have to be queried again. If a sidecar is lost, the reservations stay
+    /// held, and the next write marks the grant as in doubt.
     pub fn resolve_recovery(&self, case: &GrantRecovery, charges: &[ChargeId]) -> bool {
         let mut shard = self.shard_of(&case.branch);
-        let purse = shard.purses.get_mut(&case.branch);
-        let Some(grant) = purse.and_then(|purse| purse.grant_mut(&case.grant)) else {
+        let balance = shard.balances.get_mut(&case.branch);
+        let Some(grant) = balance.and_then(|balance| balance.grant_mut(&case.grant)) else {
             return true;
         };
         for record in case.records() {
             if let Some(open) = grant.open.get_mut(&record.charge.sequence) {
-                open.witness(record);
+                open.note_usage(record);
             }
         }
         let own = charges.iter().filter(|charge| charge.grant == case.grant);
@@ -271,7 +284,7 @@
             RecoveryVerdict::Close(settled) => (settled, true),
             RecoveryVerdict::Wait(settled) => (settled, false),
             RecoveryVerdict::InDoubt(_) => {
-                own.for_each(|charge| grant.lose(charge.sequence));
+                own.for_each(|charge| grant.mark_usage_unknown(charge.sequence));
                 return true;
             }
         };
@@ -285,21 +298,21 @@
         whole
     }
 
-    /// Books whose turn has come to be written.
+    /// Books that are due for a write.
     pub fn books_due(&self, now: ClockTime) -> Vec<BookNumber> {
         let mut due = Vec::new();
         for (number, shard) in self.shards.iter().enumerate() {
             let mut shard = shard.lock().unwrap_or_else(PoisonError::into_inner);
             let waited = shard.last_apply.map_or(Duration::MAX, |last| now.since(last));
-            for purse in shard.purses.values_mut() {
-                purse.retire_idle(&self.policy, now);
+            for balance in shard.balances.values_mut() {
+                balance.retire_idle(&self.policy, now);
             }
-            let settle_turn = waited >= self.settle_gap();
-            let low_turn = waited >= LOW_GAP;
+            let settle_turn = waited >= self.settle_interval();
+            let low_turn = waited >= LOW_GRANT_WRITE_INTERVAL;
             let policy = &self.policy;
-            let wanted = shard.purses.values().any(|purse| {
-                (settle_turn && purse.wants_write(policy, now))
-                    || (low_turn && purse.runs_low(policy, now))
+            let wanted = shard.balances.values().any(|balance| {
+                (settle_turn && balance.needs_write(policy, now))
+                    || (low_turn && balance.runs_low(policy, now))
             });
             if wanted {
                 due.push(BookNumber(number as u64));
@@ -308,16 +321,16 @@
         due
     }
 
-    fn settle_gap(&self) -> Duration {
+    fn settle_interval(&self) -> Duration {
         match self.policy.mode {
             BudgetMode::EachRequest => Duration::ZERO,
             _ => self.policy.settle_interval,
         }
     }
 
-    /// Puts what this home wants into a book as read at version `base`; true if that changed it. The
-    /// caller writes it on condition of that version. `seen` is the newest revision of the whole
-    /// store that this process has seen: a grant asked for now is made after it.
+    /// Applies this home's changes to a book read at version `base`; true if that changed it. The
+    /// caller writes the book on condition of that version. `seen` is the newest revision of the
+    /// whole store seen by this process: a grant requested now is created after it.
     pub fn apply(
         &self,
         book: BookNumber,
@@ -332,20 +345,20 @@
         let mut new_id =
             || GrantId { holder, number: self.next_grant.fetch_add(1, Ordering::Relaxed) };
         let leaving = self.leaving.load(Ordering::Relaxed);
-        let asking = AskMoment { base, seen: seen.max(base), now, leaving };
+        let context = WriteContext { base, seen: seen.max(base), now, leaving };
         let mut changed = false;
-        for (branch, purse) in &mut shard.purses {
+        for (branch, balance) in &mut shard.balances {
             let Some(account) = record.branches.get_mut(branch) else {
                 continue;
             };
-            changed |= purse.apply(account, asking, &self.policy, &mut new_id);
+            changed |= balance.apply(account, context, &self.policy, &mut new_id);
         }
         changed
     }
 
-    /// [`HomeLedger::apply`] for requests that wait: the same, if it gives some of them what they
-    /// lack or ends the doubt about an earlier write; else nothing, and false. What else there is to
-    /// write waits for the book's turn.
+    /// [`HomeLedger::apply`] on behalf of waiting requests: does the same if that gives some of
+    /// them what they lack or resolves an earlier write of unknown outcome; otherwise changes
+    /// nothing and returns false. Other changes wait until the book is due.
     pub fn apply_for_waiting(
         &self,
         book: BookNumber,
@@ -354,19 +367,21 @@
         seen: StoreRevision,
         now: ClockTime,
     ) -> bool {
-        // The baselines write in each round, as they did when they were measured first.
-        let gains = self.policy.mode != BudgetMode::Escrow || {
+        // The baseline modes write in each round; earlier measurements of them depend on that.
+        let would_help_waiting = self.policy.mode != BudgetMode::Escrow || {
             let shard = self.shard(book);
-            shard.purses.iter().any(|(branch, purse)| {
+            shard.balances.iter().any(|(branch, balance)| {
                 let account = record.branches.get(branch);
-                account.is_some_and(|account| purse.gains(account, base, &self.policy, now))
+                account.is_some_and(|account| {
+                    balance.would_help_waiting(account, base, &self.policy, now)
+                })
             })
         };
-        gains && self.apply(book, record, base, seen, now)
+        would_help_waiting && self.apply(book, record, base, seen, now)
     }
 
-    /// Takes in a book as it is in the store at a version, from a read or an acknowledged write.
-    /// Older versions than seen before are passed over.
+    /// Processes a book as stored at a version, from a read or an acknowledged write. Versions
+    /// older than one seen before are ignored.
     pub fn observe(
         &self,
         book: BookNumber,
@@ -381,11 +396,11 @@
         shard.version = version;
         let own = self.incarnation;
         let leaving = self.leaving.load(Ordering::Relaxed);
-        for (branch, purse) in &mut shard.purses {
+        for (branch, balance) in &mut shard.balances {
             if let Some(account) = record.branches.get(branch) {
-                purse.observe(account, own, version, now);
+                balance.observe(account, own, version, now);
                 if leaving {
-                    purse.return_all();
+                    balance.return_all();
                 }
             }
         }
@@ -395,8 +410,8 @@
                 if grant.sealed_by == Some(own) {
                     shard.sealed.insert(*id);
                 }
-                // Another may have sealed it again meanwhile: as long as it is outstanding, what
-                // isn't settled is needed by whoever recovers it.
+                // Another process may have sealed the grant again. As long as it is outstanding,
+                // the recovering process needs its unsettled charges.
                 if shard.sealed.contains(id) {
                     shard.outstanding.insert(*id, grant.charges.clone());
                 }
@@ -404,15 +419,15 @@
         }
     }
 
-    /// Which of these charges are settled in the store, so that their witness may forget them.
+    /// The charges that are settled in the store, so that their sidecar can delete them.
     ///
-    /// A charge of a grant that isn't outstanding counts as settled only for this process's own
-    /// grants and those it sealed: of others it may not have heard yet.
+    /// A charge of a grant that isn't outstanding counts as settled only if this process held or
+    /// sealed the grant: it may not have seen other grants yet.
     pub fn durable_charges(&self, charges: &[(BranchName, ChargeId)]) -> Vec<ChargeId> {
         let is_durable = |(branch, charge): &(BranchName, ChargeId)| {
             let mut shard = self.shard_of(branch);
-            let purse = shard.purses.get_mut(branch);
-            if let Some(grant) = purse.and_then(|purse| purse.grant_mut(&charge.grant)) {
+            let balance = shard.balances.get_mut(branch);
+            if let Some(grant) = balance.and_then(|balance| balance.grant_mut(&charge.grant)) {
                 let open = grant.open.contains_key(&charge.sequence);
                 return !open && !grant.unsettled.contains_key(&charge.sequence);
             }
@@ -424,7 +439,8 @@
         charges.iter().filter(|charge| is_durable(charge)).map(|(_, charge)| *charge).collect()
     }
 
-    /// Gives up to `wanted` of a branch's unspent tokens back; the next apply returns them.
+    /// Returns up to `wanted` unspent tokens of a branch; the next [`HomeLedger::apply`] writes
+    /// that.
     pub fn return_unspent(
         &self,
         branch: &BranchName,
@@ -432,45 +448,48 @@
         _now: ClockTime,
     ) -> TokenCount {
         let mut shard = self.shard_of(branch);
-        shard.purses.get_mut(branch).map_or(TokenCount::ZERO, |purse| purse.return_unspent(wanted))
+        shard
+            .balances
+            .get_mut(branch)
+            .map_or(TokenCount::ZERO, |balance| balance.return_unspent(wanted))
     }
 
-    /// What running requests of a branch hold here and may give back.
+    /// Tokens reserved here for running requests of a branch, which may become free.
     pub fn returnable(&self, branch: &BranchName) -> TokenCount {
         let shard = self.shard_of(branch);
-        shard.purses.get(branch).map_or(TokenCount::ZERO, BranchPurse::returnable)
+        shard.balances.get(branch).map_or(TokenCount::ZERO, BranchBalance::returnable)
     }
 
-    /// Hands every grant back, for a graceful stop; nothing new is reserved.
+    /// Returns all grants for a graceful stop; nothing new is reserved from then on.
     pub fn return_all(&self, _now: ClockTime) {
         self.leaving.store(true, Ordering::Relaxed);
         for shard in &self.shards {
             let mut shard = shard.lock().unwrap_or_else(PoisonError::into_inner);
-            shard.purses.values_mut().for_each(BranchPurse::return_all);
+            shard.balances.values_mut().for_each(BranchBalance::return_all);
         }
     }
 
-    /// True if grants of the book's branches are held, or may be.
+    /// True if grants of the book's branches are held or may have been requested.
     pub fn holds_grants(&self, book: BookNumber) -> bool {
-        self.shard(book).purses.values().any(|purse| !purse.is_empty())
+        self.shard(book).balances.values().any(|balance| !balance.is_empty())
     }
 
-    /// What is held of one branch's budget, or of all.
+    /// The state of one branch's grants, or of all branches with grants.
     pub fn spend(&self, branch: Option<&BranchName>) -> Vec<SpendStatus> {
         if let Some(branch) = branch {
             let shard = self.shard_of(branch);
             return shard
-                .purses
+                .balances
                 .get(branch)
-                .map(|purse| purse.status(branch))
+                .map(|balance| balance.status(branch))
                 .into_iter()
                 .collect();
         }
         let mut all = Vec::new();
         for shard in &self.shards {
             let shard = shard.lock().unwrap_or_else(PoisonError::into_inner);
-            let held = shard.purses.iter().filter(|(_, purse)| !purse.grants.is_empty());
-            all.extend(held.map(|(branch, purse)| purse.status(branch)));
+            let held = shard.balances.iter().filter(|(_, balance)| !balance.grants.is_empty());
+            all.extend(held.map(|(branch, balance)| balance.status(branch)));
         }
         all
     }
--- a/crates/sagespool-ledger/src/intervals.rs
+++ b/crates/sagespool-ledger/src/intervals.rs
@@ -1,26 +1,26 @@
-//! Sets of sequence numbers, kept as intervals.
+//! Sets of sequence numbers, stored as intervals.
 
 use sagespool_types::{SequenceNumber, derives};
 
 derives! { record;
-    /// A set of sequence numbers. Charges are settled nearly in order, so a set of many thousands is
-    /// a handful of intervals.
+    /// A set of sequence numbers. Charges are settled nearly in order, so a set of many thousands
+    /// takes a handful of intervals.
     #[derive(Default, Eq)]
     #[serde(transparent)]
     pub struct SequenceSet {
-        /// First and last of each interval, apart and in order.
+        /// First and last number of each interval; disjoint, not adjacent and in order.
         spans: Vec<(u64, u64)>,
     }
 }
 
 impl SequenceSet {
-    /// True if the number is in the set.
+    /// Takes a binary search over the intervals.
     pub fn contains(&self, sequence: SequenceNumber) -> bool {
         let place = self.spans.partition_point(|(first, _)| *first <= sequence.0);
         place > 0 && self.spans[place - 1].1 >= sequence.0
     }
 
-    /// Adds a number; false if it was in the set.
+    /// Adds a number; false if the set contains it already.
     pub fn insert(&mut self, sequence: SequenceNumber) -> bool {
         if self.contains(sequence) {
             return false;
@@ -41,17 +41,17 @@
         true
     }
 
-    /// How many numbers are in the set.
+    /// Count of the numbers in the set, not of its intervals.
     pub fn len(&self) -> u64 {
         self.spans.iter().map(|(first, last)| last - first + 1).sum()
     }
 
-    /// True if no number is in the set.
+    /// True if the set contains no number.
     pub fn is_empty(&self) -> bool {
         self.spans.is_empty()
     }
 
-    /// How many intervals the set takes.
+    /// Number of stored intervals.
     pub fn span_count(&self) -> usize {
         self.spans.len()
     }
--- a/crates/sagespool-ledger/src/lib.rs
+++ b/crates/sagespool-ledger/src/lib.rs
@@ -1,9 +1,9 @@
-//! Budgets as pure decisions: books, grants, reservations, charges.
+//! Budget accounting without I/O: books, grants, reservations, charges.
 //!
-//! A [`BookRecord`] is the store's object for a share of the branches. A home takes grants out of
-//! it and spends them without asking the store again: [`HomeLedger`]. Because a grant's amount has
-//! left the book's free part before anything is spent from it, the sum of what can be spent never
-//! passes what was prepaid, whoever else believes to be the branch's home.
+//! A [`BookRecord`] is the store object for a share of the branches. A home takes grants out of it
+//! and spends them without accessing the store again: [`HomeLedger`]. A grant's amount leaves the
+//! book's free part before anything is spent from it. So the total that can be spent never exceeds
+//! what was prepaid, even if several instances act as the branch's home.
 //!
 //! ```
 //! use sagespool_ledger::{BookRecord, TopUpOutcome};
@@ -20,21 +20,21 @@
 
 mod account;
 mod book;
+mod branch_balance;
 mod grant;
 mod home;
 mod intervals;
 mod policy;
 mod prepaid;
-mod purse;
 mod recovery;
 
 pub use account::{BranchAccount, GrantRecord};
 pub use book::{
     BOOK_COUNT, BookRecord, ReleaseOutcome, SpendBounds, TopUpOutcome, book_key, book_of,
 };
+pub use branch_balance::{ClassHoldback, OrphanCharge};
 pub use home::{BudgetShortfall, HomeLedger, ReserveDecision};
 pub use intervals::SequenceSet;
 pub use policy::{BudgetMode, LedgerPolicy};
 pub use prepaid::{GrantPolicy, HolderRecord, PrepaidBalance, PrepaidRecord, prepaid_key};
-pub use purse::{ClassHoldback, OrphanCharge};
 pub use recovery::{GrantRecovery, RecoveryVerdict};
--- a/crates/sagespool-ledger/src/policy.rs
+++ b/crates/sagespool-ledger/src/policy.rs
@@ -4,16 +4,16 @@
 
 use bon::Builder;
 
-/// How a home pays for requests. All but the first are baselines to measure against.
+/// How a home pays for requests. All modes but the first are baselines for measurements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BudgetMode {
-    /// From grants taken ahead of need.
+    /// From grants that are taken ahead of need.
     Escrow,
-    /// By a conditional update for each request.
+    /// By one conditional update for each request.
     EachRequest,
-    /// From a fixed share of the budget, the same for each of so many entries.
+    /// From a fixed, equal share of the budget for each of several entries.
     StaticSplit {
-        /// Between how many entries.
+        /// Number of entries that share the budget.
         entries: u32,
     },
 }
@@ -21,25 +21,25 @@
 /// Settings of [`crate::HomeLedger`].
 #[derive(Debug, Clone, Builder)]
 pub struct LedgerPolicy {
-    /// How a home pays.
+    /// The source of payment for requests.
     #[builder(default = BudgetMode::Escrow)]
     pub mode: BudgetMode,
-    /// Charges are settled, and grants taken ahead, at most this often for each book.
+    /// Minimum time between two writes of a book that settle charges.
     #[builder(default = Duration::from_secs(5))]
     pub settle_interval: Duration,
-    /// A grant lasts for so long at the present demand.
+    /// Time for which a grant lasts at the present demand.
     #[builder(default = Duration::from_secs(20))]
     pub grant_ahead: Duration,
-    /// A grant that is asked for a waiting request covers so many like it.
+    /// A grant that is requested for a waiting request covers this many requests of that size.
     #[builder(default = 8)]
     pub grant_requests: u64,
-    /// Demand counts half after this time.
+    /// Half-life of the demand estimate.
     #[builder(default = Duration::from_secs(5))]
     pub demand_half_life: Duration,
-    /// An unused grant goes back after this time.
+    /// An unused grant is returned after this time.
     #[builder(default = Duration::from_secs(60))]
     pub idle_after: Duration,
-    /// A charge not ended so long after its deadline is looked into.
+    /// Sidecars are queried about a charge that hasn't ended this long after its deadline.
     #[builder(default = Duration::from_secs(10))]
     pub overdue_after: Duration,
 }
--- a/crates/sagespool-ledger/src/prepaid.rs
+++ b/crates/sagespool-ledger/src/prepaid.rs
@@ -1,17 +1,17 @@
-//! Budgets that are declared as one total for each client account.
+//! Budgets that are configured as one total for each client account.
 //!
-//! The total stands in the configuration, and nobody beside the spending instances witnesses a
-//! request. A [`PrepaidRecord`] is the store's object of one account: who may spend how much. A
-//! [`PrepaidBalance`] is one instance's side: it spends only what a write to the book granted it
-//! and the store acknowledged, or what another instance lent it out of such a grant. So the sum
-//! of all purses never passes the total, in any partition and over any restart.
+//! The total comes from the configuration, and only the spending instance observes a request. A
+//! [`PrepaidRecord`] is the store object of one account: it records how much each instance may spend.
+//! A [`PrepaidBalance`] is the state of one instance: it spends only what an acknowledged write to
+//! the record granted it, or what another instance lent it out of such a grant. So the sum over all
+//! instances never exceeds the total, in any partition and over any restart.
 //!
-//! A purse that dies leaves its grant in the book, where it counts as spent: nobody can tell how
-//! much of it was. Grants are therefore only as large as a purse needs for the time that the store
-//! may be away.
+//! The grant of an instance that dies stays in the record and counts as spent, since the spent part
+//! of it can't be established. Grants are therefore only as large as an instance needs while the
+//! store is unavailable.
 
-mod book;
-mod purse;
+mod balance;
+mod record;
 
-pub use book::{HolderRecord, PrepaidRecord, prepaid_key};
-pub use purse::{GrantPolicy, PrepaidBalance};
+pub use balance::{GrantPolicy, PrepaidBalance};
+pub use record::{HolderRecord, PrepaidRecord, prepaid_key};
--- a/crates/sagespool-ledger/src/prepaid/book.rs
+++ b/crates/sagespool-ledger/src/prepaid/record.rs
@@ -1,4 +1,4 @@
-//! The store's object of one account.
+//! The store object of one account.
 
 use std::collections::BTreeMap;
 
@@ -9,52 +9,52 @@
 derives! { record;
     /// What one run of an instance may spend.
     pub struct HolderRecord {
-        /// The instance. A later run of it proves that this one has ended.
+        /// The instance. A later run of it proves that this run has ended.
         pub instance: InstanceName,
-        /// The most that it spends, over its whole life.
+        /// Most that the run may spend over its whole lifetime.
         pub granted: TokenCount,
-        /// What of it was for the time ahead when it was granted.
+        /// The part of the grant that was a supply for expected use when it was granted.
         #[serde(default)]
         pub supply: TokenCount,
     }
 }
 
 derives! { record;
-    /// Who may spend how much of an account's total.
+    /// How much of an account's total each run may spend.
     #[derive(Default)]
     pub struct PrepaidRecord {
-        /// The configuration that the total is from.
+        /// Version of the configuration that the total comes from.
         pub version: ConfigVersion,
-        /// The total.
+        /// The configured total.
         pub prepaid: TokenCount,
-        /// Grants of runs that have ended, counted as spent.
+        /// Grants of ended runs, counted as spent.
         pub closed: TokenCount,
-        /// What of those was probably never spent. An estimate for the size of supplies; it decides
-        /// nothing else.
+        /// The part of `closed` that was probably not spent. An estimate that only limits the size
+        /// of supplies.
         #[serde(default)]
         pub given_up: TokenCount,
-        /// The runs that may spend.
+        /// Grants of the runs that may still spend.
         pub holders: BTreeMap<IncarnationId, HolderRecord>,
     }
 }
 
-/// What a run that is killed hasn't spent of its supply, on average: supplies are filled up again when
-/// half of them is spent.
-const UNSPENT_SHARE: f64 = 0.75;
+/// Mean part of a supply that is unspent when a run is killed: supplies are refilled when half of
+/// them is spent.
+const MEAN_UNSPENT_SHARE: f64 = 0.75;
 
-/// The key of an account's book in the store.
+/// The store key of an account's record.
 pub fn prepaid_key(branch: &BranchName) -> String {
     format!("prepaid/{branch}")
 }
 
 impl PrepaidRecord {
-    /// What nobody may spend yet.
+    /// The part of the total that isn't granted.
     pub fn free(&self) -> TokenCount {
         let granted: TokenCount = self.holders.values().map(|holder| holder.granted).sum();
         self.prepaid.less(self.closed + granted)
     }
 
-    /// Takes the total of a configuration, unless the book has a newer one's.
+    /// Sets the total, unless the record has the total of a newer configuration.
     pub fn set_total(&mut self, version: ConfigVersion, prepaid: TokenCount) {
         if version >= self.version {
             self.version = version;
@@ -62,12 +62,12 @@
         }
     }
 
-    /// What a run was granted.
+    /// The grant of a run; zero if it has none.
     pub fn granted(&self, run: IncarnationId) -> TokenCount {
         self.holders.get(&run).map_or(TokenCount::ZERO, |holder| holder.granted)
     }
 
-    /// Sets what a run may spend. The caller has seen to it that a raise is covered by
+    /// Sets the grant of a run. The caller has checked that a raise is covered by
     /// [`free`](Self::free).
     pub fn set_granted(
         &mut self,
@@ -80,26 +80,26 @@
         self.holders.insert(run, record);
     }
 
-    /// Notes what of a run's grant is for the time ahead.
+    /// Records which part of a run's grant is a supply for expected use.
     pub fn set_supply(&mut self, run: IncarnationId, supply: TokenCount) {
         if let Some(holder) = self.holders.get_mut(&run) {
             holder.supply = supply;
         }
     }
 
-    /// Closes the grants of earlier runs of an instance. What they hadn't spent is given up:
-    /// whether they had isn't known.
+    /// Closes the grants of earlier runs of an instance. They count as spent in full, since their
+    /// unspent part can't be established.
     pub fn close_earlier_runs(&mut self, run: IncarnationId, instance: &InstanceName) {
         let earlier =
             |id: &IncarnationId, holder: &HolderRecord| *id != run && holder.instance == *instance;
         let ended = self.holders.extract_if(.., |id, holder| earlier(id, holder));
         for (_, holder) in ended {
             self.closed += holder.granted;
-            self.given_up += TokenCount((holder.supply.0 as f64 * UNSPENT_SHARE) as u64);
+            self.given_up += TokenCount((holder.supply.0 as f64 * MEAN_UNSPENT_SHARE) as u64);
         }
     }
 
-    /// Ends a run that says itself what it has spent.
+    /// Closes a run that reports its own spend.
     pub fn close(&mut self, run: IncarnationId, spent: TokenCount) {
         self.holders.remove(&run);
         self.closed += spent;
--- a/crates/sagespool-ledger/src/recovery.rs
+++ b/crates/sagespool-ledger/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Accounting for what ran, from what sidecars list once they have sealed it.
+//! Recovery of sealed grants from the charges that sidecars list.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,22 +7,23 @@
     BranchName, ChargeId, GrantId, IncarnationId, SequenceNumber, StoreRevision, TokenCount,
 };
 
-/// What is to be done with a sealed grant now: [`crate::BookRecord::recover`] does it.
+/// What to do with a sealed grant now; applied by [`crate::BookRecord::recover`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecoveryVerdict {
-    /// Everything is accounted for: settle these and close the grant.
+    /// Everything is accounted for: settle these charges and close the grant.
     Close(Vec<(ChargeId, TokenCount)>),
-    /// Settle these, which are final; some still run, or a sidecar hasn't answered yet. Ask again.
+    /// Settle these charges, which are final. Others still run or a sidecar hasn't replied: query
+    /// again.
     Wait(Vec<(ChargeId, TokenCount)>),
-    /// What a lost witness may have run can't be known, so what isn't settled is in doubt. These are
-    /// known; they aren't final, since the lost one may have run later attempts, and are settled by
-    /// an operator's release.
+    /// A lost sidecar may have run charges, so the unsettled part is in doubt. These uses are
+    /// reported but not final, since the lost sidecar may have run later attempts; an operator's
+    /// release settles them.
     InDoubt(Vec<(ChargeId, TokenCount)>),
 }
 
-/// A charge as the sidecar of its last known attempt listed it.
+/// A charge as listed by the sidecar of its last known attempt.
 #[derive(Debug, Clone)]
-struct ListedCharge {
+struct ListedAttempt {
     sidecar: IncarnationId,
     record: ChargeRecord,
 }
@@ -30,25 +31,27 @@
 /// The recovery of one sealed grant, or of sealed charges of one grant.
 #[derive(Debug, Clone)]
 pub struct GrantRecovery {
-    /// The branch.
+    /// The branch that pays for the grant.
     pub branch: BranchName,
-    /// The grant.
+    /// The grant whose charges are collected.
     pub grant: GrantId,
     asked_at: StoreRevision,
-    /// Sidecars that could have run something under it and haven't answered.
+    /// Sidecars that may have run charges of the grant and haven't replied.
     missing: BTreeSet<IncarnationId>,
     /// Sidecars that are gone for good.
     gone: BTreeSet<IncarnationId>,
-    /// True if one that answered, or is gone, can't speak for the whole time.
-    lost_witness: bool,
-    charges: BTreeMap<SequenceNumber, ListedCharge>,
+    /// True if the list of a sidecar doesn't cover the whole time since the grant was requested, or
+    /// is missing.
+    has_gap: bool,
+    charges: BTreeMap<SequenceNumber, ListedAttempt>,
 }
 
 impl GrantRecovery {
-    /// A case that has heard nobody yet. Nothing can have run before the store's revision `asked_at`:
-    /// [`crate::GrantRecord::asked_at`] for a whole grant, [`crate::OrphanCharge::since`] for charges.
-    /// `sidecars` are all that could have run something: every one that was there at that revision
-    /// or later, gone or not. A list that misses one frees what that one ran.
+    /// Starts a recovery without any reply. Nothing can have run before the store revision
+    /// `asked_at`: [`crate::GrantRecord::asked_at`] for a whole grant,
+    /// [`crate::OrphanCharge::since`] for charges. `sidecars` must contain every sidecar that was
+    /// running at that revision or later, gone or not: the use at a sidecar that is left out would
+    /// be freed.
     pub fn new(
         branch: BranchName,
         grant: GrantId,
@@ -61,32 +64,32 @@
             asked_at,
             missing: sidecars.into_iter().collect(),
             gone: BTreeSet::new(),
-            lost_witness: false,
+            has_gap: false,
             charges: BTreeMap::new(),
         }
     }
 
-    /// Adds sidecars heard of meanwhile.
-    pub fn expect(&mut self, sidecar: IncarnationId) {
+    /// Adds a sidecar that was discovered after the start.
+    pub fn add_sidecar(&mut self, sidecar: IncarnationId) {
         self.missing.insert(sidecar);
     }
 
-    /// Sidecars that haven't answered.
+    /// Sidecars that haven't replied.
     pub fn missing(&self) -> impl Iterator<Item = IncarnationId> + '_ {
         self.missing.iter().copied()
     }
 
-    /// What sidecars listed: of each charge the last attempt known.
+    /// The last known attempt of each listed charge.
     pub fn records(&self) -> impl Iterator<Item = &ChargeRecord> {
         self.charges.values().map(|listed| &listed.record)
     }
 
-    /// Takes in a sidecar's list. One that started after the grant was asked for can't say what its
-    /// predecessor beside the same upstream ran under it.
+    /// Merges a sidecar's list. A sidecar that started after the grant request can't list what its
+    /// predecessor at the same upstream ran.
     pub fn take_reply(&mut self, reply: &SealReply) {
         self.missing.remove(&reply.sidecar);
-        let saw_all = reply.started_at.is_some_and(|started| started <= self.asked_at);
-        self.lost_witness |= !saw_all;
+        let covers_lifetime = reply.started_at.is_some_and(|started| started <= self.asked_at);
+        self.has_gap |= !covers_lifetime;
         for record in &reply.charges {
             self.take_charge(reply.sidecar, record);
         }
@@ -98,37 +101,37 @@
         }
         let sequence = record.charge.sequence;
         let known = self.charges.get(&sequence);
-        if known.is_none_or(|known| rank(record) > rank(&known.record)) {
-            self.charges.insert(sequence, ListedCharge { sidecar, record: record.clone() });
+        if known.is_none_or(|known| recency(record) > recency(&known.record)) {
+            self.charges.insert(sequence, ListedAttempt { sidecar, record: record.clone() });
         }
     }
 
-    /// Notes that a sidecar is gone for good: what it ran and didn't list can't be known, nor how an
-    /// attempt ended that it listed as running.
+    /// Marks a sidecar as gone for good: neither the charges that it ran without listing them nor
+    /// the outcome of an attempt that it listed as running can be established.
     pub fn mark_gone(&mut self, sidecar: IncarnationId) {
         self.gone.insert(sidecar);
-        let unheard = self.missing.remove(&sidecar);
-        let runs = |listed: &ListedCharge| listed.sidecar == sidecar && !listed.record.ended;
-        self.lost_witness |= unheard || self.charges.values().any(runs);
+        let unanswered = self.missing.remove(&sidecar);
+        let runs = |listed: &ListedAttempt| listed.sidecar == sidecar && !listed.record.ended;
+        self.has_gap |= unanswered || self.charges.values().any(runs);
     }
 
-    /// True if an attempt may still run at a sidecar that will tell how it ends.
+    /// True if an attempt may still run at a sidecar that is going to report its end.
     fn still_runs(&self) -> bool {
         let runs =
-            |listed: &ListedCharge| !listed.record.ended && !self.gone.contains(&listed.sidecar);
+            |listed: &ListedAttempt| !listed.record.ended && !self.gone.contains(&listed.sidecar);
         self.charges.values().any(runs)
     }
 
-    /// What is to be done now.
+    /// Decides what to do with the replies received so far.
     ///
-    /// Nothing is settled before every sidecar was heard. One that wasn't may have run a later
-    /// attempt under a charge that another lists as ended; settled by number, the charge would keep
+    /// Nothing is settled before every sidecar has replied. A missing one may have run a later
+    /// attempt of a charge that another lists as ended. Settled by number, the charge would keep
     /// the earlier attempt's use, and closing the grant would free what the later one spent.
     pub fn verdict(&self) -> RecoveryVerdict {
         if !self.missing.is_empty() {
             return RecoveryVerdict::Wait(Vec::new());
         }
-        match (self.lost_witness, self.still_runs()) {
+        match (self.has_gap, self.still_runs()) {
             (true, true) => RecoveryVerdict::Wait(Vec::new()),
             (true, false) => RecoveryVerdict::InDoubt(self.uses(|_| true)),
             (false, true) => RecoveryVerdict::Wait(self.uses(|record| record.ended)),
@@ -142,7 +145,7 @@
     }
 }
 
-/// Of two records of a charge, the higher is the later word.
-pub(crate) fn rank(record: &ChargeRecord) -> impl Ord + use<> {
+/// Order of records of one charge: the higher is the more recent.
+pub(crate) fn recency(record: &ChargeRecord) -> impl Ord + use<> {
     (record.attempt, record.ended, record.used)
 }
