--- a/crates/sagespool-ledger/examples/budget_cost.rs
+++ b/crates/sagespool-ledger/examples/budget_cost.rs
@@ -1,4 +1,4 @@
-//! What budgets cost: a reservation, a book's write, bytes and memory, by number of branches.
+//! Cost of budgets by number of branches: reservations, writes of a book, bytes and memory.
 //!
 //! ```text
 //! cargo run --release --locked -p sagespool-ledger --example budget_cost
--- a/crates/sagespool-ledger/examples/home_choice.rs
+++ b/crates/sagespool-ledger/examples/home_choice.rs
@@ -1,12 +1,12 @@
-//! What books cost the store by how homes are chosen: for each branch, or for each book.
+//! Cost of book writes if homes are chosen for each branch, or for each book.
 //!
 //! ```text
 //! cargo run --release --locked -p sagespool-ledger --example home_choice
 //! ```
 //!
-//! Homes of one region share 64 books and 2,000 branches that are all in steady use. A tick takes
-//! 100 ms; all homes whose book is due read it at the same version, one write takes effect, and the
-//! others meet in a conflict and try again.
+//! The homes of one region share 64 books and 2,000 branches in steady use. A tick takes 100 ms.
+//! All homes whose book is due read it at the same version; one write takes effect, and the others
+//! fail with a conflict and are retried.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -25,9 +25,9 @@
 const HOMES: [u64; 5] = [3, 6, 9, 50, 200];
 const TICK: Duration = Duration::from_millis(100);
 const TICKS: u32 = 400;
-/// Grants find their size before this; what is written until then isn't counted.
+/// Grants reach their size within these ticks; writes before that aren't counted.
 const WARM_UP: u32 = 200;
-/// Each branch sends a request in every so many ticks.
+/// Each branch sends one request in this many ticks.
 const REQUEST_TICKS: usize = 10;
 const AMOUNT: TokenCount = TokenCount(300);
 const USED: TokenCount = TokenCount(80);
@@ -45,7 +45,7 @@
 
 #[derive(Default)]
 struct WriteTally {
-    landed: u64,
+    applied: u64,
     conflicts: u64,
     requests: u64,
 }
@@ -74,7 +74,7 @@
     }
 }
 
-/// Reserves and ends a request; false if the home holds too little.
+/// Reserves for and finishes one request; false if the home holds too little.
 fn serve(home: &HomeLedger, branch: &BranchName, now: ClockTime) -> bool {
     let order = order(branch);
     let ReserveDecision::Reserved(reserved) = home.reserve(&order, now) else {
@@ -103,7 +103,7 @@
     true
 }
 
-/// Homes write a book that all of them have read at one version.
+/// Writes a book for all homes that have read it at the same version.
 fn write_together(
     stored: &mut StoredBook,
     number: BookNumber,
@@ -128,7 +128,7 @@
         stored.version = StoreRevision(base.0 + 1);
         stored.record = draft;
         first.observe(number, &stored.record, stored.version, now);
-        tally.landed += 1;
+        tally.applied += 1;
         tally.conflicts += drafts.len() as u64;
         left = drafts.into_iter().map(|(home, _)| home).collect();
     }
@@ -186,10 +186,10 @@
     for homes in HOMES {
         for (choice, name) in [(HomeChoice::ByBranch, "branch"), (HomeChoice::ByBook, "book")] {
             let tally = run(homes, choice);
-            let sent = tally.landed + tally.conflicts;
+            let sent = tally.applied + tally.conflicts;
             println!(
                 "| {homes} | {name} | {:.1} | {:.1} | {:.4} |",
-                tally.landed as f64 / seconds,
+                tally.applied as f64 / seconds,
                 tally.conflicts as f64 / seconds,
                 sent as f64 / tally.requests as f64
             );
--- a/crates/sagespool-ledger/src/branch_balance.rs
+++ b/crates/sagespool-ledger/src/branch_balance.rs
@@ -478,7 +478,7 @@
     ) {
         let others = account.grants.iter().filter(|(id, _)| id.holder != own);
         let (doubted, others): (Vec<_>, Vec<_>) = others.partition(|(_, record)| record.in_doubt);
-        let rests = |grants: Vec<(&GrantId, &GrantRecord)>| {
+        let unsettled = |grants: Vec<(&GrantId, &GrantRecord)>| {
             grants
                 .into_iter()
                 .map(|(id, record)| (*id, id.holder, record.unsettled_amount()))
@@ -486,8 +486,8 @@
         };
         self.snapshot = BookSnapshot {
             free: account.free(),
-            other_grants: rests(others),
-            grants_in_doubt: rests(doubted),
+            other_grants: unsettled(others),
+            grants_in_doubt: unsettled(doubted),
             is_known: true,
         };
         // The order matters: a grant that was sealed before this home saw it is added first, then
--- a/crates/sagespool-ledger/src/home.rs
+++ b/crates/sagespool-ledger/src/home.rs
@@ -223,7 +223,7 @@
         let grace = self.policy.overdue_after;
         self.collect_orphans(now, |open| {
             let late = open.needs_inquiry || now.since(open.deadline) >= grace;
-            late && open.last_inquiry.is_none_or(|asked| now.since(asked) >= grace)
+            late && open.last_inquiry.is_none_or(|last| now.since(last) >= grace)
         })
     }
 
--- a/crates/sagespool-ledger/src/prepaid/balance.rs
+++ b/crates/sagespool-ledger/src/prepaid/balance.rs
@@ -48,9 +48,9 @@
     }
 
     /// The largest supply that keeps the losses within the allowed share.
-    fn largest_supply(self, total: TokenCount, given_up: TokenCount) -> f64 {
+    fn largest_supply(self, total: TokenCount, lost: TokenCount) -> f64 {
         let losable = total.0 as f64 * self.idle;
-        let left = (losable - given_up.0 as f64).max(losable * MIN_LOSABLE_SHARE);
+        let left = (losable - lost.0 as f64).max(losable * MIN_LOSABLE_SHARE);
         self.instance_part(left)
     }
 }
@@ -67,7 +67,7 @@
     used: TokenCount,
     reserved: TokenCount,
     /// Tokens lost with killed runs, from the record as last seen.
-    given_up: TokenCount,
+    lost: TokenCount,
     /// Tokens per second; a decaying average.
     rate: f64,
     rate_at: ClockTime,
@@ -142,15 +142,15 @@
     }
 
     /// Whether to request a larger grant before the free part is used up.
-    pub fn runs_low(&self, terms: GrantPolicy, total: TokenCount, now: ClockTime) -> bool {
-        let wanted = self.intended_supply(terms, total, self.given_up, now);
+    pub fn runs_low(&self, policy: GrantPolicy, total: TokenCount, now: ClockTime) -> bool {
+        let wanted = self.intended_supply(policy, total, self.lost, now);
         (self.free().0 as f64) < wanted / 2.0
     }
 
     /// The amount to borrow for expected use, beside the shortfall of a request of this size.
     pub fn loan_ahead(
         &self,
-        terms: GrantPolicy,
+        policy: GrantPolicy,
         total: TokenCount,
         amount: TokenCount,
         now: ClockTime,
@@ -159,7 +159,7 @@
         if expected_use < amount.0 as f64 * MIN_LOAN_AHEAD_REQUESTS {
             return TokenCount::ZERO;
         }
-        let most = terms.largest_supply(total, self.given_up) * MAX_LOAN_SHARE;
+        let most = policy.largest_supply(total, self.lost) * MAX_LOAN_SHARE;
         TokenCount(expected_use.min(most) as u64)
     }
 
@@ -171,13 +171,13 @@
     /// borrowers, single kills lost 4 % of a total.
     pub fn allowed_loan_ahead(
         &self,
-        terms: GrantPolicy,
+        policy: GrantPolicy,
         total: TokenCount,
         ahead: TokenCount,
         now: ClockTime,
     ) -> TokenCount {
         let requested_by_all = self.rate_now(now) * LOAN_AHEAD_TIME.as_secs_f64();
-        let most = terms.largest_supply(total, self.given_up) * MAX_LOAN_SHARE;
+        let most = policy.largest_supply(total, self.lost) * MAX_LOAN_SHARE;
         let share = (most / requested_by_all.max(1.0)).min(1.0);
         TokenCount((ahead.0 as f64 * share) as u64)
     }
@@ -192,18 +192,18 @@
     /// The intended size of the supply.
     fn intended_supply(
         &self,
-        terms: GrantPolicy,
+        policy: GrantPolicy,
         total: TokenCount,
-        given_up: TokenCount,
+        lost: TokenCount,
         now: ClockTime,
     ) -> f64 {
-        let expected_use = self.rate_now(now) * terms.ahead.as_secs_f64();
-        expected_use.min(terms.largest_supply(total, given_up))
+        let expected_use = self.rate_now(now) * policy.ahead.as_secs_f64();
+        expected_use.min(policy.largest_supply(total, lost))
     }
 
     /// Updates the losses from the record.
-    pub fn observe_record(&mut self, book: &PrepaidRecord) {
-        self.given_up = book.given_up;
+    pub fn observe_record(&mut self, record: &PrepaidRecord) {
+        self.lost = record.given_up;
     }
 
     /// The part of a grant beyond all that is spent, lent, reserved or missing.
@@ -220,22 +220,22 @@
     /// record has granted to others. Call [`lower_grant_to`](Self::lower_grant_to) first to lower a grant.
     pub fn grant_to_request(
         &self,
-        book: &PrepaidRecord,
+        record: &PrepaidRecord,
         present: TokenCount,
         missing: TokenCount,
-        terms: GrantPolicy,
+        policy: GrantPolicy,
         now: ClockTime,
     ) -> Option<TokenCount> {
         // The present grant of this run counts as free: it is about to be replaced.
-        let room = book.free() + present;
+        let room = record.free() + present;
         let least = self.min_grant() + missing;
         if least > room {
             return None;
         }
         let left = room.less(least).0 as f64;
-        let spare = (left - book.prepaid.0 as f64 * FINAL_SHARE).max(left * FINAL_SPARE_SHARE);
-        let fair = terms.instance_part(spare * terms.share);
-        let ahead = self.intended_supply(terms, book.prepaid, book.given_up, now).min(fair);
+        let spare = (left - record.prepaid.0 as f64 * FINAL_SHARE).max(left * FINAL_SPARE_SHARE);
+        let fair = policy.instance_part(spare * policy.share);
+        let ahead = self.intended_supply(policy, record.prepaid, record.given_up, now).min(fair);
         Some((least + TokenCount(ahead as u64)).max(self.granted))
     }
 
--- a/crates/sagespool-ledger/tests/model/mod.rs
+++ b/crates/sagespool-ledger/tests/model/mod.rs
@@ -1,4 +1,4 @@
-//! A small model of the fleet around one book.
+//! A model of a fleet with a single book.
 
 pub mod checks;
 mod recovery;
--- a/crates/sagespool-ledger/tests/model/recovery.rs
+++ b/crates/sagespool-ledger/tests/model/recovery.rs
@@ -1,15 +1,15 @@
-//! Sealing and recovery: of dead homes' grants, and of charges whose entry is gone.
+//! Sealing and recovery of dead homes' grants and of charges whose entry is gone.
 
 use sagespool_ledger::{BookRecord, GrantRecovery, OrphanCharge};
 use sagespool_types::{ChargeId, IncarnationId, StoreRevision};
 
 use super::sidecar::ModelSidecar;
-use super::store::WriteFate;
+use super::store::WriteOutcome;
 use super::world::{ChargeCase, World};
 use crate::pick;
 
 impl World {
-    /// A home that finds its own seal in the book starts to ask sidecars.
+    /// A home that finds its own seal in the book starts a recovery.
     pub(super) fn open_cases(&mut self, home: usize, record: &BookRecord) {
         let own = self.homes[home].incarnation;
         for (branch, grant) in record.grants_sealed_by(own) {
@@ -17,60 +17,60 @@
                 continue;
             }
             let asked_at = record.branches[&branch].grants[&grant].asked_at;
-            // Whoever doesn't know of sidecars that are gone is told by their successors that they
-            // can't speak for them.
-            let mut witnesses = self.witnesses_since(asked_at);
+            // Half of the recoveries omit the sidecars that are gone. Their successors must then
+            // reveal the gap, since their lists don't cover the whole time.
+            let mut sidecars = self.sidecars_since(asked_at);
             if grant.number % 2 == 1 {
-                witnesses.retain(|known| self.lives(*known));
+                sidecars.retain(|known| self.is_live(*known));
             }
-            let case = GrantRecovery::new(branch, grant, asked_at, witnesses);
+            let case = GrantRecovery::new(branch, grant, asked_at, sidecars);
             self.homes[home].cases.push(case);
         }
     }
 
-    /// Sidecars that ran at that revision of the store or later.
-    pub(super) fn witnesses_since(&self, revision: StoreRevision) -> Vec<IncarnationId> {
+    /// Sidecars that were running at that revision of the store or later.
+    pub(super) fn sidecars_since(&self, revision: StoreRevision) -> Vec<IncarnationId> {
         let ran = |sidecar: &&ModelSidecar| sidecar.replaced_at.is_none_or(|end| end > revision);
         self.sidecars.iter().filter(ran).map(|sidecar| sidecar.incarnation).collect()
     }
 
-    pub(super) fn lives(&self, sidecar: IncarnationId) -> bool {
+    pub(super) fn is_live(&self, sidecar: IncarnationId) -> bool {
         self.sidecars.iter().any(|known| known.incarnation == sidecar && known.is_alive())
     }
 
-    /// A sidecar forgets what a home says is durable.
+    /// A sidecar deletes the charges that a home reports as durable.
     pub(super) fn forget(&mut self, sidecar: usize, home: usize) {
         let Some(home) = self.running_home(home) else {
             return;
         };
         let sidecar = &mut self.sidecars[self.sidecar_slots[sidecar % self.sidecar_slots.len()]];
         let known = sidecar.ended();
-        let asked: Vec<_> =
+        let queried: Vec<_> =
             known.iter().map(|record| (record.branch.clone(), record.charge)).collect();
-        for charge in self.homes[home].ledger.durable_charges(&asked) {
+        for charge in self.homes[home].ledger.durable_charges(&queried) {
             let settled = is_settled(&self.store.record, charge);
-            assert!(settled, "charge {charge} was called durable and isn't settled");
+            assert!(settled, "charge {charge} was reported durable but isn't settled");
             sidecar.forget(charge);
         }
     }
 
-    pub(super) fn mark_sealed(&mut self, slot: usize, target: usize, fate: WriteFate) {
+    pub(super) fn mark_sealed(&mut self, slot: usize, target: usize, outcome: WriteOutcome) {
         let Some(home) = self.running_home(slot) else {
             return;
         };
         let target = target % self.homes.len();
         if target != home {
             let dead = self.homes[target].incarnation;
-            self.mark_grants(home, &|holder| holder == dead, fate);
+            self.mark_grants(home, &|holder| holder == dead, outcome);
         }
     }
 
-    /// A home marks the grants of holders that it believes dead.
+    /// A home seals the grants of holders that it presumes dead.
     pub fn mark_grants(
         &mut self,
         home: usize,
         dead: &dyn Fn(IncarnationId) -> bool,
-        fate: WriteFate,
+        outcome: WriteOutcome,
     ) {
         let Some(mut draft) = self.store.read() else {
             return;
@@ -81,7 +81,7 @@
             changed |= draft.record.seal(&branch, &grant, own);
         }
         if changed {
-            self.store.write(&draft, fate);
+            self.store.write(&draft, outcome);
         }
     }
 
@@ -91,11 +91,11 @@
         };
         let places: Vec<usize> = (0..self.homes[home].cases.len()).collect();
         if let Some(place) = pick(&places, choice) {
-            self.ask_seal(home, place, sidecar % self.sidecar_slots.len(), lost);
+            self.send_seal(home, place, sidecar % self.sidecar_slots.len(), lost);
         }
     }
 
-    pub fn ask_seal(&mut self, home: usize, place: usize, sidecar: usize, lost: bool) {
+    pub fn send_seal(&mut self, home: usize, place: usize, sidecar: usize, lost: bool) {
         let case = &mut self.homes[home].cases[place];
         let reply = self.sidecars[self.sidecar_slots[sidecar]].seal_grant(case.grant);
         if !lost {
@@ -103,17 +103,17 @@
         }
     }
 
-    pub(super) fn settle(&mut self, slot: usize, choice: usize, fate: WriteFate) {
+    pub(super) fn settle(&mut self, slot: usize, choice: usize, outcome: WriteOutcome) {
         let Some(home) = self.running_home(slot) else {
             return;
         };
         let places: Vec<usize> = (0..self.homes[home].cases.len()).collect();
         if let Some(place) = pick(&places, choice) {
-            self.settle_case(home, place, fate);
+            self.settle_case(home, place, outcome);
         }
     }
 
-    pub fn settle_case(&mut self, home: usize, place: usize, fate: WriteFate) {
+    pub fn settle_case(&mut self, home: usize, place: usize, outcome: WriteOutcome) {
         let Some(mut draft) = self.store.read() else {
             return;
         };
@@ -123,32 +123,32 @@
         }
         let (branch, grant) = (case.branch.clone(), case.grant);
         if draft.record.apply_recovery(&branch, &grant, &case.verdict()) {
-            self.store.write(&draft, fate);
+            self.store.write(&draft, outcome);
         }
     }
 
-    pub(super) fn recover(&mut self, slot: usize, target: usize, heard: usize) {
+    pub(super) fn recover(&mut self, slot: usize, target: usize, replied: usize) {
         let Some(home) = self.running_home(slot) else {
             return;
         };
-        self.mark_sealed(slot, target, WriteFate::Acknowledged);
+        self.mark_sealed(slot, target, WriteOutcome::Acknowledged);
         self.read_book(home);
         for place in 0..self.homes[home].cases.len() {
             for sidecar in 0..self.sidecar_slots.len() {
-                self.ask_seal(home, place, sidecar, heard >> sidecar & 1 == 0);
+                self.send_seal(home, place, sidecar, replied >> sidecar & 1 == 0);
             }
-            self.settle_case(home, place, WriteFate::Acknowledged);
+            self.settle_case(home, place, WriteOutcome::Acknowledged);
         }
     }
 
-    pub(super) fn ask_charges(&mut self, slot: usize, heard: usize) {
+    pub(super) fn query_charges(&mut self, slot: usize, replied: usize) {
         let Some(home) = self.running_home(slot) else {
             return;
         };
         self.overdue(slot);
         for place in 0..self.homes[home].charge_cases.len() {
             for sidecar in 0..self.sidecar_slots.len() {
-                self.ask_seal_charge(home, place, sidecar, heard >> sidecar & 1 == 0);
+                self.send_seal_charge(home, place, sidecar, replied >> sidecar & 1 == 0);
             }
             self.resolve_case(home, place);
         }
@@ -176,9 +176,9 @@
             if cases.iter().any(|known| known.orphan.charge == orphan.charge) {
                 continue;
             }
-            let witnesses = self.witnesses_since(orphan.since);
+            let sidecars = self.sidecars_since(orphan.since);
             let (branch, grant) = (orphan.branch.clone(), orphan.charge.grant);
-            let case = GrantRecovery::new(branch, grant, orphan.since, witnesses);
+            let case = GrantRecovery::new(branch, grant, orphan.since, sidecars);
             self.homes[home].charge_cases.push(ChargeCase { orphan, case });
         }
     }
@@ -189,11 +189,11 @@
         };
         let places: Vec<usize> = (0..self.homes[home].charge_cases.len()).collect();
         if let Some(place) = pick(&places, choice) {
-            self.ask_seal_charge(home, place, sidecar % self.sidecar_slots.len(), lost);
+            self.send_seal_charge(home, place, sidecar % self.sidecar_slots.len(), lost);
         }
     }
 
-    pub fn ask_seal_charge(&mut self, home: usize, place: usize, sidecar: usize, lost: bool) {
+    pub fn send_seal_charge(&mut self, home: usize, place: usize, sidecar: usize, lost: bool) {
         let open = &mut self.homes[home].charge_cases[place];
         let sidecar = &mut self.sidecars[self.sidecar_slots[sidecar]];
         let reply = sidecar.seal_charge(open.orphan.charge);
@@ -221,8 +221,8 @@
         home.ledger.resolve_recovery(&open.case, &[open.orphan.charge]);
     }
 
-    /// An operator releases a doubtful grant that everything is known of by other ways.
-    pub(super) fn release(&mut self, choice: usize, fate: WriteFate) {
+    /// An operator releases a grant in doubt whose reported use is complete.
+    pub(super) fn release(&mut self, choice: usize, outcome: WriteOutcome) {
         let Some(mut draft) = self.store.read() else {
             return;
         };
@@ -236,12 +236,12 @@
         }
         if let Some((branch, grant)) = pick(&doubtful, choice) {
             draft.record.release(&branch, &grant);
-            self.store.write(&draft, fate);
+            self.store.write(&draft, outcome);
         }
     }
 }
 
-/// True if a charge is settled in a book, or its grant is closed there.
+/// True if a charge is settled in a book or its grant is closed there.
 pub fn is_settled(record: &BookRecord, charge: ChargeId) -> bool {
     let grants = record.branches.values().filter_map(|account| account.grants.get(&charge.grant));
     grants.into_iter().all(|grant| grant.charges.contains(charge.sequence))
--- a/crates/sagespool-ledger/tests/model/requests.rs
+++ b/crates/sagespool-ledger/tests/model/requests.rs
@@ -1,10 +1,10 @@
-//! Requests: sent to sidecars, run there, reported by entries and sidecars.
+//! Requests: dispatched to sidecars, run there, reported by entries and sidecars.
 
 use sagespool_messages::{ChargeRecord, FinishReport, FinishState};
 use sagespool_types::{AttemptNumber, BranchName, ChargeId, GrantId, TokenCount};
 
-use super::sidecar::SentDispatch;
-use super::world::{MOST_ATTEMPTS, ProcessState, SentOutcome, World};
+use super::sidecar::ModelDispatch;
+use super::world::{AttemptOutcome, MAX_ATTEMPTS, ProcessState, World};
 use crate::pick;
 
 impl World {
@@ -23,11 +23,12 @@
             return;
         };
         let request = &mut self.requests[place];
-        let whole = matches!(request.sent.last(), Some(SentOutcome::Ended(record)) if record.whole);
-        if whole || request.sent.len() >= MOST_ATTEMPTS {
+        let whole =
+            matches!(request.sent.last(), Some(AttemptOutcome::Ended(record)) if record.whole);
+        if whole || request.sent.len() >= MAX_ATTEMPTS {
             return;
         }
-        request.sent.push(SentOutcome::Open);
+        request.sent.push(AttemptOutcome::Open);
         let record = ChargeRecord {
             charge: request.reserved.charge,
             branch: request.branch.clone(),
@@ -38,7 +39,7 @@
             ended: false,
             whole: false,
         };
-        let dispatch = SentDispatch {
+        let dispatch = ModelDispatch {
             request: place,
             place: request.sent.len() - 1,
             record,
@@ -62,11 +63,11 @@
             return;
         }
         if sidecar.refuses(&dispatch) {
-            self.requests[dispatch.request].sent[dispatch.place] = SentOutcome::Refused;
+            self.requests[dispatch.request].sent[dispatch.place] = AttemptOutcome::Refused;
             return;
         }
         sidecar.note(&dispatch.record);
-        let attempts = self.truth.entry(dispatch.record.charge).or_default();
+        let attempts = self.actual_use.entry(dispatch.record.charge).or_default();
         attempts.insert(dispatch.record.attempt, TokenCount::ZERO);
         sidecar.running.push(dispatch);
     }
@@ -85,9 +86,9 @@
         dispatch.record.used = (dispatch.record.used + tokens).min(dispatch.limit);
         let record = dispatch.record.clone();
         sidecar.note(&record);
-        let attempts = self.truth.entry(record.charge).or_default();
+        let attempts = self.actual_use.entry(record.charge).or_default();
         attempts.insert(record.attempt, record.used);
-        self.witness_log.push(record);
+        self.usage_log.push(record);
     }
 
     pub(super) fn end(&mut self, choice: usize, whole: bool, seen: bool) {
@@ -98,9 +99,9 @@
         let dispatch = sidecar.running.swap_remove(place);
         let record = ChargeRecord { ended: true, whole, ..dispatch.record };
         sidecar.note(&record);
-        self.witness_log.push(record.clone());
+        self.usage_log.push(record.clone());
         if seen {
-            self.requests[dispatch.request].sent[dispatch.place] = SentOutcome::Ended(record);
+            self.requests[dispatch.request].sent[dispatch.place] = AttemptOutcome::Ended(record);
         }
     }
 
@@ -127,7 +128,7 @@
         }
     }
 
-    /// An entry's word reaches the home, perhaps again.
+    /// Delivers an entry's final report to the home, perhaps repeatedly.
     pub(super) fn report(&mut self, choice: usize) {
         if self.finish_log.is_empty() {
             return;
@@ -138,12 +139,12 @@
         }
     }
 
-    /// A sidecar's word reaches the holder, perhaps late or again.
-    pub(super) fn witness(&mut self, choice: usize) {
-        if self.witness_log.is_empty() {
+    /// Delivers a sidecar's report to the holder, perhaps late or repeatedly.
+    pub(super) fn report_usage(&mut self, choice: usize) {
+        if self.usage_log.is_empty() {
             return;
         }
-        let record = &self.witness_log[choice % self.witness_log.len()];
+        let record = &self.usage_log[choice % self.usage_log.len()];
         let holder = record.charge.grant.holder;
         let home = self.homes.iter().find(|home| home.incarnation == holder);
         let Some(home) = home.filter(|home| home.state == ProcessState::Running) else {
@@ -152,26 +153,26 @@
         home.ledger.note_usage(record, self.now);
     }
 
-    /// What is billed for a charge: its last attempt.
+    /// Tokens billed for a charge: those of its last attempt.
     pub fn billed(&self, charge: &ChargeId) -> u64 {
-        let last = self.truth.get(charge).and_then(|attempts| attempts.values().next_back());
+        let last = self.actual_use.get(charge).and_then(|attempts| attempts.values().next_back());
         last.map_or(0, |used| used.0)
     }
 
-    /// What is billed to a branch.
+    /// Tokens billed to a branch.
     pub fn billed_to(&self, branch: &BranchName) -> u64 {
         let requests = self.requests.iter().filter(|request| request.branch == *branch);
         requests.map(|request| self.billed(&request.reserved.charge)).sum()
     }
 
-    /// What is billed under a grant.
+    /// Tokens billed under a grant.
     pub fn used_under(&self, grant: GrantId) -> u64 {
-        let charges = self.truth.keys().filter(|charge| charge.grant == grant);
+        let charges = self.actual_use.keys().filter(|charge| charge.grant == grant);
         charges.map(|charge| self.billed(charge)).sum()
     }
 
-    /// All that is on its way arrives, all that runs ends, every entry that lives reports.
-    pub fn end_all(&mut self) {
+    /// Delivers everything in flight, ends all running attempts, and makes every live entry report.
+    pub fn finish_all(&mut self) {
         while !self.in_flight.is_empty() {
             self.deliver(0);
         }
@@ -184,19 +185,19 @@
         for choice in 0..self.finish_log.len() {
             self.report(choice);
         }
-        for choice in 0..self.witness_log.len() {
-            self.witness(choice);
+        for choice in 0..self.usage_log.len() {
+            self.report_usage(choice);
         }
     }
 }
 
-fn finish_state(sent: &[SentOutcome]) -> FinishState {
+fn finish_state(sent: &[AttemptOutcome]) -> FinishState {
     if sent.is_empty() {
         return FinishState::NotRun;
     }
-    match sent.iter().rev().find(|outcome| !matches!(outcome, SentOutcome::Refused)) {
+    match sent.iter().rev().find(|outcome| !matches!(outcome, AttemptOutcome::Refused)) {
         None => FinishState::GrantUnusable,
-        Some(SentOutcome::Ended(record)) => FinishState::Ran(record.clone()),
+        Some(AttemptOutcome::Ended(record)) => FinishState::Ran(record.clone()),
         Some(_) => FinishState::Unknown,
     }
 }
--- a/crates/sagespool-ledger/tests/model/sidecar.rs
+++ b/crates/sagespool-ledger/tests/model/sidecar.rs
@@ -1,16 +1,17 @@
-//! Sidecars: they run attempts, remember them, and refuse what is sealed or older than themselves.
+//! Sidecars: they run attempts, record them, and refuse those that are sealed or older than
+//! themselves.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use sagespool_messages::{ChargeRecord, SealReply};
 use sagespool_types::{AttemptNumber, ChargeId, GrantId, IncarnationId, StoreRevision, TokenCount};
 
-/// An attempt on its way to a sidecar.
+/// A dispatched attempt.
 #[derive(Debug, Clone)]
-pub struct SentDispatch {
-    /// Place of the request in the world's list.
+pub struct ModelDispatch {
+    /// Index of the request in the world's list.
     pub request: usize,
-    /// Place of the attempt in the request's list.
+    /// Index of the attempt in the request's list.
     pub place: usize,
     pub record: ChargeRecord,
     pub revision: StoreRevision,
@@ -22,23 +23,23 @@
 pub struct ModelSidecar {
     pub incarnation: IncarnationId,
     pub started_at: StoreRevision,
-    /// The revision since which it knows all that ran beside its upstream.
-    speaks_since: StoreRevision,
-    /// The start of the incarnation that took its place.
+    /// The revision since which it has recorded everything that ran at its upstream.
+    covers_since: StoreRevision,
+    /// The store revision at which its successor started.
     pub replaced_at: Option<StoreRevision>,
     sealed: BTreeSet<GrantId>,
     sealed_charges: BTreeSet<ChargeId>,
-    pub running: Vec<SentDispatch>,
+    pub running: Vec<ModelDispatch>,
     records: BTreeMap<(ChargeId, AttemptNumber), ChargeRecord>,
 }
 
 impl ModelSidecar {
-    /// A sidecar; `first` if none was beside its upstream before.
+    /// A new sidecar; `first` if its upstream had none before.
     pub fn new(incarnation: IncarnationId, started_at: StoreRevision, first: bool) -> Self {
         Self {
             incarnation,
             started_at,
-            speaks_since: if first { StoreRevision::ZERO } else { started_at },
+            covers_since: if first { StoreRevision::ZERO } else { started_at },
             replaced_at: None,
             sealed: BTreeSet::new(),
             sealed_charges: BTreeSet::new(),
@@ -52,25 +53,25 @@
     }
 
     /// True if it refuses an attempt.
-    pub fn refuses(&self, dispatch: &SentDispatch) -> bool {
+    pub fn refuses(&self, dispatch: &ModelDispatch) -> bool {
         let charge = dispatch.record.charge;
         dispatch.revision <= self.started_at
             || self.sealed.contains(&charge.grant)
             || self.sealed_charges.contains(&charge)
     }
 
-    /// Notes the present state of an attempt.
+    /// Records the present state of an attempt.
     pub fn note(&mut self, record: &ChargeRecord) {
         self.records.insert((record.charge, record.attempt), record.clone());
     }
 
-    /// Seals a whole grant and lists what is known of it.
+    /// Seals a whole grant and lists its recorded charges.
     pub fn seal_grant(&mut self, grant: GrantId) -> SealReply {
         self.sealed.insert(grant);
         self.reply(|charge| charge.grant == grant)
     }
 
-    /// Seals one charge and lists what is known of it.
+    /// Seals one charge and lists its recorded attempts.
     pub fn seal_charge(&mut self, charge: ChargeId) -> SealReply {
         self.sealed_charges.insert(charge);
         self.reply(|known| known == charge)
@@ -80,17 +81,17 @@
         let listed = self.records.values().filter(|record| concerns(record.charge));
         SealReply {
             sidecar: self.incarnation,
-            started_at: Some(self.speaks_since),
+            started_at: Some(self.covers_since),
             charges: listed.cloned().collect(),
         }
     }
 
-    /// Ended attempts that it still remembers.
+    /// Recorded attempts that have ended.
     pub fn ended(&self) -> Vec<ChargeRecord> {
         self.records.values().filter(|record| record.ended).cloned().collect()
     }
 
-    /// Forgets ended attempts of a charge that is settled in the store.
+    /// Deletes ended attempts of a charge that is settled in the store.
     pub fn forget(&mut self, charge: ChargeId) {
         self.records.retain(|(known, _), record| *known != charge || !record.ended);
     }
--- a/crates/sagespool-ledger/tests/model/step.rs
+++ b/crates/sagespool-ledger/tests/model/step.rs
@@ -1,8 +1,8 @@
-//! The steps that a run is made of. Numbers pick among what there is, modulo its length.
+//! The steps of a run. Numbers select among the existing items, modulo their count.
 
 use quickcheck::{Arbitrary, Gen};
 
-use super::store::WriteFate;
+use super::store::WriteOutcome;
 
 #[derive(Debug, Clone)]
 pub enum Step {
@@ -14,27 +14,27 @@
     },
     Flush {
         home: usize,
-        fate: WriteFate,
+        outcome: WriteOutcome,
     },
-    /// Reads the book and writes what waiting requests gain by.
+    /// Reads the book and writes only what helps waiting requests.
     Round {
         home: usize,
-        fate: WriteFate,
+        outcome: WriteOutcome,
     },
     Read {
         home: usize,
     },
     Write {
         home: usize,
-        fate: WriteFate,
+        outcome: WriteOutcome,
     },
-    KeepRead {
+    DelayRead {
         home: usize,
     },
     ObserveLate {
         home: usize,
     },
-    LandWrite {
+    ApplyDelayed {
         pick: usize,
     },
     Dispatch {
@@ -61,7 +61,7 @@
     Report {
         pick: usize,
     },
-    Witness {
+    ReportUsage {
         pick: usize,
     },
     Forget {
@@ -87,7 +87,7 @@
     MarkSealed {
         home: usize,
         target: usize,
-        fate: WriteFate,
+        outcome: WriteOutcome,
     },
     SealGrant {
         home: usize,
@@ -98,7 +98,7 @@
     Settle {
         home: usize,
         pick: usize,
-        fate: WriteFate,
+        outcome: WriteOutcome,
     },
     EntryGone {
         home: usize,
@@ -117,30 +117,30 @@
         home: usize,
         pick: usize,
     },
-    /// Several steps of one recovery, of which some sidecars don't hear.
+    /// All steps of one recovery; the replies of some sidecars are lost.
     Recover {
         home: usize,
         target: usize,
-        heard: usize,
+        replied: usize,
     },
-    /// Several steps of asking about charges, of which some sidecars don't hear.
-    AskCharges {
+    /// All steps of an inquiry about charges; the replies of some sidecars are lost.
+    QueryCharges {
         home: usize,
-        heard: usize,
+        replied: usize,
     },
     TopUp {
         branch: usize,
         command: u64,
-        fate: WriteFate,
+        outcome: WriteOutcome,
     },
-    GiveBack {
+    ReturnUnspent {
         home: usize,
         branch: usize,
         wanted: u64,
     },
     Release {
         pick: usize,
-        fate: WriteFate,
+        outcome: WriteOutcome,
     },
     Leave {
         home: usize,
@@ -156,7 +156,7 @@
 
 type DrawStep = fn(&mut Gen) -> Step;
 
-/// How often each kind of step is drawn.
+/// Relative frequency of each kind of step.
 const WEIGHTS: [(u32, DrawStep); 38] = [
     (14, |g| Step::Reserve {
         home: any(g),
@@ -164,20 +164,20 @@
         entry: any(g),
         amount: 1 + below(g, 60),
     }),
-    (12, |g| Step::Flush { home: any(g), fate: fate(g) }),
-    (8, |g| Step::Round { home: any(g), fate: fate(g) }),
+    (12, |g| Step::Flush { home: any(g), outcome: outcome(g) }),
+    (8, |g| Step::Round { home: any(g), outcome: outcome(g) }),
     (3, |g| Step::Read { home: any(g) }),
-    (3, |g| Step::Write { home: any(g), fate: fate(g) }),
-    (1, |g| Step::KeepRead { home: any(g) }),
+    (3, |g| Step::Write { home: any(g), outcome: outcome(g) }),
+    (1, |g| Step::DelayRead { home: any(g) }),
     (2, |g| Step::ObserveLate { home: any(g) }),
-    (3, |g| Step::LandWrite { pick: any(g) }),
+    (3, |g| Step::ApplyDelayed { pick: any(g) }),
     (16, |g| Step::Dispatch { pick: any(g), sidecar: any(g), delayed: one_in(g, 4) }),
     (5, |g| Step::Deliver { pick: any(g) }),
     (8, |g| Step::Progress { pick: any(g), tokens: 1 + below(g, 60) }),
     (10, |g| Step::End { pick: any(g), whole: !one_in(g, 3), seen: !one_in(g, 4) }),
     (10, |g| Step::Finish { pick: any(g), lost: one_in(g, 4) }),
     (3, |g| Step::Report { pick: any(g) }),
-    (4, |g| Step::Witness { pick: any(g) }),
+    (4, |g| Step::ReportUsage { pick: any(g) }),
     (2, |g| Step::Forget { sidecar: any(g), home: any(g) }),
     (1, |g| Step::Crash { home: any(g) }),
     (2, |g| Step::Pause { home: any(g) }),
@@ -185,18 +185,18 @@
     (2, |g| Step::RestartSidecar { sidecar: any(g) }),
     (1, |_| Step::AddSidecar),
     (1, |g| Step::CrashEntry { entry: any(g) }),
-    (4, |g| Step::MarkSealed { home: any(g), target: any(g), fate: fate(g) }),
+    (4, |g| Step::MarkSealed { home: any(g), target: any(g), outcome: outcome(g) }),
     (6, |g| Step::SealGrant { home: any(g), pick: any(g), sidecar: any(g), lost: one_in(g, 5) }),
-    (4, |g| Step::Settle { home: any(g), pick: any(g), fate: fate(g) }),
+    (4, |g| Step::Settle { home: any(g), pick: any(g), outcome: outcome(g) }),
     (2, |g| Step::EntryGone { home: any(g), entry: any(g) }),
     (2, |g| Step::Overdue { home: any(g) }),
     (4, |g| Step::SealCharge { home: any(g), pick: any(g), sidecar: any(g), lost: one_in(g, 5) }),
     (4, |g| Step::Resolve { home: any(g), pick: any(g) }),
-    (5, |g| Step::Recover { home: any(g), target: any(g), heard: any(g) }),
-    (3, |g| Step::AskCharges { home: any(g), heard: any(g) }),
-    (3, |g| Step::TopUp { branch: any(g), command: below(g, 6), fate: fate(g) }),
-    (3, |g| Step::GiveBack { home: any(g), branch: any(g), wanted: below(g, 100) }),
-    (1, |g| Step::Release { pick: any(g), fate: fate(g) }),
+    (5, |g| Step::Recover { home: any(g), target: any(g), replied: any(g) }),
+    (3, |g| Step::QueryCharges { home: any(g), replied: any(g) }),
+    (3, |g| Step::TopUp { branch: any(g), command: below(g, 6), outcome: outcome(g) }),
+    (3, |g| Step::ReturnUnspent { home: any(g), branch: any(g), wanted: below(g, 100) }),
+    (1, |g| Step::Release { pick: any(g), outcome: outcome(g) }),
     (1, |g| Step::Leave { home: any(g) }),
     (2, |g| Step::Outage { begins: one_in(g, 4) }),
     (2, |_| Step::TouchStore),
@@ -229,11 +229,11 @@
     below(g, times) == 0
 }
 
-fn fate(g: &mut Gen) -> WriteFate {
+fn outcome(g: &mut Gen) -> WriteOutcome {
     match below(g, 12) {
-        0 | 1 => WriteFate::AnswerLost,
-        2 => WriteFate::Delayed,
-        3 => WriteFate::Dropped,
-        _ => WriteFate::Acknowledged,
+        0 | 1 => WriteOutcome::AnswerLost,
+        2 => WriteOutcome::Delayed,
+        3 => WriteOutcome::Dropped,
+        _ => WriteOutcome::Acknowledged,
     }
 }
--- a/crates/sagespool-ledger/tests/model/store.rs
+++ b/crates/sagespool-ledger/tests/model/store.rs
@@ -1,20 +1,20 @@
-//! The store with one book: conditional updates, outages, writes that land late.
+//! A store with one book: conditional updates, outages, delayed writes.
 
 use std::collections::BTreeMap;
 
 use sagespool_ledger::BookRecord;
 use sagespool_types::{GrantId, StoreRevision};
 
-/// What becomes of a write, and of the answer to it.
+/// The outcome of a write and of its reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WriteFate {
-    /// It takes effect and the writer hears so.
+pub enum WriteOutcome {
+    /// Applied, and the writer receives the reply.
     Acknowledged,
-    /// It takes effect and the answer is lost.
+    /// Applied, but the reply is lost.
     AnswerLost,
-    /// It is still on its way when the writer gives up on it.
+    /// Still in flight when the writer stops waiting for the reply.
     Delayed,
-    /// It never reaches the store.
+    /// Never reaches the store.
     Dropped,
 }
 
@@ -25,7 +25,7 @@
     pub record: BookRecord,
 }
 
-/// The store.
+/// The store's single book and its revision.
 #[derive(Debug, Default)]
 pub struct ModelStore {
     pub record: BookRecord,
@@ -34,44 +34,44 @@
     pub outage: bool,
     pub delayed: BTreeMap<u64, DraftWrite>,
     next_delayed: u64,
-    pub raises: RaiseTally,
+    pub raises: RaiseCounts,
     last_raised: Vec<GrantId>,
 }
 
-/// How often raises of grants took effect, so that a search that meets none is known for empty.
+/// Raises of grants that took effect, so that a search without any is detected.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct RaiseTally {
-    pub landed: u64,
-    pub heard: u64,
-    /// Sealed by the very next write of the book, mostly before the holder had heard of the raise.
+pub struct RaiseCounts {
+    pub applied: u64,
+    pub acknowledged: u64,
+    /// Sealed by the next write of the book, mostly before the holder had seen the raise.
     pub sealed: u64,
 }
 
 impl ModelStore {
-    /// The book and its version; nothing in an outage.
+    /// The book and its version; none during an outage.
     pub fn read(&self) -> Option<DraftWrite> {
         (!self.outage).then(|| DraftWrite { base: self.version, record: self.record.clone() })
     }
 
-    /// Another object changes.
+    /// Advances the revision as a write of another object does.
     pub fn touch(&mut self) {
         self.revision = StoreRevision(self.revision.0 + 1);
     }
 
-    /// A write arrives; true if it takes effect.
-    pub fn land(&mut self, write: &DraftWrite) -> bool {
+    /// Applies a write; true if it took effect.
+    pub fn apply_write(&mut self, write: &DraftWrite) -> bool {
         if self.outage || write.base != self.version {
             return false;
         }
         self.touch();
         self.version = self.revision;
-        self.tally(&write.record);
+        self.count_raises(&write.record);
         self.record = write.record.clone();
         true
     }
 
-    /// Counts the raises of a write, and checks that none is of a grant that nobody accounts for.
-    fn tally(&mut self, new: &BookRecord) {
+    /// Counts the raises of a write and checks that none is of a grant that is sealed or in doubt.
+    fn count_raises(&mut self, new: &BookRecord) {
         let last = std::mem::take(&mut self.last_raised);
         for (branch, account) in &new.branches {
             let Some(before) = self.record.branches.get(branch) else {
@@ -84,44 +84,45 @@
                 self.raises.sealed += u64::from(last.contains(id) && grant.is_unaccounted());
                 if grant.raised > old.raised {
                     assert!(!old.is_unaccounted(), "{id} was raised though sealed or in doubt");
-                    self.raises.landed += 1;
+                    self.raises.applied += 1;
                     self.last_raised.push(*id);
                 }
             }
         }
     }
 
-    /// A writer hears that its write took effect.
-    pub fn heard(&mut self, write: &DraftWrite) {
-        self.raises.heard += self.last_raised.len() as u64;
-        debug_assert!(write.base < self.version, "a write heard of took effect");
+    /// Counts the raises of a write whose reply the writer received.
+    pub fn count_acknowledged(&mut self, write: &DraftWrite) {
+        self.raises.acknowledged += self.last_raised.len() as u64;
+        debug_assert!(write.base < self.version, "an acknowledged write took effect");
     }
 
-    /// A writer sends a write; the new version if it hears that it took effect.
-    pub fn write(&mut self, write: &DraftWrite, fate: WriteFate) -> Option<StoreRevision> {
-        match fate {
-            WriteFate::Acknowledged => self.land(write).then_some(self.version),
-            WriteFate::AnswerLost => {
-                self.land(write);
+    /// Sends a write; returns the new version if the writer receives the reply and the write took
+    /// effect.
+    pub fn write(&mut self, write: &DraftWrite, outcome: WriteOutcome) -> Option<StoreRevision> {
+        match outcome {
+            WriteOutcome::Acknowledged => self.apply_write(write).then_some(self.version),
+            WriteOutcome::AnswerLost => {
+                self.apply_write(write);
                 None
             }
-            WriteFate::Delayed => {
+            WriteOutcome::Delayed => {
                 self.delayed.insert(self.next_delayed, write.clone());
                 self.next_delayed += 1;
                 None
             }
-            WriteFate::Dropped => None,
+            WriteOutcome::Dropped => None,
         }
     }
 
-    /// A delayed write arrives at last.
-    pub fn land_delayed(&mut self, pick: usize) {
+    /// Applies one of the delayed writes.
+    pub fn apply_delayed(&mut self, pick: usize) {
         let Some(number) = crate::pick(&self.delayed.keys().copied().collect::<Vec<_>>(), pick)
         else {
             return;
         };
         if let Some(write) = self.delayed.remove(&number) {
-            self.land(&write);
+            self.apply_write(&write);
         }
     }
 }
--- a/crates/sagespool-ledger/tests/model/world.rs
+++ b/crates/sagespool-ledger/tests/model/world.rs
@@ -1,4 +1,4 @@
-//! The world: homes, sidecars, entries and one book, driven step by step.
+//! The model: homes, sidecars, entries and one book, driven step by step.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,22 +13,22 @@
     IncarnationId, RequestId, StoreRevision, TokenCount,
 };
 
-use super::sidecar::{ModelSidecar, SentDispatch};
+use super::sidecar::{ModelDispatch, ModelSidecar};
 use super::step::Step;
-use super::store::{DraftWrite, ModelStore, WriteFate};
+use super::store::{DraftWrite, ModelStore, WriteOutcome};
 
 const HOMES: usize = 3;
-const FIRST_SIDECARS: usize = 2;
-const MOST_SIDECARS: usize = 4;
+const INITIAL_SIDECARS: usize = 2;
+const MAX_SIDECARS: usize = 4;
 const ENTRIES: usize = 2;
-pub const MOST_ATTEMPTS: usize = 3;
-pub const FIRST_BUDGET: TokenCount = TokenCount(150);
+pub const MAX_ATTEMPTS: usize = 3;
+pub const INITIAL_BUDGET: TokenCount = TokenCount(150);
 
-/// A way of making up a write.
+/// Prepares a write of the book.
 type ApplyBook =
     fn(&HomeLedger, BookNumber, &mut BookRecord, StoreRevision, StoreRevision, ClockTime) -> bool;
 
-/// What is known to the outside of one process.
+/// The state of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessState {
     Running,
@@ -36,7 +36,7 @@
     Gone,
 }
 
-/// A charge whose entry is gone, being asked about.
+/// The recovery of a charge whose entry is gone.
 pub struct ChargeCase {
     pub orphan: OrphanCharge,
     pub case: GrantRecovery,
@@ -48,7 +48,7 @@
     pub ledger: HomeLedger,
     pub state: ProcessState,
     pub draft: Option<DraftWrite>,
-    /// A read whose answer it hasn't looked at yet.
+    /// A read whose reply isn't processed yet.
     pub(super) late_read: Option<DraftWrite>,
     pub cases: Vec<GrantRecovery>,
     pub charge_cases: Vec<ChargeCase>,
@@ -60,9 +60,9 @@
     pub alive: bool,
 }
 
-/// What an entry knows of an attempt that it sent.
+/// An attempt's outcome as far as its entry has received it.
 #[derive(Debug, Clone)]
-pub enum SentOutcome {
+pub enum AttemptOutcome {
     /// It may have run.
     Open,
     Refused,
@@ -76,7 +76,7 @@
     pub home: usize,
     pub entry: usize,
     pub reserved: ReservedCharge,
-    pub sent: Vec<SentOutcome>,
+    pub sent: Vec<AttemptOutcome>,
     pub finished: bool,
 }
 
@@ -93,11 +93,11 @@
     pub entries: Vec<ModelEntry>,
     entry_slots: Vec<usize>,
     pub requests: Vec<ModelRequest>,
-    pub(super) in_flight: Vec<(usize, SentDispatch)>,
-    /// Every charge with the use of each attempt that started.
-    pub truth: BTreeMap<ChargeId, BTreeMap<AttemptNumber, TokenCount>>,
+    pub(super) in_flight: Vec<(usize, ModelDispatch)>,
+    /// The use of every started attempt, by charge.
+    pub actual_use: BTreeMap<ChargeId, BTreeMap<AttemptNumber, TokenCount>>,
     pub(super) finish_log: Vec<(usize, FinishReport)>,
-    pub(super) witness_log: Vec<ChargeRecord>,
+    pub(super) usage_log: Vec<ChargeRecord>,
     next_id: u64,
 }
 
@@ -118,9 +118,9 @@
             entry_slots: Vec::new(),
             requests: Vec::new(),
             in_flight: Vec::new(),
-            truth: BTreeMap::new(),
+            actual_use: BTreeMap::new(),
             finish_log: Vec::new(),
-            witness_log: Vec::new(),
+            usage_log: Vec::new(),
             next_id: 0,
         };
         world.fill();
@@ -130,13 +130,13 @@
     pub(super) fn fill(&mut self) {
         self.store.touch();
         for branch in 0..self.branches.len() {
-            self.top_up(branch, 1_000, FIRST_BUDGET, WriteFate::Acknowledged);
+            self.top_up(branch, 1_000, INITIAL_BUDGET, WriteOutcome::Acknowledged);
         }
         for _ in 0..HOMES {
             let home = self.start_home();
             self.home_slots.push(home);
         }
-        for _ in 0..FIRST_SIDECARS {
+        for _ in 0..INITIAL_SIDECARS {
             self.add_sidecar();
         }
         for _ in 0..ENTRIES {
@@ -150,10 +150,11 @@
         IncarnationId(self.next_id)
     }
 
-    /// Starts a home; its place in the list.
+    /// Starts a home; returns its index.
     pub fn start_home(&mut self) -> usize {
         let incarnation = self.new_incarnation();
-        // Every other home asks for no more than waits, and so raises its grant time and again.
+        // Every other home requests only what waiting requests need, so it raises its grant
+        // repeatedly.
         let sparing = self.homes.len().is_multiple_of(2);
         let policy = &self.policy;
         let grant_requests = if sparing { 1 } else { policy.grant_requests };
@@ -177,7 +178,7 @@
     }
 
     pub(super) fn add_sidecar(&mut self) {
-        if self.sidecar_slots.len() < MOST_SIDECARS {
+        if self.sidecar_slots.len() < MAX_SIDECARS {
             let sidecar = self.start_sidecar(true);
             self.sidecar_slots.push(sidecar);
         }
@@ -200,23 +201,23 @@
             Step::Reserve { home, branch, entry, amount } => {
                 self.reserve(home, branch, entry, TokenCount(amount));
             }
-            Step::Flush { home, fate } => {
+            Step::Flush { home, outcome } => {
                 self.read(home);
-                self.write(home, fate);
+                self.write(home, outcome);
             }
-            Step::Round { home, fate } => self.round(home, fate),
+            Step::Round { home, outcome } => self.round(home, outcome),
             Step::Read { home } => self.read(home),
-            Step::Write { home, fate } => self.write(home, fate),
-            Step::KeepRead { home } => self.keep_read(home),
+            Step::Write { home, outcome } => self.write(home, outcome),
+            Step::DelayRead { home } => self.delay_read(home),
             Step::ObserveLate { home } => self.observe_late(home),
-            Step::LandWrite { pick } => self.store.land_delayed(pick),
+            Step::ApplyDelayed { pick } => self.store.apply_delayed(pick),
             Step::Dispatch { pick, sidecar, delayed } => self.dispatch(pick, sidecar, delayed),
             Step::Deliver { pick } => self.deliver(pick),
             Step::Progress { pick, tokens } => self.progress(pick, TokenCount(tokens)),
             Step::End { pick, whole, seen } => self.end(pick, whole, seen),
             Step::Finish { pick, lost } => self.finish_one(pick, lost),
             Step::Report { pick } => self.report(pick),
-            Step::Witness { pick } => self.witness(pick),
+            Step::ReportUsage { pick } => self.report_usage(pick),
             Step::Forget { sidecar, home } => self.forget(sidecar, home),
             Step::Crash { home } => self.crash_home(home % HOMES),
             Step::Pause { home } => self.set_state(home, ProcessState::Paused),
@@ -226,24 +227,26 @@
             }
             Step::AddSidecar => self.add_sidecar(),
             Step::CrashEntry { entry } => self.crash_entry(entry % ENTRIES),
-            Step::MarkSealed { home, target, fate } => self.mark_sealed(home, target, fate),
+            Step::MarkSealed { home, target, outcome } => self.mark_sealed(home, target, outcome),
             Step::SealGrant { home, pick, sidecar, lost } => {
                 self.seal_grant(home, pick, sidecar, lost);
             }
-            Step::Settle { home, pick, fate } => self.settle(home, pick, fate),
+            Step::Settle { home, pick, outcome } => self.settle(home, pick, outcome),
             Step::EntryGone { home, entry } => self.entry_gone(home, entry),
             Step::Overdue { home } => self.overdue(home),
             Step::SealCharge { home, pick, sidecar, lost } => {
                 self.seal_charge(home, pick, sidecar, lost);
             }
             Step::Resolve { home, pick } => self.resolve(home, pick),
-            Step::Recover { home, target, heard } => self.recover(home, target, heard),
-            Step::AskCharges { home, heard } => self.ask_charges(home, heard),
-            Step::TopUp { branch, command, fate } => {
-                self.top_up(branch, command, TokenCount(20 + 10 * command), fate);
+            Step::Recover { home, target, replied } => self.recover(home, target, replied),
+            Step::QueryCharges { home, replied } => self.query_charges(home, replied),
+            Step::TopUp { branch, command, outcome } => {
+                self.top_up(branch, command, TokenCount(20 + 10 * command), outcome);
             }
-            Step::GiveBack { home, branch, wanted } => self.give_back(home, branch, wanted),
-            Step::Release { pick, fate } => self.release(pick, fate),
+            Step::ReturnUnspent { home, branch, wanted } => {
+                self.return_unspent(home, branch, wanted)
+            }
+            Step::Release { pick, outcome } => self.release(pick, outcome),
             Step::Leave { home } => self.leave(home),
             Step::Outage { begins } => self.store.outage = begins,
             Step::TouchStore => self.store.touch(),
@@ -279,7 +282,7 @@
         }
     }
 
-    /// A home reads the book and makes up what it would write.
+    /// Makes a home read the book and prepare a write.
     pub(super) fn read(&mut self, slot: usize) {
         let Some(home) = self.running_home(slot) else {
             return;
@@ -287,13 +290,13 @@
         self.read_book(home);
     }
 
-    /// A home looks for more for its waiting requests.
-    pub(super) fn round(&mut self, slot: usize, fate: WriteFate) {
+    /// Makes a home request more for its waiting requests.
+    pub(super) fn round(&mut self, slot: usize, outcome: WriteOutcome) {
         let Some(home) = self.running_home(slot) else {
             return;
         };
         self.draft_by(home, HomeLedger::apply_for_waiting);
-        self.write_draft(home, fate);
+        self.write_draft(home, outcome);
     }
 
     pub fn read_book(&mut self, home: usize) {
@@ -313,7 +316,7 @@
         self.homes[home].draft = changed.then_some(draft);
     }
 
-    pub(super) fn keep_read(&mut self, slot: usize) {
+    pub(super) fn delay_read(&mut self, slot: usize) {
         if let Some(home) = self.running_home(slot) {
             self.homes[home].late_read = self.store.read();
         }
@@ -328,23 +331,23 @@
         }
     }
 
-    pub(super) fn write(&mut self, slot: usize, fate: WriteFate) {
+    pub(super) fn write(&mut self, slot: usize, outcome: WriteOutcome) {
         let Some(home) = self.running_home(slot) else {
             return;
         };
-        self.write_draft(home, fate);
+        self.write_draft(home, outcome);
     }
 
-    /// True if the home heard that its write took effect.
-    pub fn write_draft(&mut self, home: usize, fate: WriteFate) -> bool {
+    /// True if the home received the reply that its write took effect.
+    pub fn write_draft(&mut self, home: usize, outcome: WriteOutcome) -> bool {
         let Some(draft) = self.homes[home].draft.take() else {
             return false;
         };
-        let Some(version) = self.store.write(&draft, fate) else {
+        let Some(version) = self.store.write(&draft, outcome) else {
             return false;
         };
         self.homes[home].ledger.observe(self.book, &draft.record, version, self.now);
-        self.store.heard(&draft);
+        self.store.count_acknowledged(&draft);
         true
     }
 
@@ -374,17 +377,17 @@
         branch: usize,
         command: u64,
         amount: TokenCount,
-        fate: WriteFate,
+        outcome: WriteOutcome,
     ) {
         let Some(mut draft) = self.store.read() else {
             return;
         };
         let branch = self.branch(branch);
         draft.record.top_up(CommandId(u128::from(command)), &branch, amount);
-        self.store.write(&draft, fate);
+        self.store.write(&draft, outcome);
     }
 
-    pub(super) fn give_back(&mut self, slot: usize, branch: usize, wanted: u64) {
+    pub(super) fn return_unspent(&mut self, slot: usize, branch: usize, wanted: u64) {
         let branch = self.branch(branch);
         if let Some(home) = self.running_home(slot) {
             self.homes[home].ledger.return_unspent(&branch, TokenCount(wanted), self.now);
--- a/crates/sagespool-ledger/tests/seal_recovery.rs
+++ b/crates/sagespool-ledger/tests/seal_recovery.rs
@@ -15,13 +15,13 @@
 
 fn recover(book: &mut StoredBook, case: &GrantRecovery) {
     book.record.apply_recovery(&case.branch, &case.grant, &case.verdict());
-    book.written();
+    book.bump_version();
 }
 
-/// A home dies with a request running and another one answered. Its branch should get back what was
-/// never spent, and be billed what ran.
+/// A home dies with one request running and another finished. Its branch must get back what was
+/// never spent and be billed for what ran.
 #[test]
-fn all_heard() {
+fn all_sidecars_replied() {
     let mut book = StoredBook::new(1000);
     let dead = home(HOME);
     book.grant(&dead, 300, at(1));
@@ -30,36 +30,36 @@
     book.mark_sealed(HOME, OTHER_HOME);
 
     let mut case = case_of(&book, &[SIDECAR, OTHER_SIDECAR]);
-    case.take_reply(&listed(SIDECAR, vec![whole(&book.branch, first.charge, 1, 60)]));
-    case.take_reply(&listed(OTHER_SIDECAR, vec![running(&book.branch, second.charge, 1, 20)]));
+    case.take_reply(&seal_reply(SIDECAR, vec![whole(&book.branch, first.charge, 1, 60)]));
+    case.take_reply(&seal_reply(OTHER_SIDECAR, vec![running(&book.branch, second.charge, 1, 20)]));
     recover(&mut book, &case);
     assert_eq!((book.settled(), book.grants().len()), (60, 1));
 
-    case.take_reply(&listed(OTHER_SIDECAR, vec![whole(&book.branch, second.charge, 1, 70)]));
+    case.take_reply(&seal_reply(OTHER_SIDECAR, vec![whole(&book.branch, second.charge, 1, 70)]));
     recover(&mut book, &case);
     assert_eq!((book.settled(), book.free()), (130, 870));
 }
 
-/// A home dies; one sidecar lists a broken attempt of 10 tokens, another one, not yet heard, ran the
-/// same request again and spent 90. Had the charge been settled at 10 by the first list, the grant
-/// would have been closed with 80 tokens free that were spent: the branch overspends.
+/// A home dies. One sidecar lists a broken attempt of 10 tokens; another, which hasn't replied,
+/// retried the same request and spent 90. Settling the charge at 10 from the first list would close
+/// the grant and free 80 tokens that were spent, so that the branch overspends.
 #[test]
-fn unheard_sidecar() {
+fn missing_sidecar_reply() {
     let mut book = StoredBook::new(100);
     let reserved = book.reserve(&home(HOME), 100, at(1));
     book.mark_sealed(HOME, OTHER_HOME);
 
     let mut case = case_of(&book, &[SIDECAR, OTHER_SIDECAR]);
-    case.take_reply(&listed(SIDECAR, vec![broken(&book.branch, reserved.charge, 1, 10)]));
+    case.take_reply(&seal_reply(SIDECAR, vec![broken(&book.branch, reserved.charge, 1, 10)]));
     assert_eq!(case.verdict(), RecoveryVerdict::Wait(Vec::new()));
     recover(&mut book, &case);
-    case.take_reply(&listed(OTHER_SIDECAR, vec![whole(&book.branch, reserved.charge, 2, 90)]));
+    case.take_reply(&seal_reply(OTHER_SIDECAR, vec![whole(&book.branch, reserved.charge, 2, 90)]));
     recover(&mut book, &case);
     assert_eq!((book.settled(), book.free()), (90, 10));
 }
 
-/// A sidecar restarts after it ran something for a home that then dies. Its successor beside the
-/// upstream knows nothing of that: the grant must stay counted, not go back to the branch.
+/// A sidecar restarts after it ran something for a home that then dies. Its successor at the same
+/// upstream can't list that: the grant must stay counted instead of becoming free.
 #[test]
 fn restarted_sidecar() {
     let mut book = StoredBook::new(100);
@@ -76,16 +76,17 @@
     assert_eq!((bounds.in_doubt, bounds.granted), (TokenCount(100), TokenCount::ZERO));
 }
 
-/// A sidecar lists a request as running and then dies with its machine. Waiting for its end would
-/// hold the branch's tokens for ever without anybody being told that they are in doubt.
+/// A sidecar lists a request as running and then dies with its machine. Waiting for the end of that
+/// request would hold the branch's tokens for ever, without showing operators that they are in
+/// doubt.
 #[test]
-fn running_witness_dies() {
+fn running_sidecar_lost() {
     let mut book = StoredBook::new(100);
     let reserved = book.reserve(&home(HOME), 100, at(1));
     book.mark_sealed(HOME, OTHER_HOME);
 
     let mut case = case_of(&book, &[SIDECAR]);
-    case.take_reply(&listed(SIDECAR, vec![running(&book.branch, reserved.charge, 1, 40)]));
+    case.take_reply(&seal_reply(SIDECAR, vec![running(&book.branch, reserved.charge, 1, 40)]));
     assert_eq!(case.verdict(), RecoveryVerdict::Wait(Vec::new()));
     case.mark_gone(SIDECAR);
     recover(&mut book, &case);
@@ -93,27 +94,28 @@
     assert_eq!((bounds.settled, bounds.in_doubt), (TokenCount(40), TokenCount(60)));
 }
 
-/// A grant is in doubt since its witness died. The home that found so dies too, and the next one
-/// asks only sidecars that still live. What was in doubt must not become free by that.
+/// A grant is in doubt since a sidecar that may have run its charges is lost. The home that
+/// established this dies too, and the next one queries only live sidecars. What is in doubt must
+/// not become free by that.
 #[test]
 fn doubt_stays() {
     let mut book = StoredBook::new(100);
     let reserved = book.reserve(&home(HOME), 100, at(1));
     book.mark_sealed(HOME, OTHER_HOME);
     let mut case = case_of(&book, &[SIDECAR, OTHER_SIDECAR]);
-    case.take_reply(&listed(SIDECAR, vec![broken(&book.branch, reserved.charge, 1, 10)]));
+    case.take_reply(&seal_reply(SIDECAR, vec![broken(&book.branch, reserved.charge, 1, 10)]));
     case.mark_gone(OTHER_SIDECAR);
     recover(&mut book, &case);
 
     book.mark_sealed(HOME, THIRD_HOME);
     let mut later = case_of(&book, &[SIDECAR]);
-    later.take_reply(&listed(SIDECAR, vec![broken(&book.branch, reserved.charge, 1, 10)]));
+    later.take_reply(&seal_reply(SIDECAR, vec![broken(&book.branch, reserved.charge, 1, 10)]));
     recover(&mut book, &later);
     assert_eq!((book.free(), book.grants().len()), (0, 1));
 }
 
-/// An operator makes sure that a dead machine ran nothing more, and releases the grant. What living
-/// sidecars listed is billed, the rest is free again.
+/// An operator verifies that a dead machine ran nothing more and releases the grant. What live
+/// sidecars listed is billed; the rest becomes free.
 #[test]
 fn release_bills_known() {
     let mut book = StoredBook::new(100);
@@ -124,7 +126,7 @@
 
     book.mark_sealed(HOME, OTHER_HOME);
     let mut case = case_of(&book, &[SIDECAR, OTHER_SIDECAR]);
-    case.take_reply(&listed(SIDECAR, vec![broken(&branch, reserved.charge, 1, 10)]));
+    case.take_reply(&seal_reply(SIDECAR, vec![broken(&branch, reserved.charge, 1, 10)]));
     case.mark_gone(OTHER_SIDECAR);
     recover(&mut book, &case);
     assert_eq!(book.record.release(&branch, &grant), ReleaseOutcome::Released(TokenCount(90)));
@@ -132,16 +134,17 @@
     assert_eq!(book.record.release(&branch, &grant), ReleaseOutcome::NoSuchGrant);
 }
 
-/// A home is paused past every lease and sealed by another, with one of its witnesses lost. It wakes
-/// up and hears from its entry how its request ended: it knows all, so nothing stays in doubt.
+/// A home is paused past every lease and its grant is sealed by another, with one sidecar lost. The
+/// home resumes and receives its entry's final report. That accounts for everything, so nothing may
+/// stay in doubt.
 #[test]
-fn holder_wakes_up() {
+fn paused_holder_resumes() {
     let mut book = StoredBook::new(100);
     let paused = home(HOME);
     let reserved = book.reserve(&paused, 100, at(1));
     book.mark_sealed(HOME, OTHER_HOME);
     let mut case = case_of(&book, &[SIDECAR, OTHER_SIDECAR]);
-    case.take_reply(&listed(SIDECAR, vec![broken(&book.branch, reserved.charge, 1, 10)]));
+    case.take_reply(&seal_reply(SIDECAR, vec![broken(&book.branch, reserved.charge, 1, 10)]));
     case.mark_gone(OTHER_SIDECAR);
     recover(&mut book, &case);
 
@@ -151,8 +154,8 @@
     assert_eq!((book.settled(), book.free()), (90, 10));
 }
 
-/// A paused home wakes up and finds its grant sealed. Every sidecar would refuse what it reserves
-/// from it, so it must reserve nothing more, or its callers go round in circles.
+/// A paused home resumes and finds its grant sealed. It must not reserve anything more from it:
+/// every sidecar would refuse the charge, and requests would be retried without end.
 #[test]
 fn sealed_grant() {
     let mut book = StoredBook::new(1000);
@@ -162,54 +165,54 @@
     book.mark_sealed(HOME, OTHER_HOME);
 
     book.write(&paused, at(900));
-    assert!(book.short(&paused, 1, at(900)).is_some());
-    book.ran(&paused, reserved.charge, 10, at(901));
+    assert!(book.shortfall(&paused, 1, at(900)).is_some());
+    book.finish_ran(&paused, reserved.charge, 10, at(901));
     book.write(&paused, at(901));
-    assert_eq!(book.free(), 990, "a sealed grant that holds nothing is handed back");
+    assert_eq!(book.free(), 990, "a sealed grant without open charges is returned");
 }
 
-/// A home asks for a grant, the answer is lost and the home is paused. Others take it for dead and
-/// seal the grant that the lost write made. A sidecar that starts now knows of no seal: a request
-/// paid from this grant would run there after its recovery has heard everybody.
+/// A home requests a grant, the reply is lost and the home is paused. Others presume it dead and
+/// seal the grant that the write created. A sidecar that starts now has no record of the seal: a
+/// request paid from this grant would run there after the recovery has received every reply.
 #[test]
-fn sealed_unheard() {
+fn sealed_before_first_read() {
     let mut book = StoredBook::new(100);
     let paused = home(HOME);
     paused.note_waiting(&book.branch, TokenCount(100), at(1));
-    book.write_unheard(&paused, at(1));
+    book.write_without_reply(&paused, at(1));
     book.mark_sealed(HOME, OTHER_HOME);
 
     book.draft(&paused, at(900));
-    assert!(book.short(&paused, 10, at(900)).is_some());
+    assert!(book.shortfall(&paused, 10, at(900)).is_some());
     book.write(&paused, at(901));
     assert_eq!(book.free(), 100);
 }
 
-/// A home's write that asks for a grant is stuck on its way. The home is told to leave and goes. If
-/// the write took effect now, the grant's tokens would be held by nobody.
+/// A write that requests a grant is stuck in flight, and its home stops gracefully. If the write
+/// took effect afterwards, no process would hold the grant's tokens.
 #[test]
-fn stuck_ask() {
+fn stuck_grant_request() {
     let mut book = StoredBook::new(100);
     let leaving = home(HOME);
     leaving.note_waiting(&book.branch, TokenCount(50), at(1));
     let base = book.version;
-    assert!(book.draft(&leaving, at(1)).is_some(), "this write is stuck");
+    assert!(book.draft(&leaving, at(1)).is_some(), "this write is in flight");
 
     leaving.return_all(at(2));
     assert!(leaving.holds_grants(book.book));
-    assert!(book.write(&leaving, at(2)), "a write that only moves the version on");
+    assert!(book.write(&leaving, at(2)), "a write that changes only the version");
     assert!(book.version > base, "the stuck write can't take effect any more");
     assert!(!leaving.holds_grants(book.book));
     assert_eq!(book.free(), 100);
 }
 
-/// The same, and the home lives on without traffic. It must look again by itself.
+/// The same for a home that keeps running without traffic: it must check the book on its own.
 #[test]
-fn stuck_ask_idle() {
+fn stuck_grant_request_idle() {
     let mut book = StoredBook::new(100);
     let idle = home(HOME);
     idle.note_waiting(&book.branch, TokenCount(50), at(1));
-    book.write_unheard(&idle, at(1));
+    book.write_without_reply(&idle, at(1));
     assert_eq!(idle.books_due(at(20)), vec![book.book]);
     book.write(&idle, at(20));
     assert_eq!(idle.books_due(at(200)), vec![book.book]);
@@ -217,9 +220,9 @@
     assert_eq!(book.free(), 100);
 }
 
-/// Two homes seal the same grant, one after the other, since the first was believed dead. A sidecar
-/// asks the first whether its charge may be forgotten. It isn't settled: if it were forgotten, the
-/// second home's recovery would free what it spent.
+/// Two homes seal the same grant in turn, since the first was presumed dead. A sidecar queries the
+/// first whether it may delete its charge. The charge isn't settled: without it, the second home's
+/// recovery would free what it spent.
 #[test]
 fn sealed_twice() {
     let mut book = StoredBook::new(100);
@@ -231,17 +234,17 @@
     book.draft(&first, at(3));
     book.draft(&second, at(3));
 
-    let asked = [(book.branch.clone(), reserved.charge)];
-    assert!(first.durable_charges(&asked).is_empty());
+    let queried = [(book.branch.clone(), reserved.charge)];
+    assert!(first.durable_charges(&queried).is_empty());
     let mut case = case_of(&book, &[SIDECAR]);
-    case.take_reply(&listed(SIDECAR, vec![whole(&book.branch, reserved.charge, 1, 60)]));
+    case.take_reply(&seal_reply(SIDECAR, vec![whole(&book.branch, reserved.charge, 1, 60)]));
     recover(&mut book, &case);
     book.draft(&first, at(4));
-    assert_eq!(first.durable_charges(&asked), vec![reserved.charge]);
+    assert_eq!(first.durable_charges(&queried), vec![reserved.charge]);
 }
 
-/// A live home's grant was sealed by mistake, and a charge settled from the sidecars' lists, so that
-/// its sidecar forgot it; the entry's word was lost. The home must not wait for that charge.
+/// A live home's grant was sealed by mistake and a charge settled from the sidecars' lists, so its
+/// sidecar deleted it; the entry's report was lost. The home must not wait for that charge.
 #[test]
 fn settled_elsewhere() {
     let mut book = StoredBook::new(100);
@@ -254,16 +257,16 @@
     let mut case = case_of(&book, &[SIDECAR]);
     let records =
         vec![whole(&book.branch, first.charge, 1, 20), running(&book.branch, second.charge, 1, 10)];
-    case.take_reply(&listed(SIDECAR, records));
+    case.take_reply(&seal_reply(SIDECAR, records));
     recover(&mut book, &case);
 
-    book.ran(&cut_off, second.charge, 30, at(2));
+    book.finish_ran(&cut_off, second.charge, 30, at(2));
     book.write(&cut_off, at(2));
     assert_eq!((book.settled(), book.free()), (50, 50));
 }
 
-/// Two homes believe a third dead. If each sealed what the other has sealed, they would write the
-/// book in turns for as long as the recovery lasts.
+/// Two homes presume a third dead. If each sealed what the other has sealed, they would write the
+/// book in turn for as long as the recovery lasts.
 #[test]
 fn one_sealer() {
     let mut book = StoredBook::new(100);
@@ -277,8 +280,8 @@
     assert_eq!(book.record.grants_to_seal(sealer_too).len(), 1);
 }
 
-/// A sidecar asked about some charges of a grant lists others too, or an old sidecar answers about
-/// another grant. A case takes in only its own.
+/// A sidecar that is queried about some charges of a grant lists others too, or replies about
+/// another grant. A recovery must accept only charges of its own grant.
 #[test]
 fn foreign_charge() {
     let mut book = StoredBook::new(100);
@@ -291,20 +294,23 @@
         StoreRevision(11),
         [SIDECAR],
     );
-    case.take_reply(&listed(SIDECAR, vec![whole(&book.branch, foreign, 1, 60)]));
+    case.take_reply(&seal_reply(SIDECAR, vec![whole(&book.branch, foreign, 1, 60)]));
     assert_eq!(case.verdict(), RecoveryVerdict::Close(Vec::new()));
 }
 
-/// A home dies, and so does a sidecar, and what the grant may have paid is in doubt for good. A
-/// request that the rest of the budget doesn't cover must be refused now: if the doubtful grant
-/// counted among those that a holder could still give back, it would wait until its deadline.
+/// A home and a sidecar die, and what the grant may have paid for is in doubt for good. A request
+/// that exceeds the rest of the budget must be refused now: if the grant in doubt counted among
+/// those that a holder can still return, the request would wait until its deadline.
 #[test]
-fn doubt_unawaited() {
+fn doubt_not_waited_for() {
     let mut book = StoredBook::new(100);
     book.reserve(&home(HOME), 60, at(1));
     let next = home(OTHER_HOME);
     book.grant(&next, 40, at(1));
-    assert_eq!(book.short(&next, 50, at(1)).expect("it is short").other_grants.len(), 1);
+    assert_eq!(
+        book.shortfall(&next, 50, at(1)).expect("the amount isn't covered").other_grants.len(),
+        1
+    );
 
     book.mark_sealed(HOME, OTHER_HOME);
     let grant = book.grants().into_iter().find(|grant| grant.holder == HOME);
@@ -313,19 +319,26 @@
     case.mark_gone(SIDECAR);
     recover(&mut book, &case);
     book.write(&next, at(2));
-    assert_eq!(book.short(&next, 50, at(2)).expect("it is short").other_grants, []);
-    assert_eq!(book.short(&next, 50, at(2)).expect("it is short").grants_in_doubt.len(), 1);
+    assert_eq!(
+        book.shortfall(&next, 50, at(2)).expect("the amount isn't covered").other_grants,
+        []
+    );
+    assert_eq!(
+        book.shortfall(&next, 50, at(2)).expect("the amount isn't covered").grants_in_doubt.len(),
+        1
+    );
 }
 
-/// A partition has a home taken for dead, and its grant is put in doubt, as a sidecar has restarted.
-/// After it has healed a request that the rest of the budget doesn't cover is refused, although the
-/// home lives and has spent nothing: nobody asked it. Asked, it reads its book and hands all back.
+/// In a partition, a home is presumed dead and its grant becomes in doubt, since a sidecar has
+/// restarted. After the partition, a request that exceeds the rest of the budget was refused
+/// although the home was alive and had spent nothing, because it wasn't queried. Once queried, it
+/// reads its book and returns everything.
 #[test]
-fn doubt_asked() {
+fn holder_in_doubt_queried() {
     let mut book = StoredBook::new(100);
     let holder = home(HOME);
     let reserved = book.reserve(&holder, 60, at(1));
-    book.ran(&holder, reserved.charge, 20, at(1));
+    book.finish_ran(&holder, reserved.charge, 20, at(1));
     let next = home(OTHER_HOME);
     book.grant(&next, 40, at(1));
 
@@ -334,9 +347,9 @@
     case.mark_gone(SIDECAR);
     recover(&mut book, &case);
     book.write(&next, at(2));
-    let short = book.short(&next, 70, at(2)).expect("it is short");
-    let asked: Vec<_> = short.grants_in_doubt.iter().map(|(_, holder, _)| *holder).collect();
-    assert_eq!(asked, [HOME]);
+    let short = book.shortfall(&next, 70, at(2)).expect("the amount isn't covered");
+    let queried: Vec<_> = short.grants_in_doubt.iter().map(|(_, holder, _)| *holder).collect();
+    assert_eq!(queried, [HOME]);
 
     holder.return_unspent(&book.branch, TokenCount(70), at(2));
     book.write(&holder, at(2));
@@ -344,21 +357,24 @@
     book.reserve(&next, 70, at(2));
 }
 
-/// A sidecar dies with a request of this home, whose reservation stays held for good. A request that
-/// the rest doesn't cover must be refused at once: nothing comes back from the lost one, and waiting
-/// for it would only bring the refusal later.
+/// A sidecar dies while it runs a request of this home, whose reservation stays held for good. A
+/// request that exceeds the rest must be refused immediately: the lost reservation is never freed,
+/// and waiting for it would only delay the refusal.
 #[test]
-fn lost_charge() {
+fn charge_at_lost_sidecar() {
     let mut book = StoredBook::new(100);
     let holder = home(HOME);
     let reserved = book.reserve(&holder, 60, at(1));
-    assert_eq!(book.short(&holder, 80, at(1)).expect("it is short").returnable, TokenCount(60));
+    assert_eq!(
+        book.shortfall(&holder, 80, at(1)).expect("the amount isn't covered").returnable,
+        TokenCount(60)
+    );
 
     book.finish(&holder, reserved.charge, FinishState::Unknown, at(1));
     let mut case = case_of(&book, &[SIDECAR]);
     case.mark_gone(SIDECAR);
     holder.resolve_recovery(&case, &[reserved.charge]);
-    let short = book.short(&holder, 80, at(2)).expect("it is short");
+    let short = book.shortfall(&holder, 80, at(2)).expect("the amount isn't covered");
     assert_eq!(short.returnable, TokenCount::ZERO);
     assert_eq!(holder.returnable(&book.branch), TokenCount::ZERO);
 }
--- a/crates/sagespool-ledger/tests/supply_sizes.rs
+++ b/crates/sagespool-ledger/tests/supply_sizes.rs
@@ -1,9 +1,9 @@
-//! How large supplies are: few writes of the book, and little given up by a killed instance.
+//! Size of supplies: few writes of the record, and little lost with a killed instance.
 //!
-//! The load is that of an account's home on the users' grown sites: one instance takes grants for
-//! all, and a request costs four in a thousand of the total at its most (17,000 tokens of prompt and
-//! some thousands of answer, out of some millions). Written for each request, the last seventh of a
-//! total took two thirds of all writes of a large account.
+//! The load is that of an account's home at large sites in production: one instance takes grants
+//! for all, and a request reserves up to four thousandths of the total (17,000 tokens of prompt and
+//! some thousands of response, out of some millions). With a write for each request, the last
+//! seventh of a total took two thirds of all writes of a large account.
 
 use std::time::Duration;
 
@@ -12,30 +12,30 @@
 
 const TOTAL: u64 = 1_000_000;
 const REQUEST: TokenCount = TokenCount(4_000);
-/// Supplies as large as three seconds of use.
-const TERMS: GrantPolicy =
+/// Supplies for three seconds of use.
+const POLICY: GrantPolicy =
     GrantPolicy { ahead: Duration::from_secs(3), share: 0.2, idle: 1.0, instances: 1 };
-/// The same, and never more than four hundredths of a total.
-const BOUNDED: GrantPolicy = GrantPolicy { idle: 0.04, ..TERMS };
-/// Requests of an account come in this distance, so that three seconds are a fifteenth of a total.
-const PACE: Duration = Duration::from_millis(160);
+/// The same, with a maximum of four hundredths of a total.
+const BOUNDED: GrantPolicy = GrantPolicy { idle: 0.04, ..POLICY };
+/// Time between two requests, so that three seconds of use are a fifteenth of a total.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(160);
 const RUN: IncarnationId = IncarnationId(7);
 
-/// What happened until the total was spent.
+/// The course until the total was spent.
 struct SpentTotal {
     /// Writes while more than the last seventh was free, and after that.
     early_writes: usize,
     late_writes: usize,
     served: u64,
-    /// The largest supply that a kill would have given up, at any time and in the last tenth.
+    /// The largest supply that a kill would have lost, at any time and in the last tenth.
     most_idle: TokenCount,
     most_idle_late: TokenCount,
 }
 
-fn spend(terms: GrantPolicy) -> SpentTotal {
+fn spend(policy: GrantPolicy) -> SpentTotal {
     let instance: InstanceName = "gateway-1".parse().expect("a name");
-    let (mut book, mut purse) = (PrepaidRecord::default(), PrepaidBalance::default());
-    book.set_total(ConfigVersion(1), TokenCount(TOTAL));
+    let (mut record, mut balance) = (PrepaidRecord::default(), PrepaidBalance::default());
+    record.set_total(ConfigVersion(1), TokenCount(TOTAL));
     let mut spent = SpentTotal {
         early_writes: 0,
         late_writes: 0,
@@ -45,57 +45,58 @@
     };
     let mut now = ClockTime(1);
     loop {
-        if !purse.reserve(REQUEST, now) {
-            let present = book.granted(RUN);
-            let Some(wanted) = purse.grant_to_request(&book, present, REQUEST, terms, now) else {
+        if !balance.reserve(REQUEST, now) {
+            let present = record.granted(RUN);
+            let Some(wanted) = balance.grant_to_request(&record, present, REQUEST, policy, now)
+            else {
                 return spent;
             };
             let is_late = spent.served * REQUEST.0 > TOTAL * 6 / 7;
             *(if is_late { &mut spent.late_writes } else { &mut spent.early_writes }) += 1;
-            book.set_granted(RUN, &instance, wanted);
-            purse.set_acknowledged(wanted);
-            assert!(purse.reserve(REQUEST, now), "the grant covers the request");
+            record.set_granted(RUN, &instance, wanted);
+            balance.set_acknowledged(wanted);
+            assert!(balance.reserve(REQUEST, now), "the grant covers the request");
         }
-        purse.settle(REQUEST, REQUEST);
+        balance.settle(REQUEST, REQUEST);
         spent.served += 1;
-        spent.most_idle = spent.most_idle.max(purse.free());
+        spent.most_idle = spent.most_idle.max(balance.free());
         if spent.served * REQUEST.0 > TOTAL * 9 / 10 {
-            spent.most_idle_late = spent.most_idle_late.max(purse.free());
+            spent.most_idle_late = spent.most_idle_late.max(balance.free());
         }
-        now = now.after(PACE);
+        now = now.after(REQUEST_INTERVAL);
     }
 }
 
 #[test]
 fn few_writes() {
-    let spent = spend(TERMS);
+    let spent = spend(POLICY);
     assert!(spent.early_writes <= 25, "{} writes", spent.early_writes);
     assert!(spent.late_writes <= 20, "{} writes for the last 36 requests", spent.late_writes);
 }
 
 #[test]
-fn nothing_left() {
-    for terms in [TERMS, BOUNDED] {
-        assert_eq!(spend(terms).served, TOTAL / REQUEST.0);
+fn whole_total_served() {
+    for policy in [POLICY, BOUNDED] {
+        assert_eq!(spend(policy).served, TOTAL / REQUEST.0);
     }
 }
 
-/// An instance that is killed gives up its supply; the total is good for 97 in 100 all the same.
+/// A killed instance loses its supply; 97 % of the total must be served all the same.
 #[test]
-fn little_idle() {
-    for terms in [TERMS, BOUNDED] {
-        let idle = spend(terms).most_idle_late;
+fn small_final_supply() {
+    for policy in [POLICY, BOUNDED] {
+        let idle = spend(policy).most_idle_late;
         assert!(idle <= TokenCount(TOTAL / 100), "{idle} of {TOTAL}");
     }
 }
 
-/// All instances lose power at once in the first half of a day, and what the account's home held
-/// ahead is given up. Callers are owed 97 in 100 of a total: with a supply for three seconds, a
-/// fifteenth of it, every request of the rest of the day was refused for the budget. With the bound
-/// a supply is never larger than four hundredths, for at most twice as many writes.
+/// All instances lose power at once in the first half of a day, and the supply of the account's
+/// home is lost. Callers are owed 97 % of a total: with a supply for three seconds, a fifteenth of
+/// it, every request of the rest of the day was refused. With the bound, a supply is at most four
+/// hundredths of a total, for at most twice as many writes.
 #[test]
 fn killed_early() {
-    let (unbounded, bounded) = (spend(TERMS), spend(BOUNDED));
+    let (unbounded, bounded) = (spend(POLICY), spend(BOUNDED));
     assert!(unbounded.most_idle > TokenCount(TOTAL / 20), "{}", unbounded.most_idle);
     assert!(bounded.most_idle <= TokenCount(TOTAL / 25), "{}", bounded.most_idle);
     let writes = |spent: &SpentTotal| spent.early_writes + spent.late_writes;
@@ -103,55 +104,56 @@
     assert!(found <= most, "{found} writes, {} without the bound", most / 2);
 }
 
-/// Serves requests of one run until the book or the count ends, and kills it then.
+/// Serves requests of one run until the record is used up or `most` are served, then kills it.
 fn serve_until_kill(
-    book: &mut PrepaidRecord,
+    record: &mut PrepaidRecord,
     run: IncarnationId,
     most: u64,
     now: &mut ClockTime,
 ) -> u64 {
     let instance: InstanceName = "gateway-1".parse().expect("a name");
-    let mut purse = PrepaidBalance::default();
-    book.close_earlier_runs(run, &instance);
+    let mut balance = PrepaidBalance::default();
+    record.close_earlier_runs(run, &instance);
     for served in 0..most {
-        if !purse.reserve(REQUEST, *now) {
-            let present = book.granted(run);
-            let wanted = purse.grant_to_request(book, present, REQUEST, BOUNDED, *now);
+        if !balance.reserve(REQUEST, *now) {
+            let present = record.granted(run);
+            let wanted = balance.grant_to_request(record, present, REQUEST, BOUNDED, *now);
             let Some(wanted) = wanted else {
                 return served;
             };
-            book.set_granted(run, &instance, wanted);
-            book.set_supply(run, purse.supply_in_grant(wanted, REQUEST));
-            purse.set_acknowledged(wanted);
-            assert!(purse.reserve(REQUEST, *now), "the grant covers the request");
+            record.set_granted(run, &instance, wanted);
+            record.set_supply(run, balance.supply_in_grant(wanted, REQUEST));
+            balance.set_acknowledged(wanted);
+            assert!(balance.reserve(REQUEST, *now), "the grant covers the request");
         }
-        purse.settle(REQUEST, REQUEST);
-        *now = now.after(PACE);
+        balance.settle(REQUEST, REQUEST);
+        *now = now.after(REQUEST_INTERVAL);
     }
     most
 }
 
-/// An instance is killed over and over. Each run's supply is given up, and what earlier ones gave up
-/// makes later supplies smaller: five kills cost less than two of the first size would, and the
-/// last run still serves what the book holds.
+/// An instance is killed repeatedly. Each run's supply is lost, and earlier losses reduce later
+/// supplies: five kills cost less than two with supplies of the initial size would, and the last
+/// run still serves what the record holds.
 #[test]
 fn killed_often() {
-    let mut book = PrepaidRecord::default();
-    book.set_total(ConfigVersion(1), TokenCount(TOTAL));
+    let mut record = PrepaidRecord::default();
+    record.set_total(ConfigVersion(1), TokenCount(TOTAL));
     let mut now = ClockTime(1);
     let mut served = 0;
     for kill in 1..=5 {
-        served += serve_until_kill(&mut book, IncarnationId(kill), 30, &mut now);
+        served += serve_until_kill(&mut record, IncarnationId(kill), 30, &mut now);
     }
-    served += serve_until_kill(&mut book, IncarnationId(6), u64::MAX, &mut now);
+    served += serve_until_kill(&mut record, IncarnationId(6), u64::MAX, &mut now);
     let lost = TOTAL - served * REQUEST.0;
     assert!(lost < TOTAL * 8 / 100, "{lost} of {TOTAL}");
-    assert!(book.given_up <= TokenCount(TOTAL * 8 / 100), "{}", book.given_up);
-    assert!(book.free() < REQUEST);
+    assert!(record.given_up <= TokenCount(TOTAL * 8 / 100), "{}", record.given_up);
+    assert!(record.free() < REQUEST);
 }
 
-/// Guards against supplies that end in the first second of an outage in a large fleet, where a single kill
-/// takes few accounts' supplies, and against large ones in a fleet of a few homes.
+/// Guards against supplies that run out in the first second of an outage in a large fleet, where a
+/// single kill loses the supplies of few accounts, and against large supplies in a fleet of few
+/// homes.
 #[test]
 fn fleet_sizes() {
     let idle = |homes| BOUNDED.scaled_to_homes(homes).idle;
