--- a/crates/sagespool-ledger/src/branch_balance.rs
+++ b/crates/sagespool-ledger/src/branch_balance.rs
@@ -262,7 +262,7 @@
 
     /// Applies this home's changes to the account as just read; true if that changed it. It is
     /// idempotent if an earlier write took effect unnoticed: charges are identified by number,
-    /// grants by id, and returned amounts are never added again.
+    /// grants by id, and a return only ever lowers an amount.
     pub(crate) fn apply(
         &mut self,
         account: &mut BranchAccount,
--- a/crates/sagespool-ledger/src/home.rs
+++ b/crates/sagespool-ledger/src/home.rs
@@ -23,8 +23,8 @@
 /// Why a reservation isn't covered by the grants of this home.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BudgetShortfall {
-    /// Tokens that the fleet lacks, as far as this home can tell; zero if a request to the store
-    /// may be enough.
+    /// Tokens that the fleet lacks according to this home's data; zero if a request to the store may
+    /// be enough.
     pub missing: TokenCount,
     /// Tokens reserved for running requests of this home, which may become free.
     pub returnable: TokenCount,
@@ -216,9 +216,9 @@
         self.collect_orphans(now, |open| open.entry == entry)
     }
 
-    /// Charges to query the sidecars about. Either their entry reported that it can't tell the
-    /// outcome, or their deadline has long passed: the entry's report was lost, or it never
-    /// received the reply to its reservation. Each charge is listed again until it is resolved.
+    /// Charges to query the sidecars about. Either their entry reported an unknown outcome, or their
+    /// deadline has long passed: the entry's report was lost, or it never received the reply to its
+    /// reservation. Each charge is listed again until it is resolved.
     pub fn overdue(&self, now: ClockTime) -> Vec<OrphanCharge> {
         let grace = self.policy.overdue_after;
         self.collect_orphans(now, |open| {
@@ -268,19 +268,19 @@
     /// Ends orphaned charges of one grant as far as the sidecars that sealed them account for them;
     /// false if some sidecars have to be queried again. If a sidecar is lost, the reservations stay
     /// held, and the next write marks the grant as in doubt.
-    pub fn resolve_recovery(&self, case: &GrantRecovery, charges: &[ChargeId]) -> bool {
-        let mut shard = self.shard_of(&case.branch);
-        let balance = shard.balances.get_mut(&case.branch);
-        let Some(grant) = balance.and_then(|balance| balance.grant_mut(&case.grant)) else {
+    pub fn resolve_recovery(&self, recovery: &GrantRecovery, charges: &[ChargeId]) -> bool {
+        let mut shard = self.shard_of(&recovery.branch);
+        let balance = shard.balances.get_mut(&recovery.branch);
+        let Some(grant) = balance.and_then(|balance| balance.grant_mut(&recovery.grant)) else {
             return true;
         };
-        for record in case.records() {
+        for record in recovery.records() {
             if let Some(open) = grant.open.get_mut(&record.charge.sequence) {
                 open.note_usage(record);
             }
         }
-        let own = charges.iter().filter(|charge| charge.grant == case.grant);
-        let (settled, whole) = match case.verdict() {
+        let own = charges.iter().filter(|charge| charge.grant == recovery.grant);
+        let (settled, whole) = match recovery.verdict() {
             RecoveryVerdict::Close(settled) => (settled, true),
             RecoveryVerdict::Wait(settled) => (settled, false),
             RecoveryVerdict::InDoubt(_) => {
--- a/crates/sagespool-ledger/src/prepaid/balance.rs
+++ b/crates/sagespool-ledger/src/prepaid/balance.rs
@@ -217,7 +217,8 @@
     ///
     /// Never less than the present grant, even if that is too large by now. A write that lowers it
     /// may take effect although its reply is lost, and this instance would go on spending what the
-    /// record has granted to others. Call [`lower_grant_to`](Self::lower_grant_to) first to lower a grant.
+    /// record has granted to others. Call [`lower_grant_to`](Self::lower_grant_to) first to lower a
+    /// grant.
     pub fn grant_to_request(
         &self,
         record: &PrepaidRecord,
--- a/crates/sagespool-ledger/src/recovery.rs
+++ b/crates/sagespool-ledger/src/recovery.rs
@@ -7,7 +7,7 @@
     BranchName, ChargeId, GrantId, IncarnationId, SequenceNumber, StoreRevision, TokenCount,
 };
 
-/// What to do with a sealed grant now; applied by [`crate::BookRecord::recover`].
+/// What to do with a sealed grant now; applied by [`crate::BookRecord::apply_recovery`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecoveryVerdict {
     /// Everything is accounted for: settle these charges and close the grant.
--- a/crates/sagespool-ledger/tests/charge_settlement.rs
+++ b/crates/sagespool-ledger/tests/charge_settlement.rs
@@ -9,7 +9,7 @@
 use sagespool_messages::FinishState;
 use sagespool_types::{IncarnationId, TokenCount};
 
-fn charge_case(
+fn charge_recovery(
     book: &StoredBook,
     orphan: &sagespool_ledger::OrphanCharge,
     sidecars: &[IncarnationId],
@@ -65,9 +65,9 @@
     let branch = book.branch.clone();
     let grant = reserved.charge.grant;
     let asked_at = book.record.branches[&branch].grants[&grant].asked_at;
-    let mut case = GrantRecovery::new(branch.clone(), grant, asked_at, [SIDECAR]);
-    case.take_reply(&seal_reply(SIDECAR, vec![whole(&branch, reserved.charge, 1, 30)]));
-    book.record.apply_recovery(&branch, &grant, &case.verdict());
+    let mut recovery = GrantRecovery::new(branch.clone(), grant, asked_at, [SIDECAR]);
+    recovery.take_reply(&seal_reply(SIDECAR, vec![whole(&branch, reserved.charge, 1, 30)]));
+    book.record.apply_recovery(&branch, &grant, &recovery.verdict());
     assert_eq!((book.settled(), book.free()), (30, 70));
 }
 
@@ -101,11 +101,12 @@
     book.write(&owner, at(3));
     assert_eq!((book.settled(), book.free()), (0, 0));
 
-    let mut case = charge_case(&book, &orphans[0], &[SIDECAR, OTHER_SIDECAR]);
-    case.take_reply(&seal_reply(SIDECAR, vec![whole(&book.branch, reserved.charge, 1, 30)]));
-    assert!(!owner.resolve_recovery(&case, &[reserved.charge]));
-    case.take_reply(&seal_reply(OTHER_SIDECAR, vec![whole(&book.branch, reserved.charge, 2, 90)]));
-    assert!(owner.resolve_recovery(&case, &[reserved.charge]));
+    let mut recovery = charge_recovery(&book, &orphans[0], &[SIDECAR, OTHER_SIDECAR]);
+    recovery.take_reply(&seal_reply(SIDECAR, vec![whole(&book.branch, reserved.charge, 1, 30)]));
+    assert!(!owner.resolve_recovery(&recovery, &[reserved.charge]));
+    recovery
+        .take_reply(&seal_reply(OTHER_SIDECAR, vec![whole(&book.branch, reserved.charge, 2, 90)]));
+    assert!(owner.resolve_recovery(&recovery, &[reserved.charge]));
     book.write(&owner, at(4));
     assert_eq!(book.settled(), 90);
 }
@@ -123,9 +124,9 @@
     assert_eq!(orphans.len(), 1);
     assert!(owner.overdue(at(2)).is_empty(), "an inquiry is in progress");
 
-    let mut case = charge_case(&book, &orphans[0], &[SIDECAR]);
-    case.take_reply(&seal_reply(SIDECAR, Vec::new()));
-    assert!(owner.resolve_recovery(&case, &[reserved.charge]));
+    let mut recovery = charge_recovery(&book, &orphans[0], &[SIDECAR]);
+    recovery.take_reply(&seal_reply(SIDECAR, Vec::new()));
+    assert!(owner.resolve_recovery(&recovery, &[reserved.charge]));
     let ReserveDecision::Reserved(_) = book.try_reserve(&owner, 50, at(3)) else {
         panic!("nothing ran, so the reservation must be free again");
     };
@@ -154,9 +155,9 @@
     let reserved = book.reserve(&owner, 50, at(1));
     owner.note_usage(&broken(&book.branch, reserved.charge, 1, 20), at(1));
     let orphans = owner.entry_gone(ENTRY, at(2));
-    let mut case = charge_case(&book, &orphans[0], &[SIDECAR]);
-    case.mark_gone(SIDECAR);
-    assert!(owner.resolve_recovery(&case, &[reserved.charge]));
+    let mut recovery = charge_recovery(&book, &orphans[0], &[SIDECAR]);
+    recovery.mark_gone(SIDECAR);
+    assert!(owner.resolve_recovery(&recovery, &[reserved.charge]));
     book.write(&owner, at(3));
     owner.return_all(at(4));
     book.write(&owner, at(4));
@@ -174,9 +175,9 @@
     let owner = home(HOME);
     let reserved = book.reserve(&owner, 50, at(1));
     let orphans = owner.entry_gone(ENTRY, at(2));
-    let mut case = charge_case(&book, &orphans[0], &[SIDECAR]);
-    case.mark_gone(SIDECAR);
-    owner.resolve_recovery(&case, &[reserved.charge]);
+    let mut recovery = charge_recovery(&book, &orphans[0], &[SIDECAR]);
+    recovery.mark_gone(SIDECAR);
+    owner.resolve_recovery(&recovery, &[reserved.charge]);
     book.write(&owner, at(3));
     let queried = [(book.branch.clone(), reserved.charge)];
     assert!(owner.durable_charges(&queried).is_empty(), "the sidecar's record is still needed");
--- a/crates/sagespool-ledger/tests/model/checks.rs
+++ b/crates/sagespool-ledger/tests/model/checks.rs
@@ -140,13 +140,13 @@
     let entries: Vec<_> = world.entries.iter().map(|entry| entry.incarnation).collect();
     for entry in entries {
         let orphans = world.homes[home].ledger.entry_gone(entry, world.now);
-        world.open_charge_cases(home, orphans);
+        world.start_charge_recoveries(home, orphans);
     }
-    for place in 0..world.homes[home].charge_cases.len() {
+    for place in 0..world.homes[home].charge_recoveries.len() {
         for sidecar in 0..world.sidecar_slots.len() {
             world.send_seal_charge(home, place, sidecar, false);
         }
-        world.resolve_case(home, place);
+        world.resolve_recovery(home, place);
     }
 }
 
@@ -174,11 +174,11 @@
     let home = world.start_home();
     world.mark_grants(home, &|_| true, WriteOutcome::Acknowledged);
     world.read_book(home);
-    for place in 0..world.homes[home].cases.len() {
+    for place in 0..world.homes[home].recoveries.len() {
         for sidecar in 0..world.sidecar_slots.len() {
             world.send_seal(home, place, sidecar, false);
         }
-        world.settle_case(home, place, WriteOutcome::Acknowledged);
+        world.settle_recovery(home, place, WriteOutcome::Acknowledged);
         check_now(world);
     }
 }
--- a/crates/sagespool-ledger/tests/model/recovery.rs
+++ b/crates/sagespool-ledger/tests/model/recovery.rs
@@ -5,15 +5,15 @@
 
 use super::sidecar::ModelSidecar;
 use super::store::WriteOutcome;
-use super::world::{ChargeCase, World};
+use super::world::{ChargeRecovery, World};
 use crate::pick;
 
 impl World {
     /// A home that finds its own seal in the book starts a recovery.
-    pub(super) fn open_cases(&mut self, home: usize, record: &BookRecord) {
+    pub(super) fn start_recoveries(&mut self, home: usize, record: &BookRecord) {
         let own = self.homes[home].incarnation;
         for (branch, grant) in record.grants_sealed_by(own) {
-            if self.homes[home].cases.iter().any(|case| case.grant == grant) {
+            if self.homes[home].recoveries.iter().any(|recovery| recovery.grant == grant) {
                 continue;
             }
             let asked_at = record.branches[&branch].grants[&grant].asked_at;
@@ -23,8 +23,8 @@
             if grant.number % 2 == 1 {
                 sidecars.retain(|known| self.is_live(*known));
             }
-            let case = GrantRecovery::new(branch, grant, asked_at, sidecars);
-            self.homes[home].cases.push(case);
+            let recovery = GrantRecovery::new(branch, grant, asked_at, sidecars);
+            self.homes[home].recoveries.push(recovery);
         }
     }
 
@@ -89,17 +89,17 @@
         let Some(home) = self.running_home(slot) else {
             return;
         };
-        let places: Vec<usize> = (0..self.homes[home].cases.len()).collect();
+        let places: Vec<usize> = (0..self.homes[home].recoveries.len()).collect();
         if let Some(place) = pick(&places, choice) {
             self.send_seal(home, place, sidecar % self.sidecar_slots.len(), lost);
         }
     }
 
     pub fn send_seal(&mut self, home: usize, place: usize, sidecar: usize, lost: bool) {
-        let case = &mut self.homes[home].cases[place];
-        let reply = self.sidecars[self.sidecar_slots[sidecar]].seal_grant(case.grant);
+        let recovery = &mut self.homes[home].recoveries[place];
+        let reply = self.sidecars[self.sidecar_slots[sidecar]].seal_grant(recovery.grant);
         if !lost {
-            case.take_reply(&reply);
+            recovery.take_reply(&reply);
         }
     }
 
@@ -107,22 +107,22 @@
         let Some(home) = self.running_home(slot) else {
             return;
         };
-        let places: Vec<usize> = (0..self.homes[home].cases.len()).collect();
+        let places: Vec<usize> = (0..self.homes[home].recoveries.len()).collect();
         if let Some(place) = pick(&places, choice) {
-            self.settle_case(home, place, outcome);
+            self.settle_recovery(home, place, outcome);
         }
     }
 
-    pub fn settle_case(&mut self, home: usize, place: usize, outcome: WriteOutcome) {
+    pub fn settle_recovery(&mut self, home: usize, place: usize, outcome: WriteOutcome) {
         let Some(mut draft) = self.store.read() else {
             return;
         };
-        let case = &mut self.homes[home].cases[place];
+        let recovery = &mut self.homes[home].recoveries[place];
         for sidecar in self.sidecars.iter().filter(|sidecar| !sidecar.is_alive()) {
-            case.mark_gone(sidecar.incarnation);
+            recovery.mark_gone(sidecar.incarnation);
         }
-        let (branch, grant) = (case.branch.clone(), case.grant);
-        if draft.record.apply_recovery(&branch, &grant, &case.verdict()) {
+        let (branch, grant) = (recovery.branch.clone(), recovery.grant);
+        if draft.record.apply_recovery(&branch, &grant, &recovery.verdict()) {
             self.store.write(&draft, outcome);
         }
     }
@@ -133,11 +133,11 @@
         };
         self.mark_sealed(slot, target, WriteOutcome::Acknowledged);
         self.read_book(home);
-        for place in 0..self.homes[home].cases.len() {
+        for place in 0..self.homes[home].recoveries.len() {
             for sidecar in 0..self.sidecar_slots.len() {
                 self.send_seal(home, place, sidecar, replied >> sidecar & 1 == 0);
             }
-            self.settle_case(home, place, WriteOutcome::Acknowledged);
+            self.settle_recovery(home, place, WriteOutcome::Acknowledged);
         }
     }
 
@@ -146,11 +146,11 @@
             return;
         };
         self.overdue(slot);
-        for place in 0..self.homes[home].charge_cases.len() {
+        for place in 0..self.homes[home].charge_recoveries.len() {
             for sidecar in 0..self.sidecar_slots.len() {
                 self.send_seal_charge(home, place, sidecar, replied >> sidecar & 1 == 0);
             }
-            self.resolve_case(home, place);
+            self.resolve_recovery(home, place);
         }
     }
 
@@ -160,26 +160,26 @@
         };
         let entry = self.entries[entry % self.entries.len()].incarnation;
         let orphans = self.homes[home].ledger.entry_gone(entry, self.now);
-        self.open_charge_cases(home, orphans);
+        self.start_charge_recoveries(home, orphans);
     }
 
     pub(super) fn overdue(&mut self, slot: usize) {
         if let Some(home) = self.running_home(slot) {
             let orphans = self.homes[home].ledger.overdue(self.now);
-            self.open_charge_cases(home, orphans);
+            self.start_charge_recoveries(home, orphans);
         }
     }
 
-    pub fn open_charge_cases(&mut self, home: usize, orphans: Vec<OrphanCharge>) {
+    pub fn start_charge_recoveries(&mut self, home: usize, orphans: Vec<OrphanCharge>) {
         for orphan in orphans {
-            let cases = &self.homes[home].charge_cases;
-            if cases.iter().any(|known| known.orphan.charge == orphan.charge) {
+            let recoveries = &self.homes[home].charge_recoveries;
+            if recoveries.iter().any(|known| known.orphan.charge == orphan.charge) {
                 continue;
             }
             let sidecars = self.sidecars_since(orphan.since);
             let (branch, grant) = (orphan.branch.clone(), orphan.charge.grant);
-            let case = GrantRecovery::new(branch, grant, orphan.since, sidecars);
-            self.homes[home].charge_cases.push(ChargeCase { orphan, case });
+            let recovery = GrantRecovery::new(branch, grant, orphan.since, sidecars);
+            self.homes[home].charge_recoveries.push(ChargeRecovery { orphan, recovery });
         }
     }
 
@@ -187,18 +187,18 @@
         let Some(home) = self.running_home(slot) else {
             return;
         };
-        let places: Vec<usize> = (0..self.homes[home].charge_cases.len()).collect();
+        let places: Vec<usize> = (0..self.homes[home].charge_recoveries.len()).collect();
         if let Some(place) = pick(&places, choice) {
             self.send_seal_charge(home, place, sidecar % self.sidecar_slots.len(), lost);
         }
     }
 
     pub fn send_seal_charge(&mut self, home: usize, place: usize, sidecar: usize, lost: bool) {
-        let open = &mut self.homes[home].charge_cases[place];
+        let open = &mut self.homes[home].charge_recoveries[place];
         let sidecar = &mut self.sidecars[self.sidecar_slots[sidecar]];
         let reply = sidecar.seal_charge(open.orphan.charge);
         if !lost {
-            open.case.take_reply(&reply);
+            open.recovery.take_reply(&reply);
         }
     }
 
@@ -206,19 +206,19 @@
         let Some(home) = self.running_home(slot) else {
             return;
         };
-        let places: Vec<usize> = (0..self.homes[home].charge_cases.len()).collect();
+        let places: Vec<usize> = (0..self.homes[home].charge_recoveries.len()).collect();
         if let Some(place) = pick(&places, choice) {
-            self.resolve_case(home, place);
+            self.resolve_recovery(home, place);
         }
     }
 
-    pub fn resolve_case(&mut self, home: usize, place: usize) {
+    pub fn resolve_recovery(&mut self, home: usize, place: usize) {
         let home = &mut self.homes[home];
-        let open = &mut home.charge_cases[place];
+        let open = &mut home.charge_recoveries[place];
         for sidecar in self.sidecars.iter().filter(|sidecar| !sidecar.is_alive()) {
-            open.case.mark_gone(sidecar.incarnation);
+            open.recovery.mark_gone(sidecar.incarnation);
         }
-        home.ledger.resolve_recovery(&open.case, &[open.orphan.charge]);
+        home.ledger.resolve_recovery(&open.recovery, &[open.orphan.charge]);
     }
 
     /// An operator releases a grant in doubt whose reported use is complete.
--- a/crates/sagespool-ledger/tests/model/world.rs
+++ b/crates/sagespool-ledger/tests/model/world.rs
@@ -37,9 +37,9 @@
 }
 
 /// The recovery of a charge whose entry is gone.
-pub struct ChargeCase {
+pub struct ChargeRecovery {
     pub orphan: OrphanCharge,
-    pub case: GrantRecovery,
+    pub recovery: GrantRecovery,
 }
 
 /// One incarnation of a home.
@@ -50,8 +50,8 @@
     pub draft: Option<DraftWrite>,
     /// A read whose reply isn't processed yet.
     pub(super) late_read: Option<DraftWrite>,
-    pub cases: Vec<GrantRecovery>,
-    pub charge_cases: Vec<ChargeCase>,
+    pub recoveries: Vec<GrantRecovery>,
+    pub charge_recoveries: Vec<ChargeRecovery>,
 }
 
 /// One incarnation of an entry.
@@ -165,8 +165,8 @@
             state: ProcessState::Running,
             draft: None,
             late_read: None,
-            cases: Vec::new(),
-            charge_cases: Vec::new(),
+            recoveries: Vec::new(),
+            charge_recoveries: Vec::new(),
         });
         self.homes.len() - 1
     }
@@ -309,7 +309,7 @@
         };
         let (book, now) = (self.book, self.now);
         self.homes[home].ledger.observe(book, &draft.record, draft.base, now);
-        self.open_cases(home, &draft.record);
+        self.start_recoveries(home, &draft.record);
         let seen = self.store.revision;
         let ledger = &self.homes[home].ledger;
         let changed = apply(ledger, book, &mut draft.record, draft.base, seen, now);
--- a/crates/sagespool-ledger/tests/seal_recovery.rs
+++ b/crates/sagespool-ledger/tests/seal_recovery.rs
@@ -7,14 +7,14 @@
 use sagespool_messages::{FinishState, SealReply};
 use sagespool_types::{StoreRevision, TokenCount};
 
-fn case_of(book: &StoredBook, sidecars: &[sagespool_types::IncarnationId]) -> GrantRecovery {
+fn grant_recovery(book: &StoredBook, sidecars: &[sagespool_types::IncarnationId]) -> GrantRecovery {
     let grant = book.grants()[0];
     let asked_at = book.record.branches[&book.branch].grants[&grant].asked_at;
     GrantRecovery::new(book.branch.clone(), grant, asked_at, sidecars.iter().copied())
 }
 
-fn recover(book: &mut StoredBook, case: &GrantRecovery) {
-    book.record.apply_recovery(&case.branch, &case.grant, &case.verdict());
+fn apply_recovery(book: &mut StoredBook, recovery: &GrantRecovery) {
+    book.record.apply_recovery(&recovery.branch, &recovery.grant, &recovery.verdict());
     book.bump_version();
 }
 
@@ -29,14 +29,16 @@
     let second = book.reserve(&dead, 200, at(1));
     book.mark_sealed(HOME, OTHER_HOME);
 
-    let mut case = case_of(&book, &[SIDECAR, OTHER_SIDECAR]);
-    case.take_reply(&seal_reply(SIDECAR, vec![whole(&book.branch, first.charge, 1, 60)]));
-    case.take_reply(&seal_reply(OTHER_SIDECAR, vec![running(&book.branch, second.charge, 1, 20)]));
-    recover(&mut book, &case);
+    let mut recovery = grant_recovery(&book, &[SIDECAR, OTHER_SIDECAR]);
+    recovery.take_reply(&seal_reply(SIDECAR, vec![whole(&book.branch, first.charge, 1, 60)]));
+    recovery
+        .take_reply(&seal_reply(OTHER_SIDECAR, vec![running(&book.branch, second.charge, 1, 20)]));
+    apply_recovery(&mut book, &recovery);
     assert_eq!((book.settled(), book.grants().len()), (60, 1));
 
-    case.take_reply(&seal_reply(OTHER_SIDECAR, vec![whole(&book.branch, second.charge, 1, 70)]));
-    recover(&mut book, &case);
+    recovery
+        .take_reply(&seal_reply(OTHER_SIDECAR, vec![whole(&book.branch, second.charge, 1, 70)]));
+    apply_recovery(&mut book, &recovery);
     assert_eq!((book.settled(), book.free()), (130, 870));
 }
 
@@ -49,12 +51,13 @@
     let reserved = book.reserve(&home(HOME), 100, at(1));
     book.mark_sealed(HOME, OTHER_HOME);
 
-    let mut case = case_of(&book, &[SIDECAR, OTHER_SIDECAR]);
-    case.take_reply(&seal_reply(SIDECAR, vec![broken(&book.branch, reserved.charge, 1, 10)]));
-    assert_eq!(case.verdict(), RecoveryVerdict::Wait(Vec::new()));
-    recover(&mut book, &case);
-    case.take_reply(&seal_reply(OTHER_SIDECAR, vec![whole(&book.branch, reserved.charge, 2, 90)]));
-    recover(&mut book, &case);
+    let mut recovery = grant_recovery(&book, &[SIDECAR, OTHER_SIDECAR]);
+    recovery.take_reply(&seal_reply(SIDECAR, vec![broken(&book.branch, reserved.charge, 1, 10)]));
+    assert_eq!(recovery.verdict(), RecoveryVerdict::Wait(Vec::new()));
+    apply_recovery(&mut book, &recovery);
+    recovery
+        .take_reply(&seal_reply(OTHER_SIDECAR, vec![whole(&book.branch, reserved.charge, 2, 90)]));
+    apply_recovery(&mut book, &recovery);
     assert_eq!((book.settled(), book.free()), (90, 10));
 }
 
@@ -66,11 +69,11 @@
     book.reserve(&home(HOME), 100, at(1));
     book.mark_sealed(HOME, OTHER_HOME);
 
-    let mut case = case_of(&book, &[SIDECAR]);
+    let mut recovery = grant_recovery(&book, &[SIDECAR]);
     let started_at = Some(book.version);
-    case.take_reply(&SealReply { sidecar: SIDECAR, started_at, charges: Vec::new() });
-    assert_eq!(case.verdict(), RecoveryVerdict::InDoubt(Vec::new()));
-    recover(&mut book, &case);
+    recovery.take_reply(&SealReply { sidecar: SIDECAR, started_at, charges: Vec::new() });
+    assert_eq!(recovery.verdict(), RecoveryVerdict::InDoubt(Vec::new()));
+    apply_recovery(&mut book, &recovery);
     assert_eq!(book.free(), 0);
     let bounds = book.record.spend(&book.branch).unwrap();
     assert_eq!((bounds.in_doubt, bounds.granted), (TokenCount(100), TokenCount::ZERO));
@@ -85,11 +88,11 @@
     let reserved = book.reserve(&home(HOME), 100, at(1));
     book.mark_sealed(HOME, OTHER_HOME);
 
-    let mut case = case_of(&book, &[SIDECAR]);
-    case.take_reply(&seal_reply(SIDECAR, vec![running(&book.branch, reserved.charge, 1, 40)]));
-    assert_eq!(case.verdict(), RecoveryVerdict::Wait(Vec::new()));
-    case.mark_gone(SIDECAR);
-    recover(&mut book, &case);
+    let mut recovery = grant_recovery(&book, &[SIDECAR]);
+    recovery.take_reply(&seal_reply(SIDECAR, vec![running(&book.branch, reserved.charge, 1, 40)]));
+    assert_eq!(recovery.verdict(), RecoveryVerdict::Wait(Vec::new()));
+    recovery.mark_gone(SIDECAR);
+    apply_recovery(&mut book, &recovery);
     let bounds = book.record.spend(&book.branch).unwrap();
     assert_eq!((bounds.settled, bounds.in_doubt), (TokenCount(40), TokenCount(60)));
 }
@@ -102,15 +105,15 @@
     let mut book = StoredBook::new(100);
     let reserved = book.reserve(&home(HOME), 100, at(1));
     book.mark_sealed(HOME, OTHER_HOME);
-    let mut case = case_of(&book, &[SIDECAR, OTHER_SIDECAR]);
-    case.take_reply(&seal_reply(SIDECAR, vec![broken(&book.branch, reserved.charge, 1, 10)]));
-    case.mark_gone(OTHER_SIDECAR);
-    recover(&mut book, &case);
+    let mut recovery = grant_recovery(&book, &[SIDECAR, OTHER_SIDECAR]);
+    recovery.take_reply(&seal_reply(SIDECAR, vec![broken(&book.branch, reserved.charge, 1, 10)]));
+    recovery.mark_gone(OTHER_SIDECAR);
+    apply_recovery(&mut book, &recovery);
 
     book.mark_sealed(HOME, THIRD_HOME);
-    let mut later = case_of(&book, &[SIDECAR]);
+    let mut later = grant_recovery(&book, &[SIDECAR]);
     later.take_reply(&seal_reply(SIDECAR, vec![broken(&book.branch, reserved.charge, 1, 10)]));
-    recover(&mut book, &later);
+    apply_recovery(&mut book, &later);
     assert_eq!((book.free(), book.grants().len()), (0, 1));
 }
 
@@ -125,10 +128,10 @@
     assert_eq!(book.record.release(&branch, &grant), ReleaseOutcome::NotInDoubt);
 
     book.mark_sealed(HOME, OTHER_HOME);
-    let mut case = case_of(&book, &[SIDECAR, OTHER_SIDECAR]);
-    case.take_reply(&seal_reply(SIDECAR, vec![broken(&branch, reserved.charge, 1, 10)]));
-    case.mark_gone(OTHER_SIDECAR);
-    recover(&mut book, &case);
+    let mut recovery = grant_recovery(&book, &[SIDECAR, OTHER_SIDECAR]);
+    recovery.take_reply(&seal_reply(SIDECAR, vec![broken(&branch, reserved.charge, 1, 10)]));
+    recovery.mark_gone(OTHER_SIDECAR);
+    apply_recovery(&mut book, &recovery);
     assert_eq!(book.record.release(&branch, &grant), ReleaseOutcome::Released(TokenCount(90)));
     assert_eq!((book.settled(), book.free()), (10, 90));
     assert_eq!(book.record.release(&branch, &grant), ReleaseOutcome::NoSuchGrant);
@@ -143,10 +146,10 @@
     let paused = home(HOME);
     let reserved = book.reserve(&paused, 100, at(1));
     book.mark_sealed(HOME, OTHER_HOME);
-    let mut case = case_of(&book, &[SIDECAR, OTHER_SIDECAR]);
-    case.take_reply(&seal_reply(SIDECAR, vec![broken(&book.branch, reserved.charge, 1, 10)]));
-    case.mark_gone(OTHER_SIDECAR);
-    recover(&mut book, &case);
+    let mut recovery = grant_recovery(&book, &[SIDECAR, OTHER_SIDECAR]);
+    recovery.take_reply(&seal_reply(SIDECAR, vec![broken(&book.branch, reserved.charge, 1, 10)]));
+    recovery.mark_gone(OTHER_SIDECAR);
+    apply_recovery(&mut book, &recovery);
 
     let second = whole(&book.branch, reserved.charge, 2, 90);
     book.finish(&paused, reserved.charge, sagespool_messages::FinishState::Ran(second), at(900));
@@ -236,9 +239,9 @@
 
     let queried = [(book.branch.clone(), reserved.charge)];
     assert!(first.durable_charges(&queried).is_empty());
-    let mut case = case_of(&book, &[SIDECAR]);
-    case.take_reply(&seal_reply(SIDECAR, vec![whole(&book.branch, reserved.charge, 1, 60)]));
-    recover(&mut book, &case);
+    let mut recovery = grant_recovery(&book, &[SIDECAR]);
+    recovery.take_reply(&seal_reply(SIDECAR, vec![whole(&book.branch, reserved.charge, 1, 60)]));
+    apply_recovery(&mut book, &recovery);
     book.draft(&first, at(4));
     assert_eq!(first.durable_charges(&queried), vec![reserved.charge]);
 }
@@ -254,11 +257,11 @@
     let second = book.reserve(&cut_off, 50, at(1));
     assert_eq!(first.charge.grant, second.charge.grant);
     book.mark_sealed(HOME, OTHER_HOME);
-    let mut case = case_of(&book, &[SIDECAR]);
+    let mut recovery = grant_recovery(&book, &[SIDECAR]);
     let records =
         vec![whole(&book.branch, first.charge, 1, 20), running(&book.branch, second.charge, 1, 10)];
-    case.take_reply(&seal_reply(SIDECAR, records));
-    recover(&mut book, &case);
+    recovery.take_reply(&seal_reply(SIDECAR, records));
+    apply_recovery(&mut book, &recovery);
 
     book.finish_ran(&cut_off, second.charge, 30, at(2));
     book.write(&cut_off, at(2));
@@ -288,14 +291,14 @@
     let reserved = book.reserve(&home(HOME), 100, at(1));
     let mut foreign = reserved.charge;
     foreign.grant.number += 1;
-    let mut case = GrantRecovery::new(
+    let mut recovery = GrantRecovery::new(
         book.branch.clone(),
         reserved.charge.grant,
         StoreRevision(11),
         [SIDECAR],
     );
-    case.take_reply(&seal_reply(SIDECAR, vec![whole(&book.branch, foreign, 1, 60)]));
-    assert_eq!(case.verdict(), RecoveryVerdict::Close(Vec::new()));
+    recovery.take_reply(&seal_reply(SIDECAR, vec![whole(&book.branch, foreign, 1, 60)]));
+    assert_eq!(recovery.verdict(), RecoveryVerdict::Close(Vec::new()));
 }
 
 /// A home and a sidecar die, and what the grant may have paid for is in doubt for good. A request
@@ -315,9 +318,9 @@
     book.mark_sealed(HOME, OTHER_HOME);
     let grant = book.grants().into_iter().find(|grant| grant.holder == HOME);
     let grant = grant.expect("the grant is outstanding");
-    let mut case = GrantRecovery::new(book.branch.clone(), grant, StoreRevision(1), [SIDECAR]);
-    case.mark_gone(SIDECAR);
-    recover(&mut book, &case);
+    let mut recovery = GrantRecovery::new(book.branch.clone(), grant, StoreRevision(1), [SIDECAR]);
+    recovery.mark_gone(SIDECAR);
+    apply_recovery(&mut book, &recovery);
     book.write(&next, at(2));
     assert_eq!(
         book.shortfall(&next, 50, at(2)).expect("the amount isn't covered").other_grants,
@@ -343,12 +346,12 @@
     book.grant(&next, 40, at(1));
 
     book.mark_sealed(HOME, OTHER_HOME);
-    let mut case = case_of(&book, &[SIDECAR]);
-    case.mark_gone(SIDECAR);
-    recover(&mut book, &case);
+    let mut recovery = grant_recovery(&book, &[SIDECAR]);
+    recovery.mark_gone(SIDECAR);
+    apply_recovery(&mut book, &recovery);
     book.write(&next, at(2));
-    let short = book.shortfall(&next, 70, at(2)).expect("the amount isn't covered");
-    let queried: Vec<_> = short.grants_in_doubt.iter().map(|(_, holder, _)| *holder).collect();
+    let shortfall = book.shortfall(&next, 70, at(2)).expect("the amount isn't covered");
+    let queried: Vec<_> = shortfall.grants_in_doubt.iter().map(|(_, holder, _)| *holder).collect();
     assert_eq!(queried, [HOME]);
 
     holder.return_unspent(&book.branch, TokenCount(70), at(2));
@@ -371,10 +374,10 @@
     );
 
     book.finish(&holder, reserved.charge, FinishState::Unknown, at(1));
-    let mut case = case_of(&book, &[SIDECAR]);
-    case.mark_gone(SIDECAR);
-    holder.resolve_recovery(&case, &[reserved.charge]);
-    let short = book.shortfall(&holder, 80, at(2)).expect("the amount isn't covered");
-    assert_eq!(short.returnable, TokenCount::ZERO);
+    let mut recovery = grant_recovery(&book, &[SIDECAR]);
+    recovery.mark_gone(SIDECAR);
+    holder.resolve_recovery(&recovery, &[reserved.charge]);
+    let shortfall = book.shortfall(&holder, 80, at(2)).expect("the amount isn't covered");
+    assert_eq!(shortfall.returnable, TokenCount::ZERO);
     assert_eq!(holder.returnable(&book.branch), TokenCount::ZERO);
 }
