--- a/crates/sagespool-routing/examples/policy_compare/model.rs
+++ b/crates/sagespool-routing/examples/policy_compare/model.rs
@@ -50,7 +50,7 @@
     sent: ClockTime,
     tokens: f64,
     prefix: u128,
-    choice: Option<UpstreamPlacement>,
+    placement: Option<UpstreamPlacement>,
     tried: Vec<IncarnationId>,
     first_token: Option<Duration>,
     has_waited: bool,
@@ -208,7 +208,7 @@
             sent: now,
             tokens: -(1.0 - self.random.f64()).ln() * mean_tokens,
             prefix: self.draw_prefix(),
-            choice: None,
+            placement: None,
             tried: Vec::new(),
             first_token: None,
             has_waited: false,
@@ -246,21 +246,21 @@
 
     fn dispatch(&mut self, place: usize, now: ClockTime) {
         let job = &mut self.jobs[place];
-        let wish = PlacementQuery::builder()
+        let query = PlacementQuery::builder()
             .service(name("sage-core"))
             .prefix(job.prefix)
             .exclude(job.tried.clone())
             .has_waited(job.has_waited)
             .build();
         let table = &self.entries[job.entry].table;
-        let Some(choice) = table.choose(&wish, now) else {
+        let Some(placement) = table.choose(&query, now) else {
             self.free(place, now);
             return self.refuse(place);
         };
-        table.started(&choice, now);
-        job.engine = choice.sidecar.0 as usize;
+        table.started(&placement, now);
+        job.engine = placement.sidecar.0 as usize;
         job.sent = now;
-        job.choice = Some(choice);
+        job.placement = Some(placement);
         let way = LINK + self.distance(place);
         self.push(now.after(way), Event::Reach(place));
     }
@@ -338,8 +338,8 @@
         let job = &mut self.jobs[place];
         let latency = at.since(job.sent);
         job.first_token = Some(latency);
-        if let Some(choice) = &job.choice {
-            self.entries[job.entry].table.first_token(choice, latency, at);
+        if let Some(placement) = &job.placement {
+            self.entries[job.entry].table.first_token(placement, latency, at);
         }
         if counts(job.arrived) {
             self.figures.hits += u64::from(job.is_hit);
@@ -377,10 +377,10 @@
 
     fn settle(&mut self, place: usize, outcome: AttemptOutcome, now: ClockTime) {
         let job = &mut self.jobs[place];
-        let Some(choice) = job.choice.take() else { return };
+        let Some(placement) = job.placement.take() else { return };
         let tokens = TokenCount(job.tokens as u64);
         let result = AttemptResult { first_token: None, tokens, outcome };
-        self.entries[job.entry].table.ended(&choice, &result, now);
+        self.entries[job.entry].table.ended(&placement, &result, now);
     }
 
     fn free(&mut self, place: usize, now: ClockTime) {
--- a/crates/sagespool-routing/examples/routing_bench.rs
+++ b/crates/sagespool-routing/examples/routing_bench.rs
@@ -90,14 +90,14 @@
         AttemptResult { first_token: None, tokens: TokenCount(40), outcome: AttemptOutcome::Whole };
     time(ROUNDS, |number, now| {
         let prefix = with_prefix.then(|| u128::from(number * 31 % 997));
-        let wish = PlacementQuery::builder().service(service.clone()).maybe_prefix(prefix).build();
-        let choice = black_box(table.choose(&wish, now)).expect("one is usable");
-        table.started(&choice, now);
-        running.push_back((choice, now));
+        let query = PlacementQuery::builder().service(service.clone()).maybe_prefix(prefix).build();
+        let placement = black_box(table.choose(&query, now)).expect("one is usable");
+        table.started(&placement, now);
+        running.push_back((placement, now));
         if running.len() > upstreams.min(64) as usize * 4 {
-            let (choice, started) = running.pop_front().expect("it isn't empty");
-            table.first_token(&choice, now.since(started) / 4, now);
-            table.ended(&choice, &result, now);
+            let (placement, started) = running.pop_front().expect("it isn't empty");
+            table.first_token(&placement, now.since(started) / 4, now);
+            table.ended(&placement, &result, now);
         }
     })
 }
--- a/crates/sagespool-routing/src/affinity.rs
+++ b/crates/sagespool-routing/src/affinity.rs
@@ -9,10 +9,10 @@
 /// Places on the ring for each upstream; more of them even out the arcs.
 const RING_POINTS: u64 = 16;
 /// The most upstreams remembered for one prefix.
-const MOST_HOLDERS: usize = 4;
+const MAX_HOLDERS: usize = 4;
 /// An eviction is believed only of a prefix that was not sent there for so long: events are
 /// late, and the send may have stored it again since.
-const EVENT_DELAY: Duration = Duration::from_secs(2);
+const EVICTION_EVENT_DELAY: Duration = Duration::from_secs(2);
 
 derives! { value;
     /// What happened to a prefix in an engine's cache.
@@ -56,9 +56,9 @@
     }
 
     /// The upstreams from the prefix's place on, in ring order; may repeat.
-    pub(crate) fn from(&self, prefix: u128) -> impl Iterator<Item = IncarnationId> {
-        let place = XxHash3_64::oneshot(&prefix.to_le_bytes());
-        let first = (place, IncarnationId(0));
+    pub(crate) fn upstreams_from(&self, prefix: u128) -> impl Iterator<Item = IncarnationId> {
+        let position = XxHash3_64::oneshot(&prefix.to_le_bytes());
+        let first = (position, IncarnationId(0));
         self.points.range(first..).chain(self.points.range(..first)).map(|(_, id)| *id)
     }
 }
@@ -70,7 +70,7 @@
 
 /// Why an upstream is believed to hold a prefix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum PrefixBelief {
+pub(crate) enum PrefixEvidence {
     /// This entry sent it there lately.
     Sent,
     /// Its engine said that it is stored.
@@ -80,33 +80,33 @@
 #[derive(Debug, Clone, Copy)]
 struct PrefixHolder {
     id: IncarnationId,
-    belief: PrefixBelief,
+    evidence: PrefixEvidence,
     seen: ClockTime,
 }
 
 /// Which upstreams lately ran or reported a prefix, bounded.
 #[derive(Debug, Default)]
-pub(crate) struct PrefixMemory {
+pub(crate) struct PrefixIndex {
     holders: HashMap<u128, Vec<PrefixHolder>>,
-    most: usize,
+    capacity: usize,
 }
 
-impl PrefixMemory {
-    pub(crate) fn new(most: usize) -> Self {
-        Self { holders: HashMap::new(), most: most.max(2) }
+impl PrefixIndex {
+    pub(crate) fn new(capacity: usize) -> Self {
+        Self { holders: HashMap::new(), capacity: capacity.max(2) }
     }
 
     pub(crate) fn sent(&mut self, prefix: u128, id: IncarnationId, now: ClockTime) {
-        self.note(prefix, id, PrefixBelief::Sent, now);
+        self.record(prefix, id, PrefixEvidence::Sent, now);
     }
 
     pub(crate) fn stored(&mut self, prefix: u128, id: IncarnationId, now: ClockTime) {
-        self.note(prefix, id, PrefixBelief::Stored, now);
+        self.record(prefix, id, PrefixEvidence::Stored, now);
     }
 
     pub(crate) fn evicted(&mut self, prefix: u128, id: IncarnationId, now: ClockTime) {
         let Some(holders) = self.holders.get_mut(&prefix) else { return };
-        let is_newer = |holder: &PrefixHolder| now.since(holder.seen) < EVENT_DELAY;
+        let is_newer = |holder: &PrefixHolder| now.since(holder.seen) < EVICTION_EVENT_DELAY;
         holders.retain(|holder| holder.id != id || is_newer(holder));
         if holders.is_empty() {
             self.holders.remove(&prefix);
@@ -119,23 +119,29 @@
         prefix: u128,
         expiry: Duration,
         now: ClockTime,
-    ) -> impl Iterator<Item = (IncarnationId, PrefixBelief)> {
+    ) -> impl Iterator<Item = (IncarnationId, PrefixEvidence)> {
         let holders = self.holders.get(&prefix).map_or(&[][..], Vec::as_slice);
         let live = holders.iter().rev().filter(move |holder| now.since(holder.seen) < expiry);
-        live.map(|holder| (holder.id, holder.belief))
+        live.map(|holder| (holder.id, holder.evidence))
     }
 
-    fn note(&mut self, prefix: u128, id: IncarnationId, belief: PrefixBelief, now: ClockTime) {
-        if self.holders.len() >= self.most && !self.holders.contains_key(&prefix) {
+    fn record(
+        &mut self,
+        prefix: u128,
+        id: IncarnationId,
+        evidence: PrefixEvidence,
+        now: ClockTime,
+    ) {
+        if self.holders.len() >= self.capacity && !self.holders.contains_key(&prefix) {
             self.drop_older_half();
         }
         let holders = self.holders.entry(prefix).or_default();
-        let known = holders.iter().find(|holder| holder.id == id).map(|holder| holder.belief);
-        let belief =
-            if known == Some(PrefixBelief::Stored) { PrefixBelief::Stored } else { belief };
+        let known = holders.iter().find(|holder| holder.id == id).map(|holder| holder.evidence);
+        let evidence =
+            if known == Some(PrefixEvidence::Stored) { PrefixEvidence::Stored } else { evidence };
         holders.retain(|holder| holder.id != id);
-        holders.push(PrefixHolder { id, belief, seen: now });
-        if holders.len() > MOST_HOLDERS {
+        holders.push(PrefixHolder { id, evidence, seen: now });
+        if holders.len() > MAX_HOLDERS {
             holders.remove(0);
         }
     }
@@ -143,8 +149,8 @@
     fn drop_older_half(&mut self) {
         let newest = |holders: &Vec<PrefixHolder>| holders.last().map(|holder| holder.seen);
         let mut times: Vec<_> = self.holders.values().map(newest).collect();
-        let middle = times.len() / 2;
-        let (_, median, _) = times.select_nth_unstable(middle);
+        let midpoint = times.len() / 2;
+        let (_, median, _) = times.select_nth_unstable(midpoint);
         let median = *median;
         self.holders.retain(|_, holders| newest(holders) > median);
     }
--- a/crates/sagespool-routing/src/smooth.rs
+++ b/crates/sagespool-routing/src/average.rs
@@ -12,24 +12,24 @@
 /// Without fresh samples the value goes back to the prior, so an upstream that
 /// was slow once is tried again without a separate rule.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct SmoothedValue {
+pub(crate) struct ExponentialAverage {
     /// About so many samples count.
-    memory: f64,
+    window: f64,
     mean: f64,
     weight: f64,
-    at: ClockTime,
+    updated_at: ClockTime,
 }
 
-impl SmoothedValue {
-    pub(crate) const fn new(memory: f64) -> Self {
-        Self { memory, mean: 0.0, weight: 0.0, at: ClockTime(0) }
+impl ExponentialAverage {
+    pub(crate) const fn new(window: f64) -> Self {
+        Self { window, mean: 0.0, weight: 0.0, updated_at: ClockTime(0) }
     }
 
     pub(crate) fn add(&mut self, sample: f64, half_life: Duration, now: ClockTime) {
-        let weight = self.weight_at(half_life, now).min(self.memory - 1.0);
+        let weight = self.weight_at(half_life, now).min(self.window - 1.0);
         self.mean = (self.mean * weight + sample) / (weight + 1.0);
         self.weight = weight + 1.0;
-        self.at = now;
+        self.updated_at = now;
     }
 
     /// The value now, drawn towards the prior where evidence is thin or old.
@@ -40,15 +40,16 @@
 
     /// The value as it was last measured, however long ago; the guess only until it was measured at
     /// all.
-    pub(crate) fn measured(&self, guess: f64) -> f64 {
-        if self.weight == 0.0 { guess } else { self.mean }
+    pub(crate) fn mean_or(&self, default: f64) -> f64 {
+        if self.weight == 0.0 { default } else { self.mean }
     }
 
     fn weight_at(&self, half_life: Duration, now: ClockTime) -> f64 {
         if self.weight == 0.0 {
             return 0.0;
         }
-        let halves = now.since(self.at).as_secs_f64() / half_life.as_secs_f64().max(1e-3);
-        self.weight * (-halves).exp2()
+        let half_lives =
+            now.since(self.updated_at).as_secs_f64() / half_life.as_secs_f64().max(1e-3);
+        self.weight * (-half_lives).exp2()
     }
 }
--- a/crates/sagespool-routing/src/baseline.rs
+++ b/crates/sagespool-routing/src/baseline.rs
@@ -9,9 +9,9 @@
 }
 
 /// Each usable upstream in turn.
-pub(crate) fn round_robin(usable: &[usize], turn: &mut usize) -> Option<usize> {
-    *turn = turn.wrapping_add(1);
-    usable.get(*turn % usable.len().max(1)).copied()
+pub(crate) fn round_robin(usable: &[usize], cursor: &mut usize) -> Option<usize> {
+    *cursor = cursor.wrapping_add(1);
+    usable.get(*cursor % usable.len().max(1)).copied()
 }
 
 /// The lowest load in the newest report, ties at random.
@@ -20,8 +20,8 @@
     upstreams: &[UpstreamState],
     random: &mut Rng,
 ) -> Option<usize> {
-    let least = usable.iter().map(|place| reported(&upstreams[*place])).min()?;
-    let tied = usable.iter().copied().filter(|place| reported(&upstreams[*place]) == least);
+    let least = usable.iter().map(|index| reported(&upstreams[*index])).min()?;
+    let tied = usable.iter().copied().filter(|index| reported(&upstreams[*index]) == least);
     let tied: Vec<usize> = tied.collect();
     random.choice(&tied).copied()
 }
--- a/crates/sagespool-routing/src/ejection.rs
+++ b/crates/sagespool-routing/src/ejection.rs
@@ -7,13 +7,13 @@
 use crate::RoutingPolicy;
 
 /// A probe that never came back frees the next one after this time.
-const PROBE_LIMIT: Duration = Duration::from_secs(30);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Whether an upstream may be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum UseState {
+pub(crate) enum Availability {
     /// As usual.
-    Open,
+    Available,
     /// Not before its time, or while a probe is out.
     Ejected,
     /// One request may be tried on it.
@@ -22,28 +22,28 @@
 
 /// Consecutive failures of one upstream and what follows from them.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct EjectionState {
+pub(crate) struct EjectionTracker {
     failures: u32,
     ejections: u32,
     until: Option<ClockTime>,
     probe_sent: Option<ClockTime>,
 }
 
-impl EjectionState {
-    pub(crate) fn state(&self, now: ClockTime) -> UseState {
-        let Some(until) = self.until else { return UseState::Open };
+impl EjectionTracker {
+    pub(crate) fn availability(&self, now: ClockTime) -> Availability {
+        let Some(until) = self.until else { return Availability::Available };
         if now < until {
-            return UseState::Ejected;
+            return Availability::Ejected;
         }
         match self.probe_sent {
-            Some(sent) if now.since(sent) < PROBE_LIMIT => UseState::Ejected,
-            _ => UseState::ProbeDue,
+            Some(sent) if now.since(sent) < PROBE_TIMEOUT => Availability::Ejected,
+            _ => Availability::ProbeDue,
         }
     }
 
     /// True while a probe may be sent before its time: none is out.
-    pub(crate) fn is_free(&self, now: ClockTime) -> bool {
-        self.probe_sent.is_none_or(|sent| now.since(sent) >= PROBE_LIMIT)
+    pub(crate) fn may_probe(&self, now: ClockTime) -> bool {
+        self.probe_sent.is_none_or(|sent| now.since(sent) >= PROBE_TIMEOUT)
     }
 
     pub(crate) fn is_ejected(&self) -> bool {
@@ -59,23 +59,23 @@
     }
 
     /// An attempt that said nothing about the upstream: another probe may go.
-    pub(crate) fn undecided(&mut self) {
+    pub(crate) fn inconclusive(&mut self) {
         self.probe_sent = None;
     }
 
     /// `spread` in 0..1 draws the times of several entries apart.
-    pub(crate) fn failed(&mut self, policy: &RoutingPolicy, spread: f64, now: ClockTime) {
+    pub(crate) fn failed(&mut self, policy: &RoutingPolicy, jitter: f64, now: ClockTime) {
         self.failures = self.failures.saturating_add(1);
         let was_probe = self.probe_sent.take().is_some();
         let is_due = self.until.is_none() && self.failures >= policy.failures_to_eject;
         if is_due || was_probe {
-            self.eject(policy, spread, now);
+            self.eject(policy, jitter, now);
         }
     }
 
-    fn eject(&mut self, policy: &RoutingPolicy, spread: f64, now: ClockTime) {
-        let doubled = policy.ejection.saturating_mul(1 << self.ejections.min(16));
-        let time = doubled.min(policy.longest_ejection).mul_f64(0.75 + spread / 2.0);
+    fn eject(&mut self, policy: &RoutingPolicy, jitter: f64, now: ClockTime) {
+        let doubled = policy.first_ejection.saturating_mul(1 << self.ejections.min(16));
+        let time = doubled.min(policy.max_ejection).mul_f64(0.75 + jitter / 2.0);
         self.ejections = self.ejections.saturating_add(1);
         self.until = Some(now.after(time));
     }
--- a/crates/sagespool-routing/src/history.rs
+++ b/crates/sagespool-routing/src/history.rs
@@ -2,46 +2,46 @@
 
 use sagespool_types::ClockTime;
 
-const SLOT_MICROS: u64 = 50_000;
-const SLOTS: u64 = 128;
+const BUCKET_MICROS: u64 = 50_000;
+const BUCKETS: u64 = 128;
 
 /// Own requests running, at a resolution of 50 ms for the last 6.4 s.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct OwnHistory {
-    now: u32,
+pub(crate) struct InFlightHistory {
+    current: u32,
     /// The slot of the last change.
     last: u64,
     /// The count at the end of each slot; empty until the first change.
-    slots: Vec<u32>,
+    buckets: Vec<u32>,
 }
 
-impl OwnHistory {
-    pub(crate) fn now(&self) -> u32 {
-        self.now
+impl InFlightHistory {
+    pub(crate) fn current(&self) -> u32 {
+        self.current
     }
 
     pub(crate) fn set(&mut self, count: u32, now: ClockTime) {
-        let slot = now.0 / SLOT_MICROS;
-        if self.slots.is_empty() {
-            self.slots = vec![0; SLOTS as usize];
-            self.last = slot;
+        let bucket = now.0 / BUCKET_MICROS;
+        if self.buckets.is_empty() {
+            self.buckets = vec![0; BUCKETS as usize];
+            self.last = bucket;
         }
-        let first = (self.last + 1).max(slot.saturating_sub(SLOTS));
-        for passed in first..slot {
-            self.slots[(passed % SLOTS) as usize] = self.now;
+        let first = (self.last + 1).max(bucket.saturating_sub(BUCKETS));
+        for skipped in first..bucket {
+            self.buckets[(skipped % BUCKETS) as usize] = self.current;
         }
-        self.last = self.last.max(slot);
-        self.now = count;
-        self.slots[(self.last % SLOTS) as usize] = count;
+        self.last = self.last.max(bucket);
+        self.current = count;
+        self.buckets[(self.last % BUCKETS) as usize] = count;
     }
 
     /// The count at a time; the oldest known where it is too long ago.
     pub(crate) fn at(&self, time: ClockTime) -> u32 {
-        let slot = time.0 / SLOT_MICROS;
-        if self.slots.is_empty() || slot >= self.last {
-            return self.now;
+        let bucket = time.0 / BUCKET_MICROS;
+        if self.buckets.is_empty() || bucket >= self.last {
+            return self.current;
         }
-        let oldest = (self.last + 1).saturating_sub(SLOTS);
-        self.slots[(slot.max(oldest) % SLOTS) as usize]
+        let oldest = (self.last + 1).saturating_sub(BUCKETS);
+        self.buckets[(bucket.max(oldest) % BUCKETS) as usize]
     }
 }
--- a/crates/sagespool-routing/src/lib.rs
+++ b/crates/sagespool-routing/src/lib.rs
@@ -12,33 +12,33 @@
 //! 4. after a failure, [`RetryBudget`] says whether it may be tried elsewhere.
 
 mod affinity;
+mod average;
 mod baseline;
-mod choice;
 mod choose;
 mod ejection;
+mod fair_order;
 mod history;
 mod lag;
-mod lane;
 mod limits;
 mod load;
-mod order;
+mod placement;
 mod policy;
 mod queue;
 mod retry;
 mod service;
-mod share;
-mod smooth;
+mod service_queue;
 mod speed;
 mod table;
 mod tier;
 mod totals;
+mod traffic_share;
 mod upstream;
 
 pub use affinity::{CacheEvent, CacheEventKind};
-pub use choice::{
+pub use limits::{LimitRefusal, LimitRule, LimitScope, RequestLimits};
+pub use placement::{
     AttemptOutcome, AttemptResult, PlacementQuery, ServiceConcurrency, UpstreamPlacement,
 };
-pub use limits::{LimitRefusal, LimitRule, LimitScope, RequestLimits};
 pub use policy::{PolicyKind, RoutingPolicy};
 pub use queue::{AdmissionQueue, OfferOutcome, QueueDepth, QueuePolicy, QueueRelease, QueueTicket};
 pub use retry::{RetryBudget, RetryPolicy};
--- a/crates/sagespool-routing/src/limits.rs
+++ b/crates/sagespool-routing/src/limits.rs
@@ -13,9 +13,9 @@
 
 const SHARDS: usize = 16;
 /// How long a limit on running requests is asked to be waited for.
-const RUNNING_RETRY: Duration = Duration::from_millis(500);
+const RUNNING_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// One request, in the millionths that allowances are counted in.
-const REQUEST: u64 = 1_000_000;
+const REQUEST_MILLIONTHS: u64 = 1_000_000;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
 derives! { record;
@@ -83,12 +83,12 @@
 impl std::error::Error for LimitRefusal {}
 
 #[derive(Debug, Clone, Copy)]
-struct LimitUse {
+struct LimitUsage {
     running: u32,
     /// Requests that may go at once, in millionths.
     allowance: u64,
     /// When the allowance was last brought up to date.
-    filled: ClockTime,
+    filled_at: ClockTime,
     /// From when on forgetting it changes nothing.
     full_at: ClockTime,
 }
@@ -97,7 +97,7 @@
 #[derive(Debug, Clone, Copy)]
 struct SharedRate {
     /// Millionths of a request a second.
-    each_second: u64,
+    per_second: u64,
     /// The most that may go at once: one second's requests, and at least one unless the rate
     /// is zero.
     burst: u64,
@@ -105,28 +105,28 @@
 
 impl SharedRate {
     fn new(requests_per_second: u32, entries: u32) -> Self {
-        let all = u64::from(requests_per_second) * REQUEST;
-        let each_second = all.div_ceil(u64::from(entries)).max(1);
-        let burst = if requests_per_second == 0 { 0 } else { each_second.max(REQUEST) };
-        Self { each_second, burst }
+        let all = u64::from(requests_per_second) * REQUEST_MILLIONTHS;
+        let per_second = all.div_ceil(u64::from(entries)).max(1);
+        let burst = if requests_per_second == 0 { 0 } else { per_second.max(REQUEST_MILLIONTHS) };
+        Self { per_second, burst }
     }
 
-    fn fill(self, used: &mut LimitUse, now: ClockTime) {
-        let passed = now.since(used.filled).as_micros() as u64;
-        let gained = passed.saturating_mul(self.each_second) / MICROS_PER_SECOND;
-        used.allowance = used.allowance.saturating_add(gained).min(self.burst);
-        used.filled = used.filled.max(now);
+    fn fill(self, usage: &mut LimitUsage, now: ClockTime) {
+        let elapsed = now.since(usage.filled_at).as_micros() as u64;
+        let gained = elapsed.saturating_mul(self.per_second) / MICROS_PER_SECOND;
+        usage.allowance = usage.allowance.saturating_add(gained).min(self.burst);
+        usage.filled_at = usage.filled_at.max(now);
     }
 
     fn time_for(self, allowance: u64) -> Duration {
-        Duration::from_micros(allowance.saturating_mul(MICROS_PER_SECOND) / self.each_second)
+        Duration::from_micros(allowance.saturating_mul(MICROS_PER_SECOND) / self.per_second)
     }
 }
 
 /// Counts what runs and how fast it comes, in shards by scope.
 #[derive(Debug)]
 pub struct RequestLimits {
-    shards: [Mutex<HashMap<LimitScope, LimitUse>>; SHARDS],
+    shards: [Mutex<HashMap<LimitScope, LimitUsage>>; SHARDS],
     hasher: RandomState,
     entries: AtomicU32,
 }
@@ -168,8 +168,8 @@
     pub fn ended(&self, rules: &[LimitRule]) {
         for rule in rules {
             let mut shard = lock(self.shard(&rule.scope));
-            if let Some(used) = shard.get_mut(&rule.scope) {
-                used.running = used.running.saturating_sub(1);
+            if let Some(usage) = shard.get_mut(&rule.scope) {
+                usage.running = usage.running.saturating_sub(1);
             }
         }
     }
@@ -177,13 +177,13 @@
     /// Forgets scopes that nothing runs under and whose allowance is full again.
     pub fn expire(&self, now: ClockTime) {
         for shard in &self.shards {
-            lock(shard).retain(|_, used| used.running > 0 || now < used.full_at);
+            lock(shard).retain(|_, usage| usage.running > 0 || now < usage.full_at);
         }
     }
 
     /// Requests of a scope that run now, by this process's count.
     pub fn running(&self, scope: &LimitScope) -> u32 {
-        lock(self.shard(scope)).get(scope).map_or(0, |used| used.running)
+        lock(self.shard(scope)).get(scope).map_or(0, |usage| usage.running)
     }
 
     fn admit_one(&self, rule: &LimitRule, now: ClockTime) -> Result<(), LimitRefusal> {
@@ -191,36 +191,36 @@
         let rate = rule.requests_per_second.map(|rate| SharedRate::new(rate, entries));
         let mut shard = lock(self.shard(&rule.scope));
         let full = rate.map_or(0, |rate| rate.burst);
-        let fresh = LimitUse { running: 0, allowance: full, filled: now, full_at: now };
-        let used = shard.entry(rule.scope.clone()).or_insert(fresh);
+        let fresh = LimitUsage { running: 0, allowance: full, filled_at: now, full_at: now };
+        let usage = shard.entry(rule.scope.clone()).or_insert(fresh);
         let refuse = |retry_after| LimitRefusal { scope: rule.scope.clone(), retry_after };
-        if rule.running.is_some_and(|most| used.running >= most.div_ceil(entries)) {
-            return Err(refuse(RUNNING_RETRY));
+        if rule.running.is_some_and(|limit| usage.running >= limit.div_ceil(entries)) {
+            return Err(refuse(RUNNING_RETRY_AFTER));
         }
         if let Some(rate) = rate {
-            rate.fill(used, now);
-            if used.allowance < REQUEST {
-                return Err(refuse(rate.time_for(REQUEST - used.allowance)));
+            rate.fill(usage, now);
+            if usage.allowance < REQUEST_MILLIONTHS {
+                return Err(refuse(rate.time_for(REQUEST_MILLIONTHS - usage.allowance)));
             }
-            used.allowance -= REQUEST;
-            used.full_at = now.after(rate.time_for(rate.burst - used.allowance));
+            usage.allowance -= REQUEST_MILLIONTHS;
+            usage.full_at = now.after(rate.time_for(rate.burst - usage.allowance));
         }
-        used.running += 1;
+        usage.running += 1;
         Ok(())
     }
 
     fn undo(&self, rules: &[LimitRule]) {
         for rule in rules {
             let mut shard = lock(self.shard(&rule.scope));
-            let Some(used) = shard.get_mut(&rule.scope) else { continue };
-            used.running = used.running.saturating_sub(1);
+            let Some(usage) = shard.get_mut(&rule.scope) else { continue };
+            usage.running = usage.running.saturating_sub(1);
             if rule.requests_per_second.is_some() {
-                used.allowance += REQUEST;
+                usage.allowance += REQUEST_MILLIONTHS;
             }
         }
     }
 
-    fn shard(&self, scope: &LimitScope) -> &Mutex<HashMap<LimitScope, LimitUse>> {
+    fn shard(&self, scope: &LimitScope) -> &Mutex<HashMap<LimitScope, LimitUsage>> {
         &self.shards[self.hasher.hash_one(scope) as usize % SHARDS]
     }
 }
--- a/crates/sagespool-routing/src/load.rs
+++ b/crates/sagespool-routing/src/load.rs
@@ -5,28 +5,28 @@
 use sagespool_messages::LoadReport;
 use sagespool_types::ClockTime;
 
-use crate::history::OwnHistory;
-use crate::lag::{LagEstimate, LagRests};
-use crate::share::EntryShare;
-use crate::smooth::SmoothedValue;
+use crate::average::ExponentialAverage;
+use crate::history::InFlightHistory;
+use crate::lag::{LagEstimator, LagResiduals};
+use crate::traffic_share::TrafficShare;
 
 /// Reports that count for what others than the entries have on an upstream.
-const BEYOND_MEMORY: f64 = 16.0;
-const BEYOND_HALF_LIFE: Duration = Duration::from_secs(60);
+const EXCESS_SAMPLES: f64 = 16.0;
+const EXCESS_HALF_LIFE: Duration = Duration::from_secs(60);
 
 /// What a service's reports show together, which one upstream's estimate leans on.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct LoadOutlook {
+pub(crate) struct LoadContext {
     /// How old a report is when it arrives.
     pub(crate) lag: Duration,
     /// Requests that other entries send for each own one.
-    pub(crate) others: f64,
+    pub(crate) others_per_own: f64,
     /// Requests of other entries for each place of an upstream, on average.
-    pub(crate) others_mean: f64,
+    pub(crate) others_per_slot: f64,
     /// How long a request runs.
     pub(crate) run_time: Duration,
     /// How long a report's surplus over the average lasts.
-    pub(crate) fading: Duration,
+    pub(crate) surplus_decay: Duration,
     /// How far others are taken to follow the same old reports, from 0 to 1.
     pub(crate) herding: f64,
     /// How far own requests alone are taken to tell the load, from 0 to 1.
@@ -45,56 +45,56 @@
 
 /// One upstream's load: the newest report and what this entry did since.
 #[derive(Debug, Clone)]
-pub(crate) struct LoadView {
+pub(crate) struct LoadTracker {
     report: LoadReport,
     /// When the report came; none before the first.
     received: Option<ClockTime>,
-    rests: Option<Box<LagRests>>,
+    residuals: Option<Box<LagResiduals>>,
     /// Requests there beyond what own ones would mean, by the reports of the last minute.
-    beyond: SmoothedValue,
-    history: OwnHistory,
+    excess: ExponentialAverage,
+    history: InFlightHistory,
     /// What the sidecar counted last.
     count: Option<SidecarCount>,
     /// Requests there that came by no sidecar, by the reports of the last minute.
-    outside: SmoothedValue,
+    external: ExponentialAverage,
     /// Own dispatches ever, and at the newest report.
     sent: u64,
     sent_at_report: u64,
 }
 
-impl Default for LoadView {
+impl Default for LoadTracker {
     fn default() -> Self {
         Self {
             report: LoadReport::default(),
             received: None,
-            rests: None,
-            beyond: SmoothedValue::new(BEYOND_MEMORY),
-            history: OwnHistory::default(),
+            residuals: None,
+            excess: ExponentialAverage::new(EXCESS_SAMPLES),
+            history: InFlightHistory::default(),
             count: None,
-            outside: SmoothedValue::new(BEYOND_MEMORY),
+            external: ExponentialAverage::new(EXCESS_SAMPLES),
             sent: 0,
             sent_at_report: 0,
         }
     }
 }
 
-impl LoadView {
+impl LoadTracker {
     pub(crate) fn report(&self) -> &LoadReport {
         &self.report
     }
 
     /// Own requests there now.
     pub(crate) fn own(&self) -> u32 {
-        self.history.now()
+        self.history.current()
     }
 
     /// Takes a report in, unless it is no newer than the one known.
     pub(crate) fn observe(
         &mut self,
         report: &LoadReport,
-        lag: &mut LagEstimate,
-        share: &mut EntryShare,
-        outlook: &LoadOutlook,
+        lag: &mut LagEstimator,
+        share: &mut TrafficShare,
+        context: &LoadContext,
         now: ClockTime,
     ) {
         if self.received.is_some() && report.number <= self.report.number {
@@ -107,22 +107,22 @@
         self.sent_at_report = self.sent;
         self.report = *report;
         self.received = Some(now);
-        let rests = lag.compare(total(report), &self.history, self.rests.as_deref(), now);
-        self.rests = Some(Box::new(rests));
-        let own_then = f64::from(self.own_then(outlook.lag));
-        let beyond = f64::from(total(report)) - own_then * (1.0 + outlook.others);
-        self.beyond.add(beyond, BEYOND_HALF_LIFE, now);
+        let residuals = lag.compare(total(report), &self.history, self.residuals.as_deref(), now);
+        self.residuals = Some(Box::new(residuals));
+        let own_at_report = f64::from(self.own_at_report(context.lag));
+        let excess = f64::from(total(report)) - own_at_report * (1.0 + context.others_per_own);
+        self.excess.add(excess, EXCESS_HALF_LIFE, now);
         // An older count says nothing of what the report shows.
-        if let Some(count) = self.count.filter(|count| now.since(count.at) <= outlook.run_time) {
-            let outside = f64::from(total(report)) - f64::from(count.in_flight);
-            self.outside.add(outside, BEYOND_HALF_LIFE, now);
+        if let Some(count) = self.count.filter(|count| now.since(count.at) <= context.run_time) {
+            let external = f64::from(total(report)) - f64::from(count.in_flight);
+            self.external.add(external, EXCESS_HALF_LIFE, now);
         }
     }
 
     /// Takes in how many requests the sidecar has at its upstream beside one own that runs there.
-    pub(crate) fn counted(&mut self, beside: u32, now: ClockTime) {
-        let others = (beside + 1).saturating_sub(self.own());
-        self.count = Some(SidecarCount { others, in_flight: beside + 1, at: now });
+    pub(crate) fn observe_in_flight(&mut self, other_requests: u32, now: ClockTime) {
+        let others = (other_requests + 1).saturating_sub(self.own());
+        self.count = Some(SidecarCount { others, in_flight: other_requests + 1, at: now });
     }
 
     pub(crate) fn started(&mut self, now: ClockTime) {
@@ -135,13 +135,13 @@
     }
 
     /// Requests of other entries there when the report was made.
-    pub(crate) fn others_then(&self, lag: Duration) -> f64 {
-        f64::from(total(&self.report).saturating_sub(self.own_then(lag)))
+    pub(crate) fn others_at_report(&self, lag: Duration) -> f64 {
+        f64::from(total(&self.report).saturating_sub(self.own_at_report(lag)))
     }
 
     /// Requests of others there by the newest that is known: a report, or the sidecar's count.
-    pub(crate) fn others_lately(&self, outlook: &LoadOutlook, now: ClockTime) -> f64 {
-        self.others_by_count(self.others_then(outlook.lag), outlook, now)
+    pub(crate) fn recent_others(&self, context: &LoadContext, now: ClockTime) -> f64 {
+        self.others_with_count(self.others_at_report(context.lag), context, now)
     }
 
     /// Requests of others there now, given what is expected without the sidecar's count.
@@ -151,16 +151,16 @@
     /// taken, and some requests wait there while places elsewhere are free. The count was true
     /// of its moment, whatever the report's lag. What it showed beyond the expected fades as
     /// the requests end that it counted.
-    fn others_by_count(&self, expected: f64, outlook: &LoadOutlook, now: ClockTime) -> f64 {
+    fn others_with_count(&self, expected: f64, context: &LoadContext, now: ClockTime) -> f64 {
         let Some(count) = self.count else { return expected };
         let age = now.since(count.at).as_secs_f64();
-        let kept = (-age / outlook.run_time.as_secs_f64().max(1e-3)).exp();
-        let outside = self.outside.value(0.0, BEYOND_HALF_LIFE, now).max(0.0);
-        expected + (f64::from(count.others) + outside - expected) * kept
+        let kept = (-age / context.run_time.as_secs_f64().max(1e-3)).exp();
+        let external = self.external.value(0.0, EXCESS_HALF_LIFE, now).max(0.0);
+        expected + (f64::from(count.others) + external - expected) * kept
     }
 
     /// Own requests there when the report was made.
-    fn own_then(&self, lag: Duration) -> u32 {
+    fn own_at_report(&self, lag: Duration) -> u32 {
         self.made_at(lag).map_or(0, |made_at| self.history.at(made_at))
     }
 
@@ -177,24 +177,24 @@
     /// entries that all weigh it keep to their part of each upstream without a message.
     ///
     /// Where the sidecar lately counted what it has there, that goes before all of this.
-    pub(crate) fn estimate(&self, outlook: &LoadOutlook, capacity: f64, now: ClockTime) -> f64 {
+    pub(crate) fn estimate(&self, context: &LoadContext, capacity: f64, now: ClockTime) -> f64 {
         let own = f64::from(self.own());
-        let others_mean = outlook.others_mean * capacity;
-        let followed = outlook.others * outlook.herding;
-        let Some(made_at) = self.made_at(outlook.lag) else {
-            let others = own * followed + others_mean;
-            return own + self.others_by_count(others, outlook, now);
+        let average_others = context.others_per_slot * capacity;
+        let followed = context.others_per_own * context.herding;
+        let Some(made_at) = self.made_at(context.lag) else {
+            let others = own * followed + average_others;
+            return own + self.others_with_count(others, context, now);
         };
-        let own_then = f64::from(self.history.at(made_at));
+        let own_at_report = f64::from(self.history.at(made_at));
         let age = now.since(made_at).as_secs_f64();
-        let kept = (-age / outlook.fading.as_secs_f64().max(1e-3)).exp();
-        let surplus = (self.others_then(outlook.lag) - others_mean) * kept;
-        let others = others_mean + surplus + (own - own_then) * followed;
+        let kept = (-age / context.surplus_decay.as_secs_f64().max(1e-3)).exp();
+        let surplus = (self.others_at_report(context.lag) - average_others) * kept;
+        let others = average_others + surplus + (own - own_at_report) * followed;
         let by_report = own + others.max(0.0);
-        let beyond = self.beyond.value(0.0, BEYOND_HALF_LIFE, now);
-        let by_own = (own * (1.0 + outlook.others) + beyond).max(own);
-        let expected = by_report + (by_own - by_report) * outlook.own_weight;
-        own + self.others_by_count(expected - own, outlook, now)
+        let excess = self.excess.value(0.0, EXCESS_HALF_LIFE, now);
+        let by_own = (own * (1.0 + context.others_per_own) + excess).max(own);
+        let expected = by_report + (by_own - by_report) * context.own_weight;
+        own + self.others_with_count(expected - own, context, now)
     }
 
     fn made_at(&self, lag: Duration) -> Option<ClockTime> {
--- a/crates/sagespool-routing/src/policy.rs
+++ b/crates/sagespool-routing/src/policy.rs
@@ -71,10 +71,10 @@
     pub report_lag: Duration,
     /// Up to so many upstreams are all looked at; beyond that, a random sample.
     #[builder(default = 32)]
-    pub full_scan: usize,
+    pub full_scan_limit: usize,
     /// Random candidates beyond `full_scan` upstreams.
     #[builder(default = 12)]
-    pub samples: usize,
+    pub sample_size: usize,
     /// What a request to another data centre takes longer.
     #[builder(default = Duration::from_millis(2))]
     pub centre_penalty: Duration,
@@ -86,7 +86,7 @@
     pub prefix_expiry: Duration,
     /// Prefixes remembered for one service.
     #[builder(default = 16384)]
-    pub prefixes: usize,
+    pub max_prefixes: usize,
     /// The time to a first token until one has been measured.
     #[builder(default = Duration::from_millis(200))]
     pub first_token: Duration,
@@ -104,10 +104,10 @@
     pub failures_to_eject: u32,
     /// How long the first ejection lasts; doubled by each probe that fails.
     #[builder(default = Duration::from_secs(1))]
-    pub ejection: Duration,
+    pub first_ejection: Duration,
     /// The longest ejection.
     #[builder(default = Duration::from_secs(30))]
-    pub longest_ejection: Duration,
+    pub max_ejection: Duration,
 }
 
 impl Default for RoutingPolicy {
--- a/crates/sagespool-routing/src/queue.rs
+++ b/crates/sagespool-routing/src/queue.rs
@@ -6,7 +6,7 @@
 
 use sagespool_types::{BranchName, ClockTime, RefusalReason, RequestId, ServiceName};
 
-use crate::lane::ServiceLane;
+use crate::service_queue::ServiceQueue;
 use crate::table::lock;
 
 /// Settings of [`AdmissionQueue`]. The defaults are the measured choices of
@@ -19,7 +19,7 @@
     pub most_waiting: u32,
     /// Requests running at once until [`AdmissionQueue::set_limit`] says otherwise.
     #[builder(default = 8)]
-    pub first_limit: u32,
+    pub initial_limit: u32,
     /// How long a request runs, until measured.
     #[builder(default = Duration::from_secs(2))]
     pub run_time: Duration,
@@ -33,7 +33,7 @@
     pub share_span: Duration,
     /// A branch may save up at least so many requests.
     #[builder(default = 16)]
-    pub burst: u32,
+    pub min_burst: u32,
     /// Requests beyond their branch's share may take the places up to this part of them, in
     /// hundredths, while others are within theirs.
     #[builder(default = 66)]
@@ -41,14 +41,14 @@
     /// A branch that at one moment runs so many times its share more than its share is held back
     /// like one that is far beyond it over time; none for 0.
     #[builder(default = 2)]
-    pub crowding: u32,
+    pub full_excess_shares: u32,
     /// At most this part of the places, in hundredths, is kept free for those who go first,
     /// by what they lately used.
     #[builder(default = 15)]
     pub headroom_percent: u32,
     /// A lower class goes after so many requests of higher ones went before it.
     #[builder(default = 16)]
-    pub passes: u32,
+    pub max_skips: u32,
 }
 
 impl Default for QueuePolicy {
@@ -125,13 +125,13 @@
     pub limit: u32,
 }
 
-type LaneShard = Arc<Mutex<ServiceLane>>;
+type QueueShard = Arc<Mutex<ServiceQueue>>;
 
 /// The bounded queues of an entry, one for each service under its own lock.
 #[derive(Debug, Default)]
 pub struct AdmissionQueue {
     policy: QueuePolicy,
-    services: Mutex<HashMap<ServiceName, LaneShard>>,
+    services: Mutex<HashMap<ServiceName, QueueShard>>,
 }
 
 impl AdmissionQueue {
@@ -173,12 +173,12 @@
         lock(&self.shard(service)).depth()
     }
 
-    fn shard(&self, service: &ServiceName) -> LaneShard {
+    fn shard(&self, service: &ServiceName) -> QueueShard {
         let mut services = lock(&self.services);
         if let Some(shard) = services.get(service) {
             return Arc::clone(shard);
         }
-        let shard = Arc::new(Mutex::new(ServiceLane::new(self.policy.clone())));
+        let shard = Arc::new(Mutex::new(ServiceQueue::new(self.policy.clone())));
         services.insert(service.clone(), Arc::clone(&shard));
         shard
     }
--- a/crates/sagespool-routing/src/retry.rs
+++ b/crates/sagespool-routing/src/retry.rs
@@ -19,7 +19,7 @@
     pub share_per_mille: u32,
     /// Retries that are always allowed in a window, so that a quiet service can retry at all.
     #[builder(default = 3)]
-    pub floor: u32,
+    pub min_retries: u32,
     /// How far back requests and retries count.
     #[builder(default = Duration::from_secs(10))]
     pub window: Duration,
@@ -91,7 +91,7 @@
         let number = self.slice_number(now);
         let (requests, retries) = window.totals(number);
         let share = requests * u64::from(self.policy.share_per_mille) / 1000;
-        if retries >= share.max(u64::from(self.policy.floor)) {
+        if retries >= share.max(u64::from(self.policy.min_retries)) {
             return false;
         }
         window.slice(number).retries += 1;
--- a/crates/sagespool-routing/src/service.rs
+++ b/crates/sagespool-routing/src/service.rs
@@ -8,26 +8,26 @@
 use sagespool_messages::{MemberInfo, ServedUpstream};
 use sagespool_types::{CentreName, ClockTime, IncarnationId, ModelName};
 
-use crate::affinity::{CacheEvent, CacheEventKind, PrefixMemory, PrefixRing};
-use crate::lag::LagEstimate;
-use crate::load::LoadOutlook;
-use crate::share::EntryShare;
-use crate::speed::{ServiceSpeed, WholeAnswer};
+use crate::affinity::{CacheEvent, CacheEventKind, PrefixIndex, PrefixRing};
+use crate::lag::LagEstimator;
+use crate::load::LoadContext;
+use crate::speed::{CompletedRun, ServiceSpeed};
 use crate::totals::ServiceTotals;
+use crate::traffic_share::TrafficShare;
 use crate::upstream::UpstreamState;
 use crate::{AttemptOutcome, AttemptResult, RoutingPolicy, ServiceConcurrency, UpstreamPlacement};
 
 /// A report's surplus over the average fades over so many run times.
-const FADING_RUNS: f64 = 2.0;
+const SURPLUS_DECAY_RUNS: f64 = 2.0;
 /// How far other entries are taken to follow the same old reports.
-const HERDING: f64 = 0.5;
+const HERDING_FACTOR: f64 = 0.5;
 /// How far own requests alone are taken to tell an upstream's load.
-const OWN_WEIGHT: f64 = 0.75;
+const OWN_LOAD_WEIGHT: f64 = 0.75;
 /// Without any first token for so many times the expected time, an upstream is stalled.
-const STALL: f64 = 3.0;
+const STALL_FACTOR: f64 = 3.0;
 /// Entries may have so many times the upstreams' capacity running: a choice that was a
 /// little wrong then costs no idle place.
-const OVERCOMMIT: f64 = 1.1;
+const OVERCOMMIT_FACTOR: f64 = 1.1;
 
 #[derive(Debug, Clone, Copy)]
 struct RunningAttempt {
@@ -44,22 +44,22 @@
 pub(crate) struct ServiceState {
     pub(crate) policy: Arc<RoutingPolicy>,
     pub(crate) upstreams: Vec<UpstreamState>,
-    pub(crate) places: HashMap<IncarnationId, usize>,
+    pub(crate) indexes: HashMap<IncarnationId, usize>,
     pub(crate) ring: PrefixRing,
-    pub(crate) prefixes: PrefixMemory,
+    pub(crate) prefixes: PrefixIndex,
     pub(crate) speed: ServiceSpeed,
     /// Places of the upstreams that take new work, by model; computed when asked for.
     pub(crate) usable: HashMap<Option<ModelName>, Arc<Vec<usize>>>,
     /// Ejected and slow upstreams, looked at in turn for one that is due to be probed.
-    pub(crate) suspects: Vec<IncarnationId>,
+    pub(crate) impaired: Vec<IncarnationId>,
     /// Choices since a slow upstream was probed.
-    pub(crate) unprobed: u32,
-    pub(crate) turn: usize,
+    pub(crate) choices_since_probe: u32,
+    pub(crate) cursor: usize,
     pub(crate) random: Rng,
     pub(crate) next_attempt: u64,
     running: HashMap<u64, RunningAttempt>,
-    lag: LagEstimate,
-    share: EntryShare,
+    lag: LagEstimator,
+    share: TrafficShare,
     totals: ServiceTotals,
 }
 
@@ -67,19 +67,19 @@
     pub(crate) fn new(policy: Arc<RoutingPolicy>, seed: u64) -> Self {
         Self {
             upstreams: Vec::new(),
-            places: HashMap::new(),
+            indexes: HashMap::new(),
             ring: PrefixRing::default(),
-            prefixes: PrefixMemory::new(policy.prefixes),
+            prefixes: PrefixIndex::new(policy.max_prefixes),
             speed: ServiceSpeed::default(),
             usable: HashMap::new(),
-            suspects: Vec::new(),
-            unprobed: 0,
-            turn: 0,
+            impaired: Vec::new(),
+            choices_since_probe: 0,
+            cursor: 0,
             random: Rng::with_seed(seed),
             next_attempt: 0,
             running: HashMap::new(),
-            lag: LagEstimate::default(),
-            share: EntryShare::default(),
+            lag: LagEstimator::default(),
+            share: TrafficShare::default(),
             totals: ServiceTotals::default(),
             policy,
         }
@@ -93,162 +93,162 @@
         entries: u32,
         now: ClockTime,
     ) {
-        let outlook = self.last_outlook(entries, now);
-        let place = match self.places.get(&member.incarnation) {
-            Some(place) => *place,
+        let context = self.cached_context(entries, now);
+        let index = match self.indexes.get(&member.incarnation) {
+            Some(index) => *index,
             None => self.insert(member, served),
         };
-        let upstream = &mut self.upstreams[place];
+        let upstream = &mut self.upstreams[index];
         let has_changed = upstream.observe(member, served, own_centre);
-        upstream.observe_load(served, &mut self.lag, &mut self.share, &outlook, now);
+        upstream.observe_load(served, &mut self.lag, &mut self.share, &context, now);
         if has_changed {
-            self.forget_usable();
+            self.invalidate_usable();
         }
     }
 
     fn insert(&mut self, member: &MemberInfo, served: &ServedUpstream) -> usize {
-        let place = self.upstreams.len();
-        self.places.insert(member.incarnation, place);
+        let index = self.upstreams.len();
+        self.indexes.insert(member.incarnation, index);
         self.ring.insert(&served.upstream, member.incarnation);
         self.upstreams.push(UpstreamState::new(member, served));
-        self.forget_usable();
-        place
+        self.invalidate_usable();
+        index
     }
 
     /// Who may get new work changed.
-    fn forget_usable(&mut self) {
+    fn invalidate_usable(&mut self) {
         self.usable.clear();
         self.totals = ServiceTotals::default();
     }
 
     pub(crate) fn remove(&mut self, id: IncarnationId) {
-        let Some(place) = self.places.remove(&id) else { return };
-        let gone = self.upstreams.swap_remove(place);
-        self.ring.remove(&gone.name, id);
-        self.suspects.retain(|suspect| *suspect != id);
-        if let Some(moved) = self.upstreams.get(place) {
-            self.places.insert(moved.id, place);
+        let Some(index) = self.indexes.remove(&id) else { return };
+        let removed = self.upstreams.swap_remove(index);
+        self.ring.remove(&removed.name, id);
+        self.impaired.retain(|impaired| *impaired != id);
+        if let Some(moved) = self.upstreams.get(index) {
+            self.indexes.insert(moved.id, index);
         }
-        self.forget_usable();
+        self.invalidate_usable();
     }
 
-    pub(crate) fn started(&mut self, choice: &UpstreamPlacement, entries: u32, now: ClockTime) {
-        let Some(place) = self.places.get(&choice.sidecar).copied() else { return };
-        let outlook = self.outlook(entries, now);
-        let upstream = &mut self.upstreams[place];
+    pub(crate) fn started(&mut self, placement: &UpstreamPlacement, entries: u32, now: ClockTime) {
+        let Some(index) = self.indexes.get(&placement.sidecar).copied() else { return };
+        let context = self.context(entries, now);
+        let upstream = &mut self.upstreams[index];
         let capacity = f64::from(upstream.capacity);
         let attempt = RunningAttempt {
-            sidecar: choice.sidecar,
+            sidecar: placement.sidecar,
             started: now,
-            is_unqueued: upstream.load.estimate(&outlook, capacity, now) < capacity,
-            is_cached: choice.is_cached,
+            is_unqueued: upstream.load.estimate(&context, capacity, now) < capacity,
+            is_cached: placement.is_cached,
             first_token: None,
         };
-        upstream.started(choice.attempt, now);
-        self.running.insert(choice.attempt, attempt);
+        upstream.started(placement.attempt, now);
+        self.running.insert(placement.attempt, attempt);
     }
 
     pub(crate) fn first_token(
         &mut self,
-        choice: &UpstreamPlacement,
+        placement: &UpstreamPlacement,
         latency: Duration,
         now: ClockTime,
     ) {
-        let Some(attempt) = self.running.get_mut(&choice.attempt) else { return };
-        let Some(place) = self.places.get(&attempt.sidecar).copied() else { return };
-        let upstream = &mut self.upstreams[place];
-        if !upstream.answered(choice.attempt, attempt.started) {
+        let Some(attempt) = self.running.get_mut(&placement.attempt) else { return };
+        let Some(index) = self.indexes.get(&attempt.sidecar).copied() else { return };
+        let upstream = &mut self.upstreams[index];
+        if !upstream.record_first_token(placement.attempt, attempt.started) {
             return;
         }
         attempt.first_token = Some(latency);
         if attempt.is_unqueued {
             let is_cached = attempt.is_cached;
             upstream.speed.first_token(&mut self.speed, latency, is_cached, &self.policy, now);
-            self.suspect(place, now);
+            self.note_if_impaired(index, now);
         }
     }
 
     pub(crate) fn ended(
         &mut self,
-        choice: &UpstreamPlacement,
+        placement: &UpstreamPlacement,
         result: &AttemptResult,
         now: ClockTime,
     ) {
         let whole = (result.outcome == AttemptOutcome::Whole).then_some(now);
-        let started = self.running.get(&choice.attempt).map(|attempt| attempt.started);
+        let started = self.running.get(&placement.attempt).map(|attempt| attempt.started);
         // An answer in one piece: its end was its first token.
-        let in_one = whole.zip(started).map(|(now, started)| now.since(started));
-        if let Some(latency) = result.first_token.or(in_one) {
-            self.first_token(choice, latency, now);
+        let single_piece = whole.zip(started).map(|(now, started)| now.since(started));
+        if let Some(latency) = result.first_token.or(single_piece) {
+            self.first_token(placement, latency, now);
         }
-        let Some(attempt) = self.running.remove(&choice.attempt) else { return };
-        let Some(place) = self.places.get(&attempt.sidecar).copied() else { return };
-        let upstream = &mut self.upstreams[place];
+        let Some(attempt) = self.running.remove(&placement.attempt) else { return };
+        let Some(index) = self.indexes.get(&attempt.sidecar).copied() else { return };
+        let upstream = &mut self.upstreams[index];
         upstream.load.ended(now);
-        upstream.settle_pending(choice.attempt);
+        upstream.clear_pending(placement.attempt);
         match result.outcome {
-            AttemptOutcome::Whole => self.succeeded(place, &attempt, result, now),
-            AttemptOutcome::Failed | AttemptOutcome::Unreachable => self.failed(place, now),
-            AttemptOutcome::Cancelled => self.cancelled(place, &attempt, now),
-            AttemptOutcome::Refused => upstream.ejection.undecided(),
+            AttemptOutcome::Whole => self.succeeded(index, &attempt, result, now),
+            AttemptOutcome::Failed | AttemptOutcome::Unreachable => self.failed(index, now),
+            AttemptOutcome::Cancelled => self.cancelled(index, &attempt, now),
+            AttemptOutcome::Refused => upstream.ejection.inconclusive(),
             AttemptOutcome::Leaving => {
-                upstream.ejection.undecided();
+                upstream.ejection.inconclusive();
                 upstream.has_left = true;
-                upstream.takes_work = false;
-                self.forget_usable();
+                upstream.accepts_requests = false;
+                self.invalidate_usable();
             }
         }
     }
 
     fn succeeded(
         &mut self,
-        place: usize,
+        index: usize,
         attempt: &RunningAttempt,
         result: &AttemptResult,
         now: ClockTime,
     ) {
-        let upstream = &mut self.upstreams[place];
+        let upstream = &mut self.upstreams[index];
         upstream.ejection.succeeded();
         upstream.failures.add(0.0, self.policy.half_life, now);
-        let took = now.since(attempt.started);
+        let elapsed = now.since(attempt.started);
         let first_token = attempt.first_token;
-        let answer = WholeAnswer { took, first_token, tokens: result.tokens.0 };
-        upstream.speed.whole(&mut self.speed, &answer, &self.policy, now);
-        self.suspect(place, now);
+        let run = CompletedRun { elapsed, first_token, tokens: result.tokens.0 };
+        upstream.speed.completed(&mut self.speed, &run, &self.policy, now);
+        self.note_if_impaired(index, now);
     }
 
     /// Guards against an upstream that hangs and goes on eating requests: their deadlines end
     /// them, its places look free again, and the next ones are sent there. A request that was
     /// given up without a first token long after one was due counts as that late a token.
-    fn cancelled(&mut self, place: usize, attempt: &RunningAttempt, now: ClockTime) {
-        let took = now.since(attempt.started);
+    fn cancelled(&mut self, index: usize, attempt: &RunningAttempt, now: ClockTime) {
+        let elapsed = now.since(attempt.started);
         let first_token = self.speed.first_token(&self.policy);
-        let upstream = &mut self.upstreams[place];
-        upstream.ejection.undecided();
-        let is_overdue = took.as_secs_f64() > STALL * first_token;
+        let upstream = &mut self.upstreams[index];
+        upstream.ejection.inconclusive();
+        let is_overdue = elapsed.as_secs_f64() > STALL_FACTOR * first_token;
         if attempt.first_token.is_none() && attempt.is_unqueued && is_overdue {
-            upstream.speed.overdue(&self.speed, took, &self.policy, now);
-            self.suspect(place, now);
+            upstream.speed.overdue(&self.speed, elapsed, &self.policy, now);
+            self.note_if_impaired(index, now);
         }
     }
 
-    fn failed(&mut self, place: usize, now: ClockTime) {
-        let upstream = &mut self.upstreams[place];
+    fn failed(&mut self, index: usize, now: ClockTime) {
+        let upstream = &mut self.upstreams[index];
         upstream.ejection.failed(&self.policy, self.random.f64(), now);
         upstream.failures.add(1.0, self.policy.half_life, now);
-        self.suspect(place, now);
+        self.note_if_impaired(index, now);
     }
 
     /// Keeps an upstream in mind for a probe, if it is ejected, slow or stalled.
-    pub(crate) fn suspect(&mut self, place: usize, now: ClockTime) {
-        let id = self.upstreams[place].id;
-        if self.is_suspect(place, now) && !self.suspects.contains(&id) {
-            self.suspects.push(id);
+    pub(crate) fn note_if_impaired(&mut self, index: usize, now: ClockTime) {
+        let id = self.upstreams[index].id;
+        if self.is_impaired(index, now) && !self.impaired.contains(&id) {
+            self.impaired.push(id);
         }
     }
 
-    pub(crate) fn is_suspect(&self, place: usize, now: ClockTime) -> bool {
-        let upstream = &self.upstreams[place];
+    pub(crate) fn is_impaired(&self, index: usize, now: ClockTime) -> bool {
+        let upstream = &self.upstreams[index];
         upstream.ejection.is_ejected()
             || upstream.is_slow(&self.policy, now)
             || self.is_stalled(upstream, 0.0, now)
@@ -258,12 +258,17 @@
     pub(crate) fn is_stalled(&self, upstream: &UpstreamState, wait: f64, now: ClockTime) -> bool {
         let first_token = self.speed.first_token(&self.policy);
         let expected = first_token * upstream.speed.slowness(&self.policy, now) + wait;
-        upstream.stalled_for(now).as_secs_f64() > STALL * expected
+        upstream.stalled_for(now).as_secs_f64() > STALL_FACTOR * expected
     }
 
-    pub(crate) fn counted(&mut self, sidecar: IncarnationId, beside: u32, now: ClockTime) {
-        let Some(place) = self.places.get(&sidecar) else { return };
-        self.upstreams[*place].load.counted(beside, now);
+    pub(crate) fn observe_in_flight(
+        &mut self,
+        sidecar: IncarnationId,
+        other_requests: u32,
+        now: ClockTime,
+    ) {
+        let Some(index) = self.indexes.get(&sidecar) else { return };
+        self.upstreams[*index].load.observe_in_flight(other_requests, now);
     }
 
     pub(crate) fn cache_event(
@@ -272,8 +277,8 @@
         event: &CacheEvent,
         now: ClockTime,
     ) {
-        let Some(place) = self.places.get(&sidecar) else { return };
-        let upstream = &mut self.upstreams[*place];
+        let Some(index) = self.indexes.get(&sidecar) else { return };
+        let upstream = &mut self.upstreams[*index];
         if event.number <= upstream.cache_number {
             return;
         }
@@ -287,46 +292,46 @@
     /// An equal share of the capacity, or what this entry has plus its part of what is free,
     /// whichever is more: an entry that gets more callers than the others may use what they
     /// leave, and goes back to its share as they need theirs.
-    pub(crate) fn room(&mut self, entries: u32, now: ClockTime) -> ServiceConcurrency {
-        self.renew_totals(entries, now);
+    pub(crate) fn concurrency(&mut self, entries: u32, now: ClockTime) -> ServiceConcurrency {
+        self.refresh_totals(entries, now);
         let own = self.running.len() as f64;
-        let capacity = self.totals.capacity * OVERCOMMIT;
+        let capacity = self.totals.capacity * OVERCOMMIT_FACTOR;
         let free = capacity - self.totals.others - own;
         let share = capacity / f64::from(entries.max(1));
-        let part = self.share.own_part(entries);
-        let limit = share.max(own + free * part).ceil();
+        let own_share = self.share.own_share(entries);
+        let limit = share.max(own + free * own_share).ceil();
         let run_time = Duration::from_secs_f64(self.speed.run_time(&self.policy, now));
         ServiceConcurrency { limit: limit.max(1.0) as u32, run_time }
     }
 
     /// Requests that run, as a share of what the upstreams run at once.
-    pub(crate) fn use_share(&self) -> f64 {
+    pub(crate) fn utilization(&self) -> f64 {
         (self.totals.others + self.running.len() as f64) / self.totals.capacity.max(1.0)
     }
 
-    pub(crate) fn outlook(&mut self, entries: u32, now: ClockTime) -> LoadOutlook {
-        self.renew_totals(entries, now);
-        self.last_outlook(entries, now)
+    pub(crate) fn context(&mut self, entries: u32, now: ClockTime) -> LoadContext {
+        self.refresh_totals(entries, now);
+        self.cached_context(entries, now)
     }
 
     /// As it was when last asked for; enough to learn by, and cheap for each report.
-    fn last_outlook(&self, entries: u32, now: ClockTime) -> LoadOutlook {
+    fn cached_context(&self, entries: u32, now: ClockTime) -> LoadContext {
         let run_time = self.speed.run_time(&self.policy, now);
-        LoadOutlook {
+        LoadContext {
             lag: self.lag.lag(self.policy.report_lag),
-            others: 1.0 / self.share.own_part(entries) - 1.0,
-            others_mean: self.totals.others / self.totals.capacity.max(1.0),
+            others_per_own: 1.0 / self.share.own_share(entries) - 1.0,
+            others_per_slot: self.totals.others / self.totals.capacity.max(1.0),
             run_time: Duration::from_secs_f64(run_time),
-            fading: Duration::from_secs_f64(run_time * FADING_RUNS),
-            herding: HERDING,
-            own_weight: OWN_WEIGHT,
+            surplus_decay: Duration::from_secs_f64(run_time * SURPLUS_DECAY_RUNS),
+            herding: HERDING_FACTOR,
+            own_weight: OWN_LOAD_WEIGHT,
         }
     }
 
-    fn renew_totals(&mut self, entries: u32, now: ClockTime) {
-        if self.totals.is_old(self.upstreams.len(), now) {
-            let outlook = self.last_outlook(entries, now);
-            self.totals = ServiceTotals::of(&self.upstreams, &outlook, now);
+    fn refresh_totals(&mut self, entries: u32, now: ClockTime) {
+        if self.totals.is_stale(self.upstreams.len(), now) {
+            let context = self.cached_context(entries, now);
+            self.totals = ServiceTotals::sum(&self.upstreams, &context, now);
         }
     }
 }
--- a/crates/sagespool-routing/src/lane.rs
+++ b/crates/sagespool-routing/src/service_queue.rs
@@ -5,16 +5,16 @@
 
 use sagespool_types::{BranchName, ClockTime, RefusalReason, RequestId};
 
-use crate::order::{BranchState, ClassQueue, DueShare, ShareRate};
-use crate::smooth::SmoothedValue;
+use crate::average::ExponentialAverage;
+use crate::fair_order::{BranchState, ClassQueue, ClockRate, VirtualClock};
 use crate::tier::{QueueTier, TierTable};
 use crate::{OfferOutcome, QueueDepth, QueuePolicy, QueueRelease, QueueTicket};
 
 /// Ended requests that count for the run time.
-const RUN_MEMORY: f64 = 64.0;
+const RUN_TIME_SAMPLES: f64 = 64.0;
 
 #[derive(Debug, Clone)]
-struct WaitingPlace {
+struct QueuePosition {
     branch: BranchName,
     priority: u8,
     number: u64,
@@ -22,7 +22,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct RunningPlace {
+struct RunningSlot {
     branch: BranchName,
     priority: u8,
     tier: QueueTier,
@@ -31,7 +31,7 @@
 
 /// One service's queue: branches in fair order within each class, classes by priority.
 #[derive(Debug)]
-pub(crate) struct ServiceLane {
+pub(crate) struct ServiceQueue {
     policy: QueuePolicy,
     limit: u32,
     branches: HashMap<BranchName, BranchState>,
@@ -40,21 +40,21 @@
     /// Branches by the time at which they became idle.
     idle: VecDeque<(ClockTime, BranchName)>,
     classes: BTreeMap<u8, ClassQueue>,
-    waiting: HashMap<RequestId, WaitingPlace>,
+    waiting: HashMap<RequestId, QueuePosition>,
     /// Waiting requests by the time at which they can't make it any more.
     latest_starts: BTreeSet<(ClockTime, RequestId)>,
-    running: HashMap<RequestId, RunningPlace>,
+    running: HashMap<RequestId, RunningSlot>,
     tiers: TierTable,
-    due: DueShare,
+    clock: VirtualClock,
     next_number: u64,
-    starts: u64,
-    run_time: SmoothedValue,
+    start_count: u64,
+    run_time: ExponentialAverage,
 }
 
-impl ServiceLane {
+impl ServiceQueue {
     pub(crate) fn new(policy: QueuePolicy) -> Self {
         Self {
-            limit: policy.first_limit.max(1),
+            limit: policy.initial_limit.max(1),
             policy,
             branches: HashMap::new(),
             counted_weight: 0,
@@ -64,10 +64,10 @@
             latest_starts: BTreeSet::new(),
             running: HashMap::new(),
             tiers: TierTable::default(),
-            due: DueShare::default(),
+            clock: VirtualClock::default(),
             next_number: 0,
-            starts: 0,
-            run_time: SmoothedValue::new(RUN_MEMORY),
+            start_count: 0,
+            run_time: ExponentialAverage::new(RUN_TIME_SAMPLES),
         }
     }
 
@@ -84,16 +84,16 @@
         if ticket.latest_start() <= now {
             return refuse(RefusalReason::DeadlineExceeded, None);
         }
-        self.advance(now);
-        self.note_branch(&ticket, now);
-        let outcome = self.place(ticket.clone(), now);
+        self.advance_clock(now);
+        self.update_weight(&ticket, now);
+        let outcome = self.admit_or_queue(ticket.clone(), now);
         if matches!(outcome, OfferOutcome::Refused { .. }) {
-            self.forget_if_spent(&ticket.branch);
+            self.remove_if_unused(&ticket.branch);
         }
         outcome
     }
 
-    fn place(&mut self, ticket: QueueTicket, now: ClockTime) -> OfferOutcome {
+    fn admit_or_queue(&mut self, ticket: QueueTicket, now: ClockTime) -> OfferOutcome {
         if self.may_start_at_once(&ticket, now) {
             self.start(&ticket, now);
             return OfferOutcome::Admitted;
@@ -113,10 +113,10 @@
     /// Nobody who waits would go before it, and there is a place.
     fn may_start_at_once(&self, ticket: &QueueTicket, now: ClockTime) -> bool {
         let tier = self.tier(&ticket.branch, ticket.priority, now);
-        if !self.has_place(tier, &ticket.branch, now) {
+        if !self.has_slot(tier, &ticket.branch, now) {
             return false;
         }
-        let next = self.next_head(now);
+        let next = self.next_branch(now);
         next.is_none_or(|(waiting, _)| tier < waiting)
     }
 
@@ -129,7 +129,7 @@
     }
 
     pub(crate) fn release(&mut self, now: ClockTime) -> QueueRelease {
-        self.advance(now);
+        self.advance_clock(now);
         let expired = self.expire(now);
         let mut admitted = Vec::new();
         while let Some(ticket) = self.pop(now) {
@@ -140,22 +140,22 @@
     }
 
     pub(crate) fn ended(&mut self, request: RequestId, now: ClockTime) {
-        let Some(place) = self.running.remove(&request) else { return };
-        let took = now.since(place.since).as_secs_f64();
-        self.run_time.add(took, self.policy.half_life, now);
-        self.tiers.ended(place.tier, self.policy.half_life, now);
-        self.advance(now);
-        let due = self.due;
-        self.change(&place.branch, now, |branch| {
-            branch.request_ended(place.priority, place.since, &due, now);
+        let Some(slot) = self.running.remove(&request) else { return };
+        let elapsed = now.since(slot.since).as_secs_f64();
+        self.run_time.add(elapsed, self.policy.half_life, now);
+        self.tiers.ended(slot.tier, self.policy.half_life, now);
+        self.advance_clock(now);
+        let clock = self.clock;
+        self.update_branch(&slot.branch, now, |branch| {
+            branch.request_ended(slot.priority, slot.since, &clock, now);
         });
-        self.forget_if_spent(&place.branch);
+        self.remove_if_unused(&slot.branch);
     }
 
     pub(crate) fn withdraw(&mut self, request: RequestId, now: ClockTime) -> bool {
-        let Some(place) = self.waiting.get(&request).cloned() else { return false };
-        self.take_out(request, &place, now);
-        self.forget_if_spent(&place.branch);
+        let Some(position) = self.waiting.get(&request).cloned() else { return false };
+        self.remove_waiting(request, &position, now);
+        self.remove_if_unused(&position.branch);
         true
     }
 
@@ -175,67 +175,72 @@
 
     fn push(&mut self, ticket: QueueTicket, now: ClockTime) {
         self.next_number += 1;
-        let place = WaitingPlace {
+        let position = QueuePosition {
             branch: ticket.branch.clone(),
             priority: ticket.priority,
             number: self.next_number,
             latest_start: ticket.latest_start(),
         };
-        self.change(&ticket.branch, now, |branch| branch.waiting += 1);
-        self.latest_starts.insert((place.latest_start, ticket.request));
-        self.waiting.insert(ticket.request, place);
+        self.update_branch(&ticket.branch, now, |branch| branch.waiting += 1);
+        self.latest_starts.insert((position.latest_start, ticket.request));
+        self.waiting.insert(ticket.request, position);
         if let Some(branch) = self.branches.get(&ticket.branch) {
             let class = self.classes.entry(ticket.priority).or_default();
-            class.push(self.next_number, ticket, branch, &self.due);
+            class.push(self.next_number, ticket, branch, &self.clock);
         }
     }
 
-    fn take_out(&mut self, request: RequestId, place: &WaitingPlace, now: ClockTime) {
+    fn remove_waiting(&mut self, request: RequestId, position: &QueuePosition, now: ClockTime) {
         self.waiting.remove(&request);
-        self.latest_starts.remove(&(place.latest_start, request));
-        if let Some(class) = self.classes.get_mut(&place.priority) {
-            class.remove(&place.branch, place.number);
+        self.latest_starts.remove(&(position.latest_start, request));
+        if let Some(class) = self.classes.get_mut(&position.priority) {
+            class.remove(&position.branch, position.number);
         }
-        self.change(&place.branch, now, |branch| branch.waiting = branch.waiting.saturating_sub(1));
+        self.update_branch(&position.branch, now, |branch| {
+            branch.waiting = branch.waiting.saturating_sub(1)
+        });
     }
 
     /// Takes out the ticket that goes next, if it has a place.
     fn pop(&mut self, now: ClockTime) -> Option<QueueTicket> {
-        let (tier, name) = self.next_head(now)?;
+        let (tier, name) = self.next_branch(now)?;
         let name = name.clone();
         let ticket = self.classes.get_mut(&tier.priority)?.pop(&name)?;
         self.waiting.remove(&ticket.request);
         self.latest_starts.remove(&(ticket.latest_start(), ticket.request));
-        self.change(&name, now, |branch| branch.waiting = branch.waiting.saturating_sub(1));
-        self.count_passes(tier.priority);
+        self.update_branch(&name, now, |branch| branch.waiting = branch.waiting.saturating_sub(1));
+        self.count_skips(tier.priority);
         Some(ticket)
     }
 
     /// The first branch of the class whose turn it is, of those for which there is a place.
-    fn next_head(&self, now: ClockTime) -> Option<(QueueTier, &BranchName)> {
+    fn next_branch(&self, now: ClockTime) -> Option<(QueueTier, &BranchName)> {
         let heads = self.classes.iter().filter_map(|(priority, class)| {
             let name = class.first()?;
             let tier = self.tier(name, *priority, now);
-            let is_due = class.passed_by >= self.policy.passes;
-            self.has_place(tier, name, now).then_some((!is_due, tier, name))
+            let is_overdue = class.skips >= self.policy.max_skips;
+            self.has_slot(tier, name, now).then_some((!is_overdue, tier, name))
         });
         heads.min().map(|(_, tier, name)| (tier, name))
     }
 
     /// Guards against a lower class that never goes while higher ones keep coming.
-    fn count_passes(&mut self, gone: u8) {
+    fn count_skips(&mut self, admitted: u8) {
         for (priority, class) in &mut self.classes {
-            if *priority == gone {
-                class.passed_by = 0;
-            } else if *priority > gone && class.waiting > 0 {
-                class.passed_by += 1;
+            if *priority == admitted {
+                class.skips = 0;
+            } else if *priority > admitted && class.waiting > 0 {
+                class.skips += 1;
             }
         }
     }
 
     fn tier(&self, name: &BranchName, priority: u8, now: ClockTime) -> QueueTier {
-        let used = self.branches.get(name).map(|branch| branch.used(priority, &self.due, now));
-        QueueTier { is_excess: used.is_some_and(|used| self.due.is_beyond(used)), priority }
+        let usage = self.branches.get(name).map(|branch| branch.usage(priority, &self.clock, now));
+        QueueTier {
+            is_excess: usage.is_some_and(|usage| self.clock.exceeds_share(usage)),
+            priority,
+        }
     }
 
     /// Places that a branch may count on; at least one.
@@ -248,12 +253,12 @@
 
     /// Whether one more of the tier may run: a branch beyond its share leaves the more places
     /// free the further it is beyond, and all leave what those before them lately needed.
-    fn has_place(&self, tier: QueueTier, name: &BranchName, now: ClockTime) -> bool {
+    fn has_slot(&self, tier: QueueTier, name: &BranchName, now: ClockTime) -> bool {
         let limit = f64::from(self.limit);
-        let ahead = self.branches.get(name).map_or(0.0, |branch| self.ahead(branch, tier, now));
-        let held_back = limit * (1.0 - percent(self.policy.excess_percent)) * ahead;
+        let excess = self.branches.get(name).map_or(0.0, |branch| self.excess(branch, tier, now));
+        let held_back = limit * (1.0 - fraction(self.policy.excess_percent)) * excess;
         let needed = self.tiers.headroom(tier, self.policy.half_life, now);
-        let headroom = needed.min(limit * percent(self.policy.headroom_percent));
+        let headroom = needed.min(limit * fraction(self.policy.headroom_percent));
         let taken = self.running.len() as f64;
         taken + 1.0 <= (limit - held_back - headroom).ceil()
     }
@@ -262,41 +267,46 @@
     ///
     /// Use over time alone lets a branch that was calm take every free place at every entry
     /// before its use shows: requests of others that come in the next second or two find none.
-    fn ahead(&self, branch: &BranchState, tier: QueueTier, now: ClockTime) -> f64 {
-        let over_time = self.due.ahead(branch.used(tier.priority, &self.due, now));
+    fn excess(&self, branch: &BranchState, tier: QueueTier, now: ClockTime) -> f64 {
+        let over_time = self.clock.excess(branch.usage(tier.priority, &self.clock, now));
         let weight = f64::from(branch.weight) / self.counted_weight.max(1) as f64;
         let share = (f64::from(self.limit) * weight).max(1.0);
-        let beyond = f64::from(branch.running(tier.priority)) - share;
-        match self.policy.crowding {
+        let over = f64::from(branch.running(tier.priority)) - share;
+        match self.policy.full_excess_shares {
             0 => over_time,
-            crowding => over_time.max((beyond / (share * f64::from(crowding))).min(1.0)),
+            shares => over_time.max((over / (share * f64::from(shares))).min(1.0)),
         }
     }
 
     fn start(&mut self, ticket: &QueueTicket, now: ClockTime) {
         let tier = self.tier(&ticket.branch, ticket.priority, now);
         self.tiers.started(tier, self.policy.half_life, now);
-        self.starts += 1;
-        let (due, start) = (self.due, self.starts);
-        self.change(&ticket.branch, now, |branch| {
-            branch.started(ticket.priority, start, &due, now);
+        self.start_count += 1;
+        let (clock, start) = (self.clock, self.start_count);
+        self.update_branch(&ticket.branch, now, |branch| {
+            branch.started(ticket.priority, start, &clock, now);
         });
-        let place = RunningPlace {
+        let slot = RunningSlot {
             branch: ticket.branch.clone(),
             priority: ticket.priority,
             tier,
             since: now,
         };
-        self.running.insert(ticket.request, place);
+        self.running.insert(ticket.request, slot);
     }
 
-    fn note_branch(&mut self, ticket: &QueueTicket, now: ClockTime) {
+    fn update_weight(&mut self, ticket: &QueueTicket, now: ClockTime) {
         self.branches.entry(ticket.branch.clone()).or_insert_with(BranchState::new);
-        self.change(&ticket.branch, now, |branch| branch.weight = ticket.weight.max(1));
+        self.update_branch(&ticket.branch, now, |branch| branch.weight = ticket.weight.max(1));
     }
 
     /// Changes a branch, keeping the sums and its place in every class true.
-    fn change(&mut self, name: &BranchName, now: ClockTime, apply: impl FnOnce(&mut BranchState)) {
+    fn update_branch(
+        &mut self,
+        name: &BranchName,
+        now: ClockTime,
+        apply: impl FnOnce(&mut BranchState),
+    ) {
         let Some(branch) = self.branches.get_mut(name) else { return };
         if branch.is_counted {
             self.counted_weight -= u64::from(branch.weight);
@@ -314,7 +324,7 @@
             self.counted_weight += u64::from(branch.weight);
         }
         for (priority, class) in &mut self.classes {
-            class.reorder(name, *priority, branch, &self.due);
+            class.reorder(name, *priority, branch, &self.clock);
         }
     }
 
@@ -323,7 +333,7 @@
     /// Guards against shares that jump: of ten branches with a request now and then, only one
     /// or two are active at a moment, and the one that always is would take nearly every
     /// place as its share.
-    fn forget_idle(&mut self, now: ClockTime) {
+    fn expire_idle(&mut self, now: ClockTime) {
         while let Some((since, name)) = self.idle.front() {
             if now.since(*since) < self.policy.half_life {
                 break;
@@ -337,28 +347,28 @@
             branch.is_counted = false;
             branch.idle_since = None;
             self.counted_weight -= u64::from(branch.weight);
-            self.forget_if_spent(&name);
+            self.remove_if_unused(&name);
         }
     }
 
-    fn forget_if_spent(&mut self, name: &BranchName) {
-        let is_spent = |branch: &BranchState| !branch.is_counted && !branch.is_active();
-        if self.branches.get(name).is_some_and(is_spent) {
+    fn remove_if_unused(&mut self, name: &BranchName) {
+        let is_unused = |branch: &BranchState| !branch.is_counted && !branch.is_active();
+        if self.branches.get(name).is_some_and(is_unused) {
             self.branches.remove(name);
         }
     }
 
     /// Brings the shares up to the present.
-    fn advance(&mut self, now: ClockTime) {
-        let rate = ShareRate {
-            places: self.limit,
+    fn advance_clock(&mut self, now: ClockTime) {
+        let rate = ClockRate {
+            slots: self.limit,
             weight: self.counted_weight,
             run_time: self.run_time(now),
             span: self.policy.share_span,
-            burst: self.policy.burst,
+            burst: self.policy.min_burst,
         };
-        self.due.advance(&rate, now);
-        self.forget_idle(now);
+        self.clock.advance(&rate, now);
+        self.expire_idle(now);
     }
 
     fn run_time(&self, now: ClockTime) -> Duration {
@@ -385,6 +395,6 @@
     OfferOutcome::Refused { reason, retry_after }
 }
 
-fn percent(hundredths: u32) -> f64 {
+fn fraction(hundredths: u32) -> f64 {
     f64::from(hundredths) / 100.0
 }
--- a/crates/sagespool-routing/src/speed.rs
+++ b/crates/sagespool-routing/src/speed.rs
@@ -5,31 +5,31 @@
 use sagespool_types::ClockTime;
 
 use crate::RoutingPolicy;
-use crate::smooth::SmoothedValue;
+use crate::average::ExponentialAverage;
 
 /// Samples that count for a whole service, and for one upstream.
-const SERVICE_MEMORY: f64 = 64.0;
-const UPSTREAM_MEMORY: f64 = 8.0;
+const SERVICE_SAMPLES: f64 = 64.0;
+const UPSTREAM_SAMPLES: f64 = 8.0;
 /// A single sample says at most that an upstream is so many times as slow, or as fast.
-const MOST_RATIO: f64 = 20.0;
+const MAX_SLOWNESS_RATIO: f64 = 20.0;
 /// A slow upstream's sample counts for the service as at most so many times the mean. (Dividing
 /// it by the upstream's slowness instead leaves the scale of both undetermined: it stays where
 /// the first guess put it.)
-const MOST_OUTLYING: f64 = 3.0;
+const MAX_OUTLIER_RATIO: f64 = 3.0;
 /// A first token is quick within this part of the ordinary time: its prefix was cached.
-const QUICK: f64 = 0.6;
+const QUICK_RATIO: f64 = 0.6;
 /// So many quick ones of those believed to be cached show that caching works at all.
-const ENOUGH_HITS: f64 = 0.1;
+const MIN_HIT_SHARE: f64 = 0.1;
 /// A run counts as at most so many times the mean: answers differ more in length than in their
 /// first token.
-const LONGEST_RUN: f64 = 20.0;
+const MAX_RUN_RATIO: f64 = 20.0;
 /// From so many tokens on, their pace is a measurement.
-const ENOUGH_TOKENS: u64 = 8;
+const MIN_TOKENS: u64 = 8;
 
 /// How an attempt that ran to its end went.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct WholeAnswer {
-    pub(crate) took: Duration,
+pub(crate) struct CompletedRun {
+    pub(crate) elapsed: Duration,
     pub(crate) first_token: Option<Duration>,
     pub(crate) tokens: u64,
 }
@@ -38,21 +38,21 @@
 #[derive(Debug, Clone)]
 pub(crate) struct ServiceSpeed {
     /// To the first token, where the prefix wasn't believed to be cached.
-    uncached: SmoothedValue,
+    uncached: ExponentialAverage,
     /// To the first token, where it was, and came quickly.
-    cached: SmoothedValue,
+    cached: ExponentialAverage,
     /// How often it came quickly where the prefix was believed to be cached, from 0 to 1.
-    hits: SmoothedValue,
+    hits: ExponentialAverage,
     /// For one token more.
-    token: SmoothedValue,
+    per_token: ExponentialAverage,
     /// For which a request holds its place.
-    run: SmoothedValue,
+    run: ExponentialAverage,
 }
 
 impl Default for ServiceSpeed {
     fn default() -> Self {
-        let empty = SmoothedValue::new(SERVICE_MEMORY);
-        Self { uncached: empty, cached: empty, hits: empty, token: empty, run: empty }
+        let empty = ExponentialAverage::new(SERVICE_SAMPLES);
+        Self { uncached: empty, cached: empty, hits: empty, per_token: empty, run: empty }
     }
 }
 
@@ -64,7 +64,7 @@
     /// looks quicker than the service, one without measurements doesn't, and an upstream that was
     /// restarted gets no work.
     pub(crate) fn first_token(&self, policy: &RoutingPolicy) -> f64 {
-        self.uncached.measured(policy.first_token.as_secs_f64())
+        self.uncached.mean_or(policy.first_token.as_secs_f64())
     }
 
     /// Seconds that a cached prefix saves, where it is really cached.
@@ -77,7 +77,7 @@
         let guess = (uncached - policy.prefix_gain.as_secs_f64()).max(0.0);
         let cached = self.cached.value(guess, policy.half_life, now);
         let hits = self.hits.value(1.0, policy.half_life, now);
-        (uncached - cached).max(0.0) * (hits / ENOUGH_HITS).min(1.0)
+        (uncached - cached).max(0.0) * (hits / MIN_HIT_SHARE).min(1.0)
     }
 
     /// Seconds that a request holds its place.
@@ -89,12 +89,12 @@
 /// How many times as long as its peers one upstream takes; 1 is ordinary.
 #[derive(Debug, Clone)]
 pub(crate) struct UpstreamSpeed {
-    slowness: SmoothedValue,
+    slowness: ExponentialAverage,
 }
 
 impl Default for UpstreamSpeed {
     fn default() -> Self {
-        Self { slowness: SmoothedValue::new(UPSTREAM_MEMORY) }
+        Self { slowness: ExponentialAverage::new(UPSTREAM_SAMPLES) }
     }
 }
 
@@ -115,19 +115,19 @@
     ) {
         let seconds = latency.as_secs_f64();
         let expected = service.first_token(policy);
-        let ordinary = seconds.min(expected * MOST_OUTLYING);
+        let bounded = seconds.min(expected * MAX_OUTLIER_RATIO);
         let ratio = seconds / expected.max(1e-6);
         if is_cached {
-            let is_quick = ratio < QUICK;
+            let is_quick = ratio < QUICK_RATIO;
             service.hits.add(f64::from(u8::from(is_quick)), policy.half_life, now);
             if is_quick {
-                service.cached.add(ordinary, policy.half_life, now);
+                service.cached.add(bounded, policy.half_life, now);
             }
             // Quick because it was cached says nothing about the upstream's speed.
-            self.add(ratio.max(1.0), policy, now);
+            self.add_ratio(ratio.max(1.0), policy, now);
         } else {
-            service.uncached.add(ordinary, policy.half_life, now);
-            self.add(ratio, policy, now);
+            service.uncached.add(bounded, policy.half_life, now);
+            self.add_ratio(ratio, policy, now);
         }
     }
 
@@ -140,35 +140,35 @@
         now: ClockTime,
     ) {
         let expected = service.first_token(policy);
-        self.add(waited.as_secs_f64() / expected.max(1e-6), policy, now);
+        self.add_ratio(waited.as_secs_f64() / expected.max(1e-6), policy, now);
     }
 
     /// Takes in a whole answer.
-    pub(crate) fn whole(
+    pub(crate) fn completed(
         &mut self,
         service: &mut ServiceSpeed,
-        answer: &WholeAnswer,
+        run: &CompletedRun,
         policy: &RoutingPolicy,
         now: ClockTime,
     ) {
         let slowness = self.slowness(policy, now);
-        let to_first = answer.first_token.unwrap_or(answer.took).as_secs_f64();
-        let after = (answer.took.as_secs_f64() - to_first).max(0.0);
+        let to_first = run.first_token.unwrap_or(run.elapsed).as_secs_f64();
+        let after = (run.elapsed.as_secs_f64() - to_first).max(0.0);
         // Waiting in the upstream's queue holds no place in it.
         let held = to_first.min(service.first_token(policy) * slowness) + after;
-        let ordinary = held.min(service.run_time(policy, now) * LONGEST_RUN);
-        service.run.add(ordinary, policy.half_life, now);
-        if answer.tokens < ENOUGH_TOKENS {
+        let bounded = held.min(service.run_time(policy, now) * MAX_RUN_RATIO);
+        service.run.add(bounded, policy.half_life, now);
+        if run.tokens < MIN_TOKENS {
             return;
         }
-        let token = after / answer.tokens as f64;
-        let expected = service.token.value(token, policy.half_life, now);
-        service.token.add(token.min(expected * MOST_OUTLYING), policy.half_life, now);
-        self.add(token / expected.max(1e-9), policy, now);
+        let per_token = after / run.tokens as f64;
+        let expected = service.per_token.value(per_token, policy.half_life, now);
+        service.per_token.add(per_token.min(expected * MAX_OUTLIER_RATIO), policy.half_life, now);
+        self.add_ratio(per_token / expected.max(1e-9), policy, now);
     }
 
-    fn add(&mut self, ratio: f64, policy: &RoutingPolicy, now: ClockTime) {
-        let ratio = ratio.clamp(1.0 / MOST_RATIO, MOST_RATIO);
+    fn add_ratio(&mut self, ratio: f64, policy: &RoutingPolicy, now: ClockTime) {
+        let ratio = ratio.clamp(1.0 / MAX_SLOWNESS_RATIO, MAX_SLOWNESS_RATIO);
         self.slowness.add(ratio, policy.half_life, now);
     }
 }
--- a/crates/sagespool-routing/src/table.rs
+++ b/crates/sagespool-routing/src/table.rs
@@ -68,7 +68,7 @@
     }
 
     /// Removes every sidecar that is not among these.
-    pub fn keep_only(&self, members: &[MemberInfo]) {
+    pub fn retain_members(&self, members: &[MemberInfo]) {
         let live: HashSet<IncarnationId> =
             members.iter().map(|member| member.incarnation).collect();
         let known: Vec<IncarnationId> = lock(&self.sidecars).keys().copied().collect();
@@ -80,28 +80,28 @@
     /// Where a request goes, or nothing if no upstream may take it now.
     ///
     /// Follow it by [`Self::started`] at once, and by [`Self::ended`] in any case.
-    pub fn choose(&self, wish: &PlacementQuery, now: ClockTime) -> Option<UpstreamPlacement> {
-        let shard = self.shard(&wish.service)?;
-        lock(&shard).choose(wish, self.entries(), now)
+    pub fn choose(&self, query: &PlacementQuery, now: ClockTime) -> Option<UpstreamPlacement> {
+        let shard = self.shard(&query.service)?;
+        lock(&shard).choose(query, self.entries(), now)
     }
 
     /// The request was sent where the choice says.
-    pub fn started(&self, choice: &UpstreamPlacement, now: ClockTime) {
-        let Some(shard) = self.shard(&choice.service) else { return };
-        lock(&shard).started(choice, self.entries(), now);
+    pub fn started(&self, placement: &UpstreamPlacement, now: ClockTime) {
+        let Some(shard) = self.shard(&placement.service) else { return };
+        lock(&shard).started(placement, self.entries(), now);
     }
 
     /// The first token or byte came, so long after the dispatch. Optional, but
     /// a long answer's end comes too late to notice a slow upstream by.
-    pub fn first_token(&self, choice: &UpstreamPlacement, latency: Duration, now: ClockTime) {
-        let Some(shard) = self.shard(&choice.service) else { return };
-        lock(&shard).first_token(choice, latency, now);
+    pub fn first_token(&self, placement: &UpstreamPlacement, latency: Duration, now: ClockTime) {
+        let Some(shard) = self.shard(&placement.service) else { return };
+        lock(&shard).first_token(placement, latency, now);
     }
 
     /// The attempt ended, however that was.
-    pub fn ended(&self, choice: &UpstreamPlacement, result: &AttemptResult, now: ClockTime) {
-        let Some(shard) = self.shard(&choice.service) else { return };
-        lock(&shard).ended(choice, result, now);
+    pub fn ended(&self, placement: &UpstreamPlacement, result: &AttemptResult, now: ClockTime) {
+        let Some(shard) = self.shard(&placement.service) else { return };
+        lock(&shard).ended(placement, result, now);
     }
 
     /// Takes in a cache event of the upstream beside a sidecar; late, doubled and missing ones
@@ -114,17 +114,17 @@
 
     /// Takes in how many requests a sidecar has at its upstream at this moment beside an own one
     /// that has started and not ended, on whose stream it tells so.
-    pub fn observe_in_flight(&self, sidecar: IncarnationId, beside: u32, now: ClockTime) {
+    pub fn observe_in_flight(&self, sidecar: IncarnationId, other_requests: u32, now: ClockTime) {
         let service = lock(&self.sidecars).get(&sidecar).cloned();
         let Some(shard) = service.and_then(|service| self.shard(&service)) else { return };
-        lock(&shard).counted(sidecar, beside, now);
+        lock(&shard).observe_in_flight(sidecar, other_requests, now);
     }
 
     /// How many requests this entry may have running in a service. Ask a few times a second,
     /// and hand the limit to [`crate::AdmissionQueue::set_limit`].
     pub fn concurrency(&self, service: &ServiceName, now: ClockTime) -> Option<ServiceConcurrency> {
         let shard = self.shard(service)?;
-        Some(lock(&shard).room(self.entries(), now))
+        Some(lock(&shard).concurrency(self.entries(), now))
     }
 
     fn entries(&self) -> u32 {
--- a/crates/sagespool-routing/src/tier.rs
+++ b/crates/sagespool-routing/src/tier.rs
@@ -14,31 +14,32 @@
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct TierUse {
+struct TierUsage {
     running: u32,
     /// The most that ran at once lately; fades to what runs now.
     peak: f64,
-    at: ClockTime,
+    updated_at: ClockTime,
 }
 
-impl TierUse {
+impl TierUsage {
     fn peak(&self, half_life: Duration, now: ClockTime) -> f64 {
-        let halves = now.since(self.at).as_secs_f64() / half_life.as_secs_f64().max(1e-3);
+        let half_lives =
+            now.since(self.updated_at).as_secs_f64() / half_life.as_secs_f64().max(1e-3);
         let running = f64::from(self.running);
-        running + (self.peak - running).max(0.0) * (-halves).exp2()
+        running + (self.peak - running).max(0.0) * (-half_lives).exp2()
     }
 
     fn set(&mut self, running: u32, half_life: Duration, now: ClockTime) {
         self.peak = self.peak(half_life, now).max(f64::from(running));
         self.running = running;
-        self.at = now;
+        self.updated_at = now;
     }
 }
 
 /// What each tier has running, and lately had.
 #[derive(Debug, Default)]
 pub(crate) struct TierTable {
-    tiers: BTreeMap<QueueTier, TierUse>,
+    tiers: BTreeMap<QueueTier, TierUsage>,
 }
 
 impl TierTable {
--- a/crates/sagespool-routing/src/totals.rs
+++ b/crates/sagespool-routing/src/totals.rs
@@ -4,18 +4,18 @@
 
 use sagespool_types::ClockTime;
 
-use crate::ejection::UseState;
-use crate::load::LoadOutlook;
+use crate::ejection::Availability;
+use crate::load::LoadContext;
 use crate::upstream::UpstreamState;
 
 /// The sums are renewed after this time, and later where there are many upstreams.
-const RENEWED_AFTER: Duration = Duration::from_millis(50);
-const RENEWED_AFTER_EACH: Duration = Duration::from_micros(100);
+const REFRESH_INTERVAL: Duration = Duration::from_millis(50);
+const REFRESH_INTERVAL_PER_UPSTREAM: Duration = Duration::from_micros(100);
 
 /// What the usable upstreams of a service have together.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct ServiceTotals {
-    at: Option<ClockTime>,
+    computed_at: Option<ClockTime>,
     /// Requests that they run at once.
     pub(crate) capacity: f64,
     /// Requests of other entries there, by the newest reports and counts.
@@ -23,18 +23,18 @@
 }
 
 impl ServiceTotals {
-    pub(crate) fn is_old(&self, upstreams: usize, now: ClockTime) -> bool {
-        let many = RENEWED_AFTER_EACH.saturating_mul(upstreams as u32);
-        self.at.is_none_or(|at| now.since(at) >= RENEWED_AFTER.max(many))
+    pub(crate) fn is_stale(&self, upstreams: usize, now: ClockTime) -> bool {
+        let scaled = REFRESH_INTERVAL_PER_UPSTREAM.saturating_mul(upstreams as u32);
+        self.computed_at.is_none_or(|at| now.since(at) >= REFRESH_INTERVAL.max(scaled))
     }
 
-    pub(crate) fn of(upstreams: &[UpstreamState], outlook: &LoadOutlook, now: ClockTime) -> Self {
-        let mut totals = Self { at: Some(now), ..Self::default() };
+    pub(crate) fn sum(upstreams: &[UpstreamState], context: &LoadContext, now: ClockTime) -> Self {
+        let mut totals = Self { computed_at: Some(now), ..Self::default() };
         for upstream in upstreams {
-            let is_open = upstream.ejection.state(now) == UseState::Open;
-            if upstream.takes_work && is_open {
+            let is_available = upstream.ejection.availability(now) == Availability::Available;
+            if upstream.accepts_requests && is_available {
                 totals.capacity += f64::from(upstream.capacity);
-                totals.others += upstream.load.others_lately(outlook, now);
+                totals.others += upstream.load.recent_others(context, now);
             }
         }
         totals
--- a/crates/sagespool-routing/src/share.rs
+++ b/crates/sagespool-routing/src/traffic_share.rs
@@ -1,30 +1,30 @@
 //! How much of a service's traffic this entry sends.
 
 /// About so many dispatches are remembered.
-const MEMORY: f64 = 2000.0;
+const DISPATCH_WINDOW: f64 = 2000.0;
 /// What the number of entries weighs, in own dispatches.
-const PRIOR: f64 = 20.0;
+const PRIOR_DISPATCHES: f64 = 20.0;
 
 /// Own dispatches against all that the sidecars counted.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct EntryShare {
+pub(crate) struct TrafficShare {
     own: f64,
     all: f64,
 }
 
-impl EntryShare {
+impl TrafficShare {
     /// Between two reports of one sidecar: own dispatches, and all that it took in.
     pub(crate) fn add(&mut self, own: u64, all: u64) {
-        let keep = 1.0 - (all as f64 / MEMORY).min(1.0);
+        let keep = 1.0 - (all as f64 / DISPATCH_WINDOW).min(1.0);
         self.own = self.own * keep + own as f64;
         self.all = self.all * keep + all as f64;
     }
 
     /// This entry's part of the requests, from 0 to 1; as if all entries sent alike until
     /// measured.
-    pub(crate) fn own_part(&self, entries: u32) -> f64 {
-        let own = self.own + PRIOR;
-        let all = self.all + PRIOR * f64::from(entries.max(1));
+    pub(crate) fn own_share(&self, entries: u32) -> f64 {
+        let own = self.own + PRIOR_DISPATCHES;
+        let all = self.all + PRIOR_DISPATCHES * f64::from(entries.max(1));
         (own / all.max(own)).max(1e-3)
     }
 }
--- a/crates/sagespool-routing/src/upstream.rs
+++ b/crates/sagespool-routing/src/upstream.rs
@@ -8,21 +8,21 @@
 use sagespool_types::{CentreName, ClockTime, IncarnationId, ModelName, UpstreamName};
 
 use crate::RoutingPolicy;
-use crate::ejection::EjectionState;
-use crate::lag::LagEstimate;
-use crate::load::{LoadOutlook, LoadView};
-use crate::share::EntryShare;
-use crate::smooth::SmoothedValue;
+use crate::average::ExponentialAverage;
+use crate::ejection::EjectionTracker;
+use crate::lag::LagEstimator;
+use crate::load::{LoadContext, LoadTracker};
 use crate::speed::UpstreamSpeed;
+use crate::traffic_share::TrafficShare;
 
 /// Attempts that count for the share of failures.
-const FAILURE_MEMORY: f64 = 8.0;
+const FAILURE_SAMPLES: f64 = 8.0;
 
 /// An upstream that takes so many times as long as its peers is slow.
-const SLOW: f64 = 1.5;
+const SLOW_RATIO: f64 = 1.5;
 
 /// The pause between trials doubles with each request without an answer, up to so many.
-const MOST_UNANSWERED: usize = 6;
+const MAX_UNANSWERED: usize = 6;
 
 /// One upstream, through its sidecar.
 #[derive(Debug)]
@@ -32,16 +32,16 @@
     pub(crate) address: SocketAddr,
     pub(crate) models: Vec<ModelName>,
     pub(crate) capacity: u32,
-    pub(crate) is_near: bool,
+    pub(crate) is_same_centre: bool,
     /// Healthy and not leaving: may get new work.
-    pub(crate) takes_work: bool,
+    pub(crate) accepts_requests: bool,
     /// Its sidecar said that it is leaving; an incarnation doesn't come back from that.
     pub(crate) has_left: bool,
-    pub(crate) load: LoadView,
+    pub(crate) load: LoadTracker,
     pub(crate) speed: UpstreamSpeed,
-    pub(crate) ejection: EjectionState,
+    pub(crate) ejection: EjectionTracker,
     /// Share of attempts that failed.
-    pub(crate) failures: SmoothedValue,
+    pub(crate) failures: ExponentialAverage,
     /// When an own attempt last started.
     last_start: ClockTime,
     /// When the newest attempt started that had a first token.
@@ -60,13 +60,13 @@
             address: member.address,
             models: Vec::new(),
             capacity: 1,
-            is_near: false,
-            takes_work: false,
+            is_same_centre: false,
+            accepts_requests: false,
             has_left: false,
-            load: LoadView::default(),
+            load: LoadTracker::default(),
             speed: UpstreamSpeed::default(),
-            ejection: EjectionState::default(),
-            failures: SmoothedValue::new(FAILURE_MEMORY),
+            ejection: EjectionTracker::default(),
+            failures: ExponentialAverage::new(FAILURE_SAMPLES),
             last_start: ClockTime::default(),
             last_answered: None,
             pending: VecDeque::new(),
@@ -81,15 +81,15 @@
         served: &ServedUpstream,
         own_centre: &CentreName,
     ) -> bool {
-        let takes_work = served.healthy && !member.leaving && !self.has_left;
-        let is_near = member.centre == *own_centre;
-        let is_same = takes_work == self.takes_work
-            && is_near == self.is_near
+        let accepts_requests = served.healthy && !member.leaving && !self.has_left;
+        let is_same_centre = member.centre == *own_centre;
+        let is_same = accepts_requests == self.accepts_requests
+            && is_same_centre == self.is_same_centre
             && self.models == served.models;
         self.address = member.address;
         self.capacity = served.capacity.max(1);
-        self.takes_work = takes_work;
-        self.is_near = is_near;
+        self.accepts_requests = accepts_requests;
+        self.is_same_centre = is_same_centre;
         if !is_same {
             self.models = served.models.clone();
         }
@@ -99,12 +99,12 @@
     pub(crate) fn observe_load(
         &mut self,
         served: &ServedUpstream,
-        lag: &mut LagEstimate,
-        share: &mut EntryShare,
-        outlook: &LoadOutlook,
+        lag: &mut LagEstimator,
+        share: &mut TrafficShare,
+        context: &LoadContext,
         now: ClockTime,
     ) {
-        self.load.observe(&served.load, lag, share, outlook, now);
+        self.load.observe(&served.load, lag, share, context, now);
     }
 
     pub(crate) fn serves(&self, model: Option<&ModelName>) -> bool {
@@ -127,20 +127,20 @@
 
     /// True while it takes so much longer than its peers that hardly anything goes there.
     pub(crate) fn is_slow(&self, policy: &RoutingPolicy, now: ClockTime) -> bool {
-        self.speed.slowness(policy, now) > SLOW
+        self.speed.slowness(policy, now) > SLOW_RATIO
     }
 
     /// True for a slow or stalled upstream that nothing was tried on lately: the longer, the
     /// more requests have no answer from it yet.
-    pub(crate) fn is_trial_due(&self, policy: &RoutingPolicy, now: ClockTime) -> bool {
-        let unanswered = self.pending.len().min(MOST_UNANSWERED) as u32;
+    pub(crate) fn is_probe_due(&self, policy: &RoutingPolicy, now: ClockTime) -> bool {
+        let unanswered = self.pending.len().min(MAX_UNANSWERED) as u32;
         let pause = policy.half_life.saturating_mul(1 << unanswered.saturating_sub(1));
         now.since(self.last_start) >= pause
     }
 
     /// The first token of an attempt came; true if it was awaited.
-    pub(crate) fn answered(&mut self, attempt: u64, started: ClockTime) -> bool {
-        if !self.settle_pending(attempt) {
+    pub(crate) fn record_first_token(&mut self, attempt: u64, started: ClockTime) -> bool {
+        if !self.clear_pending(attempt) {
             return false;
         }
         self.last_answered = self.last_answered.max(Some(started));
@@ -148,8 +148,8 @@
     }
 
     /// Drops an attempt from those without a first token; true if it was among them.
-    pub(crate) fn settle_pending(&mut self, attempt: u64) -> bool {
-        let place = self.pending.iter().position(|(pending, _)| *pending == attempt);
-        place.is_some_and(|place| self.pending.remove(place).is_some())
+    pub(crate) fn clear_pending(&mut self, attempt: u64) -> bool {
+        let index = self.pending.iter().position(|(pending, _)| *pending == attempt);
+        index.is_some_and(|index| self.pending.remove(index).is_some())
     }
 }
--- a/crates/sagespool-routing/tests/load_choice.rs
+++ b/crates/sagespool-routing/tests/load_choice.rs
@@ -8,12 +8,12 @@
 use quickcheck::{QuickCheck, TestResult};
 use sagespool_routing::{AttemptOutcome, PlacementQuery, PolicyKind, UpstreamTable};
 use sagespool_types::IncarnationId;
-use support::{CAPACITY, at, end, idle_table, member, name, send, table, wish};
+use support::{CAPACITY, at, end, idle_table, member, name, query, send, table};
 
 fn counts(table: &UpstreamTable, requests: usize) -> HashMap<u64, u32> {
     let mut counts = HashMap::new();
     for _ in 0..requests {
-        *counts.entry(send(table, &wish(), at(10)).sidecar.0).or_default() += 1;
+        *counts.entry(send(table, &query(), at(10)).sidecar.0).or_default() += 1;
     }
     counts
 }
@@ -61,7 +61,7 @@
         table.observe(&member(0, report, 0), at(report * 500));
         table.observe(&member(1, report, 8), at(report * 500));
     }
-    let to_full = (0..3).filter(|_| send(&table, &wish(), at(15_000)).sidecar.0 == 1).count();
+    let to_full = (0..3).filter(|_| send(&table, &query(), at(15_000)).sidecar.0 == 1).count();
     assert_eq!(to_full, 0);
 }
 
@@ -76,10 +76,10 @@
     let mut wrong = 0;
     for step in 0..400u64 {
         let now = at(step * 100);
-        running.retain(|(until, choice)| {
+        running.retain(|(until, placement)| {
             let has_ended = *until <= step;
             if has_ended {
-                end(&table, choice, AttemptOutcome::Whole, now);
+                end(&table, placement, AttemptOutcome::Whole, now);
             }
             !has_ended
         });
@@ -93,11 +93,12 @@
             if step % 6 != 0 {
                 break;
             }
-            let choice = send(&table, &wish(), now);
-            table.first_token(&choice, Duration::from_millis(100), now);
-            running.push((step + 3 + (place * 5 + step) % 17, choice));
+            let placement = send(&table, &query(), now);
+            table.first_token(&placement, Duration::from_millis(100), now);
+            running.push((step + 3 + (place * 5 + step) % 17, placement));
         }
-        let on = |number| running.iter().filter(|(_, choice)| choice.sidecar.0 == number).count();
+        let on =
+            |number| running.iter().filter(|(_, placement)| placement.sidecar.0 == number).count();
         past.push([on(0) as u32, on(1) as u32]);
         wrong += u32::from(step > 200 && on(0).abs_diff(on(1)) > 2);
     }
@@ -116,12 +117,12 @@
     sick.serves.as_mut().expect("it serves").healthy = false;
     table.observe(&sick, at(5));
     assert_eq!(counts(&table, 20), HashMap::from([(2, 20)]));
-    let choice = send(&table, &wish(), at(20));
-    end(&table, &choice, AttemptOutcome::Leaving, at(21));
-    assert_eq!(table.choose(&wish(), at(22)), None);
+    let placement = send(&table, &query(), at(20));
+    end(&table, &placement, AttemptOutcome::Leaving, at(21));
+    assert_eq!(table.choose(&query(), at(22)), None);
     // An older description, still on its way, must not bring it back.
     table.observe(&member(2, 2, 0), at(23));
-    assert_eq!(table.choose(&wish(), at(24)), None);
+    assert_eq!(table.choose(&query(), at(24)), None);
 }
 
 #[test]
@@ -135,10 +136,12 @@
             table.observe(&member(number as u64, 1, u32::from(*running)), at(0));
         }
         let tried = u64::from(excluded) % load.len() as u64;
-        let wish = PlacementQuery { exclude: vec![IncarnationId(tried)], ..wish() };
-        let choice = table.choose(&wish, at(1));
-        let is_right = match choice {
-            Some(choice) => choice.sidecar.0 != tried && (choice.sidecar.0 as usize) < load.len(),
+        let query = PlacementQuery { exclude: vec![IncarnationId(tried)], ..query() };
+        let placement = table.choose(&query, at(1));
+        let is_right = match placement {
+            Some(placement) => {
+                placement.sidecar.0 != tried && (placement.sidecar.0 as usize) < load.len()
+            }
             None => load.len() == 1,
         };
         TestResult::from_bool(is_right)
@@ -153,14 +156,14 @@
     far.centre = name("seeb");
     far.serves.as_mut().expect("it serves").models = vec![name("sage-small")];
     table.observe(&far, at(0));
-    let wanted = |model| PlacementQuery { model: Some(name(model)), ..wish() };
+    let wanted = |model| PlacementQuery { model: Some(name(model)), ..query() };
     assert_eq!(send(&table, &wanted("sage-small"), at(1)).sidecar.0, 2);
     assert!(send(&table, &wanted("sage-large"), at(1)).sidecar.0 < 2);
     assert_eq!(table.choose(&wanted("sage-none"), at(1)), None);
     // The far one is equal but for the way: idle near ones go first.
     let table = idle_table(2, 4);
     table.observe(&far, at(0));
-    assert!((0..2).all(|_| send(&table, &wish(), at(1)).sidecar.0 < 2));
+    assert!((0..2).all(|_| send(&table, &query(), at(1)).sidecar.0 < 2));
 }
 
 // The balancer sends nearly all callers to one of four entries. Held to a quarter of the places,
@@ -175,15 +178,15 @@
     assert!((8..=18).contains(&quarter), "{quarter} of 32 places to start with");
     for report in 1..40u64 {
         let now = at(report * 100);
-        let sent: Vec<_> = (0..20).map(|_| send(&table, &wish(), now)).collect();
+        let sent: Vec<_> = (0..20).map(|_| send(&table, &query(), now)).collect();
         for number in 0..4 {
             let mut member = member(number, report + 1, 0);
-            let on = sent.iter().filter(|choice| choice.sidecar.0 == number).count() as u64;
+            let on = sent.iter().filter(|placement| placement.sidecar.0 == number).count() as u64;
             let load = &mut member.serves.as_mut().expect("it serves").load;
             load.dispatched = report * 6 + on;
             table.observe(&member, now);
         }
-        sent.iter().for_each(|choice| end(&table, choice, AttemptOutcome::Whole, now));
+        sent.iter().for_each(|placement| end(&table, placement, AttemptOutcome::Whole, now));
     }
     let most = room(at(5_000));
     assert!(most >= 24, "{most} of 32 places with all of the traffic");
@@ -200,7 +203,7 @@
     let most = counts(&table, 1000).into_values().max();
     assert!(most <= Some(6), "{most:?} on one of 500 idle upstreams");
     let gone: Vec<_> = (0..3).map(|number| member(number, 1, 0)).collect();
-    table.keep_only(&gone);
+    table.retain_members(&gone);
     assert!(counts(&table, 30).into_keys().all(|number| number < 3));
 }
 
--- a/crates/sagespool-routing/tests/resumed_upstreams.rs
+++ b/crates/sagespool-routing/tests/resumed_upstreams.rs
@@ -5,7 +5,7 @@
 use sagespool_messages::MemberInfo;
 use sagespool_routing::{PolicyKind, UpstreamTable};
 use sagespool_types::IncarnationId;
-use support::{at, member, name, run, send, table, wish};
+use support::{at, member, name, query, run, send, table};
 
 /// The upstream in the data centre of the table's entry, before and after its sidecar's restart.
 const NEAR: IncarnationId = IncarnationId(0);
@@ -24,9 +24,9 @@
 fn sent_to(table: &UpstreamTable, upstream: IncarnationId, from: u64, until: u64) -> (u32, u32) {
     let (mut sent, mut all) = (0, 0);
     for now in (from..until).step_by(GAP) {
-        let choice = send(table, &wish(), at(now));
-        run(table, &choice, ANSWER, at(now));
-        sent += u32::from(choice.sidecar == upstream);
+        let placement = send(table, &query(), at(now));
+        run(table, &placement, ANSWER, at(now));
+        sent += u32::from(placement.sidecar == upstream);
         all += 1;
     }
     (sent, all)
--- a/crates/sagespool-routing/tests/sidecar_counts.rs
+++ b/crates/sagespool-routing/tests/sidecar_counts.rs
@@ -4,16 +4,16 @@
 
 use sagespool_routing::{AttemptOutcome, UpstreamTable};
 use sagespool_types::{ClockTime, IncarnationId};
-use support::{CAPACITY, at, end, idle_table, member, send, wish};
+use support::{CAPACITY, at, end, idle_table, member, query, send};
 
 const FULL: IncarnationId = IncarnationId(0);
 
 /// How many of so many requests, one after the other, go to the full upstream.
 fn sent_to_full(table: &UpstreamTable, requests: usize, now: ClockTime) -> usize {
     let sends = (0..requests).filter(|_| {
-        let choice = send(table, &wish(), now);
-        end(table, &choice, AttemptOutcome::Whole, now);
-        choice.sidecar == FULL
+        let placement = send(table, &query(), now);
+        end(table, &placement, AttemptOutcome::Whole, now);
+        placement.sidecar == FULL
     });
     sends.count()
 }
@@ -22,7 +22,7 @@
 fn table_with_own() -> UpstreamTable {
     let table = idle_table(2, 1);
     table.set_entries(2);
-    while send(&table, &wish(), at(0)).sidecar != FULL {}
+    while send(&table, &query(), at(0)).sidecar != FULL {}
     table
 }
 
@@ -56,8 +56,8 @@
     let table = idle_table(2, 1);
     let mut at_first = 0;
     for _ in 0..CAPACITY {
-        let choice = send(&table, &wish(), at(0));
-        if choice.sidecar == FULL {
+        let placement = send(&table, &query(), at(0));
+        if placement.sidecar == FULL {
             table.observe_in_flight(FULL, at_first, at(0));
             at_first += 1;
         }
--- a/crates/sagespool-routing/tests/slow_ejection.rs
+++ b/crates/sagespool-routing/tests/slow_ejection.rs
@@ -6,7 +6,7 @@
 
 use sagespool_routing::{AttemptOutcome, PlacementQuery, UpstreamPlacement, UpstreamTable};
 use sagespool_types::{ClockTime, IncarnationId};
-use support::{at, end, idle_table, member, send, wish};
+use support::{at, end, idle_table, member, query, send};
 
 /// Milliseconds after which a request is given up.
 const DEADLINE: u64 = 4_000;
@@ -23,42 +23,42 @@
     let (mut first, mut all) = (0, 0);
     let mut running: Vec<(u64, u64, UpstreamPlacement)> = Vec::new();
     for now in (from..until).step_by(gap) {
-        running.retain(|(sent, latency, choice)| {
+        running.retain(|(sent, latency, placement)| {
             if (sent + latency..sent + latency + gap as u64).contains(&now) {
-                table.first_token(choice, Duration::from_millis(*latency), at(now));
+                table.first_token(placement, Duration::from_millis(*latency), at(now));
             }
             let is_whole = now >= sent + latency * 10;
             let is_over = is_whole || now >= sent + DEADLINE;
             if is_over {
                 let outcome =
                     if is_whole { AttemptOutcome::Whole } else { AttemptOutcome::Cancelled };
-                end(table, choice, outcome, at(now));
+                end(table, placement, outcome, at(now));
             }
             !is_over
         });
-        let choice = send(table, &wish(), at(now));
-        let latency = if choice.sidecar.0 == 0 { slow_first_token } else { 20 };
-        first += u32::from(choice.sidecar.0 == 0);
+        let placement = send(table, &query(), at(now));
+        let latency = if placement.sidecar.0 == 0 { slow_first_token } else { 20 };
+        first += u32::from(placement.sidecar.0 == 0);
         all += 1;
-        running.push((now, latency, choice));
+        running.push((now, latency, placement));
     }
-    for (_, _, choice) in running {
-        end(table, &choice, AttemptOutcome::Refused, at(until));
+    for (_, _, placement) in running {
+        end(table, &placement, AttemptOutcome::Refused, at(until));
     }
     (first, all)
 }
 
-fn fail(table: &UpstreamTable, choice: &UpstreamPlacement, now: ClockTime) {
-    end(table, choice, AttemptOutcome::Failed, now);
+fn fail(table: &UpstreamTable, placement: &UpstreamPlacement, now: ClockTime) {
+    end(table, placement, AttemptOutcome::Failed, now);
 }
 
 /// Fails upstream 0 until it is ejected.
 fn eject_first(table: &UpstreamTable, now: u64) {
     let others = (1..8).map(IncarnationId).collect();
-    let only_first = PlacementQuery { exclude: others, ..wish() };
+    let only_first = PlacementQuery { exclude: others, ..query() };
     for _ in 0..3 {
-        let choice = send(table, &only_first, at(now));
-        fail(table, &choice, at(now));
+        let placement = send(table, &only_first, at(now));
+        fail(table, &placement, at(now));
     }
 }
 
@@ -79,13 +79,13 @@
     let table = idle_table(3, 4);
     let (mut flaky, mut is_bad) = (0, false);
     for step in 0..1_000 {
-        let choice = send(&table, &wish(), at(step * 20));
-        table.first_token(&choice, Duration::from_millis(20), at(step * 20));
-        let is_flaky = choice.sidecar.0 == 0;
+        let placement = send(&table, &query(), at(step * 20));
+        table.first_token(&placement, Duration::from_millis(20), at(step * 20));
+        let is_flaky = placement.sidecar.0 == 0;
         flaky += u32::from(is_flaky);
         is_bad = is_flaky && !is_bad;
         let outcome = if is_bad { AttemptOutcome::Failed } else { AttemptOutcome::Whole };
-        end(&table, &choice, outcome, at(step * 20));
+        end(&table, &placement, outcome, at(step * 20));
     }
     assert!((1..=100).contains(&flaky), "{flaky} of 1000 went to the flaky upstream");
 }
@@ -119,7 +119,7 @@
     let table = idle_table(4, 3);
     let others: Vec<_> = (1..4).map(IncarnationId).collect();
     for _ in 0..3 {
-        send(&table, &PlacementQuery { exclude: others.clone(), ..wish() }, at(0));
+        send(&table, &PlacementQuery { exclude: others.clone(), ..query() }, at(0));
     }
     let (early, _) = to_first(&table, 5_000, 35_000, 10, 20);
     assert_eq!(early, 0);
@@ -134,9 +134,9 @@
     let table = idle_table(3, 1);
     eject_first(&table, 100);
     let gone = (0..50).map(|_| {
-        let choice = send(&table, &wish(), at(200));
-        end(&table, &choice, AttemptOutcome::Whole, at(200));
-        choice.sidecar.0
+        let placement = send(&table, &query(), at(200));
+        end(&table, &placement, AttemptOutcome::Whole, at(200));
+        placement.sidecar.0
     });
     assert!(gone.into_iter().all(|number| number != 0));
 }
@@ -148,25 +148,25 @@
     let table = idle_table(2, 1);
     eject_first(&table, 100);
     let after = |now| -> Vec<UpstreamPlacement> {
-        (0..6).map(|_| send(&table, &wish(), at(now))).collect()
+        (0..6).map(|_| send(&table, &query(), at(now))).collect()
     };
     let first = after(3_000);
-    let probes: Vec<_> = first.iter().filter(|choice| choice.is_probe).collect();
+    let probes: Vec<_> = first.iter().filter(|placement| placement.is_probe).collect();
     assert_eq!(probes.len(), 1);
     fail(&table, probes[0], at(3_100));
     // Out again, for longer than the first time.
-    assert!(after(4_000).iter().all(|choice| choice.sidecar.0 != 0));
+    assert!(after(4_000).iter().all(|placement| placement.sidecar.0 != 0));
     let again = after(6_500);
-    let probe = again.iter().find(|choice| choice.is_probe).expect("it is due again");
+    let probe = again.iter().find(|placement| placement.is_probe).expect("it is due again");
     end(&table, probe, AttemptOutcome::Whole, at(6_600));
-    assert!(after(6_700).iter().any(|choice| choice.sidecar.0 == 0 && !choice.is_probe));
+    assert!(after(6_700).iter().any(|placement| placement.sidecar.0 == 0 && !placement.is_probe));
 }
 
 #[test]
 fn unrepeatable_never_probes() {
     let table = idle_table(2, 1);
     eject_first(&table, 100);
-    let careful = PlacementQuery { may_probe: false, ..wish() };
+    let careful = PlacementQuery { may_probe: false, ..query() };
     assert!((0..20).all(|_| send(&table, &careful, at(3_000)).sidecar.0 != 0));
 }
 
@@ -176,12 +176,12 @@
 fn all_ejected() {
     let table = idle_table(2, 1);
     for step in 0..40 {
-        if let Some(choice) = table.choose(&wish(), at(step)) {
-            table.started(&choice, at(step));
-            fail(&table, &choice, at(step));
+        if let Some(placement) = table.choose(&query(), at(step)) {
+            table.started(&placement, at(step));
+            fail(&table, &placement, at(step));
         }
     }
-    let probes: Vec<_> = (0..6).filter_map(|_| table.choose(&wish(), at(50))).collect();
+    let probes: Vec<_> = (0..6).filter_map(|_| table.choose(&query(), at(50))).collect();
     assert_eq!(probes.len(), 2);
     assert_ne!(probes[0].sidecar, probes[1].sidecar);
 }
@@ -190,9 +190,9 @@
 fn cancelled_says_nothing() {
     let table = idle_table(1, 1);
     for step in 0..10 {
-        let choice = send(&table, &wish(), at(step));
-        end(&table, &choice, AttemptOutcome::Cancelled, at(step));
+        let placement = send(&table, &query(), at(step));
+        end(&table, &placement, AttemptOutcome::Cancelled, at(step));
     }
-    assert!(!send(&table, &wish(), at(20)).is_probe);
+    assert!(!send(&table, &query(), at(20)).is_probe);
     table.observe(&member(0, 2, 0), at(21));
 }
--- a/crates/sagespool-routing/tests/support/mod.rs
+++ b/crates/sagespool-routing/tests/support/mod.rs
@@ -62,34 +62,39 @@
     table
 }
 
-pub fn wish() -> PlacementQuery {
+pub fn query() -> PlacementQuery {
     PlacementQuery::builder().service(name("sage-core")).build()
 }
 
-pub fn wish_for(prefix: u128) -> PlacementQuery {
+pub fn query_for(prefix: u128) -> PlacementQuery {
     PlacementQuery::builder().service(name("sage-core")).prefix(prefix).build()
 }
 
 /// Chooses and starts; the chosen upstream's number.
-pub fn send(table: &UpstreamTable, wish: &PlacementQuery, now: ClockTime) -> UpstreamPlacement {
-    let choice = table.choose(wish, now).expect("an upstream may take it");
-    table.started(&choice, now);
-    choice
+pub fn send(table: &UpstreamTable, query: &PlacementQuery, now: ClockTime) -> UpstreamPlacement {
+    let placement = table.choose(query, now).expect("an upstream may take it");
+    table.started(&placement, now);
+    placement
 }
 
 pub fn end(
     table: &UpstreamTable,
-    choice: &UpstreamPlacement,
+    placement: &UpstreamPlacement,
     outcome: AttemptOutcome,
     now: ClockTime,
 ) {
     let result = AttemptResult { first_token: None, tokens: TokenCount::ZERO, outcome };
-    table.ended(choice, &result, now);
+    table.ended(placement, &result, now);
 }
 
 /// Runs one request to its end, with a time to its first token.
-pub fn run(table: &UpstreamTable, choice: &UpstreamPlacement, first_token: u64, sent: ClockTime) {
+pub fn run(
+    table: &UpstreamTable,
+    placement: &UpstreamPlacement,
+    first_token: u64,
+    sent: ClockTime,
+) {
     let latency = Duration::from_millis(first_token);
-    table.first_token(choice, latency, sent.after(latency));
-    end(table, choice, AttemptOutcome::Whole, sent.after(latency));
+    table.first_token(placement, latency, sent.after(latency));
+    end(table, placement, AttemptOutcome::Whole, sent.after(latency));
 }
