--- a/crates/sagespool-routing/src/affinity.rs
+++ b/crates/sagespool-routing/src/affinity.rs
@@ -1,4 +1,4 @@
-//! Where a prompt's prefix is likely cached.
+//! Prefix affinity: upstreams that probably have a prompt's prefix cached.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -6,39 +6,39 @@
 use sagespool_types::{ClockTime, IncarnationId, UpstreamName, derives};
 use twox_hash::XxHash3_64;
 
-/// Places on the ring for each upstream; more of them even out the arcs.
+/// Points on the ring per upstream; more points make the arcs more even.
 const RING_POINTS: u64 = 16;
-/// The most upstreams remembered for one prefix.
+/// Upstreams kept per prefix.
 const MAX_HOLDERS: usize = 4;
-/// An eviction is believed only of a prefix that was not sent there for so long: events are
-/// late, and the send may have stored it again since.
+/// An eviction event is ignored if the prefix was sent there within this time: events arrive
+/// late, and the request may have stored the prefix again.
 const EVICTION_EVENT_DELAY: Duration = Duration::from_secs(2);
 
 derives! { value;
-    /// What happened to a prefix in an engine's cache.
+    /// A change to a prefix in an engine's cache.
     #[serde(rename_all = "kebab-case")]
     pub enum CacheEventKind {
-        /// It was stored.
+        /// The prefix was stored.
         Stored,
-        /// It was evicted.
+        /// The prefix was evicted.
         Evicted,
     }
 }
 
 derives! { value;
-    /// One cache event of an engine. Events come late and some never.
+    /// One cache event of an engine. Events may arrive late or be lost.
     pub struct CacheEvent {
-        /// Counted by the engine; a jump means that events are missing.
+        /// Sequence number assigned by the engine; a gap means that events were lost.
         pub number: u64,
-        /// What happened.
+        /// Whether the prefix was stored or evicted.
         pub kind: CacheEventKind,
         /// The prefix: xxh3-128 of the first 256 bytes of the prompt.
         pub prefix: u128,
     }
 }
 
-/// The place of every upstream on a ring, so that all entries agree without a
-/// message on where a prefix goes first.
+/// Consistent-hash ring of the upstreams. All entries derive the same upstream for a prefix
+/// without exchanging messages.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixRing {
     points: BTreeSet<(u64, IncarnationId)>,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The upstreams from the prefix's place on, in ring order; may repeat.
+    /// The upstreams in ring order from the prefix's position; may repeat.
     pub(crate) fn upstreams_from(&self, prefix: u128) -> impl Iterator<Item = IncarnationId> {
         let position = XxHash3_64::oneshot(&prefix.to_le_bytes());
         let first = (position, IncarnationId(0));
@@ -68,12 +68,12 @@
     (0..RING_POINTS).map(move |point| XxHash3_64::oneshot_with_seed(point, name.as_bytes()))
 }
 
-/// Why an upstream is believed to hold a prefix.
+/// Evidence that an upstream has a prefix cached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PrefixEvidence {
-    /// This entry sent it there lately.
+    /// This entry recently sent the prefix there.
     Sent,
-    /// Its engine said that it is stored.
+    /// The engine reported it as stored.
     Stored,
 }
 
@@ -84,7 +84,7 @@
     seen: ClockTime,
 }
 
-/// Which upstreams lately ran or reported a prefix, bounded.
+/// Upstreams that recently ran or reported each prefix, up to a number of prefixes.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixIndex {
     holders: HashMap<u128, Vec<PrefixHolder>>,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Upstreams believed to hold the prefix, the newest first.
+    /// Upstreams with evidence for the prefix newer than `expiry`, newest first.
     pub(crate) fn holders(
         &self,
         prefix: u128,
--- a/crates/sagespool-routing/src/average.rs
+++ b/crates/sagespool-routing/src/average.rs
@@ -1,19 +1,19 @@
-//! A smoothed measurement that fades towards what its peers show.
+//! Exponential average that decays towards a prior.
 
 use std::time::Duration;
 
 use sagespool_types::ClockTime;
 
-/// What the prior weighs, in samples.
+/// Weight of the prior, in samples.
 const PRIOR_WEIGHT: f64 = 1.0;
 
-/// An exponentially weighted mean whose evidence also fades with time.
+/// An exponentially weighted mean whose weight also decays with time.
 ///
-/// Without fresh samples the value goes back to the prior, so an upstream that
-/// was slow once is tried again without a separate rule.
+/// Without new samples the value returns to the prior, so that an upstream that
+/// was slow is tried again without a separate rule.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ExponentialAverage {
-    /// About so many samples count.
+    /// Approximate number of samples that count.
     window: f64,
     mean: f64,
     weight: f64,
@@ -32,14 +32,13 @@
         self.updated_at = now;
     }
 
-    /// The value now, drawn towards the prior where evidence is thin or old.
+    /// The mean, weighted against the prior by the number and age of the samples.
     pub(crate) fn value(&self, prior: f64, half_life: Duration, now: ClockTime) -> f64 {
         let weight = self.weight_at(half_life, now);
         (self.mean * weight + prior * PRIOR_WEIGHT) / (weight + PRIOR_WEIGHT)
     }
 
-    /// The value as it was last measured, however long ago; the guess only until it was measured at
-    /// all.
+    /// The mean regardless of its age, or `default` before the first sample.
     pub(crate) fn mean_or(&self, default: f64) -> f64 {
         if self.weight == 0.0 { default } else { self.mean }
     }
--- a/crates/sagespool-routing/src/baseline.rs
+++ b/crates/sagespool-routing/src/baseline.rs
@@ -1,4 +1,4 @@
-//! The three policies that the own one is measured against.
+//! Baseline policies for comparison with the default policy.
 
 use fastrand::Rng;
 
@@ -8,13 +8,13 @@
     upstream.load.report().running + upstream.load.report().waiting
 }
 
-/// Each usable upstream in turn.
+/// Cycles through the usable upstreams.
 pub(crate) fn round_robin(usable: &[usize], cursor: &mut usize) -> Option<usize> {
     *cursor = cursor.wrapping_add(1);
     usable.get(*cursor % usable.len().max(1)).copied()
 }
 
-/// The lowest load in the newest report, ties at random.
+/// The upstream with the lowest load in its newest report; ties are broken at random.
 pub(crate) fn least_reported(
     usable: &[usize],
     upstreams: &[UpstreamState],
@@ -26,7 +26,7 @@
     random.choice(&tied).copied()
 }
 
-/// The less loaded, by the newest reports, of two random ones.
+/// The less loaded of two random upstreams, by their newest reports.
 pub(crate) fn two_choices(
     usable: &[usize],
     upstreams: &[UpstreamState],
--- a/crates/sagespool-routing/src/choose.rs
+++ b/crates/sagespool-routing/src/choose.rs
@@ -1,4 +1,4 @@
-//! The choice among a service's upstreams.
+//! Choice of an upstream of one service.
 
 use std::sync::Arc;
 
@@ -10,38 +10,38 @@
 use crate::service::ServiceState;
 use crate::{PlacementQuery, PolicyKind, UpstreamPlacement, baseline};
 
-/// How many upstreams the ring offers for a prefix.
+/// Candidates taken from the ring for a prefix.
 const RING_CANDIDATES: usize = 2;
-/// How far along the ring a usable one is looked for.
+/// Ring points visited in search of usable upstreams.
 const MAX_RING_STEPS: usize = 64;
-/// How likely a prefix is cached, by why it is believed: first and second on the ring, where
-/// all entries send it, sent there by this entry lately, reported by the engine.
+/// Assumed probabilities that a prefix is cached: on its first and second upstream on the ring,
+/// to which all entries send it; where this entry sent it recently; where the engine reported it.
 const RING_HIT_PROBABILITY: [f64; RING_CANDIDATES] = [1.0, 0.5];
 const SENT_HIT_PROBABILITY: f64 = 0.4;
 const STORED_HIT_PROBABILITY: f64 = 1.0;
-/// Variance of an estimated load, for each place of the upstream.
+/// Variance of an estimated load for each slot of the upstream.
 const LOAD_VARIANCE_PER_SLOT: f64 = 1.0;
-/// From this use of the upstreams on, a place is worth more to those that wait than to the
-/// request itself, and so is a cached prefix, which frees its place earlier.
+/// Utilization from which a cached prefix gets an extra bonus for a request that has waited:
+/// it frees its slot earlier, which saves more time for queued requests than for the request.
 const BUSY_UTILIZATION: f64 = 0.9;
-/// How many times its gain a cached prefix counts beyond that, where all places are taken.
+/// Extra bonus of a cached prefix at full utilization, as a multiple of its gain.
 const BUSY_GAIN_FACTOR: f64 = 2.0;
-/// Of so many requests at most one probes a slow upstream: its caller waits longer.
+/// At most one request of this many probes a slow upstream, since its caller waits longer.
 const REQUESTS_PER_SLOW_PROBE: u32 = 200;
-/// Costs closer than this, in seconds, are a tie.
+/// Costs that differ by no more than this are equal.
 const TIE_SECONDS: f64 = 1e-4;
 
-/// What one choice weighs the upstreams by, in seconds.
+/// Inputs to the cost of all candidates of one request; times in seconds.
 struct CostFactors {
     context: LoadContext,
     first_token: f64,
     run_time: f64,
     prefix_gain: f64,
-    /// What a cached prefix is worth to those that wait, beyond that.
+    /// Extra bonus of a cached prefix at high utilization.
     busy_gain: f64,
 }
 
-/// An upstream that may hold the wish's prefix.
+/// An upstream that may have the request's prefix cached.
 struct PrefixCandidate {
     index: usize,
     hit_probability: f64,
@@ -62,7 +62,7 @@
         index.map(|index| self.make_placement(index, query, now))
     }
 
-    /// Upstreams that may get new work for a model.
+    /// Indexes of the upstreams that accept requests for a model.
     fn usable(&mut self, model: Option<&ModelName>) -> Arc<Vec<usize>> {
         let model = model.cloned();
         if let Some(usable) = self.usable.get(&model) {
@@ -129,8 +129,8 @@
         self.random.choice(&tied).copied()
     }
 
-    /// Looks at one suspect a time, whether it may be probed: an ejected one once its time is
-    /// over, a slow or stalled one once it hasn't been tried for a while.
+    /// Checks one impaired upstream per call for a due probe: an ejected one after its ejection
+    /// time, a slow or stalled one after a pause without requests.
     fn due_probe(&mut self, query: &PlacementQuery, now: ClockTime) -> Option<usize> {
         self.choices_since_probe = self.choices_since_probe.saturating_add(1);
         let next = self.cursor.checked_rem(self.impaired.len())?;
@@ -158,9 +158,9 @@
         Some(index)
     }
 
-    /// No open upstream was among the candidates. Looks at all, and where all are ejected
-    /// tries one that no probe is out to: refusing everything until the first ejection ends
-    /// would be worse.
+    /// Used when no candidate is available. Considers all upstreams; if all are ejected, returns
+    /// one without a probe in flight, which is better than refusing every request until the first
+    /// ejection ends.
     fn choose_fallback(
         &mut self,
         usable: &[usize],
@@ -182,8 +182,8 @@
         self.random.choice(&probeable).copied()
     }
 
-    /// All upstreams where they are few; else a random sample and those that may hold the
-    /// prefix, so that the cost of a choice doesn't grow with the service.
+    /// All upstreams if they are few; otherwise a random sample and the prefix candidates, so
+    /// that the cost of a choice does not grow with the number of upstreams.
     fn candidates(&mut self, usable: &[usize], cached: &[PrefixCandidate]) -> Vec<usize> {
         if usable.len() <= self.policy.full_scan_limit {
             return usable.to_vec();
@@ -250,7 +250,7 @@
         }
     }
 
-    /// The predicted time to the first token, in seconds, with what may go wrong.
+    /// Predicted time to the first token in seconds, plus the expected cost of a failure.
     fn cost(
         &self,
         index: usize,
@@ -269,7 +269,7 @@
         let hit_probability = candidate.map_or(0.0, |candidate| candidate.hit_probability);
         let first_token = (factors.first_token - factors.prefix_gain * hit_probability) * slowness;
         let busy_bonus = factors.busy_gain * hit_probability;
-        // An upstream that hangs shows by requests that get no first token, long before any ends.
+        // Missing first tokens reveal an upstream that hangs long before its requests end.
         let is_stalled = self.is_stalled(upstream, wait, now);
         let stalled = if is_stalled { upstream.stalled_for(now).as_secs_f64() } else { 0.0 };
         let failures = upstream.failures.value(0.0, self.policy.half_life, now);
--- a/crates/sagespool-routing/src/ejection.rs
+++ b/crates/sagespool-routing/src/ejection.rs
@@ -1,4 +1,4 @@
-//! Taking an upstream that fails out of use, and probing it back in.
+//! Ejection of failing upstreams, and their return after a successful probe.
 
 use std::time::Duration;
 
@@ -6,21 +6,21 @@
 
 use crate::RoutingPolicy;
 
-/// A probe that never came back frees the next one after this time.
+/// A probe without a result for this time no longer blocks the next one.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Whether an upstream may be used.
+/// Whether an upstream may receive requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Availability {
-    /// As usual.
+    /// Not ejected.
     Available,
-    /// Not before its time, or while a probe is out.
+    /// Ejected, or waiting for the result of a probe.
     Ejected,
-    /// One request may be tried on it.
+    /// The ejection time is over; one request may probe it.
     ProbeDue,
 }
 
-/// Consecutive failures of one upstream and what follows from them.
+/// Consecutive failures and the ejection of one upstream.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct EjectionTracker {
     failures: u32,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// True while a probe may be sent before its time: none is out.
+    /// True if no probe is in flight, whether or not the ejection time is over.
     pub(crate) fn may_probe(&self, now: ClockTime) -> bool {
         self.probe_sent.is_none_or(|sent| now.since(sent) >= PROBE_TIMEOUT)
     }
@@ -58,12 +58,12 @@
         *self = Self::default();
     }
 
-    /// An attempt that said nothing about the upstream: another probe may go.
+    /// Records an attempt that shows nothing about the upstream, so that another may probe it.
     pub(crate) fn inconclusive(&mut self) {
         self.probe_sent = None;
     }
 
-    /// `spread` in 0..1 draws the times of several entries apart.
+    /// `jitter` in 0..1 spreads the ejection times of several entries.
     pub(crate) fn failed(&mut self, policy: &RoutingPolicy, jitter: f64, now: ClockTime) {
         self.failures = self.failures.saturating_add(1);
         let was_probe = self.probe_sent.take().is_some();
--- a/crates/sagespool-routing/src/fair_order.rs
+++ b/crates/sagespool-routing/src/fair_order.rs
@@ -1,4 +1,4 @@
-//! The order in which branches are served within one class.
+//! Weighted fair order of the branches within a class.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -7,39 +7,38 @@
 
 use crate::QueueTicket;
 
-/// A branch that uses its share exactly is not beyond it, part of the span.
+/// Fraction of the span by which a branch may exceed its share without counting as in excess.
 const TOLERANCE: f64 = 0.1;
 
-/// The branch that used the least for its weight first; among equals the one that started
-/// something the longest ago.
+/// Orders branches by least use per weight, then by the longest time since their last start.
 type OrderKey = (VirtualTime, u64, BranchName);
 
-/// The time that a place was used or due, in microseconds, for one unit of weight.
+/// Slot time used or due per unit of weight, in microseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct VirtualTime(pub(crate) u64);
 
-/// What a branch used in one class and all higher ones.
+/// A branch's use of slots in one class and all higher ones.
 #[derive(Debug, Clone, Copy, Default)]
 struct ClassUsage {
-    /// By requests that ended, kept within a span around what was due: unused due isn't saved
-    /// up for long, nor is what was used while nobody else wanted it held against it for long.
+    /// Use by ended requests, kept within one span of the virtual clock. This bounds both the
+    /// unused share that accumulates and the excess use of idle slots held against the branch.
     ended: VirtualTime,
-    /// Requests of this class alone that run, and the sum of the times at which they started.
+    /// Running requests of this class alone, and the sum of their start times.
     running: u32,
     started_sum: u64,
 }
 
-/// One branch, over all classes of a service.
+/// State of one branch over all classes of a service.
 #[derive(Debug, Clone)]
 pub(crate) struct BranchState {
     pub(crate) weight: u32,
     pub(crate) waiting: u32,
     classes: BTreeMap<u8, ClassUsage>,
-    /// Counts the starts of the whole service, up to its own last one.
+    /// The service's start counter at the branch's last start.
     last_start: u64,
-    /// True while its weight counts against the others'.
+    /// True while its weight is part of the service's weight sum.
     pub(crate) is_counted: bool,
-    /// When it last had nothing more to wait for or to run.
+    /// When it became idle; `None` while requests are waiting or running.
     pub(crate) idle_since: Option<ClockTime>,
 }
 
@@ -59,9 +58,8 @@
         self.waiting > 0 || self.classes.values().any(|usage| usage.running > 0)
     }
 
-    /// What the branch used up to now in this class and higher ones. What it uses in a lower
-    /// class doesn't hold up its own urgent requests, and a request that runs for very long
-    /// counts in full only once it has ended.
+    /// The branch's use so far in this class and higher ones. Use in lower classes does not delay
+    /// its urgent requests, and a very long request counts in full only when it has ended.
     pub(crate) fn usage(&self, priority: u8, clock: &VirtualClock, now: ClockTime) -> VirtualTime {
         let running = self.classes.range(..=priority).map(|(_, usage)| {
             let running = u64::from(usage.running);
@@ -105,7 +103,7 @@
         }
     }
 
-    /// Requests that run in this class and higher ones.
+    /// Running requests in this class and higher ones.
     pub(crate) fn running(&self, priority: u8) -> u32 {
         self.classes.range(..=priority).map(|(_, usage)| usage.running).sum()
     }
@@ -115,7 +113,7 @@
         before.max().unwrap_or_default().max(clock.min_time())
     }
 
-    /// What runs counts as if it were over, so that branches take turns within one moment.
+    /// Counts running requests as ended, so that branches alternate when many start at once.
     fn order_key(&self, name: &BranchName, priority: u8, clock: &VirtualClock) -> OrderKey {
         let running =
             clock.run_time * u64::from(self.running(priority)) / u64::from(self.weight.max(1));
@@ -123,20 +121,20 @@
     }
 }
 
-/// What was due to each unit of weight so far: the places, shared by weight, over time.
+/// Virtual clock of weighted fair sharing: the slot time due to each unit of weight so far.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct VirtualClock {
-    /// In microseconds; a fraction, so that many small steps add up.
+    /// In microseconds; fractional, so that small steps are not lost.
     time: f64,
-    /// How far a branch's use may lag behind it or run ahead of it, in microseconds.
+    /// Bound on how far a branch's use may be behind or ahead of it, in microseconds.
     span: f64,
-    /// How long a request runs, in microseconds.
+    /// Average run time of a request, in microseconds.
     run_time: u64,
     updated_at: ClockTime,
 }
 
 impl VirtualClock {
-    /// Time passed in which places were shared by weight.
+    /// Advances the clock to `now` at the given rate.
     pub(crate) fn advance(&mut self, rate: &ClockRate, now: ClockTime) {
         let per_weight = f64::from(rate.slots) / rate.weight.max(1) as f64;
         let elapsed = now.since(self.updated_at).as_micros() as f64;
@@ -147,12 +145,12 @@
         self.updated_at = self.updated_at.max(now);
     }
 
-    /// True for a branch that used more than its share, beyond what rounding makes of it.
+    /// True if a use exceeds the due share by more than the tolerance.
     pub(crate) fn exceeds_share(&self, usage: VirtualTime) -> bool {
         usage.0 as f64 > self.time + self.span * TOLERANCE
     }
 
-    /// How far a branch is beyond its share, from 0 to 1 for the most that is held against it.
+    /// Excess of a use over the due share, from 0 to 1 for one span or more.
     pub(crate) fn excess(&self, usage: VirtualTime) -> f64 {
         ((usage.0 as f64 - self.time) / self.span.max(1.0)).clamp(0.0, 1.0)
     }
@@ -166,37 +164,37 @@
     }
 }
 
-/// Places, the weight that shares them, and how strictly.
+/// The slots and the weights that share them, and the bounds on deviations.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ClockRate {
     pub(crate) slots: u32,
     pub(crate) weight: u64,
     pub(crate) run_time: Duration,
-    /// A branch may save up, or be behind, what this time brings it.
+    /// Time over which unused share accumulates and excess is held against a branch.
     pub(crate) span: Duration,
-    /// And never less than so many requests.
+    /// Minimum of the span, in requests.
     pub(crate) burst: u32,
 }
 
 #[derive(Debug)]
 struct BranchQueue {
     key: OrderKey,
-    /// Tickets by the order in which they came.
+    /// Tickets in order of arrival.
     tickets: BTreeMap<u64, QueueTicket>,
 }
 
-/// What waits in one class.
+/// Waiting requests of one class.
 #[derive(Debug, Default)]
 pub(crate) struct ClassQueue {
     order: BTreeSet<OrderKey>,
     branches: HashMap<BranchName, BranchQueue>,
     pub(crate) waiting: u32,
-    /// Requests of higher classes that went while this one waited.
+    /// Requests of higher classes admitted while this one waited.
     pub(crate) skips: u32,
 }
 
 impl ClassQueue {
-    /// The branch that is next in this class.
+    /// The branch to serve next in this class.
     pub(crate) fn first(&self) -> Option<&BranchName> {
         self.order.first().map(|(_, _, name)| name)
     }
@@ -223,7 +221,7 @@
         queue.tickets.insert(number, ticket);
     }
 
-    /// Takes a branch's oldest ticket.
+    /// Removes a branch's oldest ticket.
     pub(crate) fn pop(&mut self, name: &BranchName) -> Option<QueueTicket> {
         let number = *self.branches.get(name)?.tickets.keys().next()?;
         self.remove(name, number)
@@ -243,7 +241,7 @@
         Some(ticket)
     }
 
-    /// Puts a branch back in order after its state changed.
+    /// Restores a branch's order after a change of its state.
     pub(crate) fn reorder(
         &mut self,
         name: &BranchName,
--- a/crates/sagespool-routing/src/history.rs
+++ b/crates/sagespool-routing/src/history.rs
@@ -1,17 +1,17 @@
-//! What this entry had running on an upstream, over the last seconds.
+//! Recent history of an entry's in-flight requests at one upstream.
 
 use sagespool_types::ClockTime;
 
 const BUCKET_MICROS: u64 = 50_000;
 const BUCKETS: u64 = 128;
 
-/// Own requests running, at a resolution of 50 ms for the last 6.4 s.
+/// Own requests in flight, at a resolution of 50 ms over the last 6.4 s.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct InFlightHistory {
     current: u32,
-    /// The slot of the last change.
+    /// The bucket of the last change.
     last: u64,
-    /// The count at the end of each slot; empty until the first change.
+    /// The count at the end of each bucket; empty until the first change.
     buckets: Vec<u32>,
 }
 
@@ -35,7 +35,7 @@
         self.buckets[(self.last % BUCKETS) as usize] = count;
     }
 
-    /// The count at a time; the oldest known where it is too long ago.
+    /// The count at a time; the oldest kept count if the time is before it.
     pub(crate) fn at(&self, time: ClockTime) -> u32 {
         let bucket = time.0 / BUCKET_MICROS;
         if self.buckets.is_empty() || bucket >= self.last {
--- a/crates/sagespool-routing/src/lag.rs
+++ b/crates/sagespool-routing/src/lag.rs
@@ -1,4 +1,4 @@
-//! How old load reports are when they arrive, learned from what they say.
+//! Estimate of the age of load reports on arrival, derived from their content.
 
 use std::time::Duration;
 
@@ -6,31 +6,30 @@
 
 use crate::history::InFlightHistory;
 
-/// The lags that are compared, in milliseconds.
 const CANDIDATE_LAGS_MS: [u64; 16] =
     [0, 50, 100, 150, 200, 300, 400, 500, 700, 1000, 1300, 1600, 2000, 2500, 3000, 4000];
-/// So many comparisons are remembered, about.
+/// Averaging window, in comparisons.
 const SAMPLE_WINDOW: f64 = 400.0;
-/// From so many comparisons on, the learned lag is used.
+/// Comparisons from which the estimate is used.
 const MIN_SAMPLES: f64 = 40.0;
 
-/// The lag under which reported loads move most like this entry's own share of them.
+/// Estimates the lag at which own requests best explain the changes of reported loads.
 ///
-/// A report's load is what other entries have there plus what this one had there when the
-/// report was made. Taken off at the right moment, own requests leave the slow curve of the
-/// others; taken off at a wrong one, they add their own jumps twice. So the lag with the
-/// smallest changes from one report to the next is the likely one.
+/// A reported load is that of other entries plus the own requests at the time of the report.
+/// Subtracting own requests at the correct lag leaves the slowly changing load of the others;
+/// at a wrong lag, their jumps appear twice. The estimate is therefore the lag with the smallest
+/// squared changes between consecutive reports.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct LagEstimator {
     errors: [f64; CANDIDATE_LAGS_MS.len()],
     weight: f64,
 }
 
-/// What is left of the last report of one upstream, for each lag.
+/// One upstream's last reported load minus own requests, for each candidate lag.
 pub(crate) type LagResiduals = [f32; CANDIDATE_LAGS_MS.len()];
 
 impl LagEstimator {
-    /// Compares a report of so many requests with the one before it.
+    /// Compares a report's number of requests with the previous report of the same upstream.
     pub(crate) fn compare(
         &mut self,
         reported: u32,
@@ -57,7 +56,7 @@
         residuals
     }
 
-    /// The likely lag.
+    /// The estimated lag, or `default` until there are enough comparisons.
     pub(crate) fn lag(&self, default: Duration) -> Duration {
         if self.weight < MIN_SAMPLES {
             return default;
--- a/crates/sagespool-routing/src/lib.rs
+++ b/crates/sagespool-routing/src/lib.rs
@@ -1,15 +1,14 @@
-//! Choosing an upstream as pure decisions: load, affinity, queues, retries, limits.
+//! Upstream selection as pure functions of state: load, prefix affinity, queues, retries, limits.
 //!
-//! Nothing here does I/O, reads a clock or starts a thread. Each decision takes
-//! the present time, and all state is kept in shards, each under its own lock,
-//! so that one service never waits for another.
+//! Nothing here does I/O, reads a clock or starts a thread. Each call takes the current time as a
+//! parameter. State is sharded, each shard under its own lock, so that services do not contend.
 //!
-//! The way of a request through an entry:
+//! A request passes through an entry in these steps:
 //!
-//! 1. [`RequestLimits`] says whether its branch, class and upstream may take one more;
-//! 2. [`AdmissionQueue`] lets it go, lets it wait, or refuses it at once;
-//! 3. [`UpstreamTable`] chooses where it runs, and learns how that went;
-//! 4. after a failure, [`RetryBudget`] says whether it may be tried elsewhere.
+//! 1. [`RequestLimits`] checks the limits of its branch, class and upstream;
+//! 2. [`AdmissionQueue`] admits, queues or refuses it;
+//! 3. [`UpstreamTable`] chooses its placement and records the result of the attempt;
+//! 4. after a failure, [`RetryBudget`] decides whether it may be retried.
 
 mod affinity;
 mod average;
--- a/crates/sagespool-routing/src/limits.rs
+++ b/crates/sagespool-routing/src/limits.rs
@@ -1,4 +1,4 @@
-//! Requests a second and running at once, for a branch, a class and an upstream.
+//! Limits on the request rate and on running requests, per branch, class and upstream.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -12,14 +12,14 @@
 use crate::table::lock;
 
 const SHARDS: usize = 16;
-/// How long a limit on running requests is asked to be waited for.
+/// Retry-after of a refusal by a limit on running requests.
 const RUNNING_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// One request, in the millionths that allowances are counted in.
+/// One request, in the unit of allowances.
 const REQUEST_MILLIONTHS: u64 = 1_000_000;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
 derives! { record;
-    /// What a limit applies to.
+    /// Requests to which a limit applies.
     #[derive(Eq, PartialOrd, Ord, Hash)]
     #[serde(rename_all = "kebab-case")]
     pub enum LimitScope {
@@ -46,28 +46,28 @@
 }
 
 derives! { record;
-    /// A limit, for the whole fleet.
+    /// A limit that applies to the whole fleet.
     pub struct LimitRule {
-        /// What it applies to.
+        /// Requests to which it applies.
         pub scope: LimitScope,
-        /// Requests running at once.
+        /// Maximum running requests; `None` for no limit.
         pub running: Option<u32>,
-        /// Requests a second.
+        /// Maximum requests per second; `None` for no limit.
         pub requests_per_second: Option<u32>,
     }
 }
 
-/// A request is over a limit; it did not run.
+/// Refusal of a request that exceeds a limit; it did not run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LimitRefusal {
-    /// The limit that is reached.
+    /// Scope of the limit that was reached.
     pub scope: LimitScope,
-    /// When to come back.
+    /// Time after which a retry may succeed.
     pub retry_after: Duration,
 }
 
 impl LimitRefusal {
-    /// The reason as callers read it.
+    /// The reason sent to callers.
     pub fn reason(&self) -> RefusalReason {
         RefusalReason::LimitReached
     }
@@ -76,7 +76,7 @@
 impl fmt::Display for LimitRefusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let millis = self.retry_after.as_millis();
-        write!(f, "the limit of {} is reached: come back in {millis} ms", self.scope)
+        write!(f, "the limit of {} is reached: retry after {millis} ms", self.scope)
     }
 }
 
@@ -85,21 +85,20 @@
 #[derive(Debug, Clone, Copy)]
 struct LimitUsage {
     running: u32,
-    /// Requests that may go at once, in millionths.
+    /// Requests that may be admitted immediately, in millionths.
     allowance: u64,
-    /// When the allowance was last brought up to date.
+    /// When the allowance was last refilled.
     filled_at: ClockTime,
-    /// From when on forgetting it changes nothing.
+    /// When the allowance is full again, so that the entry can be removed without effect.
     full_at: ClockTime,
 }
 
-/// This entry's part of a rate.
+/// This entry's share of a rate, as a token bucket.
 #[derive(Debug, Clone, Copy)]
 struct SharedRate {
-    /// Millionths of a request a second.
+    /// Refill per second, in millionths of a request.
     per_second: u64,
-    /// The most that may go at once: one second's requests, and at least one unless the rate
-    /// is zero.
+    /// Capacity of the bucket: one second's requests, and at least one unless the rate is zero.
     burst: u64,
 }
 
@@ -123,7 +122,7 @@
     }
 }
 
-/// Counts what runs and how fast it comes, in shards by scope.
+/// Tracks running requests and request rates, sharded by scope.
 #[derive(Debug)]
 pub struct RequestLimits {
     shards: [Mutex<HashMap<LimitScope, LimitUsage>>; SHARDS],
@@ -139,17 +138,18 @@
 }
 
 impl RequestLimits {
-    /// Nothing runs.
+    /// Creates a tracker with no running requests, for a single entry.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// How many entries share the limits, this one included. One where the branch's home decides.
+    /// Sets the number of entries that share the limits, including this one. It is 1 where the
+    /// branch's home enforces them.
     pub fn set_entries(&self, entries: u32) {
         self.entries.store(entries.max(1), Ordering::Relaxed);
     }
 
-    /// Lets a request through all of its rules, or through none.
+    /// Admits a request under all of its rules, or counts it under none.
     ///
     /// # Errors
     ///
@@ -164,7 +164,7 @@
         Ok(())
     }
 
-    /// A request that was let through ended.
+    /// Records the end of an admitted request.
     pub fn ended(&self, rules: &[LimitRule]) {
         for rule in rules {
             let mut shard = lock(self.shard(&rule.scope));
@@ -174,14 +174,14 @@
         }
     }
 
-    /// Forgets scopes that nothing runs under and whose allowance is full again.
+    /// Removes scopes without running requests whose allowance is full.
     pub fn expire(&self, now: ClockTime) {
         for shard in &self.shards {
             lock(shard).retain(|_, usage| usage.running > 0 || now < usage.full_at);
         }
     }
 
-    /// Requests of a scope that run now, by this process's count.
+    /// Running requests of a scope in this process.
     pub fn running(&self, scope: &LimitScope) -> u32 {
         lock(self.shard(scope)).get(scope).map_or(0, |usage| usage.running)
     }
--- a/crates/sagespool-routing/src/load.rs
+++ b/crates/sagespool-routing/src/load.rs
@@ -1,4 +1,4 @@
-//! How busy an upstream is now, from an old report and own sends.
+//! Estimate of an upstream's current load from a delayed report and own dispatches.
 
 use std::time::Duration;
 
@@ -10,54 +10,54 @@
 use crate::lag::{LagEstimator, LagResiduals};
 use crate::traffic_share::TrafficShare;
 
-/// Reports that count for what others than the entries have on an upstream.
+/// Window, in reports, of the averages of excess and external load.
 const EXCESS_SAMPLES: f64 = 16.0;
 const EXCESS_HALF_LIFE: Duration = Duration::from_secs(60);
 
-/// What a service's reports show together, which one upstream's estimate leans on.
+/// Service-wide measurements that the estimate for one upstream uses.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LoadContext {
-    /// How old a report is when it arrives.
+    /// Age of a report when it arrives.
     pub(crate) lag: Duration,
-    /// Requests that other entries send for each own one.
+    /// Requests of other entries per own request.
     pub(crate) others_per_own: f64,
-    /// Requests of other entries for each place of an upstream, on average.
+    /// Average requests of other entries per slot of an upstream.
     pub(crate) others_per_slot: f64,
-    /// How long a request runs.
+    /// How long a request occupies a slot.
     pub(crate) run_time: Duration,
-    /// How long a report's surplus over the average lasts.
+    /// Time constant with which a reported surplus over the average decays.
     pub(crate) surplus_decay: Duration,
-    /// How far others are taken to follow the same old reports, from 0 to 1.
+    /// Assumed share of other entries' requests that follow the same old reports, from 0 to 1.
     pub(crate) herding: f64,
-    /// How far own requests alone are taken to tell the load, from 0 to 1.
+    /// Weight of the load extrapolated from own requests, from 0 to 1.
     pub(crate) own_weight: f64,
 }
 
-/// What a sidecar had at its upstream when it told this entry.
+/// In-flight requests that a sidecar reported to this entry on a dispatch stream.
 #[derive(Debug, Clone, Copy)]
 struct SidecarCount {
     /// Requests of other entries.
     others: u32,
-    /// All requests.
+    /// All requests that came through the sidecar.
     in_flight: u32,
     at: ClockTime,
 }
 
-/// One upstream's load: the newest report and what this entry did since.
+/// Load of one upstream: the newest report and this entry's dispatches since.
 #[derive(Debug, Clone)]
 pub(crate) struct LoadTracker {
     report: LoadReport,
-    /// When the report came; none before the first.
+    /// When the report arrived; `None` before the first.
     received: Option<ClockTime>,
     residuals: Option<Box<LagResiduals>>,
-    /// Requests there beyond what own ones would mean, by the reports of the last minute.
+    /// Reported requests beyond those extrapolated from own ones, averaged over about a minute.
     excess: ExponentialAverage,
     history: InFlightHistory,
-    /// What the sidecar counted last.
+    /// The sidecar's newest count.
     count: Option<SidecarCount>,
-    /// Requests there that came by no sidecar, by the reports of the last minute.
+    /// Requests that did not come through the sidecar, averaged over about a minute.
     external: ExponentialAverage,
-    /// Own dispatches ever, and at the newest report.
+    /// Own dispatches in total, and at the newest report.
     sent: u64,
     sent_at_report: u64,
 }
@@ -83,12 +83,12 @@
         &self.report
     }
 
-    /// Own requests there now.
+    /// Own requests in flight.
     pub(crate) fn own(&self) -> u32 {
         self.history.current()
     }
 
-    /// Takes a report in, unless it is no newer than the one known.
+    /// Applies a report; ignores one that is not newer than the current one.
     pub(crate) fn observe(
         &mut self,
         report: &LoadReport,
@@ -112,14 +112,14 @@
         let own_at_report = f64::from(self.own_at_report(context.lag));
         let excess = f64::from(total(report)) - own_at_report * (1.0 + context.others_per_own);
         self.excess.add(excess, EXCESS_HALF_LIFE, now);
-        // An older count says nothing of what the report shows.
+        // A count older than one run time is not comparable with the report.
         if let Some(count) = self.count.filter(|count| now.since(count.at) <= context.run_time) {
             let external = f64::from(total(report)) - f64::from(count.in_flight);
             self.external.add(external, EXCESS_HALF_LIFE, now);
         }
     }
 
-    /// Takes in how many requests the sidecar has at its upstream beside one own that runs there.
+    /// Applies a sidecar's count of the requests in flight other than the own one that carries it.
     pub(crate) fn observe_in_flight(&mut self, other_requests: u32, now: ClockTime) {
         let others = (other_requests + 1).saturating_sub(self.own());
         self.count = Some(SidecarCount { others, in_flight: other_requests + 1, at: now });
@@ -134,23 +134,22 @@
         self.history.set(self.own().saturating_sub(1), now);
     }
 
-    /// Requests of other entries there when the report was made.
+    /// Requests of other entries when the report was made.
     pub(crate) fn others_at_report(&self, lag: Duration) -> f64 {
         f64::from(total(&self.report).saturating_sub(self.own_at_report(lag)))
     }
 
-    /// Requests of others there by the newest that is known: a report, or the sidecar's count.
+    /// Requests of others by the newest data: the report, or the sidecar's count.
     pub(crate) fn recent_others(&self, context: &LoadContext, now: ClockTime) -> f64 {
         self.others_with_count(self.others_at_report(context.lag), context, now)
     }
 
-    /// Requests of others there now, given what is expected without the sidecar's count.
+    /// Requests of others now, where `expected` is the estimate without the sidecar's count.
     ///
-    /// Guards against entries that don't know of each other's last second, in which each finds
-    /// the same engine's free places: the engine's report shows only later that they were
-    /// taken, and some requests wait there while places elsewhere are free. The count was true
-    /// of its moment, whatever the report's lag. What it showed beyond the expected fades as
-    /// the requests end that it counted.
+    /// Prevents several entries from filling the same free slots within one report interval: the
+    /// engine's report shows only later that they were taken, and requests queue there while other
+    /// engines have free slots. The count has no lag. Its difference from `expected` decays as the
+    /// counted requests end.
     fn others_with_count(&self, expected: f64, context: &LoadContext, now: ClockTime) -> f64 {
         let Some(count) = self.count else { return expected };
         let age = now.since(count.at).as_secs_f64();
@@ -159,24 +158,24 @@
         expected + (f64::from(count.others) + external - expected) * kept
     }
 
-    /// Own requests there when the report was made.
+    /// Own requests in flight when the report was made.
     fn own_at_report(&self, lag: Duration) -> u32 {
         self.made_at(lag).map_or(0, |made_at| self.history.at(made_at))
     }
 
-    /// Requests running or waiting there now, all entries together.
+    /// Requests running or waiting now, of all entries together.
     ///
-    /// Guards against entries that herd: each sees the same idle upstream in the same old
-    /// report and sends until the next one, so the upstream's queue grows by the number of
-    /// entries. Own sends count at once, and the others, which see the same report, are taken
-    /// to have done alike. What an old report says beyond the average fades as the requests
-    /// that it counted end.
+    /// Prevents herding, in which every entry sends to the upstream that the same old report shows
+    /// as idle until the next report, and its queue grows with the number of entries. Own
+    /// dispatches count at once, and other entries, which have the same report, are assumed to
+    /// have sent in proportion. A reported surplus over the average decays as the counted requests
+    /// end.
     ///
-    /// A part of the estimate is what the load would be if the others had there in proportion
-    /// what this entry has, and what the reports lately showed beyond that. It is never late, and
-    /// entries that all weigh it keep to their part of each upstream without a message.
+    /// Part of the estimate extrapolates from own requests, in proportion to this entry's share of
+    /// the traffic, plus the excess that recent reports showed over that. This part has no lag, and
+    /// entries that all use it keep to their share of each upstream without exchanging messages.
     ///
-    /// Where the sidecar lately counted what it has there, that goes before all of this.
+    /// A recent count by the sidecar takes precedence over both parts.
     pub(crate) fn estimate(&self, context: &LoadContext, capacity: f64, now: ClockTime) -> f64 {
         let own = f64::from(self.own());
         let average_others = context.others_per_slot * capacity;
--- a/crates/sagespool-routing/src/placement.rs
+++ b/crates/sagespool-routing/src/placement.rs
@@ -1,89 +1,89 @@
-//! What a request needs, where it goes, and how that went.
+//! A request's requirements, its placement, and the result of the attempt.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use sagespool_types::{IncarnationId, ModelName, ServiceName, TokenCount, UpstreamName, derives};
 
-/// What a request needs of an upstream.
+/// Requirements of a request for its placement.
 #[derive(Debug, Clone, bon::Builder)]
 pub struct PlacementQuery {
-    /// The service that runs it.
+    /// The service to call.
     pub service: ServiceName,
-    /// The model it names, for an engine.
+    /// The model requested, for an engine.
     pub model: Option<ModelName>,
-    /// The prompt's prefix: xxh3-128 of its first 256 bytes, for an engine.
+    /// Hash of the prompt's prefix, for an engine: xxh3-128 of its first 256 bytes.
     pub prefix: Option<u128>,
-    /// Sidecars that were tried already.
+    /// Sidecars not to be chosen, such as those already tried.
     #[builder(default)]
     pub exclude: Vec<IncarnationId>,
-    /// True if it waited in the queue: then others wait as well, and a place is worth more to
-    /// them than a moment to this request.
+    /// True if it waited in the queue. Others then wait as well, and freeing a slot earlier is
+    /// worth more than a shorter time to this request's first token.
     #[builder(default)]
     pub has_waited: bool,
-    /// Whether it may be the single request that probes an upstream that failed before.
-    /// Say no for a request that can't be run again.
+    /// Whether it may probe an ejected, slow or stalled upstream. Must be false for a request that
+    /// cannot be retried.
     #[builder(default = true)]
     pub may_probe: bool,
 }
 
-/// Where a request goes. Hand it back to [`crate::UpstreamTable::started`],
+/// The upstream chosen for a request. Pass it to [`crate::UpstreamTable::started`],
 /// [`crate::UpstreamTable::first_token`] and [`crate::UpstreamTable::ended`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamPlacement {
-    /// The sidecar's incarnation.
+    /// Incarnation of the sidecar that serves the upstream.
     pub sidecar: IncarnationId,
-    /// Where its link listens.
+    /// Address of the sidecar's link.
     pub address: SocketAddr,
-    /// The upstream beside it.
+    /// The upstream that the sidecar serves.
     pub upstream: UpstreamName,
-    /// The service.
+    /// The service from the query.
     pub service: ServiceName,
-    /// True if the prefix is believed to be cached there.
+    /// True if there is recent evidence that the prefix is cached there.
     pub is_cached: bool,
-    /// True if this request probes an upstream that failed before.
+    /// True if this request probes an ejected upstream.
     pub is_probe: bool,
-    /// Counts the choices of a service in this table.
+    /// Sequence number of the placement within the service, in this table.
     pub attempt: u64,
 }
 
 derives! { value;
-    /// How an attempt ended, as far as it says something about the upstream.
+    /// Outcome of an attempt, as far as it concerns the upstream.
     #[serde(rename_all = "kebab-case")]
     pub enum AttemptOutcome {
-        /// The answer is whole.
+        /// The answer is complete.
         Whole,
-        /// The caller or its deadline ended it.
+        /// Cancelled by the caller or by its deadline.
         Cancelled,
-        /// The sidecar refused it before it ran, for a reason that isn't the upstream's.
+        /// Refused by the sidecar before it ran, for a reason unrelated to the upstream.
         Refused,
-        /// The upstream failed on it.
+        /// The upstream failed the request.
         Failed,
-        /// The upstream or its sidecar went down, or couldn't be reached.
+        /// The upstream or its sidecar stopped or could not be reached.
         Unreachable,
-        /// The sidecar said that it is leaving: its incarnation gets nothing new.
+        /// The sidecar reported that it is leaving; its incarnation receives no further requests.
         Leaving,
     }
 }
 
 derives! { record;
-    /// How an attempt went.
+    /// Result of an attempt.
     pub struct AttemptResult {
-        /// Time from the dispatch to the first token or byte, if one came and
-        /// [`crate::UpstreamTable::first_token`] has not said so already.
+        /// Time from the dispatch to the first token or byte; `None` if there was none, or if
+        /// [`crate::UpstreamTable::first_token`] has recorded it.
         pub first_token: Option<Duration>,
-        /// Tokens of the answer that this attempt produced; zero if unknown or for a service.
+        /// Answer tokens that this attempt produced; zero if unknown or for a plain service.
         pub tokens: TokenCount,
-        /// How it ended.
+        /// Determines how the attempt affects the upstream's statistics.
         pub outcome: AttemptOutcome,
     }
 }
 
-/// How many requests an entry may have running in a service.
+/// Concurrency limit of one entry for a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServiceConcurrency {
-    /// Requests of this entry that may run at once, those that run included.
+    /// Maximum running requests of this entry, including those already running.
     pub limit: u32,
-    /// How long a request holds its place, as measured lately.
+    /// Average time for which a request occupies a slot, as measured recently.
     pub run_time: Duration,
 }
--- a/crates/sagespool-routing/src/policy.rs
+++ b/crates/sagespool-routing/src/policy.rs
@@ -1,4 +1,4 @@
-//! The settings of routing.
+//! Settings of upstream selection.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,29 +7,29 @@
 use sagespool_types::{ParseFault, derives};
 
 derives! { value;
-    /// How an upstream is chosen.
+    /// Algorithm that chooses an upstream.
     #[derive(Default)]
     #[serde(rename_all = "kebab-case")]
     pub enum PolicyKind {
-        /// The lowest predicted time to the first token: estimated load, speed, cached prefixes,
-        /// nearness and failures.
+        /// The lowest predicted time to the first token, from estimated load, latency, cached
+        /// prefixes, data centre and failures.
         #[default]
         Sagespool,
-        /// Each in turn; a baseline.
+        /// Round robin; a baseline.
         RoundRobin,
-        /// The lowest load in the newest report; a baseline.
+        /// The lowest load in the newest reports; a baseline.
         LeastReportedLoad,
-        /// The less loaded, by the newest reports, of two random ones; a baseline.
+        /// The less loaded of two random upstreams, by the newest reports; a baseline.
         TwoChoices,
     }
 }
 
 impl PolicyKind {
-    /// Every kind, for comparisons.
+    /// Every kind, for comparisons between them.
     pub const ALL: [Self; 4] =
         [Self::Sagespool, Self::RoundRobin, Self::LeastReportedLoad, Self::TwoChoices];
 
-    /// The kind as settings name it.
+    /// The kind's name in settings.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Sagespool => "sagespool",
@@ -56,56 +56,55 @@
     }
 }
 
-/// Settings of [`crate::UpstreamTable`]. The defaults are the measured choices of
-/// `docs/design/ROUTING.md`.
+/// Settings of [`crate::UpstreamTable`]. See `docs/design/ROUTING.md` for the defaults.
 #[derive(Debug, Clone, bon::Builder)]
 pub struct RoutingPolicy {
-    /// How an upstream is chosen.
+    /// Algorithm that chooses an upstream.
     #[builder(default)]
     pub kind: PolicyKind,
-    /// Seed of the random choices.
+    /// Seed of the random number generators.
     #[builder(default)]
     pub seed: u64,
-    /// How old a load report is when it arrives, until that has been learned.
+    /// Assumed age of a load report on arrival, until it has been estimated.
     #[builder(default = Duration::from_millis(500))]
     pub report_lag: Duration,
-    /// Up to so many upstreams are all looked at; beyond that, a random sample.
+    /// Number of upstreams up to which all are candidates; with more, a random sample is.
     #[builder(default = 32)]
     pub full_scan_limit: usize,
-    /// Random candidates beyond `full_scan` upstreams.
+    /// Random candidates for services with more than `full_scan_limit` upstreams.
     #[builder(default = 12)]
     pub sample_size: usize,
-    /// What a request to another data centre takes longer.
+    /// Additional time of a request to another data centre.
     #[builder(default = Duration::from_millis(2))]
     pub centre_penalty: Duration,
-    /// What a cached prefix is thought to save until it has been measured.
+    /// Assumed time that a cached prefix saves, until measured.
     #[builder(default = Duration::from_millis(100))]
     pub prefix_gain: Duration,
-    /// How long this entry remembers where it sent a prefix.
+    /// How long evidence for a cached prefix is used.
     #[builder(default = Duration::from_secs(300))]
     pub prefix_expiry: Duration,
-    /// Prefixes remembered for one service.
+    /// Prefixes tracked per service.
     #[builder(default = 16384)]
     pub max_prefixes: usize,
-    /// The time to a first token until one has been measured.
+    /// Assumed time to the first token, until measured.
     #[builder(default = Duration::from_millis(200))]
     pub first_token: Duration,
-    /// The time that a request holds its place in an upstream, until measured.
+    /// Assumed time for which a request occupies a slot, until measured.
     #[builder(default = Duration::from_secs(2))]
     pub run_time: Duration,
-    /// What was measured counts half after this time without anything newer.
+    /// Half-life of the weight of measurements.
     #[builder(default = Duration::from_secs(10))]
     pub half_life: Duration,
-    /// What a failed attempt costs a request, in time.
+    /// Cost of a failed attempt, as additional time to the first token.
     #[builder(default = Duration::from_secs(2))]
     pub failure_cost: Duration,
-    /// So many failures one after the other eject an upstream.
+    /// Consecutive failures that eject an upstream.
     #[builder(default = 3)]
     pub failures_to_eject: u32,
-    /// How long the first ejection lasts; doubled by each probe that fails.
+    /// Duration of the first ejection; doubles with each failed probe.
     #[builder(default = Duration::from_secs(1))]
     pub first_ejection: Duration,
-    /// The longest ejection.
+    /// Upper bound of an ejection's duration, before jitter.
     #[builder(default = Duration::from_secs(30))]
     pub max_ejection: Duration,
 }
--- a/crates/sagespool-routing/src/queue.rs
+++ b/crates/sagespool-routing/src/queue.rs
@@ -1,4 +1,4 @@
-//! Who goes next, who waits, and who is told at once that it can't make it.
+//! Admission queues of an entry: which requests run, wait, or are refused immediately.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -9,44 +9,39 @@
 use crate::service_queue::ServiceQueue;
 use crate::table::lock;
 
-/// Settings of [`AdmissionQueue`]. The defaults are the measured choices of
-/// `docs/design/ROUTING.md`.
+/// Settings of [`AdmissionQueue`]. See `docs/design/ROUTING.md` for the defaults.
 #[derive(Debug, Clone, bon::Builder)]
 pub struct QueuePolicy {
-    /// Requests waiting in one service's queue, in all. One branch may fill half of what the
-    /// others leave.
+    /// Capacity of one service's queue. A single branch may fill half of what the others leave.
     #[builder(default = 4096)]
     pub most_waiting: u32,
-    /// Requests running at once until [`AdmissionQueue::set_limit`] says otherwise.
+    /// Concurrency limit of a service before [`AdmissionQueue::set_limit`] is called.
     #[builder(default = 8)]
     pub initial_limit: u32,
-    /// How long a request runs, until measured.
+    /// Assumed run time of a request, until measured.
     #[builder(default = Duration::from_secs(2))]
     pub run_time: Duration,
-    /// What was measured counts half after this time, and a branch's weight counts for so long
+    /// Half-life of the weight of measurements, and the time for which a branch's weight counts
     /// after its last request.
     #[builder(default = Duration::from_secs(10))]
     pub half_life: Duration,
-    /// A branch may save up its unused share, and be held to what it used beyond it, for so
-    /// long.
+    /// Time over which unused share accumulates and excess use is held against a branch.
     #[builder(default = Duration::from_secs(2))]
     pub share_span: Duration,
-    /// A branch may save up at least so many requests.
+    /// Requests' worth of unused share that a branch can always accumulate.
     #[builder(default = 16)]
     pub min_burst: u32,
-    /// Requests beyond their branch's share may take the places up to this part of them, in
-    /// hundredths, while others are within theirs.
+    /// Percentage of the slots available to a branch at its full excess over its share.
     #[builder(default = 66)]
     pub excess_percent: u32,
-    /// A branch that at one moment runs so many times its share more than its share is held back
-    /// like one that is far beyond it over time; none for 0.
+    /// Excess of a branch's running requests over its share, as a multiple of the share, at which
+    /// it is limited like one at full excess over time; 0 disables this.
     #[builder(default = 2)]
     pub full_excess_shares: u32,
-    /// At most this part of the places, in hundredths, is kept free for those who go first,
-    /// by what they lately used.
+    /// Upper bound, as a percentage of the slots, of the headroom for earlier tiers' recent demand.
     #[builder(default = 15)]
     pub headroom_percent: u32,
-    /// A lower class goes after so many requests of higher ones went before it.
+    /// Requests of higher classes that may be admitted before a waiting lower class comes first.
     #[builder(default = 16)]
     pub max_skips: u32,
 }
@@ -57,77 +52,77 @@
     }
 }
 
-/// A request that wants to run.
+/// A request to be admitted.
 #[derive(Debug, Clone, bon::Builder)]
 pub struct QueueTicket {
-    /// The request.
+    /// Identifies the request in [`QueueRelease`] and in calls that end or withdraw it.
     pub request: RequestId,
-    /// The service that shall run it.
+    /// The service to call; selects the queue.
     pub service: ServiceName,
-    /// The branch that sent it.
+    /// The client account that sent it.
     pub branch: BranchName,
-    /// The branch's weight against the others.
+    /// The branch's weight in fair sharing; 0 counts as 1.
     #[builder(default = 1)]
     pub weight: u32,
-    /// The class's priority; lower goes first.
+    /// The class's priority; lower values are admitted first.
     #[builder(default)]
     pub priority: u8,
-    /// When it is of no use any more.
+    /// Time after which the answer is of no use.
     pub deadline: ClockTime,
-    /// The least time it needs once it runs.
+    /// Minimum run time; it must start at least this long before its deadline.
     #[builder(default)]
     pub run_time: Duration,
 }
 
 impl QueueTicket {
-    /// From this time on it can't make its deadline.
+    /// From this time on it cannot meet its deadline.
     pub(crate) fn latest_start(&self) -> ClockTime {
         ClockTime(self.deadline.0.saturating_sub(self.run_time.as_micros() as u64))
     }
 }
 
-/// What becomes of an offered request.
+/// Outcome of an offered request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OfferOutcome {
-    /// It runs now; say [`AdmissionQueue::ended`] when it ends.
+    /// It may run now; [`AdmissionQueue::ended`] must be called when it ends.
     Admitted,
-    /// It waits, about so long; [`AdmissionQueue::release`] will name it.
+    /// It waits until [`AdmissionQueue::release`] returns it.
     Queued {
         /// The predicted wait.
         expected_wait: Duration,
     },
-    /// It did not run and isn't kept.
+    /// It did not run and is not queued.
     Refused {
-        /// Why.
+        /// Deadline exceeded or overloaded.
         reason: RefusalReason,
-        /// When it would have a chance.
+        /// Time after which a retry may succeed; `None` if the deadline is already missed.
         retry_after: Option<Duration>,
     },
 }
 
-/// Requests that left the queue.
+/// Requests that have left the queue.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct QueueRelease {
-    /// These run now.
+    /// These may run now.
     pub admitted: Vec<RequestId>,
-    /// These can't make their deadline any more; they did not run.
+    /// These can no longer meet their deadline and did not run.
     pub expired: Vec<RequestId>,
 }
 
-/// How full a service's queue is.
+/// Size and limit of a service's queue.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct QueueDepth {
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub waiting: usize,
-    /// Requests running.
+    /// Number of running requests.
     pub running: usize,
-    /// Requests that may run at once.
+    /// Maximum number of running requests.
     pub limit: u32,
 }
 
 type QueueShard = Arc<Mutex<ServiceQueue>>;
 
-/// The bounded queues of an entry, one for each service under its own lock.
+/// The bounded queues of an entry, one per service, each under its own lock.
 #[derive(Debug, Default)]
 pub struct AdmissionQueue {
     policy: QueuePolicy,
@@ -135,40 +130,40 @@
 }
 
 impl AdmissionQueue {
-    /// Empty queues.
+    /// Creates the queues with the same policy for every service.
     pub fn new(policy: QueuePolicy) -> Self {
         Self { policy, services: Mutex::default() }
     }
 
-    /// Sets how many requests of a service this entry may have running at once,
-    /// as [`crate::UpstreamTable::concurrency`] says.
+    /// Sets this entry's concurrency limit for a service, from [`crate::UpstreamTable::concurrency`].
     pub fn set_limit(&self, service: &ServiceName, limit: u32) {
         lock(&self.shard(service)).set_limit(limit);
     }
 
-    /// A request wants to run.
+    /// Admits, queues or refuses a request.
     pub fn offer(&self, ticket: QueueTicket, now: ClockTime) -> OfferOutcome {
         let shard = self.shard(&ticket.service);
         lock(&shard).offer(ticket, now)
     }
 
-    /// Who may run now, and who can't make it any more. Call it after [`Self::ended`], after
-    /// [`Self::set_limit`], and a few times a second for the deadlines.
+    /// Admits waiting requests that may run and removes those that cannot meet their deadline. To
+    /// be called after [`Self::ended`] and [`Self::set_limit`], and a few times a second for
+    /// deadlines.
     pub fn release(&self, service: &ServiceName, now: ClockTime) -> QueueRelease {
         lock(&self.shard(service)).release(now)
     }
 
-    /// A request that ran has ended.
+    /// Records the end of a running request; ignores unknown requests.
     pub fn ended(&self, service: &ServiceName, request: RequestId, now: ClockTime) {
         lock(&self.shard(service)).ended(request, now);
     }
 
-    /// A waiting request's caller is gone; true if it was waiting.
+    /// Removes a waiting request, as when its caller has gone; false if it was not waiting.
     pub fn withdraw(&self, service: &ServiceName, request: RequestId, now: ClockTime) -> bool {
         lock(&self.shard(service)).withdraw(request, now)
     }
 
-    /// How full a service's queue is.
+    /// Current size and limit of a service's queue.
     pub fn depth(&self, service: &ServiceName) -> QueueDepth {
         lock(&self.shard(service)).depth()
     }
--- a/crates/sagespool-routing/src/retry.rs
+++ b/crates/sagespool-routing/src/retry.rs
@@ -1,4 +1,4 @@
-//! How many retries a service's requests may cause.
+//! Limit on the retries of a service's requests.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -8,7 +8,7 @@
 
 use crate::table::lock;
 
-/// The window is counted in so many slices.
+/// Slices of the sliding window.
 const SLICES: usize = 10;
 
 /// Settings of [`RetryBudget`].
@@ -17,10 +17,10 @@
     /// Retries as a share of the requests in the window, in thousandths.
     #[builder(default = 150)]
     pub share_per_mille: u32,
-    /// Retries that are always allowed in a window, so that a quiet service can retry at all.
+    /// Retries always allowed in a window, so that a service with few requests can retry at all.
     #[builder(default = 3)]
     pub min_retries: u32,
-    /// How far back requests and retries count.
+    /// Length of the sliding window.
     #[builder(default = Duration::from_secs(10))]
     pub window: Duration,
 }
@@ -61,11 +61,10 @@
     }
 }
 
-/// Retries as a share of recent requests, for each service by itself.
+/// Limits retries to a share of recent requests, separately for each service.
 ///
-/// Guards against a retry storm: when upstreams fail because they are
-/// overloaded, retrying every failure multiplies the load that made them fail.
-/// A share bounds the factor, however much fails.
+/// Prevents retry storms: when upstreams fail because of overload, retrying
+/// every failure multiplies the load. A share bounds the factor at any failure rate.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
     policy: RetryPolicy,
@@ -73,7 +72,7 @@
 }
 
 impl RetryBudget {
-    /// A budget with these settings.
+    /// Creates a budget with empty windows.
     pub fn new(policy: RetryPolicy) -> Self {
         Self { policy, windows: Mutex::default() }
     }
@@ -84,7 +83,7 @@
         lock(&window).slice(self.slice_number(now)).requests += 1;
     }
 
-    /// Whether one more retry may go; counts it if so.
+    /// Counts a retry and returns true if the budget allows it; otherwise returns false.
     pub fn try_retry(&self, service: &ServiceName, now: ClockTime) -> bool {
         let window = self.window(service);
         let mut window = lock(&window);
@@ -108,7 +107,7 @@
 
     fn slice_number(&self, now: ClockTime) -> u64 {
         let slice = (self.policy.window.as_micros() as u64 / SLICES as u64).max(1);
-        // From 1, so that the empty slices of a new window count as past.
+        // The offset makes the empty slices of a new window, numbered 0, count as expired.
         now.0 / slice + SLICES as u64
     }
 }
--- a/crates/sagespool-routing/src/service.rs
+++ b/crates/sagespool-routing/src/service.rs
@@ -1,4 +1,4 @@
-//! The upstreams of one service: what is known of them and learned from attempts.
+//! State of the upstreams of one service, from reports and from the results of attempts.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,23 +17,23 @@
 use crate::upstream::UpstreamState;
 use crate::{AttemptOutcome, AttemptResult, RoutingPolicy, ServiceConcurrency, UpstreamPlacement};
 
-/// A report's surplus over the average fades over so many run times.
+/// Time constant, in run times, with which a reported surplus over the average load decays.
 const SURPLUS_DECAY_RUNS: f64 = 2.0;
-/// How far other entries are taken to follow the same old reports.
+/// Assumed share of other entries' requests that follow the same old report as own ones.
 const HERDING_FACTOR: f64 = 0.5;
-/// How far own requests alone are taken to tell an upstream's load.
+/// Weight of the load extrapolated from own requests against that derived from the report.
 const OWN_LOAD_WEIGHT: f64 = 0.75;
-/// Without any first token for so many times the expected time, an upstream is stalled.
+/// Multiple of the expected time to the first token after which an upstream counts as stalled.
 const STALL_FACTOR: f64 = 3.0;
-/// Entries may have so many times the upstreams' capacity running: a choice that was a
-/// little wrong then costs no idle place.
+/// Running requests of all entries, as a multiple of the upstreams' capacity. More than 1, so
+/// that a slightly uneven placement leaves no slot idle.
 const OVERCOMMIT_FACTOR: f64 = 1.1;
 
 #[derive(Debug, Clone, Copy)]
 struct RunningAttempt {
     sidecar: IncarnationId,
     started: ClockTime,
-    /// Nothing waited before it, so its first token measures the upstream alone.
+    /// True if the upstream had a free slot, so that the first token includes no queueing time.
     is_unqueued: bool,
     is_cached: bool,
     first_token: Option<Duration>,
@@ -48,11 +48,11 @@
     pub(crate) ring: PrefixRing,
     pub(crate) prefixes: PrefixIndex,
     pub(crate) speed: ServiceSpeed,
-    /// Places of the upstreams that take new work, by model; computed when asked for.
+    /// Indexes of the upstreams that accept requests, by model; computed on first use.
     pub(crate) usable: HashMap<Option<ModelName>, Arc<Vec<usize>>>,
-    /// Ejected and slow upstreams, looked at in turn for one that is due to be probed.
+    /// Ejected, slow and stalled upstreams, checked in rotation for a due probe.
     pub(crate) impaired: Vec<IncarnationId>,
-    /// Choices since a slow upstream was probed.
+    /// Placements since the last probe of a slow or stalled upstream.
     pub(crate) choices_since_probe: u32,
     pub(crate) cursor: usize,
     pub(crate) random: Rng,
@@ -115,7 +115,7 @@
         index
     }
 
-    /// Who may get new work changed.
+    /// Must be called when the set of upstreams that accept requests changes.
     fn invalidate_usable(&mut self) {
         self.usable.clear();
         self.totals = ServiceTotals::default();
@@ -176,7 +176,7 @@
     ) {
         let whole = (result.outcome == AttemptOutcome::Whole).then_some(now);
         let started = self.running.get(&placement.attempt).map(|attempt| attempt.started);
-        // An answer in one piece: its end was its first token.
+        // An answer that arrives in one piece has its first token at its end.
         let single_piece = whole.zip(started).map(|(now, started)| now.since(started));
         if let Some(latency) = result.first_token.or(single_piece) {
             self.first_token(placement, latency, now);
@@ -217,9 +217,10 @@
         self.note_if_impaired(index, now);
     }
 
-    /// Guards against an upstream that hangs and goes on eating requests: their deadlines end
-    /// them, its places look free again, and the next ones are sent there. A request that was
-    /// given up without a first token long after one was due counts as that late a token.
+    /// Counts a cancelled request whose first token was long overdue as a first token that late.
+    ///
+    /// Otherwise an upstream that hangs keeps receiving requests: their deadlines cancel them, its
+    /// slots appear free again, and the next requests are sent there.
     fn cancelled(&mut self, index: usize, attempt: &RunningAttempt, now: ClockTime) {
         let elapsed = now.since(attempt.started);
         let first_token = self.speed.first_token(&self.policy);
@@ -239,7 +240,7 @@
         self.note_if_impaired(index, now);
     }
 
-    /// Keeps an upstream in mind for a probe, if it is ejected, slow or stalled.
+    /// Lists an upstream for a probe if it is ejected, slow or stalled.
     pub(crate) fn note_if_impaired(&mut self, index: usize, now: ClockTime) {
         let id = self.upstreams[index].id;
         if self.is_impaired(index, now) && !self.impaired.contains(&id) {
@@ -254,7 +255,7 @@
             || self.is_stalled(upstream, 0.0, now)
     }
 
-    /// Without a first token for much longer than expected, `wait` seconds of queueing included.
+    /// True if the first token is long overdue, given `wait` seconds of expected queueing.
     pub(crate) fn is_stalled(&self, upstream: &UpstreamState, wait: f64, now: ClockTime) -> bool {
         let first_token = self.speed.first_token(&self.policy);
         let expected = first_token * upstream.speed.slowness(&self.policy, now) + wait;
@@ -289,9 +290,9 @@
         }
     }
 
-    /// An equal share of the capacity, or what this entry has plus its part of what is free,
-    /// whichever is more: an entry that gets more callers than the others may use what they
-    /// leave, and goes back to its share as they need theirs.
+    /// The larger of an equal share of the capacity, and own requests plus this entry's part of
+    /// the free slots. An entry with more traffic than the others may use slots that they leave
+    /// free, and falls back to its share as they fill theirs.
     pub(crate) fn concurrency(&mut self, entries: u32, now: ClockTime) -> ServiceConcurrency {
         self.refresh_totals(entries, now);
         let own = self.running.len() as f64;
@@ -304,7 +305,7 @@
         ServiceConcurrency { limit: limit.max(1.0) as u32, run_time }
     }
 
-    /// Requests that run, as a share of what the upstreams run at once.
+    /// Running requests as a share of the upstreams' total capacity.
     pub(crate) fn utilization(&self) -> f64 {
         (self.totals.others + self.running.len() as f64) / self.totals.capacity.max(1.0)
     }
@@ -314,7 +315,7 @@
         self.cached_context(entries, now)
     }
 
-    /// As it was when last asked for; enough to learn by, and cheap for each report.
+    /// Uses the last computed totals, which is accurate enough for learning and cheap per report.
     fn cached_context(&self, entries: u32, now: ClockTime) -> LoadContext {
         let run_time = self.speed.run_time(&self.policy, now);
         LoadContext {
--- a/crates/sagespool-routing/src/service_queue.rs
+++ b/crates/sagespool-routing/src/service_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of one service.
+//! Admission queue of one service.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::tier::{QueueTier, TierTable};
 use crate::{OfferOutcome, QueueDepth, QueuePolicy, QueueRelease, QueueTicket};
 
-/// Ended requests that count for the run time.
+/// Averaging window, in ended requests, of the run time.
 const RUN_TIME_SAMPLES: f64 = 64.0;
 
 #[derive(Debug, Clone)]
@@ -29,19 +29,19 @@
     since: ClockTime,
 }
 
-/// One service's queue: branches in fair order within each class, classes by priority.
+/// Queue of one service: classes by priority, and fair sharing between branches within a class.
 #[derive(Debug)]
 pub(crate) struct ServiceQueue {
     policy: QueuePolicy,
     limit: u32,
     branches: HashMap<BranchName, BranchState>,
-    /// Sum of the weights of the branches that wait, run, or lately did.
+    /// Sum of the weights of the branches that have requests waiting or running, or recently had.
     counted_weight: u64,
-    /// Branches by the time at which they became idle.
+    /// Idle branches, in the order in which they became idle.
     idle: VecDeque<(ClockTime, BranchName)>,
     classes: BTreeMap<u8, ClassQueue>,
     waiting: HashMap<RequestId, QueuePosition>,
-    /// Waiting requests by the time at which they can't make it any more.
+    /// Waiting requests by the latest time at which they can start.
     latest_starts: BTreeSet<(ClockTime, RequestId)>,
     running: HashMap<RequestId, RunningSlot>,
     tiers: TierTable,
@@ -110,7 +110,7 @@
         OfferOutcome::Queued { expected_wait }
     }
 
-    /// Nobody who waits would go before it, and there is a place.
+    /// True if there is a slot and no waiting request comes before it.
     fn may_start_at_once(&self, ticket: &QueueTicket, now: ClockTime) -> bool {
         let tier = self.tier(&ticket.branch, ticket.priority, now);
         if !self.has_slot(tier, &ticket.branch, now) {
@@ -120,8 +120,8 @@
         next.is_none_or(|(waiting, _)| tier < waiting)
     }
 
-    /// Bounded, and so that one branch can't take the whole queue: each may have as many
-    /// waiting as are still free.
+    /// True if a branch has as many requests waiting as the queue has free positions, so that
+    /// no branch can fill the queue alone.
     fn is_full_for(&self, name: &BranchName) -> bool {
         let free = (self.policy.most_waiting as usize).saturating_sub(self.waiting.len());
         let own = self.branches.get(name).map_or(0, |branch| branch.waiting as usize);
@@ -201,7 +201,7 @@
         });
     }
 
-    /// Takes out the ticket that goes next, if it has a place.
+    /// Removes the next ticket for which there is a slot.
     fn pop(&mut self, now: ClockTime) -> Option<QueueTicket> {
         let (tier, name) = self.next_branch(now)?;
         let name = name.clone();
@@ -213,7 +213,8 @@
         Some(ticket)
     }
 
-    /// The first branch of the class whose turn it is, of those for which there is a place.
+    /// The branch to admit next, among the first of each class for which there is a slot. A class
+    /// that has been skipped too often comes first.
     fn next_branch(&self, now: ClockTime) -> Option<(QueueTier, &BranchName)> {
         let heads = self.classes.iter().filter_map(|(priority, class)| {
             let name = class.first()?;
@@ -224,7 +225,7 @@
         heads.min().map(|(_, tier, name)| (tier, name))
     }
 
-    /// Guards against a lower class that never goes while higher ones keep coming.
+    /// Counts the admissions that skipped a lower class, so that it is not starved.
     fn count_skips(&mut self, admitted: u8) {
         for (priority, class) in &mut self.classes {
             if *priority == admitted {
@@ -243,7 +244,7 @@
         }
     }
 
-    /// Places that a branch may count on; at least one.
+    /// The branch's share of the slots; at least one.
     fn share(&self, branch: &BranchState) -> u32 {
         let uncounted = if branch.is_counted { 0 } else { u64::from(branch.weight) };
         let all = (self.counted_weight + uncounted).max(1);
@@ -251,8 +252,8 @@
         share.max(1) as u32
     }
 
-    /// Whether one more of the tier may run: a branch beyond its share leaves the more places
-    /// free the further it is beyond, and all leave what those before them lately needed.
+    /// Whether one more request of the tier may run. A branch in excess of its share leaves slots
+    /// free in proportion to the excess, and each tier leaves the headroom of those before it.
     fn has_slot(&self, tier: QueueTier, name: &BranchName, now: ClockTime) -> bool {
         let limit = f64::from(self.limit);
         let excess = self.branches.get(name).map_or(0.0, |branch| self.excess(branch, tier, now));
@@ -263,10 +264,11 @@
         taken + 1.0 <= (limit - held_back - headroom).ceil()
     }
 
-    /// How far a branch is beyond its share, from 0 to 1: over time, or at this moment.
+    /// A branch's excess over its share, from 0 to 1: the larger of that over time and that of
+    /// the requests running now.
     ///
-    /// Use over time alone lets a branch that was calm take every free place at every entry
-    /// before its use shows: requests of others that come in the next second or two find none.
+    /// Excess over time alone would let a previously idle branch fill every slot of every entry
+    /// before its use shows, and requests of others in the next second or two would find no slot.
     fn excess(&self, branch: &BranchState, tier: QueueTier, now: ClockTime) -> f64 {
         let over_time = self.clock.excess(branch.usage(tier.priority, &self.clock, now));
         let weight = f64::from(branch.weight) / self.counted_weight.max(1) as f64;
@@ -300,7 +302,7 @@
         self.update_branch(&ticket.branch, now, |branch| branch.weight = ticket.weight.max(1));
     }
 
-    /// Changes a branch, keeping the sums and its place in every class true.
+    /// Changes a branch, and updates the weight sum, the idle list and its order in every class.
     fn update_branch(
         &mut self,
         name: &BranchName,
@@ -328,11 +330,10 @@
         }
     }
 
-    /// A branch counts for some time after its last request.
+    /// Removes the weight of branches that have been idle for a half-life.
     ///
-    /// Guards against shares that jump: of ten branches with a request now and then, only one
-    /// or two are active at a moment, and the one that always is would take nearly every
-    /// place as its share.
+    /// The delay keeps shares stable: of ten branches with occasional requests only one or two are
+    /// active at any moment, and one that always is would get nearly every slot as its share.
     fn expire_idle(&mut self, now: ClockTime) {
         while let Some((since, name)) = self.idle.front() {
             if now.since(*since) < self.policy.half_life {
@@ -358,7 +359,7 @@
         }
     }
 
-    /// Brings the shares up to the present.
+    /// Advances the virtual clock and expires idle branches.
     fn advance_clock(&mut self, now: ClockTime) {
         let rate = ClockRate {
             slots: self.limit,
@@ -377,8 +378,9 @@
         Duration::from_secs_f64(run_time)
     }
 
-    /// The lower of two bounds, so that a request isn't refused on a guess: the time until all
-    /// before it have places, and the time until its branch's share has served its own.
+    /// The lower of two estimates, so that a request is not refused on an overestimate: the time
+    /// until all requests before it have slots, and the time until its branch's share of the
+    /// slots has served the branch's own.
     fn expected_wait(&self, ticket: &QueueTicket, now: ClockTime) -> Duration {
         let run_time = self.run_time(now).as_secs_f64();
         let before = || self.classes.range(..=ticket.priority).map(|(_, class)| class);
--- a/crates/sagespool-routing/src/speed.rs
+++ b/crates/sagespool-routing/src/speed.rs
@@ -1,4 +1,4 @@
-//! How fast a service's upstreams are, and one of them against its peers.
+//! Measured latencies of a service, and the relative slowness of one upstream.
 
 use std::time::Duration;
 
@@ -7,26 +7,26 @@
 use crate::RoutingPolicy;
 use crate::average::ExponentialAverage;
 
-/// Samples that count for a whole service, and for one upstream.
+/// Averaging windows, in samples, for a service and for one upstream.
 const SERVICE_SAMPLES: f64 = 64.0;
 const UPSTREAM_SAMPLES: f64 = 8.0;
-/// A single sample says at most that an upstream is so many times as slow, or as fast.
+/// Bound on the slowness, or its inverse, that a single sample shows.
 const MAX_SLOWNESS_RATIO: f64 = 20.0;
-/// A slow upstream's sample counts for the service as at most so many times the mean. (Dividing
-/// it by the upstream's slowness instead leaves the scale of both undetermined: it stays where
-/// the first guess put it.)
+/// Bound on a sample's effect on the service's mean, as a multiple of the mean. (Dividing the
+/// sample by the upstream's slowness instead would leave the scale of both undetermined: it would
+/// stay at the initial value.)
 const MAX_OUTLIER_RATIO: f64 = 3.0;
-/// A first token is quick within this part of the ordinary time: its prefix was cached.
+/// Fraction of the uncached time to the first token below which the prefix must have been cached.
 const QUICK_RATIO: f64 = 0.6;
-/// So many quick ones of those believed to be cached show that caching works at all.
+/// Share of quick first tokens among presumed cache hits from which the cache gain counts in full.
 const MIN_HIT_SHARE: f64 = 0.1;
-/// A run counts as at most so many times the mean: answers differ more in length than in their
-/// first token.
+/// Bound on a run time's effect on the mean, as a multiple of the mean. Larger than for first
+/// tokens, since answers vary more in length.
 const MAX_RUN_RATIO: f64 = 20.0;
-/// From so many tokens on, their pace is a measurement.
+/// Tokens from which an answer gives a usable time per token.
 const MIN_TOKENS: u64 = 8;
 
-/// How an attempt that ran to its end went.
+/// Measurements of an attempt that completed.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct CompletedRun {
     pub(crate) elapsed: Duration,
@@ -34,18 +34,18 @@
     pub(crate) tokens: u64,
 }
 
-/// Times measured over all upstreams of a service, in seconds.
+/// Averages over all upstreams of a service; times in seconds.
 #[derive(Debug, Clone)]
 pub(crate) struct ServiceSpeed {
-    /// To the first token, where the prefix wasn't believed to be cached.
+    /// Time to the first token where the prefix was not presumed to be cached.
     uncached: ExponentialAverage,
-    /// To the first token, where it was, and came quickly.
+    /// Time to the first token where the prefix was presumed cached and the token came quickly.
     cached: ExponentialAverage,
-    /// How often it came quickly where the prefix was believed to be cached, from 0 to 1.
+    /// Share of quick first tokens among presumed cache hits, from 0 to 1.
     hits: ExponentialAverage,
-    /// For one token more.
+    /// Time per further token.
     per_token: ExponentialAverage,
-    /// For which a request holds its place.
+    /// Time for which a request occupies a slot.
     run: ExponentialAverage,
 }
 
@@ -57,21 +57,21 @@
 }
 
 impl ServiceSpeed {
-    /// Seconds to the first token where nothing waits and nothing is cached.
+    /// Seconds to the first token without queueing and without a cached prefix.
     ///
-    /// The guess counts for nothing once there is a measurement. Mixed in, it holds up the mean of
-    /// a quick service with few requests (11 ms for answers of 6): each measured upstream then
-    /// looks quicker than the service, one without measurements doesn't, and an upstream that was
-    /// restarted gets no work.
+    /// The policy's default is ignored once there is a measurement. Averaged in, it raises the mean
+    /// of a fast service with few requests (11 ms for answers of 6 ms): every measured upstream
+    /// then appears faster than the service, a restarted one without measurements does not, and it
+    /// receives no requests.
     pub(crate) fn first_token(&self, policy: &RoutingPolicy) -> f64 {
         self.uncached.mean_or(policy.first_token.as_secs_f64())
     }
 
-    /// Seconds that a cached prefix saves, where it is really cached.
+    /// Seconds saved by a prefix that is actually cached.
     ///
-    /// Beliefs are often wrong while prefixes are spread over all upstreams. Averaged over them
-    /// the gain looks small, small gains spread the prefixes further, and it stays that way. So
-    /// only the quick ones tell the gain, and that there are any tells that it is real.
+    /// Presumed hits are often wrong while prefixes are spread over all upstreams. An average over
+    /// all of them shows a small gain, which spreads prefixes further and keeps the gain small. The
+    /// gain is therefore measured on quick first tokens only, and scaled down if these are rare.
     pub(crate) fn prefix_gain(&self, policy: &RoutingPolicy, now: ClockTime) -> f64 {
         let uncached = self.first_token(policy);
         let guess = (uncached - policy.prefix_gain.as_secs_f64()).max(0.0);
@@ -80,13 +80,13 @@
         (uncached - cached).max(0.0) * (hits / MIN_HIT_SHARE).min(1.0)
     }
 
-    /// Seconds that a request holds its place.
+    /// Seconds for which a request occupies a slot.
     pub(crate) fn run_time(&self, policy: &RoutingPolicy, now: ClockTime) -> f64 {
         self.run.value(policy.run_time.as_secs_f64(), policy.half_life, now)
     }
 }
 
-/// How many times as long as its peers one upstream takes; 1 is ordinary.
+/// Slowness of one upstream: its times as a multiple of the service's averages.
 #[derive(Debug, Clone)]
 pub(crate) struct UpstreamSpeed {
     slowness: ExponentialAverage,
@@ -99,12 +99,12 @@
 }
 
 impl UpstreamSpeed {
-    /// Without fresh samples it goes back to 1, so a slow upstream is tried again in time.
+    /// Decays to 1 without new samples, so that a slow upstream is eventually tried again.
     pub(crate) fn slowness(&self, policy: &RoutingPolicy, now: ClockTime) -> f64 {
         self.slowness.value(1.0, policy.half_life, now)
     }
 
-    /// Takes in the time to a first token that nothing waited before.
+    /// Records a time to the first token without queueing.
     pub(crate) fn first_token(
         &mut self,
         service: &mut ServiceSpeed,
@@ -123,7 +123,7 @@
             if is_quick {
                 service.cached.add(bounded, policy.half_life, now);
             }
-            // Quick because it was cached says nothing about the upstream's speed.
+            // A cache hit does not show that the upstream is fast.
             self.add_ratio(ratio.max(1.0), policy, now);
         } else {
             service.uncached.add(bounded, policy.half_life, now);
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Takes in that no first token came for so long.
+    /// Records a wait that ended without a first token.
     pub(crate) fn overdue(
         &mut self,
         service: &ServiceSpeed,
@@ -143,7 +143,7 @@
         self.add_ratio(waited.as_secs_f64() / expected.max(1e-6), policy, now);
     }
 
-    /// Takes in a whole answer.
+    /// Records a completed answer.
     pub(crate) fn completed(
         &mut self,
         service: &mut ServiceSpeed,
@@ -154,7 +154,7 @@
         let slowness = self.slowness(policy, now);
         let to_first = run.first_token.unwrap_or(run.elapsed).as_secs_f64();
         let after = (run.elapsed.as_secs_f64() - to_first).max(0.0);
-        // Waiting in the upstream's queue holds no place in it.
+        // Time in the upstream's queue does not occupy a slot.
         let held = to_first.min(service.first_token(policy) * slowness) + after;
         let bounded = held.min(service.run_time(policy, now) * MAX_RUN_RATIO);
         service.run.add(bounded, policy.half_life, now);
--- a/crates/sagespool-routing/src/table.rs
+++ b/crates/sagespool-routing/src/table.rs
@@ -1,4 +1,4 @@
-//! Every upstream that this entry knows, in shards by service.
+//! An entry's table of upstreams, sharded by service.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -15,22 +15,22 @@
 
 type ServiceShard = Arc<Mutex<ServiceState>>;
 
-/// One entry's view of the upstreams: how busy, how fast, how near, and what each has cached.
+/// One entry's state of the upstreams: load, latency, data centre and cached prefixes.
 ///
-/// Each service is a shard under its own lock; the directory of services is
-/// only locked to find a shard.
+/// Each service is a shard under its own lock; the map of services is locked
+/// only to find a shard.
 #[derive(Debug)]
 pub struct UpstreamTable {
     policy: Arc<RoutingPolicy>,
     own_centre: CentreName,
     entries: AtomicU32,
     services: RwLock<HashMap<ServiceName, ServiceShard>>,
-    /// The service of each sidecar, to find it again when it is removed or changes service.
+    /// The service of each sidecar, needed when it is removed or changes service.
     sidecars: Mutex<HashMap<IncarnationId, ServiceName>>,
 }
 
 impl UpstreamTable {
-    /// An empty table of an entry in a data centre.
+    /// An empty table for an entry in the given data centre.
     pub fn new(policy: RoutingPolicy, own_centre: CentreName) -> Self {
         Self {
             policy: Arc::new(policy),
@@ -41,12 +41,12 @@
         }
     }
 
-    /// How many entries share the upstreams, this one included.
+    /// Sets the number of entries that share the upstreams, including this one; 0 counts as 1.
     pub fn set_entries(&self, entries: u32) {
         self.entries.store(entries.max(1), Ordering::Relaxed);
     }
 
-    /// Takes in a member's newest description; members that serve nothing are left out.
+    /// Applies a member's newest description; ignores members without an upstream.
     pub fn observe(&self, member: &MemberInfo, now: ClockTime) {
         let Some(served) = &member.serves else { return };
         let previous = lock(&self.sidecars).insert(member.incarnation, served.service.clone());
@@ -59,7 +59,7 @@
         lock(&shard).observe(member, served, &self.own_centre, self.entries(), now);
     }
 
-    /// A sidecar is gone: its upstream gets nothing new.
+    /// Removes a sidecar; its upstream receives no further requests.
     pub fn remove(&self, sidecar: IncarnationId) {
         let service = lock(&self.sidecars).remove(&sidecar);
         if let Some(service) = service {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Removes every sidecar that is not among these.
+    /// Removes every sidecar that is not among the members.
     pub fn retain_members(&self, members: &[MemberInfo]) {
         let live: HashSet<IncarnationId> =
             members.iter().map(|member| member.incarnation).collect();
@@ -77,51 +77,51 @@
         }
     }
 
-    /// Where a request goes, or nothing if no upstream may take it now.
+    /// Chooses an upstream for a request; `None` if no upstream can accept it now.
     ///
-    /// Follow it by [`Self::started`] at once, and by [`Self::ended`] in any case.
+    /// The caller must call [`Self::started`] immediately after, and [`Self::ended`] in any case.
     pub fn choose(&self, query: &PlacementQuery, now: ClockTime) -> Option<UpstreamPlacement> {
         let shard = self.shard(&query.service)?;
         lock(&shard).choose(query, self.entries(), now)
     }
 
-    /// The request was sent where the choice says.
+    /// Records the dispatch of a request to its placement.
     pub fn started(&self, placement: &UpstreamPlacement, now: ClockTime) {
         let Some(shard) = self.shard(&placement.service) else { return };
         lock(&shard).started(placement, self.entries(), now);
     }
 
-    /// The first token or byte came, so long after the dispatch. Optional, but
-    /// a long answer's end comes too late to notice a slow upstream by.
+    /// Records the first token or byte, with its time since the dispatch. Optional, but
+    /// the end of a long answer comes too late to detect a slow upstream.
     pub fn first_token(&self, placement: &UpstreamPlacement, latency: Duration, now: ClockTime) {
         let Some(shard) = self.shard(&placement.service) else { return };
         lock(&shard).first_token(placement, latency, now);
     }
 
-    /// The attempt ended, however that was.
+    /// Records the end of an attempt, whatever its outcome.
     pub fn ended(&self, placement: &UpstreamPlacement, result: &AttemptResult, now: ClockTime) {
         let Some(shard) = self.shard(&placement.service) else { return };
         lock(&shard).ended(placement, result, now);
     }
 
-    /// Takes in a cache event of the upstream beside a sidecar; late, doubled and missing ones
-    /// do no harm.
+    /// Applies a cache event of a sidecar's upstream. Late, duplicate and missing events are
+    /// tolerated.
     pub fn cache_event(&self, sidecar: IncarnationId, event: &CacheEvent, now: ClockTime) {
         let service = lock(&self.sidecars).get(&sidecar).cloned();
         let Some(shard) = service.and_then(|service| self.shard(&service)) else { return };
         lock(&shard).cache_event(sidecar, event, now);
     }
 
-    /// Takes in how many requests a sidecar has at its upstream at this moment beside an own one
-    /// that has started and not ended, on whose stream it tells so.
+    /// Records how many other requests a sidecar has at its upstream now. The count is sent on the
+    /// stream of an own request, which has started and not ended and is not included.
     pub fn observe_in_flight(&self, sidecar: IncarnationId, other_requests: u32, now: ClockTime) {
         let service = lock(&self.sidecars).get(&sidecar).cloned();
         let Some(shard) = service.and_then(|service| self.shard(&service)) else { return };
         lock(&shard).observe_in_flight(sidecar, other_requests, now);
     }
 
-    /// How many requests this entry may have running in a service. Ask a few times a second,
-    /// and hand the limit to [`crate::AdmissionQueue::set_limit`].
+    /// This entry's concurrency limit for a service, `None` for an unknown service. To be called a
+    /// few times a second, with the limit passed to [`crate::AdmissionQueue::set_limit`].
     pub fn concurrency(&self, service: &ServiceName, now: ClockTime) -> Option<ServiceConcurrency> {
         let shard = self.shard(service)?;
         Some(lock(&shard).concurrency(self.entries(), now))
@@ -153,7 +153,7 @@
     }
 }
 
-/// A panic in another thread leaves the shard as it was at a whole step, so it is used on.
+/// Locks a mutex, ignoring poisoning: a panic leaves the state as after its last completed step.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/sagespool-routing/src/tier.rs
+++ b/crates/sagespool-routing/src/tier.rs
@@ -1,12 +1,12 @@
-//! How many places those who go first lately needed, to keep some free for them.
+//! Recent demand of each admission tier, from which headroom for earlier tiers is derived.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use sagespool_types::ClockTime;
 
-/// Who goes before whom: requests within their branch's share before those beyond it, and
-/// among each the higher class first.
+/// Admission order: requests within their branch's share before those in excess of it, and
+/// within each the higher class first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueTier {
     pub(crate) is_excess: bool,
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct TierUsage {
     running: u32,
-    /// The most that ran at once lately; fades to what runs now.
+    /// Recent maximum of running requests; decays to the current number.
     peak: f64,
     updated_at: ClockTime,
 }
@@ -36,7 +36,7 @@
     }
 }
 
-/// What each tier has running, and lately had.
+/// Current and recent running requests of each tier.
 #[derive(Debug, Default)]
 pub(crate) struct TierTable {
     tiers: BTreeMap<QueueTier, TierUsage>,
@@ -53,11 +53,10 @@
         used.set(used.running.saturating_sub(1), half_life, now);
     }
 
-    /// Places that the tiers before this one lately used and don't use now.
+    /// Slots that earlier tiers used recently and do not use now.
     ///
-    /// Guards against a place that is missing when it is needed: a request can't be stopped
-    /// once it runs, so a branch that fills every place makes the next request of another
-    /// branch, or of a higher class, wait for one of its own to end.
+    /// They are kept free because a running request cannot be preempted: once one branch fills
+    /// every slot, the next request of another branch or a higher class waits until one ends.
     pub(crate) fn headroom(&self, tier: QueueTier, half_life: Duration, now: ClockTime) -> f64 {
         let before = self.tiers.range(..tier).map(|(_, used)| used);
         before.map(|used| used.peak(half_life, now) - f64::from(used.running)).sum()
--- a/crates/sagespool-routing/src/totals.rs
+++ b/crates/sagespool-routing/src/totals.rs
@@ -1,4 +1,4 @@
-//! Sums over all upstreams of a service, renewed now and then.
+//! Periodically recomputed sums over all upstreams of a service.
 
 use std::time::Duration;
 
@@ -8,17 +8,18 @@
 use crate::load::LoadContext;
 use crate::upstream::UpstreamState;
 
-/// The sums are renewed after this time, and later where there are many upstreams.
+/// The sums are recomputed at the larger of this interval and the one per upstream times their
+/// number, which bounds the cost for services with many upstreams.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(50);
 const REFRESH_INTERVAL_PER_UPSTREAM: Duration = Duration::from_micros(100);
 
-/// What the usable upstreams of a service have together.
+/// Totals of the upstreams of a service that accept requests and are not ejected.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct ServiceTotals {
     computed_at: Option<ClockTime>,
-    /// Requests that they run at once.
+    /// Sum of their slots.
     pub(crate) capacity: f64,
-    /// Requests of other entries there, by the newest reports and counts.
+    /// Requests of other entries, by the newest reports and sidecar counts.
     pub(crate) others: f64,
 }
 
--- a/crates/sagespool-routing/src/upstream.rs
+++ b/crates/sagespool-routing/src/upstream.rs
@@ -1,4 +1,4 @@
-//! What this entry knows of one upstream.
+//! State that an entry keeps for one upstream.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -15,16 +15,16 @@
 use crate::speed::UpstreamSpeed;
 use crate::traffic_share::TrafficShare;
 
-/// Attempts that count for the share of failures.
+/// Window, in attempts, of the failure rate.
 const FAILURE_SAMPLES: f64 = 8.0;
 
-/// An upstream that takes so many times as long as its peers is slow.
+/// Slowness, relative to the service, above which an upstream counts as slow.
 const SLOW_RATIO: f64 = 1.5;
 
-/// The pause between trials doubles with each request without an answer, up to so many.
+/// The pause between probes doubles with each unanswered request, up to this many.
 const MAX_UNANSWERED: usize = 6;
 
-/// One upstream, through its sidecar.
+/// One upstream and the sidecar that serves it.
 #[derive(Debug)]
 pub(crate) struct UpstreamState {
     pub(crate) id: IncarnationId,
@@ -33,20 +33,20 @@
     pub(crate) models: Vec<ModelName>,
     pub(crate) capacity: u32,
     pub(crate) is_same_centre: bool,
-    /// Healthy and not leaving: may get new work.
+    /// True if it is healthy and not leaving.
     pub(crate) accepts_requests: bool,
-    /// Its sidecar said that it is leaving; an incarnation doesn't come back from that.
+    /// Its sidecar reported that it is leaving; permanent for the incarnation.
     pub(crate) has_left: bool,
     pub(crate) load: LoadTracker,
     pub(crate) speed: UpstreamSpeed,
     pub(crate) ejection: EjectionTracker,
-    /// Share of attempts that failed.
+    /// Failure rate of attempts.
     pub(crate) failures: ExponentialAverage,
-    /// When an own attempt last started.
+    /// Start of the last own attempt.
     last_start: ClockTime,
-    /// When the newest attempt started that had a first token.
+    /// Start of the newest attempt that has had a first token.
     last_answered: Option<ClockTime>,
-    /// Own attempts without a first token yet, oldest first.
+    /// Own attempts without a first token, oldest first.
     pending: VecDeque<(u64, ClockTime)>,
     /// The highest cache event number seen.
     pub(crate) cache_number: u64,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Takes a description in; true if who may be sent here changed.
+    /// Applies a member's description; true if the set of requests that may be sent here changed.
     pub(crate) fn observe(
         &mut self,
         member: &MemberInfo,
@@ -117,28 +117,27 @@
         self.pending.push_back((attempt, now));
     }
 
-    /// How long own attempts have waited for a first token without any newer one getting its
-    /// own: one long prompt alone is no sign of an upstream that hangs.
+    /// How long own attempts have waited for a first token while no newer attempt has had one.
+    /// A single long prompt does not count as a sign that the upstream hangs.
     pub(crate) fn stalled_for(&self, now: ClockTime) -> Duration {
         let answered = |(_, since): &(u64, ClockTime)| Some(*since) <= self.last_answered;
         let oldest = self.pending.get(self.pending.partition_point(answered));
         oldest.map_or(Duration::ZERO, |(_, since)| now.since(*since))
     }
 
-    /// True while it takes so much longer than its peers that hardly anything goes there.
+    /// True while it is so much slower than its peers that it receives almost no requests.
     pub(crate) fn is_slow(&self, policy: &RoutingPolicy, now: ClockTime) -> bool {
         self.speed.slowness(policy, now) > SLOW_RATIO
     }
 
-    /// True for a slow or stalled upstream that nothing was tried on lately: the longer, the
-    /// more requests have no answer from it yet.
+    /// True if the pause since the last attempt is over; it grows with the unanswered attempts.
     pub(crate) fn is_probe_due(&self, policy: &RoutingPolicy, now: ClockTime) -> bool {
         let unanswered = self.pending.len().min(MAX_UNANSWERED) as u32;
         let pause = policy.half_life.saturating_mul(1 << unanswered.saturating_sub(1));
         now.since(self.last_start) >= pause
     }
 
-    /// The first token of an attempt came; true if it was awaited.
+    /// Records the first token of an attempt; false if the attempt was not pending.
     pub(crate) fn record_first_token(&mut self, attempt: u64, started: ClockTime) -> bool {
         if !self.clear_pending(attempt) {
             return false;
@@ -147,7 +146,7 @@
         true
     }
 
-    /// Drops an attempt from those without a first token; true if it was among them.
+    /// Removes an attempt from those without a first token; true if it was among them.
     pub(crate) fn clear_pending(&mut self, attempt: u64) -> bool {
         let index = self.pending.iter().position(|(pending, _)| *pending == attempt);
         index.is_some_and(|index| self.pending.remove(index).is_some())
