--- a/crates/sagespool-routing/examples/policy_compare/main.rs
+++ b/crates/sagespool-routing/examples/policy_compare/main.rs
@@ -1,9 +1,8 @@
-//! Compares the routing policies on a small model of engines.
+//! Compares the routing policies in a discrete-event simulation of engines.
 //!
-//! A plain loop over timed events: entries that choose with the real decisions
-//! of this package, engines that batch up to their capacity at one token rate
-//! and cache some prefixes, and load reports that arrive late or not at all.
-//! It evaluates decisions; it knows no network, processes or faults of the fleet.
+//! Entries use this package's policies. Engines batch up to their capacity at one token rate and
+//! cache some prefixes; load reports arrive late or not at all. Networks, processes and faults of
+//! the fleet are not simulated.
 //!
 //! ```text
 //! cargo run --release --example policy_compare
@@ -36,7 +35,7 @@
     for kind in PolicyKind::ALL {
         let runs = (1..=scenario.seeds).map(|seed| Model::new(scenario, kind, seed).run());
         let mut runs: Vec<Figures> = runs.collect();
-        let middle: f64 = runs.iter_mut().map(|run| percentile(&mut run.first_tokens, 0.5)).sum();
+        let medians: f64 = runs.iter_mut().map(|run| percentile(&mut run.first_tokens, 0.5)).sum();
         let tails: Vec<String> = runs
             .iter_mut()
             .map(|run| format!("{:.0}", percentile(&mut run.first_tokens, 0.99)))
@@ -46,10 +45,10 @@
         let arrived = sum(|run| run.arrived);
         println!(
             "| {kind} | {:.0} | {} | {:.1} | {:.1} | {:.3} | {:.2} | {:.2} |",
-            middle / runs.len() as f64,
+            medians / runs.len() as f64,
             tails.join(", "),
             100.0 * sum(|run| run.hits) / all,
-            100.0 * sum(|run| run.slow_runs) / sum(|run| run.disturbed),
+            100.0 * sum(|run| run.first_engine_runs) / sum(|run| run.disturbed),
             all / (arrived - sum(|run| run.refused)),
             100.0 * sum(|run| run.refused) / arrived,
             100.0 * sum(|run| run.failed) / arrived,
@@ -57,7 +56,7 @@
     }
 }
 
-/// What a branch that sends ten times its share does to the others.
+/// Compares the latency of other branches when one sends ten times its share.
 fn compare_noise(scenario: &Scenario) {
     println!("\nnoisy-branch: first tokens of the nine other branches, ms");
     println!(
@@ -70,14 +69,15 @@
             let kind = PolicyKind::Sagespool;
             let runs = (1..=scenario.seeds).map(|seed| Model::new(&scenario, kind, seed).run());
             let mut runs: Vec<Figures> = runs.collect();
-            let middle: f64 = runs.iter_mut().map(|run| percentile(&mut run.of_others, 0.5)).sum();
-            let tails = runs.iter_mut().map(|run| percentile(&mut run.of_others, 0.99));
+            let medians: f64 =
+                runs.iter_mut().map(|run| percentile(&mut run.other_branches, 0.5)).sum();
+            let tails = runs.iter_mut().map(|run| percentile(&mut run.other_branches, 0.99));
             let tails: Vec<String> = tails.map(|tail| format!("{tail:.0}")).collect();
             let refused: u64 = runs.iter().map(|run| run.refused).sum();
             let arrived: u64 = runs.iter().map(|run| run.arrived).sum();
             println!(
                 "| {load} | {noise} | {queue} | {:.0} | {} | {:.1} |",
-                middle / runs.len() as f64,
+                medians / runs.len() as f64,
                 tails.join(", "),
                 100.0 * refused as f64 / arrived as f64,
             );
--- a/crates/sagespool-routing/examples/policy_compare/model.rs
+++ b/crates/sagespool-routing/examples/policy_compare/model.rs
@@ -1,4 +1,4 @@
-//! Entries, engines and the loop over timed events.
+//! Simulated entries and engines, and the event loop.
 
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 use std::time::Duration;
@@ -13,30 +13,30 @@
 
 use crate::scenario::{PREFILL, PREFILL_CACHED, Scenario, TOKEN};
 
-/// How often an entry asks the table for room and releases from its queue.
+/// Interval at which an entry updates its concurrency limit and releases queued requests.
 const TICK: Duration = Duration::from_millis(100);
-/// What happens before this time is not counted.
+/// Requests that arrive before this time are not counted.
 const WARM_UP: Duration = Duration::from_secs(10);
-/// How long requests arrive.
+/// Time until which requests arrive.
 const RUN: Duration = Duration::from_secs(70);
-/// From dispatch to the engine and back to the entry, each way.
+/// One-way latency between an entry and an engine.
 const LINK: Duration = Duration::from_micros(500);
-/// What a link to another data centre adds, each way.
-const FAR: Duration = Duration::from_micros(500);
-/// Attempts at one request.
-const MOST_ATTEMPTS: usize = 3;
+/// Additional one-way latency to another data centre.
+const CROSS_CENTRE_LINK: Duration = Duration::from_micros(500);
+/// Maximum attempts per request, including the first.
+const MAX_ATTEMPTS: usize = 3;
 const CENTRES: usize = 4;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive(usize),
-    /// A job reaches its engine.
-    Reach(usize),
+    /// A job arrives at its engine.
+    AtEngine(usize),
     FirstToken(usize),
     Done(usize),
     Failed(usize),
     Report(usize),
-    /// A report, by its place in `reports`, reaches an entry.
+    /// A report, by its index in `reports`, arrives at an entry.
     Deliver(usize, usize),
     Tick(usize),
 }
@@ -68,8 +68,8 @@
 }
 
 impl Engine {
-    fn new(place: usize, scenario: &Scenario) -> Self {
-        let running = if place == 0 { scenario.outside } else { 0 };
+    fn new(index: usize, scenario: &Scenario) -> Self {
+        let running = if index == 0 { scenario.outside } else { 0 };
         Self { running, ..Self::default() }
     }
 }
@@ -79,12 +79,12 @@
     queue: AdmissionQueue,
 }
 
-/// What one run showed.
+/// Results of one run.
 #[derive(Debug, Default)]
 pub(crate) struct Figures {
     pub(crate) first_tokens: Vec<Duration>,
-    /// Of all branches but the first, while the first may be noisy.
-    pub(crate) of_others: Vec<Duration>,
+    /// First tokens of all branches but the first, while the first may be noisy.
+    pub(crate) other_branches: Vec<Duration>,
     pub(crate) arrived: u64,
     pub(crate) refused: u64,
     pub(crate) failed: u64,
@@ -92,15 +92,15 @@
     pub(crate) hits: u64,
     /// Runs while the first engine is disturbed, and those on it.
     pub(crate) disturbed: u64,
-    pub(crate) slow_runs: u64,
+    pub(crate) first_engine_runs: u64,
 }
 
-/// In milliseconds.
+/// The percentile in milliseconds; NaN if there are no times.
 pub(crate) fn percentile(times: &mut [Duration], share: f64) -> f64 {
     times.sort_unstable();
     let last = times.len().saturating_sub(1);
-    let place = (last as f64 * share).round() as usize;
-    times.get(place).map_or(f64::NAN, |time| time.as_secs_f64() * 1000.0)
+    let index = (last as f64 * share).round() as usize;
+    times.get(index).map_or(f64::NAN, |time| time.as_secs_f64() * 1000.0)
 }
 
 pub(crate) struct Model<'a> {
@@ -118,9 +118,9 @@
 
 impl<'a> Model<'a> {
     pub(crate) fn new(scenario: &'a Scenario, kind: PolicyKind, seed: u64) -> Self {
-        let entry = |place: usize| {
-            let policy = RoutingPolicy::builder().kind(kind).seed(seed * 1000 + place as u64);
-            let table = UpstreamTable::new(policy.build(), centre(place));
+        let entry = |index: usize| {
+            let policy = RoutingPolicy::builder().kind(kind).seed(seed * 1000 + index as u64);
+            let table = UpstreamTable::new(policy.build(), centre(index));
             table.set_entries(scenario.entries as u32);
             Entry { table, queue: AdmissionQueue::new(scenario.admission.clone()) }
         };
@@ -129,7 +129,7 @@
             events: BinaryHeap::new(),
             order: 0,
             entries: (0..scenario.entries).map(entry).collect(),
-            engines: (0..scenario.engines).map(|place| Engine::new(place, scenario)).collect(),
+            engines: (0..scenario.engines).map(|index| Engine::new(index, scenario)).collect(),
             jobs: Vec::new(),
             by_request: HashMap::new(),
             reports: Vec::new(),
@@ -163,7 +163,7 @@
     fn step(&mut self, event: Event, now: ClockTime) {
         match event {
             Event::Arrive(entry) => self.arrive(entry, now),
-            Event::Reach(job) => self.reach(job, now),
+            Event::AtEngine(job) => self.arrived_at_engine(job, now),
             Event::FirstToken(job) => self.first_token(job, now),
             Event::Done(job) => self.done(job, now),
             Event::Failed(job) => self.failed(job, now),
@@ -214,15 +214,15 @@
             has_waited: false,
             is_hit: false,
         };
-        let place = self.jobs.len();
-        let request = RequestId(place as u128);
+        let index = self.jobs.len();
+        let request = RequestId(index as u128);
         self.jobs.push(job);
-        self.by_request.insert(request, place);
-        if counts(now) {
+        self.by_request.insert(request, index);
+        if is_counted(now) {
             self.figures.arrived += 1;
         }
         if !self.scenario.queue {
-            return self.dispatch(place, now);
+            return self.dispatch(index, now);
         }
         let ticket = QueueTicket::builder()
             .request(request)
@@ -231,21 +231,21 @@
             .deadline(now.after(self.scenario.deadline))
             .build();
         match self.entries[entry].queue.offer(ticket, now) {
-            OfferOutcome::Admitted => self.dispatch(place, now),
+            OfferOutcome::Admitted => self.dispatch(index, now),
             OfferOutcome::Queued { .. } => {}
-            OfferOutcome::Refused { .. } => self.refuse(place),
+            OfferOutcome::Refused { .. } => self.refuse(index),
         }
     }
 
-    /// Some prefixes come far more often than others.
+    /// Draws a prefix from a skewed distribution.
     fn draw_prefix(&mut self) -> u128 {
         let draw = self.random.f64();
-        let place = (draw * draw * self.scenario.prefixes as f64) as u64;
-        u128::from(place.wrapping_mul(0x9e37_79b9_7f4a_7c15)) << 32 | u128::from(place)
+        let index = (draw * draw * self.scenario.prefixes as f64) as u64;
+        u128::from(index.wrapping_mul(0x9e37_79b9_7f4a_7c15)) << 32 | u128::from(index)
     }
 
-    fn dispatch(&mut self, place: usize, now: ClockTime) {
-        let job = &mut self.jobs[place];
+    fn dispatch(&mut self, index: usize, now: ClockTime) {
+        let job = &mut self.jobs[index];
         let query = PlacementQuery::builder()
             .service(name("sage-core"))
             .prefix(job.prefix)
@@ -254,67 +254,67 @@
             .build();
         let table = &self.entries[job.entry].table;
         let Some(placement) = table.choose(&query, now) else {
-            self.free(place, now);
-            return self.refuse(place);
+            self.free(index, now);
+            return self.refuse(index);
         };
         table.started(&placement, now);
         job.engine = placement.sidecar.0 as usize;
         job.sent = now;
         job.placement = Some(placement);
-        let way = LINK + self.distance(place);
-        self.push(now.after(way), Event::Reach(place));
+        let latency = LINK + self.distance(index);
+        self.push(now.after(latency), Event::AtEngine(index));
     }
 
-    fn distance(&self, place: usize) -> Duration {
-        let job = &self.jobs[place];
+    fn distance(&self, index: usize) -> Duration {
+        let job = &self.jobs[index];
         let is_near = job.entry % CENTRES == job.engine % CENTRES;
-        if is_near { Duration::ZERO } else { FAR }
+        if is_near { Duration::ZERO } else { CROSS_CENTRE_LINK }
     }
 
-    fn refuse(&mut self, place: usize) {
-        if counts(self.jobs[place].arrived) {
+    fn refuse(&mut self, index: usize) {
+        if is_counted(self.jobs[index].arrived) {
             self.figures.refused += 1;
         }
     }
 
-    fn reach(&mut self, place: usize, now: ClockTime) {
-        self.enter(place, now);
-        self.tell_count(place, now);
+    fn arrived_at_engine(&mut self, index: usize, now: ClockTime) {
+        self.enter(index, now);
+        self.send_in_flight_count(index, now);
     }
 
-    /// The sidecar tells the job's entry how many other requests it has.
-    fn tell_count(&self, place: usize, now: ClockTime) {
+    /// Sends the job's entry the sidecar's count of other requests in flight.
+    fn send_in_flight_count(&self, index: usize, now: ClockTime) {
         if !self.scenario.counts {
             return;
         }
-        let job = &self.jobs[place];
+        let job = &self.jobs[index];
         let engine = &self.engines[job.engine];
         let outside = if job.engine == 0 { self.scenario.outside } else { 0 };
         let in_flight = engine.running + engine.waiting.len() as u32;
-        let beside = in_flight.saturating_sub(outside + 1);
+        let other_requests = in_flight.saturating_sub(outside + 1);
         let sidecar = IncarnationId(job.engine as u64);
-        self.entries[job.entry].table.observe_in_flight(sidecar, beside, now);
+        self.entries[job.entry].table.observe_in_flight(sidecar, other_requests, now);
     }
 
-    fn enter(&mut self, place: usize, now: ClockTime) {
-        let number = self.jobs[place].engine;
+    fn enter(&mut self, index: usize, now: ClockTime) {
+        let number = self.jobs[index].engine;
         self.engines[number].dispatched += 1;
-        if counts(self.jobs[place].arrived) {
+        if is_counted(self.jobs[index].arrived) {
             self.figures.runs += 1;
             self.figures.disturbed += u64::from(is_disturbed(now));
-            self.figures.slow_runs += u64::from(number == 0 && is_disturbed(now));
+            self.figures.first_engine_runs += u64::from(number == 0 && is_disturbed(now));
         }
         if number == 0 && is_disturbed(now) && self.random.f64() < self.scenario.failing {
-            return self.push(now.after(LINK), Event::Failed(place));
+            return self.push(now.after(LINK), Event::Failed(index));
         }
         if self.engines[number].running < self.scenario.capacity {
-            return self.begin(place, now);
+            return self.begin(index, now);
         }
-        self.engines[number].waiting.push_back(place);
+        self.engines[number].waiting.push_back(index);
     }
 
-    fn begin(&mut self, place: usize, now: ClockTime) {
-        let job = &mut self.jobs[place];
+    fn begin(&mut self, index: usize, now: ClockTime) {
+        let job = &mut self.jobs[index];
         let engine = &mut self.engines[job.engine];
         engine.running += 1;
         let found = engine.cached.iter().position(|prefix| *prefix == job.prefix);
@@ -329,63 +329,63 @@
         let slow = if is_slow { self.scenario.slow } else { 1.0 };
         let prefill = if job.is_hit { PREFILL_CACHED } else { PREFILL }.mul_f64(slow);
         let tokens = TOKEN.mul_f64(job.tokens * slow);
-        self.push(now.after(prefill), Event::FirstToken(place));
-        self.push(now.after(prefill + tokens), Event::Done(place));
+        self.push(now.after(prefill), Event::FirstToken(index));
+        self.push(now.after(prefill + tokens), Event::Done(index));
     }
 
-    fn first_token(&mut self, place: usize, now: ClockTime) {
-        let at = now.after(LINK + self.distance(place));
-        let job = &mut self.jobs[place];
+    fn first_token(&mut self, index: usize, now: ClockTime) {
+        let at = now.after(LINK + self.distance(index));
+        let job = &mut self.jobs[index];
         let latency = at.since(job.sent);
         job.first_token = Some(latency);
         if let Some(placement) = &job.placement {
             self.entries[job.entry].table.first_token(placement, latency, at);
         }
-        if counts(job.arrived) {
+        if is_counted(job.arrived) {
             self.figures.hits += u64::from(job.is_hit);
             self.figures.first_tokens.push(at.since(job.arrived));
             if job.branch > 0 && is_disturbed(job.arrived) {
-                self.figures.of_others.push(at.since(job.arrived));
+                self.figures.other_branches.push(at.since(job.arrived));
             }
         }
     }
 
-    fn done(&mut self, place: usize, now: ClockTime) {
-        let number = self.jobs[place].engine;
-        self.tell_count(place, now);
+    fn done(&mut self, index: usize, now: ClockTime) {
+        let number = self.jobs[index].engine;
+        self.send_in_flight_count(index, now);
         self.engines[number].running -= 1;
-        self.settle(place, AttemptOutcome::Whole, now);
-        self.free(place, now);
+        self.end_attempt(index, AttemptOutcome::Whole, now);
+        self.free(index, now);
         if let Some(next) = self.engines[number].waiting.pop_front() {
             self.begin(next, now);
         }
     }
 
-    fn failed(&mut self, place: usize, now: ClockTime) {
-        self.settle(place, AttemptOutcome::Failed, now);
-        let job = &mut self.jobs[place];
+    fn failed(&mut self, index: usize, now: ClockTime) {
+        self.end_attempt(index, AttemptOutcome::Failed, now);
+        let job = &mut self.jobs[index];
         let sidecar = IncarnationId(job.engine as u64);
         job.tried.push(sidecar);
-        if job.tried.len() < MOST_ATTEMPTS {
-            return self.dispatch(place, now);
+        if job.tried.len() < MAX_ATTEMPTS {
+            return self.dispatch(index, now);
         }
-        if counts(job.arrived) {
+        if is_counted(job.arrived) {
             self.figures.failed += 1;
         }
-        self.free(place, now);
+        self.free(index, now);
     }
 
-    fn settle(&mut self, place: usize, outcome: AttemptOutcome, now: ClockTime) {
-        let job = &mut self.jobs[place];
+    fn end_attempt(&mut self, index: usize, outcome: AttemptOutcome, now: ClockTime) {
+        let job = &mut self.jobs[index];
         let Some(placement) = job.placement.take() else { return };
         let tokens = TokenCount(job.tokens as u64);
         let result = AttemptResult { first_token: None, tokens, outcome };
         self.entries[job.entry].table.ended(&placement, &result, now);
     }
 
-    fn free(&mut self, place: usize, now: ClockTime) {
-        let entry = self.jobs[place].entry;
-        let request = RequestId(place as u128);
+    fn free(&mut self, index: usize, now: ClockTime) {
+        let entry = self.jobs[index].entry;
+        let request = RequestId(index as u128);
         self.entries[entry].queue.ended(&name("sage-core"), request, now);
         self.release(entry, now);
     }
@@ -408,20 +408,20 @@
             self.refuse(self.by_request[&request]);
         }
         for request in release.admitted {
-            let place = self.by_request[&request];
-            self.jobs[place].has_waited = true;
-            self.dispatch(place, now);
+            let index = self.by_request[&request];
+            self.jobs[index].has_waited = true;
+            self.dispatch(index, now);
         }
     }
 
     fn report(&mut self, engine: usize, now: ClockTime) {
         self.engines[engine].reports += 1;
         let report = self.describe(engine);
-        let place = self.reports.len();
+        let index = self.reports.len();
         self.reports.push(report);
         for entry in 0..self.entries.len() {
             if self.random.f64() >= self.scenario.report_loss {
-                self.push(now.after(self.scenario.report_lag), Event::Deliver(entry, place));
+                self.push(now.after(self.scenario.report_lag), Event::Deliver(entry, index));
             }
         }
         self.push(now.after(self.scenario.report_every), Event::Report(engine));
@@ -461,16 +461,16 @@
     }
 }
 
-/// A name that is known to be one.
+/// Parses a name that is known to be valid.
 fn name<T: std::str::FromStr<Err = sagespool_types::ParseFault>>(text: &str) -> T {
     text.parse().expect("a valid name")
 }
 
-fn centre(place: usize) -> sagespool_types::CentreName {
-    name(&format!("hall-{}", place % CENTRES))
+fn centre(index: usize) -> sagespool_types::CentreName {
+    name(&format!("hall-{}", index % CENTRES))
 }
 
-fn counts(arrived: ClockTime) -> bool {
+fn is_counted(arrived: ClockTime) -> bool {
     arrived >= ClockTime::default().after(WARM_UP)
 }
 
--- a/crates/sagespool-routing/examples/policy_compare/scenario.rs
+++ b/crates/sagespool-routing/examples/policy_compare/scenario.rs
@@ -1,50 +1,50 @@
-//! What is compared: sizes, load and disturbances.
+//! Scenarios: sizes, load and disturbances.
 
 use std::time::Duration;
 
 use sagespool_routing::QueuePolicy;
 
-/// Time for one token.
+/// Time per token.
 pub(crate) const TOKEN: Duration = Duration::from_millis(10);
-/// Time to the first token of a prompt whose prefix isn't cached, and of one whose prefix is.
+/// Times to the first token without and with a cached prefix.
 pub(crate) const PREFILL: Duration = Duration::from_millis(120);
 pub(crate) const PREFILL_CACHED: Duration = Duration::from_millis(30);
 
-/// One scenario's figures.
+/// Parameters of one scenario.
 #[derive(Debug, Clone)]
 pub(crate) struct Scenario {
     pub(crate) name: &'static str,
     pub(crate) entries: usize,
     pub(crate) engines: usize,
     pub(crate) capacity: u32,
-    /// Requests as a share of what the engines can do.
+    /// Request rate as a share of the engines' capacity.
     pub(crate) load: f64,
-    /// From 20 s to 40 s the load is so many times as high.
+    /// Factor of the load from 20 s to 40 s.
     pub(crate) surge: f64,
     pub(crate) report_every: Duration,
     pub(crate) report_lag: Duration,
-    /// Share of reports that never arrive.
+    /// Share of reports that are lost.
     pub(crate) report_loss: f64,
-    /// The first engine is so many times as slow, from 20 s to 50 s.
+    /// Factor of the first engine's times from 20 s to 50 s.
     pub(crate) slow: f64,
-    /// The first engine fails this share of its requests at once, from 20 s to 50 s.
+    /// Share of its requests that the first engine fails immediately from 20 s to 50 s.
     pub(crate) failing: f64,
     pub(crate) prefixes: usize,
-    /// Prefixes that an engine caches.
+    /// Prefixes in an engine's cache.
     pub(crate) cache: usize,
     pub(crate) mean_tokens: f64,
-    /// This share of the requests has ten times the tokens of the others.
+    /// Share of requests with ten times the tokens of the others.
     pub(crate) long: f64,
-    /// The first entry gets so many times the requests of each other one.
+    /// Requests of the first entry, as a multiple of those of each other entry.
     pub(crate) uneven: f64,
-    /// Places of the first engine that others than the entries take, all the time.
+    /// Slots of the first engine that are always taken by callers that bypass the entries.
     pub(crate) outside: u32,
     pub(crate) branches: usize,
-    /// The first branch sends so many times its share, from 20 s to 50 s.
+    /// Requests of the first branch from 20 s to 50 s, as a multiple of its share.
     pub(crate) noise: f64,
     pub(crate) deadline: Duration,
     pub(crate) queue: bool,
-    /// Sidecars tell how many requests they have, when a dispatch comes and when it ends.
+    /// Whether sidecars send their count of requests when a dispatch arrives and when it ends.
     pub(crate) counts: bool,
     pub(crate) admission: QueuePolicy,
     pub(crate) seeds: u64,
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Requests a second of all entries together, before a surge.
+    /// Requests per second of all entries together, without a surge.
     pub(crate) fn rate(&self) -> f64 {
         let mean_tokens = self.mean_tokens * (1.0 + 9.0 * self.long);
         let run = PREFILL.as_secs_f64() + mean_tokens * TOKEN.as_secs_f64();
--- a/crates/sagespool-routing/examples/routing_bench.rs
+++ b/crates/sagespool-routing/examples/routing_bench.rs
@@ -1,4 +1,4 @@
-//! What the decisions of routing cost, as upstreams and branches grow.
+//! Cost of routing decisions by the number of upstreams and branches.
 //!
 //! ```text
 //! cargo run --release --example routing_bench
@@ -20,7 +20,7 @@
 const UPSTREAMS: [u64; 4] = [10, 100, 1_000, 7_700];
 const BRANCHES: [u64; 3] = [10, 1_000, 57_000];
 const ROUNDS: u64 = 100_000;
-/// The present moves on by so much from one round to the next.
+/// Simulated time between two rounds.
 const STEP: Duration = Duration::from_micros(200);
 
 fn name<T: std::str::FromStr<Err = ParseFault>>(text: &str) -> T {
@@ -68,7 +68,7 @@
     table
 }
 
-/// The mean time of one round, in nanoseconds.
+/// Mean time per round in nanoseconds, without the warm-up rounds.
 fn time(rounds: u64, mut round: impl FnMut(u64, ClockTime)) -> f64 {
     let at = |number: u64| ClockTime::default().after(STEP.saturating_mul(number as u32));
     for number in 0..rounds / 10 {
@@ -81,7 +81,7 @@
     start.elapsed().as_nanos() as f64 / (rounds - rounds / 10) as f64
 }
 
-/// One request: a choice, its start, first token and end.
+/// Time of one request: choice, start, first token and end.
 fn time_choice(kind: PolicyKind, upstreams: u64, with_prefix: bool) -> f64 {
     let table = table(kind, upstreams);
     let mut running = std::collections::VecDeque::new();
@@ -112,7 +112,7 @@
     })
 }
 
-fn time_room(upstreams: u64) -> f64 {
+fn time_concurrency(upstreams: u64) -> f64 {
     let table = table(PolicyKind::Sagespool, upstreams);
     let service: ServiceName = name("sage-core");
     time(ROUNDS, |_, now| {
@@ -120,7 +120,7 @@
     })
 }
 
-/// One request through a queue that always has some waiting: offer, end of another, release.
+/// Time of one request through a queue with requests waiting: offer, end of another, release.
 fn time_queue(branches: u64) -> f64 {
     let queue = AdmissionQueue::new(QueuePolicy::default());
     let service: ServiceName = name("sage-core");
@@ -176,7 +176,7 @@
     let prefixed = |upstreams| time_choice(PolicyKind::Sagespool, upstreams, true);
     row("sagespool with a prefix", UPSTREAMS.map(prefixed));
     row("a load report", UPSTREAMS.map(time_report));
-    row("a question for room", UPSTREAMS.map(time_room));
+    row("a concurrency limit", UPSTREAMS.map(time_concurrency));
     println!("\n| branches, ns | 10 | 1,000 | 57,000 |");
     println!("|---|---:|---:|---:|");
     for (label, run) in
--- a/crates/sagespool-routing/tests/branch_limits.rs
+++ b/crates/sagespool-routing/tests/branch_limits.rs
@@ -1,4 +1,4 @@
-//! Limits of a branch, a class and an upstream.
+//! Limits of branches, classes and upstreams.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn rate_held() {
+fn rate_enforced() {
     let limits = RequestLimits::new();
     let rules = [rate(10)];
     let passed = (0..40).filter(|_| limits.admit(&rules, at(0)).is_ok()).count();
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn running_held() {
+fn running_enforced() {
     let limits = RequestLimits::new();
     let rules = [running(2)];
     assert!(limits.admit(&rules, at(0)).is_ok());
@@ -49,9 +49,9 @@
 }
 
 // A request passes its branch's limit and is refused by its class's. If it stayed counted for the
-// branch, a full class would use up the limits of every branch that keeps asking.
+// branch, a full class would use up the limits of every branch that retries.
 #[test]
-fn refused_takes_nothing() {
+fn refusal_counts_nothing() {
     let limits = RequestLimits::new();
     let class = LimitScope::Class("lookup".parse().expect("a valid name"));
     let full = LimitRule { scope: class.clone(), running: Some(0), requests_per_second: None };
@@ -64,7 +64,7 @@
     assert_eq!(passed, 5);
 }
 
-// Three entries each let the whole rate through, and the branch gets three times its limit.
+// If each of three entries admitted the whole rate, the branch would get three times its limit.
 #[test]
 fn entries_share() {
     let entries = [(); 3].map(|()| RequestLimits::new());
@@ -84,10 +84,10 @@
     assert!((4..=6).contains(&most), "{most} run at a limit of 4");
 }
 
-// A rule for one request a second over three entries refills in three seconds. Forgetting it
-// sooner would hand out a fresh allowance, and the branch gets up to three times its rate.
+// A rule for one request a second over three entries refills in three seconds. Expiring its state
+// sooner would grant a full allowance again, and the branch would get up to three times its rate.
 #[test]
-fn expiry_gives_nothing() {
+fn expiry_grants_no_allowance() {
     let limits = RequestLimits::new();
     limits.set_entries(3);
     let mut passed = 0;
--- a/crates/sagespool-routing/tests/deadline_refusal.rs
+++ b/crates/sagespool-routing/tests/deadline_refusal.rs
@@ -1,4 +1,4 @@
-//! A request that can't make its deadline is refused at once, or as soon as that is known.
+//! Requests that cannot meet their deadline are refused on arrival, or as soon as it is missed.
 
 use std::time::Duration;
 
@@ -35,11 +35,10 @@
     matches!(outcome, OfferOutcome::Refused { reason: RefusalReason::DeadlineExceeded, .. })
 }
 
-// Minutes before a bid closes the portal is full. A caller with two seconds left is let into a
-// queue ten seconds long, and hears after two seconds that it is too late, when it could have
-// asked elsewhere at once.
+// A request with two seconds left must not be queued behind ten seconds of work. The caller would
+// be refused only after two seconds, and could have called elsewhere immediately.
 #[test]
-fn refused_at_once() {
+fn late_refused_on_arrival() {
     let queue = queue(4);
     let outcomes: Vec<_> = (0..44).map(|request| offer(&queue, request, 60_000, 0, 0)).collect();
     assert!(outcomes.iter().all(|outcome| !is_late(outcome)));
@@ -52,10 +51,10 @@
     assert!(is_late(&offer(&queue, 102, 30_000, 25_000, 0)));
 }
 
-// A status check with a second left comes while others wait: refusing it although its branch
-// has a free share would turn it away falsely.
+// A request with a short deadline arrives while requests of another branch wait. Its branch has a
+// free share, so it must not be refused by the length of the queue.
 #[test]
-fn not_refused_falsely() {
+fn free_share_not_refused() {
     let queue = queue(4);
     for request in 0..20 {
         let ticket = QueueTicket::builder()
@@ -82,7 +81,7 @@
     assert_eq!(queue.release(&service(), at(2_100)).admitted, [RequestId(3)]);
 }
 
-/// Whatever comes, each request leaves the queue exactly once, and none that is late starts.
+/// For any sequence of requests, each leaves the queue exactly once, and no late one starts.
 #[test]
 fn each_leaves_once() {
     fn property(steps: Vec<(u8, u8, u8)>) -> bool {
--- a/crates/sagespool-routing/tests/load_choice.rs
+++ b/crates/sagespool-routing/tests/load_choice.rs
@@ -1,4 +1,4 @@
-//! Which upstream a request goes to, by load.
+//! Placement of requests by the load of the upstreams.
 
 mod support;
 
@@ -18,12 +18,11 @@
     counts
 }
 
-// A burst comes between two load reports. The newest says that upstream 0 is idle and 1 runs
-// three, and so it goes on saying. Sending by the report alone puts all of the burst on 0, whose
-// queue grows while 1 has places free: callers wait next to an idle engine.
-// Cause: own requests since the report don't count.
+// A burst arrives between two load reports; the newest has upstream 0 idle and upstream 1 with
+// three requests. If own requests since the report don't count, all of the burst goes to upstream
+// 0, whose queue grows while upstream 1 has free slots.
 #[test]
-fn own_sends_count() {
+fn own_dispatches_count() {
     let reported = |kind| {
         let table = table(kind, 1);
         table.observe(&member(0, 1, 0), at(0));
@@ -35,11 +34,11 @@
     assert!((6..=8).contains(&own[&0]), "{own:?}");
 }
 
-// Four entries read the same report: upstream 0 idle, upstream 1 with four of eight places taken.
-// Each sends it two requests, and all eight land on 0 within one report's time.
-// Cause: each entry takes the free places that it sees for its own.
+// Four entries have the same report: upstream 0 idle, upstream 1 with four of eight slots taken.
+// If each entry treats the free slots as its own, their requests all go to upstream 0 within one
+// report interval.
 #[test]
-fn entries_share_places() {
+fn entries_share_slots() {
     let mut on_idle = 0;
     for seed in 0..4 {
         let table = table(PolicyKind::Sagespool, seed);
@@ -51,10 +50,10 @@
     assert!(on_idle <= 8, "{on_idle} of 12 went to the idle upstream");
 }
 
-// Callers that don't come through the entries keep one engine full. An entry that takes the load
-// for what it and the other entries have there goes on sending to it as if it were idle.
+// Callers that bypass the entries keep one engine full. An entry that counts only the requests of
+// entries keeps sending to it as if it were idle.
 #[test]
-fn outside_load_seen() {
+fn external_load_detected() {
     let table = table(PolicyKind::Sagespool, 1);
     table.set_entries(2);
     for report in 1..30 {
@@ -65,11 +64,11 @@
     assert_eq!(to_full, 0);
 }
 
-// Reports come three seconds late and say what ran then, own requests included. An entry that takes
-// them for the present counts its own requests twice, or misses those that came since, and sends
-// to the busier upstream. The reports' age isn't told; it shows in how they follow own requests.
+// Reports arrive three seconds late and include own requests. An entry that takes them as current
+// counts own requests twice, or misses those sent since, and sends to the busier upstream. The
+// reports carry no age; it is estimated from how they follow own requests.
 #[test]
-fn late_reports_understood() {
+fn report_lag_estimated() {
     let table = idle_table(2, 7);
     let mut running: Vec<(u64, _)> = Vec::new();
     let mut past: Vec<[u32; 2]> = Vec::new();
@@ -88,14 +87,14 @@
             table.observe(&member(0, step + 2, then[0]), now);
             table.observe(&member(1, step + 2, then[1]), now);
         }
-        // Bursts of up to twelve, of which each runs 0.3 to 2 seconds.
-        for place in 0..(step * step * 7 % 13) {
+        // Bursts of up to twelve requests, each running for 0.3 to 2 seconds.
+        for index in 0..(step * step * 7 % 13) {
             if step % 6 != 0 {
                 break;
             }
             let placement = send(&table, &query(), now);
             table.first_token(&placement, Duration::from_millis(100), now);
-            running.push((step + 3 + (place * 5 + step) % 17, placement));
+            running.push((step + 3 + (index * 5 + step) % 17, placement));
         }
         let on =
             |number| running.iter().filter(|(_, placement)| placement.sidecar.0 == number).count();
@@ -105,8 +104,8 @@
     assert!(wrong <= 35, "unbalanced in {wrong} of 200 steps");
 }
 
-// An instance is told to stop. Its sidecar says so, or the upstream stops answering; a request
-// sent there all the same is cut off at the stop.
+// An instance stops: its sidecar reports that it is leaving, or the upstream is unhealthy. A
+// request sent there all the same would be cut off at the stop.
 #[test]
 fn leaving_gets_nothing() {
     let table = idle_table(3, 3);
@@ -120,7 +119,7 @@
     let placement = send(&table, &query(), at(20));
     end(&table, &placement, AttemptOutcome::Leaving, at(21));
     assert_eq!(table.choose(&query(), at(22)), None);
-    // An older description, still on its way, must not bring it back.
+    // An older description that arrives late must not make it available again.
     table.observe(&member(2, 2, 0), at(23));
     assert_eq!(table.choose(&query(), at(24)), None);
 }
@@ -150,7 +149,7 @@
 }
 
 #[test]
-fn model_and_place() {
+fn model_and_centre() {
     let table = idle_table(2, 4);
     let mut far = member(2, 1, 0);
     far.centre = name("seeb");
@@ -160,22 +159,22 @@
     assert_eq!(send(&table, &wanted("sage-small"), at(1)).sidecar.0, 2);
     assert!(send(&table, &wanted("sage-large"), at(1)).sidecar.0 < 2);
     assert_eq!(table.choose(&wanted("sage-none"), at(1)), None);
-    // The far one is equal but for the way: idle near ones go first.
+    // The upstream in the other data centre differs only in distance: idle local ones come first.
     let table = idle_table(2, 4);
     table.observe(&far, at(0));
     assert!((0..2).all(|_| send(&table, &query(), at(1)).sidecar.0 < 2));
 }
 
-// The balancer sends nearly all callers to one of four entries. Held to a quarter of the places,
-// it would let callers wait, or refuse them, while three quarters stand idle.
+// Nearly all requests arrive at one of four entries. Limited to a quarter of the slots, it would
+// queue or refuse requests while three quarters are idle.
 #[test]
-fn room_follows_traffic() {
+fn concurrency_follows_traffic() {
     let table = idle_table(4, 6);
     table.set_entries(4);
-    let room =
+    let limit =
         |now| table.concurrency(&name("sage-core"), now).expect("the service is known").limit;
-    let quarter = room(at(0));
-    assert!((8..=18).contains(&quarter), "{quarter} of 32 places to start with");
+    let quarter = limit(at(0));
+    assert!((8..=18).contains(&quarter), "{quarter} of 32 slots to start with");
     for report in 1..40u64 {
         let now = at(report * 100);
         let sent: Vec<_> = (0..20).map(|_| send(&table, &query(), now)).collect();
@@ -188,13 +187,13 @@
         }
         sent.iter().for_each(|placement| end(&table, placement, AttemptOutcome::Whole, now));
     }
-    let most = room(at(5_000));
-    assert!(most >= 24, "{most} of 32 places with all of the traffic");
-    // The others take their places back.
+    let most = limit(at(5_000));
+    assert!(most >= 24, "{most} of 32 slots with all of the traffic");
+    // The other entries use their slots again.
     for number in 0..4 {
         table.observe(&member(number, 100, CAPACITY), at(5_000));
     }
-    assert!(room(at(6_000)) <= quarter, "all places are taken by others");
+    assert!(limit(at(6_000)) <= quarter, "all slots are taken by others");
 }
 
 #[test]
--- a/crates/sagespool-routing/tests/prefix_affinity.rs
+++ b/crates/sagespool-routing/tests/prefix_affinity.rs
@@ -1,4 +1,4 @@
-//! Sending a prompt to where its prefix is likely cached.
+//! Placement of prompts where their prefix is probably cached.
 
 mod support;
 
@@ -8,14 +8,14 @@
 use sagespool_types::IncarnationId;
 use support::{CAPACITY, at, idle_table, member, name, query, query_for, run, send, table};
 
-/// No upstream in common with where the ring would put the prefix.
-fn other_than(table: &UpstreamTable, prefix: u128) -> u64 {
+/// An upstream other than the ring's first for the prefix.
+fn not_first_on_ring(table: &UpstreamTable, prefix: u128) -> u64 {
     let on_ring = table.choose(&query_for(prefix), at(1)).expect("idle").sidecar.0;
     (on_ring + 1) % 5
 }
 
-// Three entries get prompts with the same beginning. Each knows only where it sent its own, so
-// each warms another engine's cache, and the cache of each engine fills with everybody's prefixes.
+// Three entries receive prompts with the same prefix. If each used only its own history, each would
+// warm another engine's cache, and every engine's cache would fill with all prefixes.
 #[test]
 fn entries_agree() {
     let tables = [idle_table(9, 1), idle_table(9, 2), idle_table(9, 3)];
@@ -26,9 +26,9 @@
     }
 }
 
-// Everybody asks about the same tender. Affinity alone would queue them all on one engine.
+// All prompts have the same prefix. Affinity alone would queue them all on one engine.
 #[test]
-fn busy_holder_passed() {
+fn busy_holder_skipped() {
     let table = idle_table(3, 1);
     let mut counts = [0; 3];
     for _ in 0..18 {
@@ -38,10 +38,10 @@
 }
 
 #[test]
-fn events_steer() {
+fn events_direct_placement() {
     let table = idle_table(5, 1);
-    let holder = other_than(&table, 9);
-    // Nothing else is known of it but the event, and the ring's first is made busier.
+    let holder = not_first_on_ring(&table, 9);
+    // The event is the only evidence for the holder, and the ring's first upstream is made busy.
     let on_ring = table.choose(&query_for(9), at(1)).expect("idle").sidecar.0;
     table.observe(&member(on_ring, 2, CAPACITY), at(2));
     let stored = CacheEvent { number: 5, kind: CacheEventKind::Stored, prefix: 9 };
@@ -57,9 +57,9 @@
     assert!(!is_cached);
 }
 
-// An engine evicts a prefix, the entry sends the next prompt with it there all the same, and the
-// engine stores it again. Only then does the eviction's event arrive: believing it would send the
-// third prompt elsewhere. Events that come twice, or out of order, must not undo newer ones.
+// An engine evicts a prefix, the entry sends the next prompt with it to that engine, and the engine
+// stores it again. The eviction event arrives only then; applying it would send the third prompt
+// elsewhere. Duplicate events, or events out of order, must not undo newer ones.
 #[test]
 fn late_eviction_ignored() {
     let table = idle_table(5, 1);
@@ -75,14 +75,14 @@
 }
 
 #[test]
-fn memory_expires() {
+fn evidence_expires() {
     let policy = RoutingPolicy::builder().prefix_expiry(Duration::from_secs(60)).max_prefixes(100);
     let table = UpstreamTable::new(policy.build(), name("ghala"));
     table.observe(&member(0, 1, 0), at(0));
     let placement = send(&table, &query_for(1), at(0));
     run(&table, &placement, 100, at(0));
     assert!(table.choose(&query_for(1), at(59_000)).expect("idle").is_cached);
-    // Choosing counts as sending, so the other prefixes stand in for time passing.
+    // Choosing counts as sending, and would renew the evidence.
     assert!(!table.choose(&query_for(1), at(200_000)).expect("idle").is_cached);
     for prefix in 1_000..1_200 {
         table.choose(&query_for(prefix), at(200_001)).expect("idle");
--- a/crates/sagespool-routing/tests/retry_budget.rs
+++ b/crates/sagespool-routing/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Retries stay a share of the requests.
+//! Retries are limited to a share of the requests.
 
 use sagespool_routing::{RetryBudget, RetryPolicy};
 use sagespool_types::{ClockTime, ServiceName};
@@ -7,8 +7,8 @@
     text.parse().expect("a valid name")
 }
 
-/// Requests come evenly and fail with a chance of so many in ten; attempts made for each.
-fn attempts_each(failing: u64, requests: u64) -> f64 {
+/// Attempts per request, for evenly spaced requests of which `failing` in ten attempts fail.
+fn attempts_per_request(failing: u64, requests: u64) -> f64 {
     let budget = RetryBudget::new(RetryPolicy::default());
     let service = name("sage-core");
     let (mut attempts, mut draw) = (0, 0);
@@ -26,31 +26,30 @@
     attempts as f64 / requests as f64
 }
 
-// Every engine fails each request, since all are overloaded. Each failure is tried again three
-// times, so four times the load comes to engines that could not bear a quarter of it, and they
-// stay down as long as callers keep coming.
+// All engines are overloaded and fail every request. Three retries for each failure would mean four
+// times the load, and the engines could not recover while requests keep arriving.
 #[test]
-fn no_storm() {
-    let attempts = attempts_each(10, 20_000);
+fn total_failure_bounded() {
+    let attempts = attempts_per_request(10, 20_000);
     assert!((1.1..1.2).contains(&attempts), "{attempts} attempts a request");
 }
 
-// One request in ten fails. All of those retries are worth it, and none may be denied.
+// One attempt in ten fails. Every one of these retries must be allowed.
 #[test]
 fn few_failures_retried() {
-    let attempts = attempts_each(1, 20_000);
+    let attempts = attempts_per_request(1, 20_000);
     assert!((1.1..1.12).contains(&attempts), "{attempts} attempts a request");
 }
 
 #[test]
-fn quiet_service_retries() {
+fn minimum_retries_allowed() {
     let budget = RetryBudget::new(RetryPolicy::default());
     let (quiet, busy) = (name("portal-api"), name("sage-core"));
     let now = ClockTime::from_millis(40_000);
     budget.count_request(&quiet, now);
     let allowed = (0..10).filter(|_| budget.try_retry(&quiet, now)).count();
     assert_eq!(allowed, 3);
-    // Another service's budget is its own, and the window moves on.
+    // Services have separate budgets, and the window slides.
     assert!(budget.try_retry(&busy, now));
     assert!(!budget.try_retry(&quiet, ClockTime::from_millis(48_000)));
     assert!(budget.try_retry(&quiet, ClockTime::from_millis(51_000)));
--- a/crates/sagespool-routing/tests/sidecar_counts.rs
+++ b/crates/sagespool-routing/tests/sidecar_counts.rs
@@ -1,4 +1,4 @@
-//! What sidecars tell of the requests that they have, with the events of a dispatch.
+//! Counts of in-flight requests that sidecars send with the events of a dispatch.
 
 mod support;
 
@@ -8,7 +8,7 @@
 
 const FULL: IncarnationId = IncarnationId(0);
 
-/// How many of so many requests, one after the other, go to the full upstream.
+/// How many of a number of consecutive requests go to the full upstream.
 fn sent_to_full(table: &UpstreamTable, requests: usize, now: ClockTime) -> usize {
     let sends = (0..requests).filter(|_| {
         let placement = send(table, &query(), now);
@@ -18,7 +18,7 @@
     sends.count()
 }
 
-/// Two upstreams that their engines report as idle, and an own request at the first.
+/// Two upstreams reported as idle, with an own request at the first.
 fn table_with_own() -> UpstreamTable {
     let table = idle_table(2, 1);
     table.set_entries(2);
@@ -26,18 +26,17 @@
     table
 }
 
-// Another entry has just filled an engine. The engine's report is a second old and says that it is
-// idle, so this entry sends there too: its callers wait in the engine's queue while another engine
-// stands idle. The sidecar knew, and said so on the stream of a request that this entry has there.
+// Another entry has just filled an engine, whose report is a second old and has it idle. By the
+// report alone, this entry sends there too, and requests queue at the engine while another is idle.
+// The sidecar's count, sent on the stream of an own request, shows the load.
 #[test]
-fn count_before_report() {
+fn count_overrides_report() {
     let table = table_with_own();
     table.observe_in_flight(FULL, CAPACITY, at(100));
     assert_eq!(sent_to_full(&table, 10, at(110)), 0);
 }
 
-// A count that is long past says nothing of the present: the engine is free again, and an entry
-// that goes on shunning it wastes its places.
+// A count that is long past must not keep requests away from an engine that is free again.
 #[test]
 fn old_count_fades() {
     let table = table_with_own();
@@ -49,8 +48,8 @@
     assert!(sent_to_full(&table, 10, at(later + 10)) > 0);
 }
 
-// Own requests are in the sidecar's count and in the entry's own. Counted twice, an engine that
-// only this entry uses looks twice as full as it is, and stands half idle.
+// Own requests are in the sidecar's count and in the entry's own count. Counted twice, an engine
+// that only this entry uses appears twice as full as it is, and half of its slots stay idle.
 #[test]
 fn own_counted_once() {
     let table = idle_table(2, 1);
--- a/crates/sagespool-routing/tests/slow_ejection.rs
+++ b/crates/sagespool-routing/tests/slow_ejection.rs
@@ -1,4 +1,4 @@
-//! Slow and failing upstreams get less, and are tried again.
+//! Slow and failing upstreams receive fewer requests, and are probed again.
 
 mod support;
 
@@ -8,12 +8,12 @@
 use sagespool_types::{ClockTime, IncarnationId};
 use support::{at, end, idle_table, member, query, send};
 
-/// Milliseconds after which a request is given up.
-const DEADLINE: u64 = 4_000;
+/// Time after which a request is cancelled.
+const DEADLINE_MS: u64 = 4_000;
 
-/// A request every `gap` ms for a while, each running for ten times its first token; how many went
-/// to upstream 0, and how many there were.
-fn to_first(
+/// Sends a request every `gap` ms, each running for ten times its time to the first token; how many
+/// went to upstream 0, and how many in all.
+fn send_and_count_first(
     table: &UpstreamTable,
     from: u64,
     until: u64,
@@ -28,7 +28,7 @@
                 table.first_token(placement, Duration::from_millis(*latency), at(now));
             }
             let is_whole = now >= sent + latency * 10;
-            let is_over = is_whole || now >= sent + DEADLINE;
+            let is_over = is_whole || now >= sent + DEADLINE_MS;
             if is_over {
                 let outcome =
                     if is_whole { AttemptOutcome::Whole } else { AttemptOutcome::Cancelled };
@@ -62,18 +62,19 @@
     }
 }
 
-// One engine of four takes ten times as long to its first token, but reports no more load than the
-// others, since it gets few requests. A quarter of the callers waits a second for the first token.
+// One engine of four takes ten times as long to its first token. It reports no more load than the
+// others, since it gets few requests. By load alone, a quarter of the callers would wait a second
+// for the first token.
 #[test]
 fn slow_gets_less() {
     let table = idle_table(4, 1);
-    let (slow, all) = to_first(&table, 0, 30_000, 10, 200);
+    let (slow, all) = send_and_count_first(&table, 0, 30_000, 10, 200);
     assert!((1..all / 50).contains(&slow), "{slow} of {all} went to the slow upstream");
-    let (recovered, all) = to_first(&table, 30_000, 120_000, 10, 20);
+    let (recovered, all) = send_and_count_first(&table, 30_000, 120_000, 10, 20);
     assert!(recovered * 8 > all, "{recovered} of {all} after it was quick again");
 }
 
-// Every second request fails on one engine. It is never three in a row, so it isn't ejected.
+// Every second request fails on one engine. There are never three in a row, so it is not ejected.
 #[test]
 fn flaky_gets_less() {
     let table = idle_table(3, 4);
@@ -90,30 +91,30 @@
     assert!((1..=100).contains(&flaky), "{flaky} of 1000 went to the flaky upstream");
 }
 
-// An engine hangs: it takes requests and gives no token. Its places look full until the deadlines
-// end them, then free, and the next requests go there: a few each second, as long as it hangs.
-// Cause: nothing is measured where no token comes.
+// An engine hangs: it accepts requests and sends no token. Its slots appear full until deadlines
+// end the requests, then free, and the next requests go there: a few each second, as long as it
+// hangs, if only first tokens are measured.
 #[test]
 fn hanging_avoided() {
     let table = idle_table(4, 2);
-    to_first(&table, 0, 5_000, 10, 20);
-    let (hanging, all) = to_first(&table, 5_000, 65_000, 10, 1_000_000);
+    send_and_count_first(&table, 0, 5_000, 10, 20);
+    let (hanging, all) = send_and_count_first(&table, 5_000, 65_000, 10, 1_000_000);
     assert!((1..=16).contains(&hanging), "{hanging} of {all} went to the upstream that hangs");
 }
 
-// The engine has just begun to hang. The first of its requests is overdue long before the
-// deadline ends it, and each one sent after that waits for nothing.
+// The engine has just begun to hang. The first of its requests is overdue long before the deadline
+// ends it, and each one sent after that is wasted.
 #[test]
-fn stall_seen_early() {
+fn stall_detected_early() {
     let table = idle_table(16, 5);
-    to_first(&table, 0, 2_000, 2, 20);
-    let (hanging, all) = to_first(&table, 2_000, 3_000, 2, 1_000_000);
+    send_and_count_first(&table, 0, 2_000, 2, 20);
+    let (hanging, all) = send_and_count_first(&table, 2_000, 3_000, 2, 1_000_000);
 
     assert!((1..=4).contains(&hanging), "{hanging} of {all} went to the upstream that hangs");
 }
 
-// Three prompts are so long that they have no first token for minutes. The engine is well; taking
-// it out for them would waste a quarter of the places, and nothing would ever show that it is.
+// Three prompts are so long that they have no first token for minutes. The engine is healthy;
+// excluding it would waste a quarter of the slots, and no measurement could ever show its health.
 #[test]
 fn long_prompts() {
     let table = idle_table(4, 3);
@@ -121,14 +122,14 @@
     for _ in 0..3 {
         send(&table, &PlacementQuery { exclude: others.clone(), ..query() }, at(0));
     }
-    let (early, _) = to_first(&table, 5_000, 35_000, 10, 20);
+    let (early, _) = send_and_count_first(&table, 5_000, 35_000, 10, 20);
     assert_eq!(early, 0);
-    let (first, all) = to_first(&table, 35_000, 120_000, 10, 20);
+    let (first, all) = send_and_count_first(&table, 35_000, 120_000, 10, 20);
     assert!(first * 12 > all, "{first} of {all}");
 }
 
-// An engine fails each request at once. Its load stays at zero, so by load it looks the best, and
-// the whole service's requests pass through it first.
+// An engine fails each request immediately. Its load stays at zero, so by load it is the best
+// choice, and every request of the service would go there first.
 #[test]
 fn failing_ejected() {
     let table = idle_table(3, 1);
@@ -141,8 +142,8 @@
     assert!(gone.into_iter().all(|number| number != 0));
 }
 
-// The ejected engine is well again. It must be tried, but by one request at a time: a crowd that
-// is let back at once fails together if it isn't well after all.
+// The ejected engine may have recovered. It must be probed by one request at a time: many requests
+// at once would all fail if it has not.
 #[test]
 fn single_probe() {
     let table = idle_table(2, 1);
@@ -154,7 +155,7 @@
     let probes: Vec<_> = first.iter().filter(|placement| placement.is_probe).collect();
     assert_eq!(probes.len(), 1);
     fail(&table, probes[0], at(3_100));
-    // Out again, for longer than the first time.
+    // Ejected again, for longer than the first time.
     assert!(after(4_000).iter().all(|placement| placement.sidecar.0 != 0));
     let again = after(6_500);
     let probe = again.iter().find(|placement| placement.is_probe).expect("it is due again");
@@ -163,15 +164,15 @@
 }
 
 #[test]
-fn unrepeatable_never_probes() {
+fn non_idempotent_never_probes() {
     let table = idle_table(2, 1);
     eject_first(&table, 100);
     let careful = PlacementQuery { may_probe: false, ..query() };
     assert!((0..20).all(|_| send(&table, &careful, at(3_000)).sidecar.0 != 0));
 }
 
-// Every engine failed a few times, a moment ago. Refusing all requests until the first ejection
-// ends would turn a short fault into an outage; sending all of them would be a stampede.
+// Every engine has just failed a few times. Refusing all requests until the first ejection ends
+// would turn a short fault into an outage; sending all of them would overload the engines.
 #[test]
 fn all_ejected() {
     let table = idle_table(2, 1);
@@ -187,7 +188,7 @@
 }
 
 #[test]
-fn cancelled_says_nothing() {
+fn cancellation_inconclusive() {
     let table = idle_table(1, 1);
     for step in 0..10 {
         let placement = send(&table, &query(), at(step));
--- a/crates/sagespool-routing/tests/support/mod.rs
+++ b/crates/sagespool-routing/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Members and requests for the tests of routing.
+//! Members and requests for the tests.
 #![allow(dead_code)]
 
 use std::str::FromStr;
@@ -21,7 +21,7 @@
     ClockTime::from_millis(millis)
 }
 
-/// Upstream `number` of the service `sage-core`, in data centre `ghala`, with a load.
+/// Upstream `number` of the service `sage-core` in data centre `ghala`, with a load report.
 pub fn member(number: u64, report: u64, running: u32) -> MemberInfo {
     let load = LoadReport { number: report, running, ..LoadReport::default() };
     let served = ServedUpstream {
@@ -53,7 +53,7 @@
     UpstreamTable::new(policy, name("ghala"))
 }
 
-/// A table with idle upstreams 0 up to `count`.
+/// A table with `count` idle upstreams, numbered from 0.
 pub fn idle_table(count: u64, seed: u64) -> UpstreamTable {
     let table = table(PolicyKind::Sagespool, seed);
     for number in 0..count {
@@ -70,7 +70,7 @@
     PlacementQuery::builder().service(name("sage-core")).prefix(prefix).build()
 }
 
-/// Chooses and starts; the chosen upstream's number.
+/// Chooses a placement and records its dispatch.
 pub fn send(table: &UpstreamTable, query: &PlacementQuery, now: ClockTime) -> UpstreamPlacement {
     let placement = table.choose(query, now).expect("an upstream may take it");
     table.started(&placement, now);
@@ -87,7 +87,7 @@
     table.ended(placement, &result, now);
 }
 
-/// Runs one request to its end, with a time to its first token.
+/// Completes one request, with `first_token` milliseconds to its first token.
 pub fn run(
     table: &UpstreamTable,
     placement: &UpstreamPlacement,
