--- a/crates/sagespool-routing/src/service_queue.rs
+++ b/crates/sagespool-routing/src/service_queue.rs
@@ -267,8 +267,8 @@
     /// A branch's excess over its share, from 0 to 1: the larger of that over time and that of
     /// the requests running now.
     ///
-    /// Excess over time alone would let a previously idle branch fill every slot of every entry
-    /// before its use shows, and requests of others in the next second or two would find no slot.
+    /// Excess over time alone would let a branch with little past use fill every slot of every
+    /// entry before its use shows, and requests of others would find no slot for a second or two.
     fn excess(&self, branch: &BranchState, tier: QueueTier, now: ClockTime) -> f64 {
         let over_time = self.clock.excess(branch.usage(tier.priority, &self.clock, now));
         let weight = f64::from(branch.weight) / self.counted_weight.max(1) as f64;
