--- a/crates/sagespool-routing/examples/policy_compare/model.rs
+++ b/crates/sagespool-routing/examples/policy_compare/model.rs
@@ -393,8 +393,8 @@
     fn tick(&mut self, entry: usize, now: ClockTime) {
         let Entry { table, queue } = &self.entries[entry];
         let service = name("sage-core");
-        if let Some(room) = table.concurrency(&service, now) {
-            queue.set_limit(&service, room.limit);
+        if let Some(concurrency) = table.concurrency(&service, now) {
+            queue.set_limit(&service, concurrency.limit);
         }
         self.release(entry, now);
     }
--- a/crates/sagespool-routing/src/queue.rs
+++ b/crates/sagespool-routing/src/queue.rs
@@ -135,7 +135,8 @@
         Self { policy, services: Mutex::default() }
     }
 
-    /// Sets this entry's concurrency limit for a service, from [`crate::UpstreamTable::concurrency`].
+    /// Sets this entry's concurrency limit for a service, as computed by
+    /// [`crate::UpstreamTable::concurrency`].
     pub fn set_limit(&self, service: &ServiceName, limit: u32) {
         lock(&self.shard(service)).set_limit(limit);
     }
