--- a/crates/sagespool-routing/tests/support/mod.rs
+++ b/crates/sagespool-routing/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Members and requests for the tests of routing.
+//! Members and requests for the tests.
 #![allow(dead_code)]
 
 use std::str::FromStr;
@@ -21,7 +21,7 @@
     ClockTime::from_millis(millis)
 }
 
-/// Upstream `number` of the service `sage-core`, in data centre `ghala`, with a load.
+/// Upstream `number` of the service `sage-core` in data centre `ghala`, with a load report.
 pub fn member(number: u64, report: u64, running: u32) -> MemberInfo {
     let load = LoadReport { number: report, running, ..LoadReport::default() };
     let served = ServedUpstream {
@@ -53,7 +53,7 @@
     UpstreamTable::new(policy, name("ghala"))
 }
 
-/// A table with idle upstreams 0 up to `count`.
+/// A table with `count` idle upstreams, numbered from 0.
 pub fn idle_table(count: u64, seed: u64) -> UpstreamTable {
     let table = table(PolicyKind::Sagespool, seed);
     for number in 0..count {
@@ -62,34 +62,39 @@
     table
 }
 
-pub fn wish() -> PlacementQuery {
+pub fn query() -> PlacementQuery {
     PlacementQuery::builder().service(name("sage-core")).build()
 }
 
-pub fn wish_for(prefix: u128) -> PlacementQuery {
+pub fn query_for(prefix: u128) -> PlacementQuery {
     PlacementQuery::builder().service(name("sage-core")).prefix(prefix).build()
 }
 
-/// Chooses and starts; the chosen upstream's number.
-pub fn send(table: &UpstreamTable, wish: &PlacementQuery, now: ClockTime) -> UpstreamPlacement {
-    let choice = table.choose(wish, now).expect("an upstream may take it");
-    table.started(&choice, now);
-    choice
+/// Chooses a placement and records its dispatch.
+pub fn send(table: &UpstreamTable, query: &PlacementQuery, now: ClockTime) -> UpstreamPlacement {
+    let placement = table.choose(query, now).expect("an upstream may take it");
+    table.started(&placement, now);
+    placement
 }
 
 pub fn end(
     table: &UpstreamTable,
-    choice: &UpstreamPlacement,
+    placement: &UpstreamPlacement,
     outcome: AttemptOutcome,
     now: ClockTime,
 ) {
     let result = AttemptResult { first_token: None, tokens: TokenCount::ZERO, outcome };
-    table.ended(choice, &result, now);
+    table.ended(placement, &result, now);
 }
 
-/// Runs one request to its end, with a time to its first token.
-pub fn run(table: &UpstreamTable, choice: &UpstreamPlacement, first_token: u64, sent: ClockTime) {
+/// Completes one request, with `first_token` milliseconds to its first token.
+pub fn run(
+    table: &UpstreamTable,
+    placement: &UpstreamPlacement,
+    first_token: u64,
+    sent: ClockTime,
+) {
     let latency = Duration::from_millis(first_token);
-    table.first_token(choice, latency, sent.after(latency));
-    end(table, choice, AttemptOutcome::Whole, sent.after(latency));
+    table.first_token(placement, latency, sent.after(latency));
+    end(table, placement, AttemptOutcome::Whole, sent.after(latency));
 }
