--- a/crates/sagespool-forward/src/admission.rs
+++ b/crates/sagespool-forward/src/admission.rs
@@ -1,98 +1,100 @@
-//! Turning requests away at an instance that is short of processor time.
+//! Rejects requests at an instance that is short of processor time.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use sagespool_types::{BranchName, ClockTime};
 
-/// Times that a request waits for its turn at the processor until its first event is on its way to
-/// the caller: its head, its body, its budget, its upstream's connection, and its answer.
-const TURNS_AHEAD: u32 = 6;
-/// Of the latency target, waiting for the processor may take this share for the most urgent rank.
-const MOST_SHARE: f64 = 0.6;
-/// By how much the share falls with each rank, down to a least.
-const RANK_STEP: f64 = 0.1;
-const LEAST_SHARE: f64 = 0.4;
-/// Weight of a new observation of the wait.
-const NEW_WEIGHT: f64 = 0.25;
-/// What is longer is no wait for the processor: the process, or its machine, stood still.
-const LONGEST_SEEN: Duration = Duration::from_millis(500);
-/// An observation that is older says nothing any more: a burst may be over.
-const LONGEST_BELIEF: Duration = Duration::from_millis(500);
+/// How often a request is scheduled until its first event is on the way to the caller: for its
+/// header, body, budget, upstream connection and response.
+const SCHEDULING_STEPS: u32 = 6;
+/// Fraction of the latency target that scheduling delays may take, for the most urgent rank.
+const MAX_DELAY_FRACTION: f64 = 0.6;
+/// Decrease of the fraction per rank, down to `MIN_DELAY_FRACTION`.
+const RANK_FRACTION_STEP: f64 = 0.1;
+const MIN_DELAY_FRACTION: f64 = 0.4;
+/// Weight of a new sample in the exponential average.
+const SAMPLE_WEIGHT: f64 = 0.25;
+/// A longer delay isn't caused by load: the process or its machine was paused.
+const MAX_SAMPLE: Duration = Duration::from_millis(500);
+/// An older average is no longer significant, since a burst may be over.
+const SAMPLE_LIFETIME: Duration = Duration::from_millis(500);
 
-/// A request whose head has arrived.
+/// A request whose header has arrived.
 #[derive(Debug, Clone, Copy)]
 pub struct ArrivedRequest<'a> {
     /// Its client account.
     pub branch: Option<&'a BranchName>,
     /// Its rank, 0 is the most urgent.
     pub rank: u8,
-    /// Within this time its answer is worth most.
+    /// Target time of its response.
     pub latency_target: Duration,
-    /// What is left until its deadline.
+    /// Time left until its deadline.
     pub time_left: Duration,
 }
 
-/// What an instance knows of its own load, and the choice of what it takes in.
+/// Admission control by the scheduling delay of this instance.
 ///
-/// Guards against an instance that takes in more than its processor can answer: all requests then
-/// wait for each other, each is late, and a caller whose account is bound to this instance waits
-/// until its deadline though others have room. It shows in how long a task that is ready waits for
-/// its turn. A request that would spend most of its latency target on such waits is turned away at
-/// once, before its body is read, so that its caller finds another instance in time. Urgent ranks
-/// are turned away last, and an account that fills the instance is turned away before the others.
+/// An instance that admits more than its processor can handle delays all of its requests. A caller
+/// whose account is bound to this instance then waits until its deadline although other instances
+/// have capacity. The overload shows in how long a ready task waits for the processor. A request
+/// that would spend most of its latency target on such delays is rejected at once, before its body
+/// is read, so that its caller finds another instance in time. Urgent ranks are rejected last, and
+/// an account that fills the instance is rejected before the others.
 #[derive(Debug, Default)]
 pub struct AdmissionController {
-    /// How long a ready task waits for its turn, in seconds.
-    turn_s: f64,
-    observed: ClockTime,
+    /// Exponential average of the scheduling delay, in seconds.
+    delay_s: f64,
+    sampled_at: ClockTime,
     running: HashMap<BranchName, u32>,
     total: u32,
 }
 
 impl AdmissionController {
-    /// Notes how long a task that was ready has just waited for its turn.
+    /// Notes how long a ready task has just waited for the processor.
     pub fn note_scheduling_delay(&mut self, waited: Duration, now: ClockTime) {
-        // A single late turn, after a pause or a freeze, is no load: it takes several to count.
+        // A single late wake-up, after a pause or a freeze, is no load. It takes several to have an
+        // effect.
         let before = self.scheduling_delay(now).as_secs_f64();
-        let seen = waited.min(LONGEST_SEEN).as_secs_f64();
-        self.turn_s = before * (1.0 - NEW_WEIGHT) + seen * NEW_WEIGHT;
-        self.observed = now;
+        let sample = waited.min(MAX_SAMPLE).as_secs_f64();
+        self.delay_s = before * (1.0 - SAMPLE_WEIGHT) + sample * SAMPLE_WEIGHT;
+        self.sampled_at = now;
     }
 
-    /// How long a task that is ready waits for its turn.
+    /// How long a ready task waits for the processor.
     pub fn scheduling_delay(&self, now: ClockTime) -> Duration {
-        match now.since(self.observed) > LONGEST_BELIEF {
+        match now.since(self.sampled_at) > SAMPLE_LIFETIME {
             true => Duration::ZERO,
-            false => Duration::from_secs_f64(self.turn_s),
+            false => Duration::from_secs_f64(self.delay_s),
         }
     }
 
-    /// Whether a request can be answered in time, as far as this instance's processor goes.
+    /// Whether this instance's processor is expected to answer the request in time.
     pub fn admits(&self, request: ArrivedRequest<'_>, now: ClockTime) -> bool {
-        let delay = self.scheduling_delay(now) * TURNS_AHEAD;
+        let delay = self.scheduling_delay(now) * SCHEDULING_STEPS;
         if delay > request.time_left {
             return false;
         }
-        let share = (MOST_SHARE - RANK_STEP * f64::from(request.rank)).max(LEAST_SHARE);
-        let share = share / request.branch.map_or(1.0, |branch| self.excess(branch));
-        delay <= request.latency_target.mul_f64(share)
+        let fraction = (MAX_DELAY_FRACTION - RANK_FRACTION_STEP * f64::from(request.rank))
+            .max(MIN_DELAY_FRACTION);
+        let fraction = fraction / request.branch.map_or(1.0, |branch| self.excess_ratio(branch));
+        delay <= request.latency_target.mul_f64(fraction)
     }
 
-    /// How many times as much an account has under way as the mean of all accounts, at least 1.
-    fn excess(&self, branch: &BranchName) -> f64 {
+    /// Ratio of an account's running requests to the mean over all accounts, at least 1.
+    fn excess_ratio(&self, branch: &BranchName) -> f64 {
         let own = self.running.get(branch).copied().unwrap_or(0);
         let mean = f64::from(self.total) / self.running.len().max(1) as f64;
         (f64::from(own) / mean.max(1.0)).max(1.0)
     }
 
-    /// Counts an account's request as under way.
+    /// Counts a request of an account as running.
     pub fn begin(&mut self, branch: &BranchName) {
         self.total += 1;
         *self.running.entry(branch.clone()).or_default() += 1;
     }
 
-    /// Takes an account's request off the count.
+    /// Removes a request of an account from the count.
     pub fn end(&mut self, branch: &BranchName) {
         self.total = self.total.saturating_sub(1);
         if let Some(own) = self.running.get_mut(branch) {
--- a/crates/sagespool-forward/src/index.rs
+++ b/crates/sagespool-forward/src/index.rs
@@ -1,4 +1,4 @@
-//! Finding the route and the client account of a request.
+//! Looks up the route and the client account of a request.
 
 use std::collections::HashMap;
 
@@ -7,11 +7,11 @@
 
 use crate::{BranchPlan, ForwardPlan, ForwardRoute, ServicePlan};
 
-/// A plan with what is needed to look things up quickly.
+/// A plan with indexes for lookup.
 #[derive(Debug)]
 pub struct PlanIndex {
     plan: ForwardPlan,
-    /// Of each host, the places of its routes, the longest prefix first.
+    /// Positions of each host's routes, the longest prefix first.
     hosts: HashMap<String, Vec<usize>>,
     keys: HashMap<String, usize>,
     services: HashMap<ServiceName, usize>,
@@ -20,58 +20,61 @@
 /// A request's route, and the service that it goes to.
 #[derive(Debug, Clone, Copy)]
 pub struct RouteMatch<'a> {
-    /// The route.
+    /// The route with the longest matching prefix.
     pub route: &'a ForwardRoute,
     /// The service, chosen by the route's weights.
     pub service: &'a ServiceName,
 }
 
 impl PlanIndex {
-    /// Prepares a plan.
+    /// Indexes a plan.
     pub fn new(plan: ForwardPlan) -> Self {
         let mut hosts: HashMap<String, Vec<usize>> = HashMap::new();
-        for (place, route) in plan.routes.iter().enumerate() {
-            hosts.entry(route.host.to_ascii_lowercase()).or_default().push(place);
+        for (position, route) in plan.routes.iter().enumerate() {
+            hosts.entry(route.host.to_ascii_lowercase()).or_default().push(position);
         }
-        for places in hosts.values_mut() {
-            places.sort_by_key(|place| std::cmp::Reverse(plan.routes[*place].prefix.len()));
+        for positions in hosts.values_mut() {
+            positions
+                .sort_by_key(|position| std::cmp::Reverse(plan.routes[*position].prefix.len()));
         }
         let mut keys = HashMap::new();
-        for (place, branch) in plan.branches.iter().enumerate() {
-            keys.extend(branch.keys.iter().map(|key| (key.clone(), place)));
+        for (position, branch) in plan.branches.iter().enumerate() {
+            keys.extend(branch.keys.iter().map(|key| (key.clone(), position)));
         }
         let names = plan.services.iter().enumerate();
-        let services = names.map(|(place, service)| (service.name.clone(), place)).collect();
+        let services = names.map(|(position, service)| (service.name.clone(), position)).collect();
         Self { plan, hosts, keys, services }
     }
 
-    /// The plan itself.
+    /// The indexed plan.
     pub fn plan(&self) -> &ForwardPlan {
         &self.plan
     }
 
-    /// The route with the longest prefix of a path. A request keeps to one service of a split
-    /// route, which its id decides.
+    /// The route with the longest prefix of a path. The request id decides between the services of
+    /// a split route, so that retries of a request go to the same service.
     pub fn route(&self, host: &str, path: &str, request: &str) -> Option<RouteMatch<'_>> {
         let host = host.to_ascii_lowercase();
-        let places = self.hosts.get(without_port(&host))?;
-        let place = places.iter().find(|place| path.starts_with(&self.plan.routes[**place].prefix));
-        let route = &self.plan.routes[*place?];
+        let positions = self.hosts.get(without_port(&host))?;
+        let position = positions
+            .iter()
+            .find(|position| path.starts_with(&self.plan.routes[**position].prefix));
+        let route = &self.plan.routes[*position?];
         let service = pick_target(route, request)?;
         Some(RouteMatch { route, service })
     }
 
-    /// The account whose key this is.
+    /// The account that a key belongs to.
     pub fn branch(&self, key: &str) -> Option<&BranchPlan> {
-        self.keys.get(key).map(|place| &self.plan.branches[*place])
+        self.keys.get(key).map(|position| &self.plan.branches[*position])
     }
 
-    /// A service of the plan.
+    /// A service of the plan. None if the plan doesn't define it.
     pub fn service(&self, name: &ServiceName) -> Option<&ServicePlan> {
-        self.services.get(name).map(|place| &self.plan.services[*place])
+        self.services.get(name).map(|position| &self.plan.services[*position])
     }
 
-    /// Whether requests have to show a key at all.
+    /// Whether the plan has client accounts. If not, requests need no key.
     pub fn has_branches(&self) -> bool {
         !self.plan.branches.is_empty()
     }
--- a/crates/sagespool-forward/src/plan.rs
+++ b/crates/sagespool-forward/src/plan.rs
@@ -9,15 +9,15 @@
 use crate::WarmupProfile;
 
 derives! { record;
-    /// Everything that forwarding is told by operators, in full.
+    /// The complete forwarding configuration set by operators.
     pub struct ForwardPlan {
-        /// Its version; a higher one replaces it.
+        /// A higher version replaces a lower one.
         pub version: ConfigVersion,
         /// The routes, in no particular order.
         pub routes: Vec<ForwardRoute>,
-        /// The services that routes lead to.
+        /// The services that routes refer to.
         pub services: Vec<ServicePlan>,
-        /// What a caller may send, and how slowly.
+        /// Size and time limits for callers.
         pub limits: CallerLimits,
         /// The client accounts. If there are none, requests need no key.
         pub branches: Vec<BranchPlan>,
@@ -25,106 +25,107 @@
 }
 
 derives! { value;
-    /// Whether a request may reach a second upstream after one that may have run it.
+    /// Whether a request may be retried at another upstream after one that may have run it.
     pub enum RepeatRule {
-        /// Running it again does no harm.
+        /// Running it twice is harmless.
         Idempotent,
-        /// It may run once at most.
+        /// It may run at most once.
         Once,
     }
 }
 
 derives! { record;
-    /// Where requests of a host and a path prefix go, and on which terms.
+    /// Routing rules for requests of a host and a path prefix.
     pub struct ForwardRoute {
         /// Its name, for logs.
         pub name: String,
         /// The host that requests name.
         pub host: String,
-        /// The prefix of the path, from slash to slash.
+        /// The path prefix, from slash to slash.
         pub prefix: String,
-        /// Whether its requests may be repeated.
+        /// Whether its requests may be retried.
         pub repeat: RepeatRule,
-        /// True if answers are streams of events with ascending ids.
+        /// True if responses are streams of events with ascending ids.
         pub streaming: bool,
-        /// True if a stream may go on at another upstream after its last event.
+        /// True if another upstream may resume a stream after its last event.
         pub resumable: bool,
-        /// The longest that a request is kept waiting for the end of its answer.
+        /// Maximum time until the end of a response.
         pub time_limit: Duration,
-        /// Within this time an answer is worth most; of streams, the first event.
+        /// Target time of a response; for streams, of the first event.
         pub latency_target: Duration,
         /// Rank among routes, 0 is the most urgent.
         pub priority: u8,
-        /// The most upstreams that one request may be sent to.
+        /// Maximum number of upstreams that one request is sent to.
         pub attempts: u32,
         /// True if requests need no key.
         pub open: bool,
-        /// The services that its requests are spread over.
+        /// The services that its requests are distributed over.
         pub targets: Vec<RouteTarget>,
-        /// Where its requests may run.
+        /// Regions in which its requests may run.
         pub homes: AllowedRegions,
     }
 }
 
 derives! { record;
-    /// The regions that requests must not leave. If there are none, they may go anywhere.
+    /// Regions that requests are restricted to. If empty, any region is allowed.
     #[derive(Default)]
     pub struct AllowedRegions(pub Vec<RegionName>);
 }
 
 impl AllowedRegions {
-    /// Whether a request may run in a region. An unknown region is nobody's home.
+    /// Whether a request may run in a region. An unknown region is allowed only without a
+    /// restriction.
     pub fn allow(&self, region: Option<&RegionName>) -> bool {
         self.0.is_empty() || region.is_some_and(|region| self.0.contains(region))
     }
 }
 
 derives! { record;
-    /// A service's part of a route.
+    /// One service of a route, with its weight.
     pub struct RouteTarget {
         /// The service.
         pub service: ServiceName,
-        /// Its share, against the sum of all weights of the route.
+        /// Its share relative to the sum of the route's weights.
         pub weight: u32,
     }
 }
 
 derives! { record;
-    /// A service: upstreams that do the same work.
+    /// A service: a group of equivalent upstreams.
     pub struct ServicePlan {
         /// Its name.
         pub name: ServiceName,
-        /// The connections that each of its upstreams takes from all instances together.
+        /// Maximum connections that each of its upstreams accepts from all instances together.
         pub most_connections: u32,
-        /// What its upstreams are like if they are model engines.
+        /// Profile of its upstreams if they are model engines.
         pub engine: Option<EngineProfile>,
-        /// What its upstreams bear while they are cold; nothing if they never are.
+        /// Request rate of its upstreams while they are cold; None if they need no warm-up.
         pub warmup: Option<WarmupProfile>,
     }
 }
 
 derives! { record;
-    /// What a model engine is like.
+    /// Properties of a model engine.
     pub struct EngineProfile {
-        /// Requests that it runs at once.
+        /// Requests that it runs concurrently.
         pub slots: u32,
-        /// Tokens that its memory holds.
+        /// Tokens that fit into its memory.
         pub memory: TokenCount,
-        /// Tokens in one event of a stream.
+        /// Tokens per event of a stream.
         pub event_tokens: TokenCount,
     }
 }
 
 derives! { record;
-    /// What a caller may send, and how slowly.
+    /// Size and time limits for callers.
     pub struct CallerLimits {
-        /// The most bytes of a request's header.
+        /// Maximum size of a request's header.
         pub header_bytes: ByteCount,
-        /// The most bytes of a request's body.
+        /// Maximum size of a request's body.
         pub body_bytes: ByteCount,
-        /// The longest that a request's header or body may take to arrive.
+        /// Maximum time in which a request's header or body has to arrive.
         pub read_time: Duration,
-        /// How long a connection may stay idle between requests.
+        /// How long a connection may be idle between requests.
         pub idle_time: Duration,
     }
 }
@@ -134,13 +135,13 @@
     pub struct BranchPlan {
         /// Its name.
         pub name: BranchName,
-        /// The keys that its callers show.
+        /// The API keys of its callers.
         pub keys: Vec<String>,
         /// Its rank among client accounts, 0 is the most urgent.
         pub priority: Option<u8>,
-        /// All tokens that it may use; no limit if there is none.
+        /// Total tokens that it may use; None for no limit.
         pub prepaid: Option<TokenCount>,
-        /// Where its requests may run.
+        /// Regions in which its requests may run.
         pub homes: AllowedRegions,
     }
 }
--- a/crates/sagespool-forward/src/retry.rs
+++ b/crates/sagespool-forward/src/retry.rs
@@ -1,72 +1,74 @@
-//! How many requests may be sent once more.
+//! Limits retries.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use sagespool_types::{ClockTime, ServiceName};
 
-/// What all instances together may repeat, for each service.
+/// Limit on the retries of all instances together, for each service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryPolicy {
-    /// Repeats allowed for each request of the window.
+    /// Retries allowed per request of the window.
     pub ratio: f64,
-    /// Repeats allowed beside them in a window.
+    /// Retries allowed in addition per window.
     pub slack: f64,
-    /// The length of the window, which may begin at any moment.
+    /// Length of the window, which may begin at any time.
     pub window: Duration,
 }
 
-/// This instance's share of the repeats that all instances may make, without asking anyone.
+/// This instance's share of the retries that all instances may make, without communication.
 ///
-/// The requests that count are this instance's own, and the fixed part is divided by the largest
-/// number of instances seen: the sum over all instances never passes the terms, whoever is cut off.
+/// The proportional part counts this instance's own requests only, and the fixed part is divided by
+/// the largest number of instances seen. The sum over all instances thus stays within the limit,
+/// whichever of them are partitioned.
 #[derive(Debug)]
 pub struct RetryBudget {
-    terms: RetryPolicy,
+    policy: RetryPolicy,
     services: HashMap<ServiceName, ServiceWindow>,
 }
 
 #[derive(Debug, Default)]
 struct ServiceWindow {
-    firsts: VecDeque<ClockTime>,
-    repeats: VecDeque<ClockTime>,
+    requests: VecDeque<ClockTime>,
+    retries: VecDeque<ClockTime>,
 }
 
-/// Part of the allowance that is left unused: requests are counted when they are forwarded, a
-/// little after callers sent them, so windows here and there don't match to the request.
-const SPARE_SHARE: f64 = 0.2;
+/// Fraction of the allowance that stays unused. Requests are counted when they are forwarded,
+/// slightly later than callers send them, so windows here and at the callers differ by some
+/// requests.
+const MARGIN_FRACTION: f64 = 0.2;
 
 impl RetryBudget {
-    /// An unused budget.
-    pub fn new(terms: RetryPolicy) -> Self {
-        Self { terms, services: HashMap::new() }
+    /// Creates an unused budget.
+    pub fn new(policy: RetryPolicy) -> Self {
+        Self { policy, services: HashMap::new() }
     }
 
-    /// Counts a request that is sent for the first time.
+    /// Counts the first attempt of a request.
     pub fn count_request(&mut self, service: &ServiceName, now: ClockTime) {
         let window = self.services.entry(service.clone()).or_default();
-        window.firsts.push_back(now);
-        window.forget(self.terms.window, now);
+        window.requests.push_back(now);
+        window.expire(self.policy.window, now);
     }
 
-    /// Takes leave to send a request once more; false if there is none.
+    /// Takes a retry from the budget; false if none is left.
     pub fn try_retry(&mut self, service: &ServiceName, instances: usize, now: ClockTime) -> bool {
         let window = self.services.entry(service.clone()).or_default();
-        window.forget(self.terms.window, now);
-        let for_requests = self.terms.ratio * window.firsts.len() as f64;
-        let fixed = self.terms.slack / instances.max(1) as f64;
-        let allowed = (for_requests + fixed) * (1.0 - SPARE_SHARE);
-        if window.repeats.len() as f64 + 1.0 > allowed {
+        window.expire(self.policy.window, now);
+        let proportional = self.policy.ratio * window.requests.len() as f64;
+        let fixed = self.policy.slack / instances.max(1) as f64;
+        let allowed = (proportional + fixed) * (1.0 - MARGIN_FRACTION);
+        if window.retries.len() as f64 + 1.0 > allowed {
             return false;
         }
-        window.repeats.push_back(now);
+        window.retries.push_back(now);
         true
     }
 }
 
 impl ServiceWindow {
-    fn forget(&mut self, window: Duration, now: ClockTime) {
-        for times in [&mut self.firsts, &mut self.repeats] {
+    fn expire(&mut self, window: Duration, now: ClockTime) {
+        for times in [&mut self.requests, &mut self.retries] {
             while times.front().is_some_and(|at| now.since(*at) > window) {
                 times.pop_front();
             }
