--- a/crates/sagespool-forward/src/events.rs
+++ b/crates/sagespool-forward/src/events.rs
@@ -1,57 +1,57 @@
-//! Splitting a stream into whole events.
+//! Splits an event stream into complete events.
 
-/// Collects the bytes of an event stream and gives out whole events only.
+/// Buffers the bytes of an event stream and returns complete events only.
 ///
-/// Guards against joining pieces of two runs: an upstream may stop in the middle of an event, and
-/// what it began must not reach the caller if another upstream goes on after the last whole one.
+/// An upstream may stop in the middle of an event. The partial event must not reach the caller if
+/// another upstream resumes the stream after the last complete one.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    rest: Vec<u8>,
+    partial: Vec<u8>,
 }
 
-/// The whole events that a piece of a stream completes.
+/// The events that a chunk of a stream completes.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct WholeEvents {
-    /// Their bytes, with the empty line after each.
+pub struct CompleteEvents {
+    /// Their bytes, including the empty line after each event.
     pub bytes: Vec<u8>,
-    /// How many there are.
+    /// Number of events.
     pub count: u64,
-    /// The id of the last one that has an id.
+    /// Id of the last event that has one.
     pub last_id: Option<u64>,
 }
 
 impl EventSplitter {
-    /// Takes bytes as they came.
-    pub fn push(&mut self, bytes: &[u8]) -> WholeEvents {
-        self.rest.extend_from_slice(bytes);
-        let mut whole = WholeEvents::default();
+    /// Adds a chunk of the stream and returns the events that it completes.
+    pub fn push(&mut self, bytes: &[u8]) -> CompleteEvents {
+        self.partial.extend_from_slice(bytes);
+        let mut complete = CompleteEvents::default();
         let mut taken = 0;
-        while let Some(end) = event_end(&self.rest[taken..]) {
-            let event = &self.rest[taken..taken + end];
+        while let Some(end) = event_end(&self.partial[taken..]) {
+            let event = &self.partial[taken..taken + end];
             if let Some(id) = event_id(event) {
-                whole.last_id = Some(id);
+                complete.last_id = Some(id);
             }
-            whole.count += 1;
+            complete.count += 1;
             taken += end;
         }
-        let rest = self.rest.split_off(taken);
-        whole.bytes = std::mem::replace(&mut self.rest, rest);
-        whole
+        let partial = self.partial.split_off(taken);
+        complete.bytes = std::mem::replace(&mut self.partial, partial);
+        complete
     }
 
-    /// What came after the last whole event, when the stream has ended by itself.
+    /// Returns the bytes after the last complete event, once the stream has ended normally.
     pub fn take_remainder(&mut self) -> Vec<u8> {
-        std::mem::take(&mut self.rest)
+        std::mem::take(&mut self.partial)
     }
 }
 
-/// The length of the first event with the empty line that ends it.
+/// Length of the first event, including the empty line that ends it.
 fn event_end(bytes: &[u8]) -> Option<usize> {
-    let plain = find(bytes, b"\n\n").map(|at| at + 2);
-    let marked = find(bytes, b"\r\n\r\n").map(|at| at + 4);
-    match (plain, marked) {
-        (Some(plain), Some(marked)) => Some(plain.min(marked)),
-        (plain, marked) => plain.or(marked),
+    let lf = find(bytes, b"\n\n").map(|at| at + 2);
+    let crlf = find(bytes, b"\r\n\r\n").map(|at| at + 4);
+    match (lf, crlf) {
+        (Some(lf), Some(crlf)) => Some(lf.min(crlf)),
+        (lf, crlf) => lf.or(crlf),
     }
 }
 
--- a/crates/sagespool-forward/src/feed.rs
+++ b/crates/sagespool-forward/src/feed.rs
@@ -1,4 +1,5 @@
-//! What neighbours are told of the store's objects, so that they needn't ask the store themselves.
+//! Change feed between the instances of a data centre, so that most of them needn't watch the
+//! store.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,102 +7,102 @@
 
 use sagespool_types::{ClockTime, IncarnationId, StoreRevision};
 
-use crate::engine::mix;
+use crate::prefix_cache::mix;
 
-/// Instances of a data centre that ask the store for the others of it.
-const FOLLOWERS: usize = 2;
-/// A neighbour that didn't answer, or had old word, isn't asked again for so long.
-const AVOID_TIME: Duration = Duration::from_millis(1500);
-/// Removals that are remembered at most.
-const MOST_REMOVALS: usize = 4096;
+/// Instances of a data centre that watch the store on behalf of the others.
+const STORE_FOLLOWERS: usize = 2;
+/// A neighbour that didn't reply, or replied with stale state, is not queried again for this long.
+const AVOID_PERIOD: Duration = Duration::from_millis(1500);
+/// Limit on the removals that a feed keeps.
+const MAX_REMOVALS: usize = 4096;
 
 /// An object, or its removal.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FeedObject {
     /// Its key.
     pub key: String,
-    /// The store's revision of its last change that matters.
+    /// Store revision of its last relevant change.
     pub revision: StoreRevision,
-    /// Its value as the store has it; nothing if it was removed.
+    /// Its value as stored; None if it was removed.
     pub value: Option<Arc<str>>,
 }
 
-/// What is new after a revision.
+/// The changes after a revision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FeedPage {
-    /// Everything up to this revision is in it.
+    /// The page includes all changes up to this revision.
     pub revision: StoreRevision,
-    /// True if these are all objects there are, whatever the reader knew.
+    /// True if the page is a full listing, independent of what the reader has.
     pub whole: bool,
-    /// The objects.
+    /// The changed objects, or all objects of a full listing.
     pub objects: Vec<FeedObject>,
 }
 
-/// A copy of the store's objects of one kind, and of when it was true.
+/// A copy of the store's objects of one kind, with the time at which it was valid.
 ///
-/// Times are by a clock that runs on while the machine is suspended: a process that slept must not
-/// take what it knew before for new.
+/// Times are by a clock that continues while the machine is suspended. Otherwise a process would
+/// take its state from before a suspension for fresh.
 #[derive(Debug, Default)]
 pub struct ChangeFeed {
-    /// Removals before this revision are forgotten.
-    since: StoreRevision,
+    /// Removals before this revision are no longer kept.
+    history_start: StoreRevision,
     revision: StoreRevision,
-    /// The latest time at which the copy was known to be what the store had.
+    /// The latest time at which the copy was known to match the store.
     valid_at: Option<ClockTime>,
     objects: BTreeMap<String, FeedObject>,
 }
 
 impl ChangeFeed {
-    /// Takes a whole listing.
+    /// Replaces the copy by a full listing.
     pub fn apply_listing(
         &mut self,
         revision: StoreRevision,
         objects: Vec<FeedObject>,
         valid_at: ClockTime,
     ) {
-        self.since = revision;
+        self.history_start = revision;
         self.revision = revision;
         self.objects = objects.into_iter().map(|object| (object.key.clone(), object)).collect();
         self.valid_at = Some(valid_at);
     }
 
-    /// Takes a change that matters to readers. Changes that don't are left out, so that nobody is
-    /// woken by an upstream that only renews its entry.
+    /// Applies a change that is relevant to readers. Other changes are left out, so that an
+    /// upstream that only renews its entry wakes no reader.
     pub fn apply_change(&mut self, change: FeedObject) {
         self.objects.insert(change.key.clone(), change);
         let removed = |object: &&FeedObject| object.value.is_none();
-        if self.objects.values().filter(removed).count() > MOST_REMOVALS {
+        if self.objects.values().filter(removed).count() > MAX_REMOVALS {
             self.objects.retain(|_, object| object.value.is_some());
-            self.since = self.revision;
+            self.history_start = self.revision;
         }
     }
 
-    /// Notes that all changes up to a revision are in, as of a time.
+    /// Notes that the copy includes all changes up to a revision, as of `valid_at`.
     pub fn advance(&mut self, revision: StoreRevision, valid_at: ClockTime) {
         self.revision = self.revision.max(revision);
         self.valid_at = self.valid_at.max(Some(valid_at));
     }
 
-    /// The revision up to which this is complete.
+    /// The revision up to which the copy is complete.
     pub fn revision(&self) -> StoreRevision {
         self.revision
     }
 
-    /// How old the word of this copy is; nothing if there is none.
+    /// Age of the copy; None before the first listing.
     pub fn age(&self, now: ClockTime) -> Option<Duration> {
         self.valid_at.map(|at| now.since(at))
     }
 
-    /// Whether a reader who knows everything up to a revision has something to learn.
+    /// Whether there are changes after a revision.
     pub fn has_changes_after(&self, revision: StoreRevision) -> bool {
         self.valid_at.is_some()
-            && (revision < self.since
+            && (revision < self.history_start
                 || self.objects.values().any(|object| object.revision > revision))
     }
 
-    /// What a reader has to learn who knows everything up to a revision.
+    /// The changes after a revision, or a full listing if the feed doesn't go back that far.
     pub fn page(&self, after: StoreRevision) -> FeedPage {
-        let whole = after < self.since;
+        let whole = after < self.history_start;
         let wanted = |object: &&FeedObject| match whole {
             true => object.value.is_some(),
             false => object.revision > after,
@@ -111,70 +112,71 @@
     }
 }
 
-/// How old word may be, so that a change is in force in time.
+/// Time limits that bring a change into force in time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FeedTiming {
-    /// Older word isn't taken from a neighbour.
+    /// Maximum age of state from a neighbour.
     pub max_age: Duration,
-    /// How long a neighbour may keep a question that it has nothing new for.
+    /// How long a neighbour may hold a query while it has no changes.
     pub poll_wait: Duration,
-    /// How long the store may keep a question of an instance that others follow.
+    /// How long the store may hold a watch of an instance that others follow.
     pub watch_wait: Duration,
 }
 
-/// Of the time in which a change must be in force, a question to a neighbour may wait for this part.
-const ASK_SHARE: f64 = 0.2;
-/// Kept for requests that are on their way when the change arrives, and for slow timers.
-const SPARE_SHARE: f64 = 0.15;
-/// How long a neighbour's answer may take beside the wait.
+/// Fraction of the time until a change must be in force that a neighbour may hold a query.
+const POLL_WAIT_FRACTION: f64 = 0.2;
+/// Fraction kept for requests in flight when the change arrives, and for slow timers.
+const MARGIN_FRACTION: f64 = 0.15;
+/// How long a neighbour's reply may take in addition to the wait.
 pub const REPLY_TIMEOUT: Duration = Duration::from_millis(250);
-/// Before the next answer of the store, word is as old as the store's wait, and what the answer and
-/// a busy follower take: the wait is this part of the age.
-const WATCH_SHARE: f64 = 0.6;
-/// With less than this, instances would ask the store as often for each other as for themselves.
-const LEAST_AGE: Duration = Duration::from_millis(1200);
-const LONGEST_WATCH: Duration = Duration::from_millis(2000);
+/// Fraction of the maximum age that the store may hold a watch. Before the next response, state is
+/// as old as the watch, plus the time that the response and a busy follower take.
+const WATCH_WAIT_FRACTION: f64 = 0.6;
+/// With a shorter maximum age, instances would query the store as often for each other as for
+/// themselves.
+const MIN_AGE_LIMIT: Duration = Duration::from_millis(1200);
+const MAX_WATCH_WAIT: Duration = Duration::from_millis(2000);
 
 impl FeedTiming {
-    /// The terms under which a change is in force within a time; nothing if that is too short to
-    /// go by a neighbour's word.
+    /// The time limits that bring a change into force within `in_force`. None if that is too short
+    /// to use neighbours.
     ///
-    /// A neighbour may fall silent right after an answer. Until the question after it is given up,
-    /// the reader goes by word as old as may be taken, and the wait, and the answer's time.
+    /// A neighbour may stall right after a reply. Until the next query times out, the reader uses
+    /// state that is older than the maximum age by the poll wait and the reply timeout.
     pub fn within(in_force: Duration) -> Option<Self> {
-        let poll_wait = in_force.mul_f64(ASK_SHARE);
-        let spent = poll_wait + REPLY_TIMEOUT + in_force.mul_f64(SPARE_SHARE);
-        let max_age = in_force.saturating_sub(spent);
-        if max_age < LEAST_AGE {
+        let poll_wait = in_force.mul_f64(POLL_WAIT_FRACTION);
+        let reserved = poll_wait + REPLY_TIMEOUT + in_force.mul_f64(MARGIN_FRACTION);
+        let max_age = in_force.saturating_sub(reserved);
+        if max_age < MIN_AGE_LIMIT {
             return None;
         }
-        let watch_wait = max_age.mul_f64(WATCH_SHARE).min(LONGEST_WATCH);
+        let watch_wait = max_age.mul_f64(WATCH_WAIT_FRACTION).min(MAX_WATCH_WAIT);
         Some(Self { max_age, poll_wait, watch_wait })
     }
 }
 
-/// Where an instance learns of changes next.
+/// Where an instance queries changes next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FeedSource {
-    /// The store itself.
+    /// The store.
     Store,
     /// A neighbour that follows the store.
     Neighbour(IncarnationId),
 }
 
-/// Whom an instance asks for changes: the neighbours that all agree on without a word, or the store
-/// where they can't be relied on.
+/// Selects the source of changes: the followers, on which all instances agree without
+/// communication, or the store if the followers are unreliable.
 #[derive(Debug, Default)]
 pub struct FeedSourceSelector {
     avoided: Vec<(IncarnationId, ClockTime)>,
 }
 
 impl FeedSourceSelector {
-    /// Chooses among the instances of the own data centre that can be reached. `own_age` is how old
-    /// this instance's own word is.
+    /// Chooses among the reachable instances of the own data centre. `own_age` is the age of this
+    /// instance's own copy.
     ///
-    /// A neighbour that falls silent costs the time of a question. Word that is already as old as
-    /// may be taken leaves no time for a second one: the store is asked then.
+    /// A neighbour that stalls costs the time of one query. A copy that has reached the maximum age
+    /// leaves no time for a second one, so the store is queried.
     pub fn choose(
         &mut self,
         own: IncarnationId,
@@ -189,27 +191,27 @@
         self.avoided.retain(|(_, until)| *until > now);
         let mut ranked: Vec<IncarnationId> = neighbours.to_vec();
         ranked.push(own);
-        ranked.sort_by_key(|instance| mix(low_bits(*instance)));
-        ranked.truncate(FOLLOWERS);
+        ranked.sort_by_key(|instance| mix(raw_id(*instance)));
+        ranked.truncate(STORE_FOLLOWERS);
         if ranked.contains(&own) {
             return FeedSource::Store;
         }
         let is_avoided =
             |instance: &IncarnationId| self.avoided.iter().any(|(avoided, _)| avoided == instance);
-        // Readers are spread over the followers.
-        if low_bits(own) % 2 == 1 {
+        // Spreads readers over the followers.
+        if raw_id(own) % 2 == 1 {
             ranked.reverse();
         }
         let follower = ranked.into_iter().find(|instance| !is_avoided(instance));
         follower.map_or(FeedSource::Store, FeedSource::Neighbour)
     }
 
-    /// Notes that a neighbour didn't answer, or had nothing that could be taken.
+    /// Notes that a neighbour didn't reply, or replied with nothing usable.
     pub fn avoid(&mut self, instance: IncarnationId, now: ClockTime) {
-        self.avoided.push((instance, now.after(AVOID_TIME)));
+        self.avoided.push((instance, now.after(AVOID_PERIOD)));
     }
 }
 
-fn low_bits(instance: IncarnationId) -> u64 {
+fn raw_id(instance: IncarnationId) -> u64 {
     instance.0
 }
--- a/crates/sagespool-forward/src/placement.rs
+++ b/crates/sagespool-forward/src/placement.rs
@@ -1,130 +1,134 @@
-//! Choosing the upstream that is expected to answer first.
+//! Chooses the upstream that is expected to respond first.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use sagespool_types::{CentreName, ClockTime, TokenCount, UpstreamName};
 
-use crate::engine::{chain_ids, hash_text, mix};
+use crate::prefix_cache::{hash_name, mix, prefix_ids};
 use crate::{EngineProfile, PromptPart, UpstreamRecord, UpstreamRun};
 
 mod health;
 mod load;
-mod silence;
+mod stall;
 
 use load::UpstreamLoad;
 
-/// Figures of the choice.
+/// Parameters of the cost estimate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlacementPolicy {
-    /// Prompt tokens that an engine reads in a millisecond. The users' engines read 48.2.
-    pub read_rate: f64,
-    /// By how much each running request slows a step of an engine, in milliseconds of the time to
-    /// a first event. The users' engines need 0.12 ms a request and step; a first event takes
-    /// about ten steps beside other requests' prompts.
-    pub crowding_ms: f64,
-    /// How often the reading of a shared part counts: it delays this request, and all that run
-    /// beside it, and takes the place of parts that others will ask for.
-    pub rereading: f64,
-    /// What a prompt that an engine probably keeps for other instances counts for: this instance
-    /// can't know, only that they send such prompts there.
-    pub unseen_share: f64,
-    /// The extra cost of another data centre, in milliseconds: its links are priced by the byte,
-    /// and its round trip is about one.
-    pub distance_ms: f64,
-    /// The expected time of a plain service's answer before any was seen, in milliseconds.
-    pub plain_ms: f64,
+    /// Prompt tokens that an engine prefills per millisecond. Engines of the target fleet reach
+    /// 48.2.
+    pub prefill_tokens_per_ms: f64,
+    /// Delay of a first event per running request, in milliseconds. An engine of the target fleet
+    /// needs 0.12 ms per request and step, and a first event takes about ten steps beside the
+    /// prompts of other requests.
+    pub contention_ms: f64,
+    /// Weight of prefilling a shared part again. It delays this request and all that run beside it,
+    /// and evicts parts that other requests will need.
+    pub reprefill_factor: f64,
+    /// Weight of prefilling a shared prefix at its preferred upstream, if this instance has not
+    /// sent it there lately. The engine has probably cached it for other instances, which send such
+    /// prompts there too; this instance can't observe it.
+    pub assumed_cached_factor: f64,
+    /// Extra cost of another data centre, in milliseconds. Its links are billed by the byte, and
+    /// its round trip takes about one.
+    pub remote_centre_ms: f64,
+    /// Response time assumed for a plain service before the first observation, in milliseconds.
+    pub initial_response_ms: f64,
 }
 
 impl Default for PlacementPolicy {
     fn default() -> Self {
         Self {
-            read_rate: 48.0,
-            crowding_ms: 1.2,
-            rereading: 8.0,
-            unseen_share: 0.15,
-            distance_ms: 1.5,
-            plain_ms: 20.0,
+            prefill_tokens_per_ms: 48.0,
+            contention_ms: 1.2,
+            reprefill_factor: 8.0,
+            assumed_cached_factor: 0.15,
+            remote_centre_ms: 1.5,
+            initial_response_ms: 20.0,
         }
     }
 }
 
-/// What a request is like, as far as its place matters.
+/// The properties of a request that matter for its placement.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestProfile<'a> {
-    /// The parts of its prompt; none for plain services.
+    /// The parts of its prompt; empty for plain services.
     pub parts: &'a [PromptPart],
-    /// The engines' traits, if it goes to an engine.
+    /// Profile of the service's engines; None for plain services.
     pub engine: Option<&'a EngineProfile>,
     /// The data centre that it is sent from.
     pub centre: &'a CentreName,
-    /// Whether it may go to another upstream if this one fails.
+    /// Whether it may be sent to another upstream if this one fails.
     pub repeatable: bool,
 }
 
-/// A request's place at an upstream, from the choice to the end.
+/// A request at its upstream, from placement to completion.
 #[derive(Debug, Clone)]
 pub struct PlacedAttempt {
-    /// Where it goes.
+    /// The chosen upstream.
     pub upstream: UpstreamRecord,
-    /// When it was chosen.
+    /// When the upstream was chosen.
     pub chosen_at: ClockTime,
-    /// When its first event, or its answer, was expected.
+    /// Expected time from placement to the first event or the response.
     pub expected: Duration,
-    /// Tokens that the upstream probably has to read for it.
-    pub unread: TokenCount,
+    /// Prompt tokens that the engine probably has to prefill for it.
+    pub uncached_tokens: TokenCount,
     began: bool,
-    /// Of the load that it is counted in: an upstream that is forgotten and known anew has another.
+    /// Id of the load that it is counted in. An upstream that is forgotten and then seen again gets
+    /// a new load.
     load: u64,
 }
 
-/// How a request ended at an upstream.
+/// Outcome of an attempt at an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// It was answered whole.
+    /// The response was complete.
     Answered,
-    /// The upstream said that it didn't run it.
+    /// The upstream reported that it didn't run the request.
     Refused,
-    /// The upstream answered that it failed.
+    /// The upstream responded with a failure.
     Failed,
-    /// No connection, a broken answer, or none in time.
+    /// No connection, a broken response, or none in time.
     Broken,
-    /// The caller left, which says nothing of the upstream.
+    /// The caller disconnected, which is no evidence about the upstream.
     Cancelled,
 }
 
-/// What this instance knows of each upstream's load, and the choice made from it.
+/// Tracks the load of each upstream and chooses an upstream by it.
 #[derive(Debug)]
 pub struct LoadBalancer {
     policy: PlacementPolicy,
     loads: HashMap<UpstreamName, UpstreamLoad>,
-    /// Loads so far.
-    counted: u64,
+    /// Loads created so far; the source of their ids.
+    created_loads: u64,
 }
 
-/// Weight of a new observation of an upstream's speed beside fresh ones; old ones count for nothing.
-const SPEED_WEIGHT: f64 = 0.2;
-const SLOWEST: f64 = 12.0;
-const FASTEST: f64 = 0.3;
-/// A plain upstream that wasn't chosen for so long is due: what is known of it is old, and one that
-/// was slow or failed would never show that it is well again. At the users' rates every upstream is
-/// chosen several times a second.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(2);
-/// What the expected time of such an upstream counts for.
-const FORGOTTEN_SHARE: f64 = 0.4;
-/// Time between a request's arrival at an idle engine and its first event, beside reading.
-const FIRST_EVENT_MS: f64 = 20.0;
-/// Costs closer than this are as good as equal.
-const TIE_SPREAD_MS: f64 = 0.5;
+/// Weight of a new observation in the exponential average of the slowness. It replaces a stale
+/// average.
+const SLOWNESS_WEIGHT: f64 = 0.2;
+const MAX_SLOWNESS: f64 = 12.0;
+const MIN_SLOWNESS: f64 = 0.3;
+/// A plain upstream that wasn't chosen for this long is due for a request. Its state is stale, and
+/// a slow or failed one would never be seen to recover. At the rates of the target fleet every
+/// upstream is chosen several times per second.
+const STALE_AFTER: Duration = Duration::from_secs(2);
+/// Factor on the expected time of such an upstream.
+const STALE_COST_FACTOR: f64 = 0.4;
+/// Time from a request's arrival at an idle engine to its first event, excluding prefill.
+const FIRST_EVENT_BASE_MS: f64 = 20.0;
+/// Random cost that decides between nearly equal upstreams.
+const TIE_JITTER_MS: f64 = 0.5;
 
 impl LoadBalancer {
-    /// A board that knows nothing yet.
+    /// Creates a balancer without any observations.
     pub fn new(policy: PlacementPolicy) -> Self {
-        Self { policy, loads: HashMap::new(), counted: 0 }
+        Self { policy, loads: HashMap::new(), created_loads: 0 }
     }
 
-    /// Chooses among candidates, and counts the request there. Nothing if there are none that
-    /// weren't tried.
+    /// Chooses among the candidates that are not in `tried`, and counts the request at the chosen
+    /// upstream. None if all candidates were tried.
     pub fn choose<'a>(
         &mut self,
         candidates: impl Iterator<Item = &'a UpstreamRecord>,
@@ -134,90 +138,96 @@
     ) -> Option<PlacedAttempt> {
         let candidates: Vec<&UpstreamRecord> =
             candidates.filter(|record| !tried.contains(&record.run())).collect();
-        let sound: Vec<&UpstreamRecord> =
+        let healthy: Vec<&UpstreamRecord> =
             candidates.iter().copied().filter(|record| self.admits(record, shape, now)).collect();
-        // With most upstreams ejected, the cause is more likely on this side: use them all.
-        let usable = if sound.len() * 2 >= candidates.len() { sound } else { candidates };
-        let home = shared_chain(shape.parts).and_then(|chain| first_by_rank(&usable, chain));
-        let rated = usable.into_iter().map(|record| {
-            let is_home = home.as_ref() == Some(&record.name);
-            (record, self.rate(record, shape, is_home, now))
+        // If most upstreams are ejected, the cause is more likely on this side: use all of them.
+        let usable = if healthy.len() * 2 >= candidates.len() { healthy } else { candidates };
+        let preferred =
+            shared_prefix_id(shape.parts).and_then(|prefix| preferred_by_hash(&usable, prefix));
+        let estimated = usable.into_iter().map(|record| {
+            let is_preferred = preferred.as_ref() == Some(&record.name);
+            (record, self.estimate_cost(record, shape, is_preferred, now))
         });
-        let (record, rating) = rated.min_by(|a, b| a.1.cost_ms.total_cmp(&b.1.cost_ms))?;
-        Some(self.take(record.clone(), rating, shape, now))
+        let (record, estimate) = estimated.min_by(|a, b| a.1.cost_ms.total_cmp(&b.1.cost_ms))?;
+        Some(self.place(record.clone(), estimate, shape, now))
     }
 
     fn admits(&self, record: &UpstreamRecord, shape: RequestProfile<'_>, now: ClockTime) -> bool {
         self.loads.get(&record.name).is_none_or(|load| {
-            load.health.admits(shape.repeatable, now) && !load.silence.is_silent(now)
+            load.health.admits(shape.repeatable, now) && !load.stall.is_stalled(now)
         })
     }
 
-    fn rate(
+    fn estimate_cost(
         &mut self,
         record: &UpstreamRecord,
         shape: RequestProfile<'_>,
-        is_home: bool,
+        is_preferred: bool,
         now: ClockTime,
-    ) -> UpstreamRating {
+    ) -> CostEstimate {
         let policy = self.policy;
         let load = self.load_of(&record.name, shape.engine);
-        let running = f64::from(load.running) + load.others_now(now);
-        let distance = if record.centre == *shape.centre { 0.0 } else { policy.distance_ms };
-        // Ties are broken at random, so that instances don't move together.
-        let jitter = fastrand::f64() * TIE_SPREAD_MS;
-        let mut rereading_ms = 0.0;
-        let (expected_ms, unread) = match &load.cache {
+        let running = f64::from(load.running) + load.other_requests_now(now);
+        let distance_ms =
+            if record.centre == *shape.centre { 0.0 } else { policy.remote_centre_ms };
+        // Random tie-breaking keeps instances from all choosing the same upstream.
+        let jitter = fastrand::f64() * TIE_JITTER_MS;
+        let mut reprefill_ms = 0.0;
+        let (expected_ms, uncached_tokens) = match &load.cache {
             Some(cache) => {
                 let all: TokenCount = shape.parts.iter().map(|part| part.tokens).sum();
-                let unread = all.less(cache.kept(shape.parts));
-                let share = if is_home && unread > last_tokens(shape.parts) {
-                    policy.unseen_share
+                let uncached_tokens = all.less(cache.cached_tokens(shape.parts));
+                let shared_weight = if is_preferred && uncached_tokens > own_tokens(shape.parts) {
+                    policy.assumed_cached_factor
                 } else {
                     1.0
                 };
-                let own = last_tokens(shape.parts).0 as f64;
-                let shared = unread.0 as f64 - own.min(unread.0 as f64);
-                let reading = (own + shared * share) / policy.read_rate;
-                rereading_ms = shared * share / policy.read_rate * (policy.rereading - 1.0);
-                let queued = load.unread.0 as f64 / policy.read_rate;
-                (FIRST_EVENT_MS + queued + reading + running * policy.crowding_ms, unread)
+                let own = own_tokens(shape.parts).0 as f64;
+                let shared = uncached_tokens.0 as f64 - own.min(uncached_tokens.0 as f64);
+                let prefill_ms = (own + shared * shared_weight) / policy.prefill_tokens_per_ms;
+                reprefill_ms = shared * shared_weight / policy.prefill_tokens_per_ms
+                    * (policy.reprefill_factor - 1.0);
+                let queued_ms = load.pending_prefill.0 as f64 / policy.prefill_tokens_per_ms;
+                (
+                    FIRST_EVENT_BASE_MS + queued_ms + prefill_ms + running * policy.contention_ms,
+                    uncached_tokens,
+                )
             }
             None => {
                 let slots = f64::from(record.slots.max(1));
-                (policy.plain_ms * (1.0 + running / slots), TokenCount::ZERO)
+                (policy.initial_response_ms * (1.0 + running / slots), TokenCount::ZERO)
             }
         };
         let expected_ms = expected_ms * load.slowness;
-        let untried = load.cache.is_none() && now.since(load.chosen) > FORGOTTEN_AFTER;
-        let weight = if untried { FORGOTTEN_SHARE } else { 1.0 };
-        let cost_ms = expected_ms * weight + rereading_ms + distance + jitter;
-        UpstreamRating { cost_ms, expected_ms, unread }
+        let is_stale = load.cache.is_none() && now.since(load.last_chosen_at) > STALE_AFTER;
+        let weight = if is_stale { STALE_COST_FACTOR } else { 1.0 };
+        let cost_ms = expected_ms * weight + reprefill_ms + distance_ms + jitter;
+        CostEstimate { cost_ms, expected_ms, uncached_tokens }
     }
 
-    fn take(
+    fn place(
         &mut self,
         upstream: UpstreamRecord,
-        rating: UpstreamRating,
+        estimate: CostEstimate,
         shape: RequestProfile<'_>,
         now: ClockTime,
     ) -> PlacedAttempt {
         let load = self.load_of(&upstream.name, shape.engine);
         load.running += 1;
-        load.chosen = now;
-        load.unread += rating.unread;
+        load.last_chosen_at = now;
+        load.pending_prefill += estimate.uncached_tokens;
         if let Some(cache) = &mut load.cache {
-            cache.note(shape.parts);
+            cache.record(shape.parts);
         }
         load.health.begin(now);
-        let expected = Duration::from_secs_f64(rating.expected_ms / 1000.0);
-        load.silence.sent(expected, now);
+        let expected = Duration::from_secs_f64(estimate.expected_ms / 1000.0);
+        load.stall.note_dispatch(expected, now);
         let load = load.id;
         PlacedAttempt {
             upstream,
             chosen_at: now,
             expected,
-            unread: rating.unread,
+            uncached_tokens: estimate.uncached_tokens,
             began: false,
             load,
         }
@@ -228,114 +238,114 @@
         name: &UpstreamName,
         engine: Option<&EngineProfile>,
     ) -> &mut UpstreamLoad {
-        let counted = &mut self.counted;
+        let created_loads = &mut self.created_loads;
         self.loads.entry(name.clone()).or_insert_with(|| {
-            *counted += 1;
-            UpstreamLoad::new(*counted, engine)
+            *created_loads += 1;
+            UpstreamLoad::new(*created_loads, engine)
         })
     }
 
-    /// The load that a request is counted in. Nothing if the upstream was forgotten since: what its
-    /// earlier run still answers, or fails to, says nothing of the present one.
-    fn load_counting(&mut self, ticket: &PlacedAttempt) -> Option<&mut UpstreamLoad> {
+    /// The load that an attempt is counted in. None if the upstream was forgotten since: outcomes
+    /// of an earlier run are no evidence about the present one.
+    fn load_of_attempt(&mut self, ticket: &PlacedAttempt) -> Option<&mut UpstreamLoad> {
         let load = self.loads.get_mut(&ticket.upstream.name)?;
         (load.id == ticket.load).then_some(load)
     }
 
-    /// Notes that the first event, or the answer, of a request has come.
+    /// Notes the first event of a stream, or the response.
     pub fn note_first_event(&mut self, ticket: &mut PlacedAttempt, now: ClockTime) {
         if ticket.began {
             return;
         }
         ticket.began = true;
-        let Some(load) = self.load_counting(ticket) else {
+        let Some(load) = self.load_of_attempt(ticket) else {
             return;
         };
-        load.unread = load.unread.less(ticket.unread);
-        load.silence.heard(now);
+        load.pending_prefill = load.pending_prefill.less(ticket.uncached_tokens);
+        load.stall.note_activity(now);
         let expected = ticket.expected.as_secs_f64().max(0.001);
         let ratio = now.since(ticket.chosen_at).as_secs_f64() / expected * load.slowness;
-        let is_old = now.since(load.observed) > FORGOTTEN_AFTER;
-        let weight = if is_old { 1.0 } else { SPEED_WEIGHT };
-        load.observed = now;
+        let is_stale = now.since(load.slowness_updated_at) > STALE_AFTER;
+        let weight = if is_stale { 1.0 } else { SLOWNESS_WEIGHT };
+        load.slowness_updated_at = now;
         let blended = load.slowness * (1.0 - weight) + ratio * weight;
-        load.slowness = blended.clamp(FASTEST, SLOWEST);
+        load.slowness = blended.clamp(MIN_SLOWNESS, MAX_SLOWNESS);
     }
 
-    /// Notes how a request ended.
+    /// Notes the outcome of an attempt.
     pub fn finish(&mut self, mut ticket: PlacedAttempt, outcome: SendOutcome, now: ClockTime) {
         if outcome == SendOutcome::Answered {
             self.note_first_event(&mut ticket, now);
         }
-        let Some(load) = self.load_counting(&ticket) else {
+        let Some(load) = self.load_of_attempt(&ticket) else {
             return;
         };
         load.running = load.running.saturating_sub(1);
         if !ticket.began {
-            load.unread = load.unread.less(ticket.unread);
+            load.pending_prefill = load.pending_prefill.less(ticket.uncached_tokens);
         }
-        let gave_up_waiting = outcome == SendOutcome::Cancelled && !ticket.began;
-        let outcome = match gave_up_waiting && load.silence.is_silent(now) {
+        let left_unanswered = outcome == SendOutcome::Cancelled && !ticket.began;
+        let outcome = match left_unanswered && load.stall.is_stalled(now) {
             true => SendOutcome::Broken,
             false => outcome,
         };
         match outcome {
             SendOutcome::Answered | SendOutcome::Refused | SendOutcome::Failed => {
-                load.silence.heard(now);
+                load.stall.note_activity(now);
             }
             SendOutcome::Broken | SendOutcome::Cancelled => {}
         }
         if load.running == 0 {
-            load.silence.idle();
+            load.stall.reset();
         }
         load.health.end(outcome, now);
     }
 
-    /// Notes that a further event of a stream has come.
+    /// Notes a further event of a stream.
     pub fn note_progress(&mut self, ticket: &PlacedAttempt, now: ClockTime) {
-        if let Some(load) = self.load_counting(ticket) {
-            load.silence.heard(now);
+        if let Some(load) = self.load_of_attempt(ticket) {
+            load.stall.note_activity(now);
         }
     }
 
-    /// Notes an upstream's own word of its load: all requests that it runs or keeps waiting.
+    /// Notes the load that an upstream reports: all requests that it runs or queues.
     pub fn note_load(&mut self, name: &UpstreamName, requests: u32, now: ClockTime) {
         if let Some(load) = self.loads.get_mut(name) {
-            load.others = f64::from(requests.saturating_sub(load.running));
-            load.others_at = now;
+            load.other_requests = f64::from(requests.saturating_sub(load.running));
+            load.reported_at = now;
         }
     }
 
-    /// Forgets an upstream that is gone, or what its earlier run was like.
+    /// Drops the state of an upstream that was removed or has restarted.
     pub fn forget(&mut self, name: &UpstreamName) {
         self.loads.remove(name);
     }
 
-    /// Own requests in flight at an upstream.
+    /// Requests of this instance in flight at an upstream.
     pub fn running(&self, name: &UpstreamName) -> u32 {
         self.loads.get(name).map_or(0, |load| load.running)
     }
 }
 
-struct UpstreamRating {
+struct CostEstimate {
     cost_ms: f64,
     expected_ms: f64,
-    unread: TokenCount,
+    uncached_tokens: TokenCount,
 }
 
-/// The id of the part of a prompt that other requests may share: all but its last part.
-fn shared_chain(parts: &[PromptPart]) -> Option<u64> {
+/// Id of the part of a prompt that other requests may share: all but its last part.
+fn shared_prefix_id(parts: &[PromptPart]) -> Option<u64> {
     let shared = parts.len().checked_sub(1)?;
-    chain_ids(&parts[..shared.max(1)]).last()
+    prefix_ids(&parts[..shared.max(1)]).last()
 }
 
-fn last_tokens(parts: &[PromptPart]) -> TokenCount {
+fn own_tokens(parts: &[PromptPart]) -> TokenCount {
     parts.last().map_or(TokenCount::ZERO, |part| part.tokens)
 }
 
-/// The upstream that all instances prefer for a shared prompt, by rendezvous hashing: without a
-/// word between them they send it to the same one, and it is read there once.
-fn first_by_rank(records: &[&UpstreamRecord], chain: u64) -> Option<UpstreamName> {
-    let rank = |record: &&&UpstreamRecord| mix(chain ^ hash_text(record.name.as_str()));
+/// The upstream that all instances prefer for a shared prefix, by rendezvous hashing. Without
+/// communication they send it to the same one, where it is prefilled once.
+fn preferred_by_hash(records: &[&UpstreamRecord], prefix: u64) -> Option<UpstreamName> {
+    let rank = |record: &&&UpstreamRecord| mix(prefix ^ hash_name(record.name.as_str()));
     records.iter().max_by_key(rank).map(|record| record.name.clone())
 }
--- a/crates/sagespool-forward/src/placement/load.rs
+++ b/crates/sagespool-forward/src/placement/load.rs
@@ -1,61 +1,61 @@
-//! What an instance knows of one upstream's load.
+//! The load of one upstream.
 
 use std::time::Duration;
 
 use sagespool_types::{ClockTime, TokenCount};
 
 use super::health::UpstreamHealth;
-use super::silence::SilenceWatch;
+use super::stall::StallDetector;
 use crate::EngineProfile;
-use crate::engine::PartCache;
+use crate::prefix_cache::PrefixCache;
 
-/// Word of other instances' requests is half as good after this time: requests last about a second.
-const OTHERS_HALF_LIFE: Duration = Duration::from_millis(700);
+/// A load report loses half its weight in this time, since requests last about a second.
+const REPORT_HALF_LIFE: Duration = Duration::from_millis(700);
 
-/// One upstream's load: what this instance sent there, and what it was told of others'.
+/// One upstream's load: the requests of this instance, and the reported load of others.
 #[derive(Debug)]
 pub(super) struct UpstreamLoad {
-    /// Tells this load from those of earlier runs of the upstream.
+    /// Distinguishes this load from those of earlier runs of the upstream.
     pub(super) id: u64,
-    /// Own requests in flight.
+    /// Requests of this instance in flight.
     pub(super) running: u32,
-    /// Tokens of own requests that the upstream has still to read.
-    pub(super) unread: TokenCount,
-    /// Requests of others, as its newest answer told.
-    pub(super) others: f64,
-    pub(super) others_at: ClockTime,
-    /// Observed against expected time; 1 is as expected.
+    /// Prompt tokens of those requests that the upstream has not prefilled yet.
+    pub(super) pending_prefill: TokenCount,
+    /// Requests of other instances, by the latest report.
+    pub(super) other_requests: f64,
+    pub(super) reported_at: ClockTime,
+    /// Ratio of observed to expected time; 1 is as expected.
     pub(super) slowness: f64,
-    /// When its speed was observed last.
-    pub(super) observed: ClockTime,
-    /// When it was chosen last.
-    pub(super) chosen: ClockTime,
-    pub(super) cache: Option<PartCache>,
+    /// When the slowness was last updated.
+    pub(super) slowness_updated_at: ClockTime,
+    /// When the upstream was last chosen.
+    pub(super) last_chosen_at: ClockTime,
+    pub(super) cache: Option<PrefixCache>,
     pub(super) health: UpstreamHealth,
-    pub(super) silence: SilenceWatch,
+    pub(super) stall: StallDetector,
 }
 
 impl UpstreamLoad {
-    /// An upstream of which nothing is known yet.
+    /// Load of an upstream without any observations.
     pub(super) fn new(id: u64, engine: Option<&EngineProfile>) -> Self {
         Self {
             id,
             running: 0,
-            unread: TokenCount::ZERO,
-            others: 0.0,
-            others_at: ClockTime::default(),
+            pending_prefill: TokenCount::ZERO,
+            other_requests: 0.0,
+            reported_at: ClockTime::default(),
             slowness: 1.0,
-            observed: ClockTime::default(),
-            chosen: ClockTime::default(),
-            cache: engine.map(|traits| PartCache::new(traits.memory)),
+            slowness_updated_at: ClockTime::default(),
+            last_chosen_at: ClockTime::default(),
+            cache: engine.map(|profile| PrefixCache::new(profile.memory)),
             health: UpstreamHealth::default(),
-            silence: SilenceWatch::default(),
+            stall: StallDetector::default(),
         }
     }
 
-    /// Requests of others, as far as they are known.
-    pub(super) fn others_now(&self, now: ClockTime) -> f64 {
-        let age = now.since(self.others_at).as_secs_f64() / OTHERS_HALF_LIFE.as_secs_f64();
-        self.others * 0.5f64.powf(age)
+    /// Estimated requests of other instances, decayed by the age of the report.
+    pub(super) fn other_requests_now(&self, now: ClockTime) -> f64 {
+        let age = now.since(self.reported_at).as_secs_f64() / REPORT_HALF_LIFE.as_secs_f64();
+        self.other_requests * 0.5f64.powf(age)
     }
 }
--- a/crates/sagespool-forward/src/demand.rs
+++ b/crates/sagespool-forward/src/request.rs
@@ -1,23 +1,23 @@
-//! What a caller asks for, as far as forwarding looks at it.
+//! The attributes of a request that forwarding uses.
 
 use std::time::Duration;
 
 use sagespool_types::TokenCount;
 
-/// A request's terms, decoded from its header.
+/// Attributes of a request, decoded from its header.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestAttributes {
-    /// The caller's id of this one try.
+    /// The caller's id of this attempt.
     pub request: String,
-    /// How long the caller waits.
+    /// How long the caller waits for the response. None if the header has no deadline.
     pub timeout: Option<Duration>,
-    /// The key that tells the client account.
+    /// The key that identifies the client account.
     pub key: Option<String>,
     /// The tokens that it may use.
     pub tokens: Option<DeclaredTokens>,
-    /// The parts of its prompt in order; engines keep what they have read.
+    /// The parts of its prompt in order. Engines cache parts that they have prefilled.
     pub parts: Vec<PromptPart>,
-    /// The last event that the caller has, if it goes on with a stream.
+    /// Id of the last event that the caller has received, if it resumes a stream.
     pub resume_after: Option<u64>,
 }
 
@@ -26,12 +26,12 @@
 pub struct DeclaredTokens {
     /// Tokens of its prompt.
     pub prompt: TokenCount,
-    /// The most tokens of its answer.
+    /// Maximum tokens of its response.
     pub answer: TokenCount,
 }
 
 impl DeclaredTokens {
-    /// The most that the request can cost.
+    /// The maximum cost of the request.
     pub fn most(self) -> TokenCount {
         self.prompt + self.answer
     }
@@ -40,7 +40,7 @@
 /// A part of a prompt that other requests may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// What the part is known by.
+    /// Identifies equal parts across requests.
     pub id: u64,
     /// Its length.
     pub tokens: TokenCount,
