--- a/crates/sagespool-forward/tests/cold_upstreams.rs
+++ b/crates/sagespool-forward/tests/cold_upstreams.rs
@@ -1,9 +1,9 @@
-//! The load of many instances on upstreams that have just started.
+//! Load of many instances on upstreams that have just started.
 //!
-//! Half of the engines of a service crash at once and come back cold and idle. To each instance they
-//! look like the best place for its next request, while each takes a few requests a second from all
-//! instances together and crashes above that. Instances don't ask each other; some are cut off, some
-//! have just started, and some are new to the others.
+//! Half of a service's engines crash at once and restart cold and idle. To each instance they look
+//! like the best choice, but each accepts only a few requests per second from all instances
+//! together and crashes above that. The instances don't communicate; some are partitioned, some
+//! have just started, and some are not known to the others yet.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,172 +11,183 @@
 use sagespool_forward::{SenderSelector, UpstreamThrottle, WarmupPolicy, WarmupProfile};
 use sagespool_types::{ClockTime, InstanceName, UpstreamName};
 
-const TERMS: WarmupPolicy = WarmupPolicy { overage: 1.5, slack: 5.0 };
+const POLICY: WarmupPolicy = WarmupPolicy { overage: 1.5, slack: 5.0 };
 const SECOND: Duration = Duration::from_secs(1);
 const STEP: Duration = Duration::from_millis(5);
 
-fn traits() -> WarmupProfile {
+fn profile() -> WarmupProfile {
     WarmupProfile { span: Duration::from_secs(3), per_second: 6.6 }
 }
 
-/// The most that all instances may send in a second.
-fn limit(traits: &WarmupProfile, terms: WarmupPolicy) -> usize {
-    (traits.per_second * terms.overage + terms.slack) as usize
+/// Maximum requests per second from all instances together.
+fn limit(profile: &WarmupProfile, policy: WarmupPolicy) -> usize {
+    (profile.per_second * policy.overage + policy.slack) as usize
 }
 
 fn instance(number: usize) -> InstanceName {
-    format!("gateway-{number}").parse().expect("a name")
+    format!("gateway-{number}").parse().expect("valid name")
 }
 
 fn upstream(number: usize) -> UpstreamName {
-    format!("i-{number}").parse().expect("a name")
+    format!("i-{number}").parse().expect("valid name")
 }
 
 struct Sender {
-    panel: SenderSelector,
-    guard: UpstreamThrottle,
+    selector: SenderSelector,
+    throttle: UpstreamThrottle,
 }
 
-/// Instances that know all that were listed, and perhaps newcomers that the others don't know.
+/// `listed` instances that have observed each other, and `newcomers` that observe all instances but
+/// are unknown to the listed ones.
 fn fleet(listed: usize, newcomers: usize, now: ClockTime) -> Vec<Sender> {
-    let old = || (0..listed).map(instance);
+    let known = || (0..listed).map(instance);
     let all = || (0..listed + newcomers).map(instance);
     (0..listed + newcomers)
         .map(|number| {
-            let mut panel = SenderSelector::new(instance(number));
+            let mut selector = SenderSelector::new(instance(number));
             match number < listed {
-                true => panel.observe_listed(old(), now),
-                false => panel.observe_listed(all(), now),
+                true => selector.observe_listed(known(), now),
+                false => selector.observe_listed(all(), now),
             }
-            Sender { panel, guard: UpstreamThrottle::new(TERMS) }
+            Sender { selector, throttle: UpstreamThrottle::new(POLICY) }
         })
         .collect()
 }
 
-/// What came of everybody's wish to send to one cold upstream, as much and as early as possible.
+/// Requests that reach one cold upstream if every instance sends as much and as early as it may.
 #[derive(Debug, Default)]
-struct ColdSecond {
-    /// The most requests that left within a second.
-    most: usize,
-    all: usize,
+struct ColdTraffic {
+    /// Largest number of requests dispatched within a second.
+    max_per_second: usize,
+    total: usize,
 }
 
-fn play(seed: u64, instances: usize, newcomers: usize, terms: WarmupPolicy) -> ColdSecond {
+fn simulate(seed: u64, instances: usize, newcomers: usize, policy: WarmupPolicy) -> ColdTraffic {
     let mut random = fastrand::Rng::with_seed(seed);
-    let traits = traits();
+    let profile = profile();
     let name = upstream(random.usize(0..1_000));
     let mut now = ClockTime::from_millis(1_000);
     let mut senders = fleet(instances, newcomers, now);
     for sender in &mut senders {
-        sender.guard = UpstreamThrottle::new(terms);
-        sender.guard.note_cold(&name, traits.span, now);
+        sender.throttle = UpstreamThrottle::new(policy);
+        sender.throttle.note_cold(&name, profile.span, now);
     }
-    let end = now.after(traits.span);
-    // Requests that wait for a connection, and when they leave.
-    let mut opening: Vec<(usize, ClockTime, ClockTime)> = Vec::new();
-    let mut left: VecDeque<ClockTime> = VecDeque::new();
-    let mut seen = ColdSecond::default();
+    let end = now.after(profile.span);
+    // Requests that wait for a connection: sender, placement and dispatch.
+    let mut connecting: Vec<(usize, ClockTime, ClockTime)> = Vec::new();
+    let mut dispatched: VecDeque<ClockTime> = VecDeque::new();
+    let mut traffic = ColdTraffic::default();
     while now < end {
         for (number, sender) in senders.iter_mut().enumerate() {
-            if random.f64() < 0.3 && sender.guard.admits(&name, Some(&traits), &sender.panel, now) {
-                sender.guard.count_placement(&name, now);
-                let pause = if random.bool() { 0 } else { random.u64(0..300) };
-                opening.push((number, now, now.after(Duration::from_millis(pause))));
+            if random.f64() < 0.3
+                && sender.throttle.admits(&name, Some(&profile), &sender.selector, now)
+            {
+                sender.throttle.count_placement(&name, now);
+                let connect_ms = if random.bool() { 0 } else { random.u64(0..300) };
+                connecting.push((number, now, now.after(Duration::from_millis(connect_ms))));
             }
         }
-        for (number, chosen, at) in opening.extract_if(.., |(_, _, at)| *at <= now) {
-            senders[number].guard.note_dispatched(&name, chosen, at);
-            left.push_back(at);
-            seen.all += 1;
+        for (number, chosen, at) in connecting.extract_if(.., |(_, _, at)| *at <= now) {
+            senders[number].throttle.note_dispatched(&name, chosen, at);
+            dispatched.push_back(at);
+            traffic.total += 1;
         }
-        left.make_contiguous().sort_unstable();
-        while left.front().is_some_and(|at| now.since(*at) >= SECOND) {
-            left.pop_front();
+        dispatched.make_contiguous().sort_unstable();
+        while dispatched.front().is_some_and(|at| now.since(*at) >= SECOND) {
+            dispatched.pop_front();
         }
-        seen.most = seen.most.max(left.len());
+        traffic.max_per_second = traffic.max_per_second.max(dispatched.len());
         now = now.after(STEP);
     }
-    seen
+    traffic
 }
 
-/// Guards against instances that each send a little to a cold upstream, and crash it together.
+/// Guards against instances that each send a little to a cold upstream and together crash it.
 #[test]
 fn limit_held() {
     for (instances, seeds) in [(1, 40), (4, 100), (26, 30), (100, 3), (300, 1)] {
         for seed in 0..seeds {
-            let seen = play(seed, instances, usize::from(seed % 3 == 0), TERMS);
-            let most = limit(&traits(), TERMS);
-            assert!(seen.most <= most, "seed {seed}, {instances} instances: {seen:?}");
+            let traffic = simulate(seed, instances, usize::from(seed % 3 == 0), POLICY);
+            let max_per_second = limit(&profile(), POLICY);
+            assert!(
+                traffic.max_per_second <= max_per_second,
+                "seed {seed}, {instances} instances: {traffic:?}"
+            );
         }
     }
 }
 
-/// Guards against terms so narrow that one request of each sender is already too much.
+/// Guards against policies so narrow that one request of each sender exceeds the limit.
 #[test]
-fn narrow_terms() {
+fn narrow_policy() {
     for (overage, slack) in [(0.0, 0.0), (0.1, 0.0), (0.3, 0.0), (0.5, 0.0), (1.0, 0.0), (1.0, 1.0)]
     {
-        let terms = WarmupPolicy { overage, slack };
+        let policy = WarmupPolicy { overage, slack };
         for seed in 0..4 {
-            let seen = play(seed, 40, usize::from(seed % 2 == 0), terms);
-            assert!(seen.most <= limit(&traits(), terms), "{terms:?}, seed {seed}: {seen:?}");
+            let traffic = simulate(seed, 40, usize::from(seed % 2 == 0), policy);
+            assert!(
+                traffic.max_per_second <= limit(&profile(), policy),
+                "{policy:?}, seed {seed}: {traffic:?}"
+            );
         }
     }
 }
 
-/// Guards against cold upstreams that get nothing though they could carry a part of the load: with a
-/// whole service cold, nothing would be served.
+/// Guards against cold upstreams that get no requests although they have some capacity. With all
+/// upstreams of a service cold, none would be served.
 #[test]
-fn work_carried() {
+fn cold_capacity_used() {
     for instances in [4, 26, 100] {
-        let all: usize = (0..4).map(|seed| play(seed, instances, 0, TERMS).all).sum();
-        let each_second = all as f64 / 4.0 / traits().span.as_secs_f64();
-        assert!(each_second >= traits().per_second, "{instances} instances: {each_second}");
+        let total: usize = (0..4).map(|seed| simulate(seed, instances, 0, POLICY).total).sum();
+        let each_second = total as f64 / 4.0 / profile().span.as_secs_f64();
+        assert!(each_second >= profile().per_second, "{instances} instances: {each_second}");
     }
 }
 
-/// Guards against a cut in which each instance hears nobody and takes itself for the only sender.
+/// Guards against a partition in which each instance observes no other and considers itself the
+/// only sender.
 #[test]
-fn long_cut() {
+fn long_partition() {
     let start = ClockTime::from_millis(1_000);
     let name = upstream(7);
     let mut senders = fleet(26, 0, start);
-    let count = |senders: &[Sender]| senders.iter().filter(|s| s.panel.is_sender(&name, 6)).count();
+    let count =
+        |senders: &[Sender]| senders.iter().filter(|s| s.selector.is_sender(&name, 6)).count();
     assert_eq!(count(&senders), 6);
     let later = start.after(Duration::from_secs(12));
     for (number, sender) in senders.iter_mut().enumerate() {
-        sender.panel.observe(std::iter::once(instance(number)), later);
+        sender.selector.observe(std::iter::once(instance(number)), later);
     }
     assert_eq!(count(&senders), 6);
 }
 
-/// Guards against a fleet that was killed and starts anew beside cold upstreams: nobody knows the others
-/// before the store has listed them.
+/// Guards against a fleet that restarts as a whole beside cold upstreams. No instance has observed
+/// the others before the store has listed them.
 #[test]
 fn fresh_instances() {
     let now = ClockTime::from_millis(1_000);
-    let mut panel = SenderSelector::new(instance(1));
-    panel.observe(std::iter::once(instance(1)), now);
-    assert!(!panel.is_sender(&upstream(1), 6));
-    panel.observe_listed((0..4).map(instance), now);
-    assert!(panel.is_sender(&upstream(1), 6));
+    let mut selector = SenderSelector::new(instance(1));
+    selector.observe(std::iter::once(instance(1)), now);
+    assert!(!selector.is_sender(&upstream(1), 6));
+    selector.observe_listed((0..4).map(instance), now);
+    assert!(selector.is_sender(&upstream(1), 6));
 }
 
-/// Guards against late word of a short rest that ends the caution too early, and against caution that
-/// never ends.
+/// Guards against a delayed report of a shorter cold time that ends the restriction too early, and
+/// against a restriction that never ends.
 #[test]
-fn late_word() {
+fn late_cold_report() {
     let now = ClockTime::from_millis(1_000);
-    let mut guard = UpstreamThrottle::new(TERMS);
+    let mut throttle = UpstreamThrottle::new(POLICY);
     let name = upstream(1);
-    assert!(guard.note_cold(&name, Duration::from_secs(3), now));
-    assert!(!guard.note_cold(&name, Duration::from_secs(1), now));
-    assert!(guard.is_cold(&name, now.after(Duration::from_millis(2_900))));
+    assert!(throttle.note_cold(&name, Duration::from_secs(3), now));
+    assert!(!throttle.note_cold(&name, Duration::from_secs(1), now));
+    assert!(throttle.is_cold(&name, now.after(Duration::from_millis(2_900))));
     let warm = now.after(Duration::from_secs(3));
-    assert!(!guard.is_cold(&name, warm));
-    let panel = SenderSelector::new(instance(1));
-    assert!(guard.admits(&name, Some(&traits()), &panel, warm));
-    // It may turn cold again at any moment.
-    assert!(guard.note_cold(&name, Duration::from_secs(3), warm));
-    assert!(!guard.admits(&name, Some(&traits()), &panel, warm));
+    assert!(!throttle.is_cold(&name, warm));
+    let selector = SenderSelector::new(instance(1));
+    assert!(throttle.admits(&name, Some(&profile()), &selector, warm));
+    // An upstream may become cold again at any time.
+    assert!(throttle.note_cold(&name, Duration::from_secs(3), warm));
+    assert!(!throttle.admits(&name, Some(&profile()), &selector, warm));
 }
--- a/crates/sagespool-forward/tests/failing_upstreams.rs
+++ b/crates/sagespool-forward/tests/failing_upstreams.rs
@@ -1,4 +1,4 @@
-//! Upstreams that fail while they look well: who gets work, and when they are tried again.
+//! Upstreams that fail although they look healthy: their ejection, and when they are probed again.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests")]
 
@@ -27,69 +27,74 @@
     ["i-1", "i-2", "i-3", "i-4"].map(upstream).to_vec()
 }
 
-/// Plays requests one after the other, 20 ms apart, and counts those that go to the first upstream.
-fn play(board: &mut LoadBalancer, from_ms: u64, count: u64, bad: SendOutcome) -> u64 {
+/// Simulates sequential requests, 20 ms apart, and counts those sent to the first upstream.
+fn simulate(
+    balancer: &mut LoadBalancer,
+    from_ms: u64,
+    count: u64,
+    first_outcome: SendOutcome,
+) -> u64 {
     let upstreams = upstreams();
     let centre = centre();
     let shape = RequestProfile { parts: &[], engine: None, centre: &centre, repeatable: true };
     let mut hits = 0;
     for step in 0..count {
         let now = ClockTime::from_millis(from_ms + step * 20);
-        let ticket = board.choose(upstreams.iter(), shape, &[], now).unwrap();
-        let first = ticket.upstream.name.as_str() == "i-1";
-        hits += u64::from(first);
-        let outcome = if first { bad } else { SendOutcome::Answered };
-        board.finish(ticket, outcome, ClockTime::from_millis(from_ms + step * 20 + 15));
+        let ticket = balancer.choose(upstreams.iter(), shape, &[], now).unwrap();
+        let is_first = ticket.upstream.name.as_str() == "i-1";
+        hits += u64::from(is_first);
+        let outcome = if is_first { first_outcome } else { SendOutcome::Answered };
+        balancer.finish(ticket, outcome, ClockTime::from_millis(from_ms + step * 20 + 15));
     }
     hits
 }
 
-/// One of four upstreams is cut off: connections to it break. After two of them it gets single
-/// tries only, ever more seldom, in place of a quarter of all requests.
+/// One of four upstreams is partitioned, and connections to it break. After two failures it gets
+/// only single probes at growing intervals, instead of a quarter of all requests.
 #[test]
-fn cut_off_upstream() {
-    let mut board = LoadBalancer::new(PlacementPolicy::default());
-    let hits = play(&mut board, 1_000, 500, SendOutcome::Broken);
-    assert!(hits <= 12, "{hits} of 500 requests went to the cut-off upstream");
+fn partitioned_upstream() {
+    let mut balancer = LoadBalancer::new(PlacementPolicy::default());
+    let hits = simulate(&mut balancer, 1_000, 500, SendOutcome::Broken);
+    assert!(hits <= 12, "{hits} of 500 requests went to the partitioned upstream");
 }
 
-/// It is well again: within a few seconds it has its share back.
+/// The upstream recovers and gets its share back within a few seconds.
 #[test]
-fn back_again() {
-    let mut board = LoadBalancer::new(PlacementPolicy::default());
-    play(&mut board, 1_000, 500, SendOutcome::Broken);
-    play(&mut board, 11_000, 300, SendOutcome::Answered);
-    let hits = play(&mut board, 17_000, 400, SendOutcome::Answered);
-    assert!(hits >= 50, "{hits} of 400 requests went to the sound upstream");
+fn recovered_upstream() {
+    let mut balancer = LoadBalancer::new(PlacementPolicy::default());
+    simulate(&mut balancer, 1_000, 500, SendOutcome::Broken);
+    simulate(&mut balancer, 11_000, 300, SendOutcome::Answered);
+    let hits = simulate(&mut balancer, 17_000, 400, SendOutcome::Answered);
+    assert!(hits >= 50, "{hits} of 400 requests went to the recovered upstream");
 }
 
-/// All upstreams fail at once, which is more likely this side's own trouble: somebody gets the
-/// request all the same.
+/// All upstreams fail at once, which more likely has a local cause. Requests must still be sent.
 #[test]
 fn all_fail() {
-    let mut board = LoadBalancer::new(PlacementPolicy::default());
+    let mut balancer = LoadBalancer::new(PlacementPolicy::default());
     let upstreams = upstreams();
     let centre = centre();
     let shape = RequestProfile { parts: &[], engine: None, centre: &centre, repeatable: true };
     for step in 0..200 {
         let now = ClockTime::from_millis(1_000 + step * 20);
-        let ticket = board.choose(upstreams.iter(), shape, &[], now);
-        board.finish(ticket.unwrap(), SendOutcome::Broken, now);
+        let ticket = balancer.choose(upstreams.iter(), shape, &[], now);
+        balancer.finish(ticket.unwrap(), SendOutcome::Broken, now);
     }
 }
 
-/// Guards against upstreams that never get a request, since another one answers within a millisecond.
+/// Guards against upstreams that never get a request because another one responds within a
+/// millisecond.
 #[test]
 fn untried_upstreams() {
-    let mut board = LoadBalancer::new(PlacementPolicy::default());
+    let mut balancer = LoadBalancer::new(PlacementPolicy::default());
     let (upstreams, centre) = (upstreams(), centre());
     let shape = RequestProfile { parts: &[], engine: None, centre: &centre, repeatable: true };
     let mut chosen = std::collections::BTreeSet::new();
     for step in 0..1_000 {
         let now = ClockTime::from_millis(1_000 + step * 20);
-        let ticket = board.choose(upstreams.iter(), shape, &[], now).unwrap();
+        let ticket = balancer.choose(upstreams.iter(), shape, &[], now).unwrap();
         chosen.insert(ticket.upstream.name.clone());
-        board.finish(ticket, SendOutcome::Answered, now.after(Duration::from_millis(1)));
+        balancer.finish(ticket, SendOutcome::Answered, now.after(Duration::from_millis(1)));
     }
-    assert_eq!(chosen.len(), upstreams.len(), "within 20 s");
+    assert_eq!(chosen.len(), upstreams.len(), "upstreams chosen within 20 s");
 }
--- a/crates/sagespool-forward/tests/said_leaving.rs
+++ b/crates/sagespool-forward/tests/leaving_responses.rs
@@ -1,4 +1,4 @@
-//! Upstreams that say in their answers that they leave, while their entries come and go.
+//! Upstreams that report in responses that they are leaving, while their entries come and go.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests")]
 
@@ -29,57 +29,57 @@
     }
 }
 
-/// One thing that happens: to which upstream, and what.
+/// An event and the upstream that it concerns.
 type Step = (u8, u8);
 
 quickcheck! {
-    /// Guards against work for a run that has said that it leaves, whatever the store shows, and against
-    /// a next run that gets none.
-    fn never_again(steps: Vec<Step>) -> bool {
-        let mut roster = UpstreamRegistry::default();
+    /// Guards against requests to a run that has reported that it is leaving, whatever the store
+    /// lists, and against a later run that gets none.
+    fn no_requests_after_leaving(steps: Vec<Step>) -> bool {
+        let mut registry = UpstreamRegistry::default();
         let mut born = [1; UPSTREAMS as usize];
-        let mut left: HashSet<UpstreamRun> = HashSet::new();
+        let mut leaving: HashSet<UpstreamRun> = HashSet::new();
         let mut now = ClockTime::from_millis(1_000);
-        for (what, which) in steps {
+        for (event, which) in steps {
             now = now.after(Duration::from_millis(300));
             let number = u64::from(which) % UPSTREAMS;
             let run = &mut born[number as usize];
             let known = record(number, *run);
-            match what % 7 {
-                0 => drop(roster.put(known)),
-                1 => drop(roster.remove(&known.name, now)),
+            match event % 7 {
+                0 => drop(registry.put(known)),
+                1 => drop(registry.remove(&known.name, now)),
                 2 => {
                     *run += 1;
-                    drop(roster.put(record(number, *run)));
+                    drop(registry.put(record(number, *run)));
                 }
                 3 => {
-                    roster.note_leaving(&known.run(), now);
-                    left.insert(known.run());
+                    registry.note_leaving(&known.run(), now);
+                    leaving.insert(known.run());
                 }
-                // An answer of the run before, which comes late.
+                // A late response of the earlier run.
                 4 if *run > 1 => {
                     let former = record(number, *run - 1).run();
-                    roster.note_leaving(&former, now);
-                    left.insert(former);
+                    registry.note_leaving(&former, now);
+                    leaving.insert(former);
                 }
-                5 => roster.store_returned(Duration::from_secs(3), now),
+                5 => registry.store_returned(Duration::from_secs(3), now),
                 _ => {
                     let all = (0..UPSTREAMS).map(|number| record(number, born[number as usize]));
-                    roster.replace(all.collect(), now);
-                    roster.expire(now);
+                    registry.replace(all.collect(), now);
+                    registry.expire(now);
                 }
             }
             let service = service();
             let ready: HashSet<UpstreamRun> =
-                roster.ready(&service).map(UpstreamRecord::run).collect();
-            if ready.intersection(&left).next().is_some() {
+                registry.ready(&service).map(UpstreamRecord::run).collect();
+            if ready.intersection(&leaving).next().is_some() {
                 return false;
             }
         }
-        // All are listed: whoever hasn't said that it leaves gets work.
+        // With all upstreams listed, exactly those that have not reported leaving are eligible.
         let all = (0..UPSTREAMS).map(|number| record(number, born[number as usize]));
-        let expected = all.clone().filter(|record| !left.contains(&record.run())).count();
-        roster.replace(all.collect(), now);
-        roster.ready(&service()).count() == expected
+        let expected = all.clone().filter(|record| !leaving.contains(&record.run())).count();
+        registry.replace(all.collect(), now);
+        registry.ready(&service()).count() == expected
     }
 }
--- a/crates/sagespool-forward/tests/restarted_upstreams.rs
+++ b/crates/sagespool-forward/tests/restarted_upstreams.rs
@@ -1,4 +1,4 @@
-//! Upstreams that start again under the name that they had.
+//! Upstreams that restart under the same name.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests")]
 
@@ -34,76 +34,76 @@
 }
 
 fn choose(
-    board: &mut LoadBalancer,
+    balancer: &mut LoadBalancer,
     record: &UpstreamRecord,
     tried: &[UpstreamRun],
 ) -> Option<PlacedAttempt> {
     let centre = centre();
     let shape = RequestProfile { parts: &[], engine: None, centre: &centre, repeatable: true };
-    board.choose(std::iter::once(record), shape, tried, at(10))
+    balancer.choose(std::iter::once(record), shape, tried, at(10))
 }
 
 #[test]
 fn restart_noticed() {
-    let mut roster = UpstreamRegistry::default();
-    assert_eq!(roster.put(record(1)).1, UpstreamChange::Joined);
-    assert_eq!(roster.put(record(1)).1, UpstreamChange::Unchanged);
-    assert_eq!(roster.put(record(2)).1, UpstreamChange::Restarted);
-    // Clocks step back: another time is another run, whichever is later.
-    assert_eq!(roster.put(record(1)).1, UpstreamChange::Restarted);
+    let mut registry = UpstreamRegistry::default();
+    assert_eq!(registry.put(record(1)).1, UpstreamChange::Joined);
+    assert_eq!(registry.put(record(1)).1, UpstreamChange::Unchanged);
+    assert_eq!(registry.put(record(2)).1, UpstreamChange::Restarted);
+    // Clocks may step back: any different start time is another run.
+    assert_eq!(registry.put(record(1)).1, UpstreamChange::Restarted);
 }
 
-/// A new run is counted busy with requests of the run before, which never end there: it seems full
-/// for the rest of the day, and gets less work than others.
+/// Requests of the earlier run never end at the new one. If they were counted there, it would seem
+/// loaded for good and get fewer requests than others.
 #[test]
-fn requests_of_before() {
-    let mut board = LoadBalancer::new(PlacementPolicy::default());
+fn requests_of_earlier_run() {
+    let mut balancer = LoadBalancer::new(PlacementPolicy::default());
     let name = record(1).name;
     let tickets: Vec<PlacedAttempt> =
-        (0..REQUESTS).map(|_| choose(&mut board, &record(1), &[]).unwrap()).collect();
-    assert_eq!(board.running(&name) as usize, REQUESTS);
-    board.forget(&name);
-    let fresh = choose(&mut board, &record(2), &[]).unwrap();
+        (0..REQUESTS).map(|_| choose(&mut balancer, &record(1), &[]).unwrap()).collect();
+    assert_eq!(balancer.running(&name) as usize, REQUESTS);
+    balancer.forget(&name);
+    let fresh = choose(&mut balancer, &record(2), &[]).unwrap();
     for ticket in tickets {
-        board.finish(ticket, SendOutcome::Broken, at(20));
+        balancer.finish(ticket, SendOutcome::Broken, at(20));
     }
-    assert_eq!(board.running(&name), 1);
-    // Nor do the broken answers of the run before eject the new one.
-    board.finish(fresh, SendOutcome::Answered, at(25));
-    assert_eq!(board.running(&name), 0);
+    assert_eq!(balancer.running(&name), 1);
+    // Broken responses of the earlier run don't eject the new one either.
+    balancer.finish(fresh, SendOutcome::Answered, at(25));
+    assert_eq!(balancer.running(&name), 0);
 }
 
 #[test]
-fn tried_before() {
-    let mut board = LoadBalancer::new(PlacementPolicy::default());
+fn restarted_run_untried() {
+    let mut balancer = LoadBalancer::new(PlacementPolicy::default());
     let tried = [record(1).run()];
-    assert!(choose(&mut board, &record(1), &tried).is_none());
-    assert!(choose(&mut board, &record(2), &tried).is_some());
+    assert!(choose(&mut balancer, &record(1), &tried).is_none());
+    assert!(choose(&mut balancer, &record(2), &tried).is_some());
 }
 
 #[test]
-fn replaced_then_back() {
-    let mut roster = UpstreamRegistry::default();
+fn replaced_then_restarted() {
+    let mut registry = UpstreamRegistry::default();
     let service = record(1).service;
-    roster.put(record(1));
-    roster.mark_replaced(&record(1).name);
-    assert_eq!(roster.ready(&service).count(), 0);
-    roster.put(record(2));
-    assert_eq!(roster.ready(&service).count(), 1);
+    registry.put(record(1));
+    registry.mark_replaced(&record(1).name);
+    assert_eq!(registry.ready(&service).count(), 0);
+    registry.put(record(2));
+    assert_eq!(registry.ready(&service).count(), 1);
 }
 
-/// Another writer spoils the entry of an upstream: it stands for one that leaves. Of an upstream
-/// that was never known it tells nothing.
+/// Another writer corrupts the entry of an upstream, which then counts as leaving. An unknown
+/// upstream stays unknown.
 #[test]
 fn unreadable_entry() {
-    let mut roster = UpstreamRegistry::default();
+    let mut registry = UpstreamRegistry::default();
     let name = record(1).name;
-    assert!(roster.record_for_unreadable(&name).is_none());
-    roster.put(record(1));
-    let stands_for = roster.record_for_unreadable(&name).unwrap();
-    assert_eq!(roster.put(stands_for).1, UpstreamChange::Leaving);
-    assert_eq!(roster.ready(&record(1).service).count(), 0);
-    assert!(roster.get(&name).is_some());
-    assert_eq!(roster.put(record(1)).1, UpstreamChange::Joined);
-    assert_eq!(roster.ready(&record(1).service).count(), 1);
+    assert!(registry.record_for_unreadable(&name).is_none());
+    registry.put(record(1));
+    let substitute = registry.record_for_unreadable(&name).unwrap();
+    assert_eq!(registry.put(substitute).1, UpstreamChange::Leaving);
+    assert_eq!(registry.ready(&record(1).service).count(), 0);
+    assert!(registry.get(&name).is_some());
+    assert_eq!(registry.put(record(1)).1, UpstreamChange::Joined);
+    assert_eq!(registry.ready(&record(1).service).count(), 1);
 }
