--- a/crates/sagespool-forward/src/feed.rs
+++ b/crates/sagespool-forward/src/feed.rs
@@ -182,10 +182,10 @@
         own: IncarnationId,
         neighbours: &[IncarnationId],
         own_age: Option<Duration>,
-        terms: FeedTiming,
+        timing: FeedTiming,
         now: ClockTime,
     ) -> FeedSource {
-        if own_age.is_none_or(|age| age > terms.max_age) {
+        if own_age.is_none_or(|age| age > timing.max_age) {
             return FeedSource::Store;
         }
         self.avoided.retain(|(_, until)| *until > now);
--- a/crates/sagespool-forward/src/lib.rs
+++ b/crates/sagespool-forward/src/lib.rs
@@ -3,15 +3,15 @@
 //! A [`ForwardPlan`] is one version of the configuration: routes, services and client accounts.
 //! [`PlanIndex`] finds the route and the account of a request. [`UpstreamRegistry`] holds the
 //! upstreams that are eligible for requests, [`LoadBalancer`] chooses among them, [`RetryBudget`]
-//! limits retries, [`AdmissionController`] rejects requests that an overloaded instance can't answer in
-//! time, [`UpstreamThrottle`] limits requests to upstreams that are cold, name a rate limit or request
-//! backoff, and [`EventSplitter`] splits streams into complete events.
+//! limits retries, [`AdmissionController`] rejects requests that an overloaded instance can't
+//! answer in time, [`UpstreamThrottle`] limits requests to upstreams that are cold, name a rate
+//! limit or request backoff, and [`EventSplitter`] splits streams into complete events.
 //!
 //! ```
 //! use sagespool_forward::EventSplitter;
 //!
-//! let mut cutter = EventSplitter::default();
-//! let complete = cutter.push(b"id: 1\ndata: a\n\nid: 2\nda");
+//! let mut splitter = EventSplitter::default();
+//! let complete = splitter.push(b"id: 1\ndata: a\n\nid: 2\nda");
 //! assert_eq!(complete.bytes, b"id: 1\ndata: a\n\n");
 //! assert_eq!(complete.last_id, Some(1));
 //! ```
--- a/crates/sagespool-forward/src/placement.rs
+++ b/crates/sagespool-forward/src/placement.rs
@@ -132,57 +132,57 @@
     pub fn choose<'a>(
         &mut self,
         candidates: impl Iterator<Item = &'a UpstreamRecord>,
-        shape: RequestProfile<'_>,
+        request: RequestProfile<'_>,
         tried: &[UpstreamRun],
         now: ClockTime,
     ) -> Option<PlacedAttempt> {
         let candidates: Vec<&UpstreamRecord> =
             candidates.filter(|record| !tried.contains(&record.run())).collect();
         let healthy: Vec<&UpstreamRecord> =
-            candidates.iter().copied().filter(|record| self.admits(record, shape, now)).collect();
+            candidates.iter().copied().filter(|record| self.admits(record, request, now)).collect();
         // If most upstreams are ejected, the cause is more likely on this side: use all of them.
         let usable = if healthy.len() * 2 >= candidates.len() { healthy } else { candidates };
         let preferred =
-            shared_prefix_id(shape.parts).and_then(|prefix| preferred_by_hash(&usable, prefix));
+            shared_prefix_id(request.parts).and_then(|prefix| preferred_by_hash(&usable, prefix));
         let estimated = usable.into_iter().map(|record| {
             let is_preferred = preferred.as_ref() == Some(&record.name);
-            (record, self.estimate_cost(record, shape, is_preferred, now))
+            (record, self.estimate_cost(record, request, is_preferred, now))
         });
         let (record, estimate) = estimated.min_by(|a, b| a.1.cost_ms.total_cmp(&b.1.cost_ms))?;
-        Some(self.place(record.clone(), estimate, shape, now))
+        Some(self.place(record.clone(), estimate, request, now))
     }
 
-    fn admits(&self, record: &UpstreamRecord, shape: RequestProfile<'_>, now: ClockTime) -> bool {
+    fn admits(&self, record: &UpstreamRecord, request: RequestProfile<'_>, now: ClockTime) -> bool {
         self.loads.get(&record.name).is_none_or(|load| {
-            load.health.admits(shape.repeatable, now) && !load.stall.is_stalled(now)
+            load.health.admits(request.repeatable, now) && !load.stall.is_stalled(now)
         })
     }
 
     fn estimate_cost(
         &mut self,
         record: &UpstreamRecord,
-        shape: RequestProfile<'_>,
+        request: RequestProfile<'_>,
         is_preferred: bool,
         now: ClockTime,
     ) -> CostEstimate {
         let policy = self.policy;
-        let load = self.load_of(&record.name, shape.engine);
+        let load = self.load_of(&record.name, request.engine);
         let running = f64::from(load.running) + load.other_requests_now(now);
         let distance_ms =
-            if record.centre == *shape.centre { 0.0 } else { policy.remote_centre_ms };
+            if record.centre == *request.centre { 0.0 } else { policy.remote_centre_ms };
         // Random tie-breaking keeps instances from all choosing the same upstream.
         let jitter = fastrand::f64() * TIE_JITTER_MS;
         let mut reprefill_ms = 0.0;
         let (expected_ms, uncached_tokens) = match &load.cache {
             Some(cache) => {
-                let all: TokenCount = shape.parts.iter().map(|part| part.tokens).sum();
-                let uncached_tokens = all.less(cache.cached_tokens(shape.parts));
-                let shared_weight = if is_preferred && uncached_tokens > own_tokens(shape.parts) {
+                let all: TokenCount = request.parts.iter().map(|part| part.tokens).sum();
+                let uncached_tokens = all.less(cache.cached_tokens(request.parts));
+                let shared_weight = if is_preferred && uncached_tokens > own_tokens(request.parts) {
                     policy.assumed_cached_factor
                 } else {
                     1.0
                 };
-                let own = own_tokens(shape.parts).0 as f64;
+                let own = own_tokens(request.parts).0 as f64;
                 let shared = uncached_tokens.0 as f64 - own.min(uncached_tokens.0 as f64);
                 let prefill_ms = (own + shared * shared_weight) / policy.prefill_tokens_per_ms;
                 reprefill_ms = shared * shared_weight / policy.prefill_tokens_per_ms
@@ -209,15 +209,15 @@
         &mut self,
         upstream: UpstreamRecord,
         estimate: CostEstimate,
-        shape: RequestProfile<'_>,
+        request: RequestProfile<'_>,
         now: ClockTime,
     ) -> PlacedAttempt {
-        let load = self.load_of(&upstream.name, shape.engine);
+        let load = self.load_of(&upstream.name, request.engine);
         load.running += 1;
         load.last_chosen_at = now;
         load.pending_prefill += estimate.uncached_tokens;
         if let Some(cache) = &mut load.cache {
-            cache.record(shape.parts);
+            cache.record(request.parts);
         }
         load.health.begin(now);
         let expected = Duration::from_secs_f64(estimate.expected_ms / 1000.0);
@@ -247,24 +247,24 @@
 
     /// The load that an attempt is counted in. None if the upstream was forgotten since: outcomes
     /// of an earlier run are no evidence about the present one.
-    fn load_of_attempt(&mut self, ticket: &PlacedAttempt) -> Option<&mut UpstreamLoad> {
-        let load = self.loads.get_mut(&ticket.upstream.name)?;
-        (load.id == ticket.load).then_some(load)
+    fn load_of_attempt(&mut self, attempt: &PlacedAttempt) -> Option<&mut UpstreamLoad> {
+        let load = self.loads.get_mut(&attempt.upstream.name)?;
+        (load.id == attempt.load).then_some(load)
     }
 
     /// Notes the first event of a stream, or the response.
-    pub fn note_first_event(&mut self, ticket: &mut PlacedAttempt, now: ClockTime) {
-        if ticket.began {
+    pub fn note_first_event(&mut self, attempt: &mut PlacedAttempt, now: ClockTime) {
+        if attempt.began {
             return;
         }
-        ticket.began = true;
-        let Some(load) = self.load_of_attempt(ticket) else {
+        attempt.began = true;
+        let Some(load) = self.load_of_attempt(attempt) else {
             return;
         };
-        load.pending_prefill = load.pending_prefill.less(ticket.uncached_tokens);
+        load.pending_prefill = load.pending_prefill.less(attempt.uncached_tokens);
         load.stall.note_activity(now);
-        let expected = ticket.expected.as_secs_f64().max(0.001);
-        let ratio = now.since(ticket.chosen_at).as_secs_f64() / expected * load.slowness;
+        let expected = attempt.expected.as_secs_f64().max(0.001);
+        let ratio = now.since(attempt.chosen_at).as_secs_f64() / expected * load.slowness;
         let is_stale = now.since(load.slowness_updated_at) > STALE_AFTER;
         let weight = if is_stale { 1.0 } else { SLOWNESS_WEIGHT };
         load.slowness_updated_at = now;
@@ -273,18 +273,18 @@
     }
 
     /// Notes the outcome of an attempt.
-    pub fn finish(&mut self, mut ticket: PlacedAttempt, outcome: SendOutcome, now: ClockTime) {
+    pub fn finish(&mut self, mut attempt: PlacedAttempt, outcome: SendOutcome, now: ClockTime) {
         if outcome == SendOutcome::Answered {
-            self.note_first_event(&mut ticket, now);
+            self.note_first_event(&mut attempt, now);
         }
-        let Some(load) = self.load_of_attempt(&ticket) else {
+        let Some(load) = self.load_of_attempt(&attempt) else {
             return;
         };
         load.running = load.running.saturating_sub(1);
-        if !ticket.began {
-            load.pending_prefill = load.pending_prefill.less(ticket.uncached_tokens);
+        if !attempt.began {
+            load.pending_prefill = load.pending_prefill.less(attempt.uncached_tokens);
         }
-        let left_unanswered = outcome == SendOutcome::Cancelled && !ticket.began;
+        let left_unanswered = outcome == SendOutcome::Cancelled && !attempt.began;
         let outcome = match left_unanswered && load.stall.is_stalled(now) {
             true => SendOutcome::Broken,
             false => outcome,
@@ -302,8 +302,8 @@
     }
 
     /// Notes a further event of a stream.
-    pub fn note_progress(&mut self, ticket: &PlacedAttempt, now: ClockTime) {
-        if let Some(load) = self.load_of_attempt(ticket) {
+    pub fn note_progress(&mut self, attempt: &PlacedAttempt, now: ClockTime) {
+        if let Some(load) = self.load_of_attempt(attempt) {
             load.stall.note_activity(now);
         }
     }
--- a/crates/sagespool-forward/tests/change_feed.rs
+++ b/crates/sagespool-forward/tests/change_feed.rs
@@ -83,20 +83,20 @@
 fn agreed_followers() {
     let ids: Vec<IncarnationId> = (1..=12).map(|id| IncarnationId(id * 7919)).collect();
     let mut followers = 0;
-    let mut asked = Vec::new();
+    let mut queried = Vec::new();
     for own in &ids {
         let others: Vec<IncarnationId> = ids.iter().copied().filter(|id| id != own).collect();
         let mut sources = FeedSourceSelector::default();
         match choose_fresh(&mut sources, *own, &others, ClockTime(1)) {
             FeedSource::Store => followers += 1,
-            FeedSource::Neighbour(id) => asked.push(id),
+            FeedSource::Neighbour(id) => queried.push(id),
         }
     }
-    asked.sort_unstable();
-    asked.dedup();
+    queried.sort_unstable();
+    queried.dedup();
     // Two instances watch the store, whatever the size of the fleet. The others query these two.
     assert_eq!(followers, 2);
-    assert!(asked.len() <= 2);
+    assert!(queried.len() <= 2);
 }
 
 #[test]
@@ -206,7 +206,7 @@
     /// When its copy was valid.
     valid_at: ClockTime,
     /// The query in flight: the follower, and the start time.
-    asked: Option<(IncarnationId, u64)>,
+    query: Option<(IncarnationId, u64)>,
     calls: usize,
 }
 
@@ -220,10 +220,10 @@
     ) {
         let ids: Vec<IncarnationId> = followers.iter().map(|(id, _)| *id).collect();
         let at = ClockTime::from_millis(now);
-        let Some((id, since)) = self.asked else {
+        let Some((id, since)) = self.query else {
             let age = at.since(self.valid_at);
             match self.sources.choose(self.own, &ids, Some(age), timing, at) {
-                FeedSource::Neighbour(id) => self.asked = Some((id, now)),
+                FeedSource::Neighbour(id) => self.query = Some((id, now)),
                 FeedSource::Store => {
                     self.calls += 1;
                     self.valid_at = at;
@@ -239,7 +239,7 @@
             && !follower.has_fault(FollowerFault::Killed, now);
         let is_due = waited >= timing.poll_wait || follower.feed.has_changes_after(self.revision);
         if answers && is_due {
-            self.asked = None;
+            self.query = None;
             match follower.feed.age(at).filter(|age| *age <= timing.max_age) {
                 Some(age) => {
                     self.revision = self.revision.max(follower.feed.revision());
@@ -249,7 +249,7 @@
                 None => self.sources.avoid(id, at),
             }
         } else if waited > timing.poll_wait + REPLY_TIMEOUT {
-            self.asked = None;
+            self.query = None;
             self.sources.avoid(id, at);
         }
     }
@@ -299,7 +299,7 @@
         sources: FeedSourceSelector::default(),
         revision: StoreRevision(1),
         valid_at: ClockTime::default(),
-        asked: None,
+        query: None,
         calls: 0,
     };
     let mut worst = 0;
--- a/crates/sagespool-forward/tests/cold_upstreams.rs
+++ b/crates/sagespool-forward/tests/cold_upstreams.rs
@@ -87,8 +87,8 @@
                 connecting.push((number, now, now.after(Duration::from_millis(connect_ms))));
             }
         }
-        for (number, chosen, at) in connecting.extract_if(.., |(_, _, at)| *at <= now) {
-            senders[number].throttle.note_dispatched(&name, chosen, at);
+        for (number, chosen_at, at) in connecting.extract_if(.., |(_, _, at)| *at <= now) {
+            senders[number].throttle.note_dispatched(&name, chosen_at, at);
             dispatched.push_back(at);
             traffic.total += 1;
         }
--- a/crates/sagespool-forward/tests/failing_upstreams.rs
+++ b/crates/sagespool-forward/tests/failing_upstreams.rs
@@ -36,15 +36,15 @@
 ) -> u64 {
     let upstreams = upstreams();
     let centre = centre();
-    let shape = RequestProfile { parts: &[], engine: None, centre: &centre, repeatable: true };
+    let profile = RequestProfile { parts: &[], engine: None, centre: &centre, repeatable: true };
     let mut hits = 0;
     for step in 0..count {
         let now = ClockTime::from_millis(from_ms + step * 20);
-        let ticket = balancer.choose(upstreams.iter(), shape, &[], now).unwrap();
-        let is_first = ticket.upstream.name.as_str() == "i-1";
+        let attempt = balancer.choose(upstreams.iter(), profile, &[], now).unwrap();
+        let is_first = attempt.upstream.name.as_str() == "i-1";
         hits += u64::from(is_first);
         let outcome = if is_first { first_outcome } else { SendOutcome::Answered };
-        balancer.finish(ticket, outcome, ClockTime::from_millis(from_ms + step * 20 + 15));
+        balancer.finish(attempt, outcome, ClockTime::from_millis(from_ms + step * 20 + 15));
     }
     hits
 }
@@ -74,11 +74,11 @@
     let mut balancer = LoadBalancer::new(PlacementPolicy::default());
     let upstreams = upstreams();
     let centre = centre();
-    let shape = RequestProfile { parts: &[], engine: None, centre: &centre, repeatable: true };
+    let profile = RequestProfile { parts: &[], engine: None, centre: &centre, repeatable: true };
     for step in 0..200 {
         let now = ClockTime::from_millis(1_000 + step * 20);
-        let ticket = balancer.choose(upstreams.iter(), shape, &[], now);
-        balancer.finish(ticket.unwrap(), SendOutcome::Broken, now);
+        let attempt = balancer.choose(upstreams.iter(), profile, &[], now);
+        balancer.finish(attempt.unwrap(), SendOutcome::Broken, now);
     }
 }
 
@@ -88,13 +88,13 @@
 fn untried_upstreams() {
     let mut balancer = LoadBalancer::new(PlacementPolicy::default());
     let (upstreams, centre) = (upstreams(), centre());
-    let shape = RequestProfile { parts: &[], engine: None, centre: &centre, repeatable: true };
+    let profile = RequestProfile { parts: &[], engine: None, centre: &centre, repeatable: true };
     let mut chosen = std::collections::BTreeSet::new();
     for step in 0..1_000 {
         let now = ClockTime::from_millis(1_000 + step * 20);
-        let ticket = balancer.choose(upstreams.iter(), shape, &[], now).unwrap();
-        chosen.insert(ticket.upstream.name.clone());
-        balancer.finish(ticket, SendOutcome::Answered, now.after(Duration::from_millis(1)));
+        let attempt = balancer.choose(upstreams.iter(), profile, &[], now).unwrap();
+        chosen.insert(attempt.upstream.name.clone());
+        balancer.finish(attempt, SendOutcome::Answered, now.after(Duration::from_millis(1)));
     }
     assert_eq!(chosen.len(), upstreams.len(), "upstreams chosen within 20 s");
 }
--- a/crates/sagespool-forward/tests/rate_limits.rs
+++ b/crates/sagespool-forward/tests/rate_limits.rs
@@ -33,21 +33,26 @@
     /// The lowest limit received since the current one was first named, and when it was received.
     known_limit: Option<(f64, ClockTime)>,
     /// Fraction of the simulation steps at which it has a request.
-    demand: f64,
+    request_probability: f64,
 }
 
 impl Sender {
     fn new(number: usize, listed: usize, now: ClockTime) -> Self {
         let mut selector = SenderSelector::new(instance(number));
         selector.observe_listed((0..listed.max(number + 1)).map(instance), now);
-        Self { selector, throttle: UpstreamThrottle::new(POLICY), known_limit: None, demand: 1.0 }
+        Self {
+            selector,
+            throttle: UpstreamThrottle::new(POLICY),
+            known_limit: None,
+            request_probability: 1.0,
+        }
     }
 }
 
 /// A request on its way to the upstream, or its response on the way back.
 struct RequestInFlight {
     sender: usize,
-    chosen: ClockTime,
+    chosen_at: ClockTime,
     due: ClockTime,
     stage: RequestStage,
 }
@@ -154,7 +159,7 @@
 
     fn send(&mut self) {
         for (number, sender) in self.senders.iter_mut().enumerate() {
-            if self.random.f64() >= sender.demand {
+            if self.random.f64() >= sender.request_probability {
                 continue;
             }
             if !sender.throttle.admits(&self.name, None, &sender.selector, self.now) {
@@ -163,10 +168,10 @@
             sender.throttle.count_placement(&self.name, self.now);
             let connect_ms = if self.random.bool() { 0 } else { self.random.u64(0..300) };
             let due = self.now.after(Duration::from_millis(connect_ms));
-            let (sender, chosen) = (number, self.now);
+            let (sender, chosen_at) = (number, self.now);
             self.in_flight.push(RequestInFlight {
                 sender,
-                chosen,
+                chosen_at,
                 due,
                 stage: RequestStage::Connecting,
             });
@@ -174,21 +179,21 @@
     }
 
     fn advance(&mut self, request: RequestInFlight) {
-        let RequestInFlight { sender, chosen, .. } = request;
+        let RequestInFlight { sender, chosen_at, .. } = request;
         match request.stage {
             RequestStage::Connecting => {
                 let throttle = &mut self.senders[sender].throttle;
-                if throttle.blocks_dispatch(&self.name, chosen, self.now) {
+                if throttle.blocks_dispatch(&self.name, chosen_at, self.now) {
                     return;
                 }
-                throttle.note_dispatched(&self.name, chosen, self.now);
+                throttle.note_dispatched(&self.name, chosen_at, self.now);
                 self.arrive(sender);
                 let due = self
                     .now
                     .after(Duration::from_millis(self.random.u64(1..=self.max_response_ms)));
                 self.in_flight.push(RequestInFlight {
                     sender,
-                    chosen,
+                    chosen_at,
                     due,
                     stage: RequestStage::Running,
                 });
@@ -197,17 +202,17 @@
             RequestStage::Running => {
                 let stage = RequestStage::Answered { named: self.named };
                 let due = self.now.after(Duration::from_millis(self.random.u64(0..=60)));
-                self.in_flight.push(RequestInFlight { sender, chosen, due, stage });
+                self.in_flight.push(RequestInFlight { sender, chosen_at, due, stage });
             }
             RequestStage::Answered { named } => {
                 let receiver = &mut self.senders[sender];
-                receiver.throttle.note_rate_limit(&self.name, named.map(rate), chosen, self.now);
+                receiver.throttle.note_rate_limit(&self.name, named.map(rate), chosen_at, self.now);
                 let Some(named) = named else {
                     return;
                 };
                 // A response from an earlier limit period, which has ended, doesn't count for the
                 // new one.
-                if self.named.is_some() && chosen >= self.limited_since {
+                if self.named.is_some() && chosen_at >= self.limited_since {
                     let is_known = receiver.known_limit.is_some_and(|(known, _)| known <= named);
                     receiver.known_limit =
                         if is_known { receiver.known_limit } else { Some((named, self.now)) };
@@ -243,8 +248,9 @@
     /// received.
     fn restart(&mut self, number: usize, listed: usize) {
         self.in_flight.retain(|request| request.sender != number);
-        let demand = self.senders[number].demand;
-        self.senders[number] = Sender { demand, ..Sender::new(number, listed, self.now) };
+        let request_probability = self.senders[number].request_probability;
+        self.senders[number] =
+            Sender { request_probability, ..Sender::new(number, listed, self.now) };
     }
 
     fn run_for(&mut self, span: Duration) {
@@ -263,7 +269,7 @@
     simulation.max_response_ms = [40, 400, 1_500][simulation.random.usize(0..3)];
     simulation.loss_rate = [0.0, 0.1, 0.5][simulation.random.usize(0..3)];
     for sender in &mut simulation.senders {
-        sender.demand = [1.0, 0.3, 0.02][simulation.random.usize(0..3)];
+        sender.request_probability = [1.0, 0.3, 0.02][simulation.random.usize(0..3)];
     }
     for _ in 0..6 {
         let named = RATES[simulation.random.usize(0..RATES.len())];
--- a/crates/sagespool-forward/tests/restarted_upstreams.rs
+++ b/crates/sagespool-forward/tests/restarted_upstreams.rs
@@ -39,8 +39,8 @@
     tried: &[UpstreamRun],
 ) -> Option<PlacedAttempt> {
     let centre = centre();
-    let shape = RequestProfile { parts: &[], engine: None, centre: &centre, repeatable: true };
-    balancer.choose(std::iter::once(record), shape, tried, at(10))
+    let profile = RequestProfile { parts: &[], engine: None, centre: &centre, repeatable: true };
+    balancer.choose(std::iter::once(record), profile, tried, at(10))
 }
 
 #[test]
@@ -59,13 +59,13 @@
 fn requests_of_earlier_run() {
     let mut balancer = LoadBalancer::new(PlacementPolicy::default());
     let name = record(1).name;
-    let tickets: Vec<PlacedAttempt> =
+    let attempts: Vec<PlacedAttempt> =
         (0..REQUESTS).map(|_| choose(&mut balancer, &record(1), &[]).unwrap()).collect();
     assert_eq!(balancer.running(&name) as usize, REQUESTS);
     balancer.forget(&name);
     let fresh = choose(&mut balancer, &record(2), &[]).unwrap();
-    for ticket in tickets {
-        balancer.finish(ticket, SendOutcome::Broken, at(20));
+    for attempt in attempts {
+        balancer.finish(attempt, SendOutcome::Broken, at(20));
     }
     assert_eq!(balancer.running(&name), 1);
     // Broken responses of the earlier run don't eject the new one either.
--- a/crates/sagespool-forward/tests/shared_prompts.rs
+++ b/crates/sagespool-forward/tests/shared_prompts.rs
@@ -77,14 +77,14 @@
     for request in 0..REQUESTS {
         let at = 1_000 + request * REQUEST_INTERVAL_MS;
         let now = ClockTime::from_millis(at);
-        for (_, instance, ticket) in running.extract_if(.., |(end, ..)| *end <= at) {
-            balancers[instance].finish(ticket, SendOutcome::Answered, now);
+        for (_, instance, attempt) in running.extract_if(.., |(end, ..)| *end <= at) {
+            balancers[instance].finish(attempt, SendOutcome::Answered, now);
         }
         let part = part_of(request);
         let shared = PromptPart { id: part + 1, tokens: TokenCount(SHARED_TOKENS) };
         let own = PromptPart { id: 1_000_000 + request, tokens: TokenCount(OWN_TOKENS) };
-        let mut ticket = choose(&mut balancers, request, &[shared, own], now);
-        let engine = ticket.upstream.name.to_string();
+        let mut attempt = choose(&mut balancers, request, &[shared, own], now);
+        let engine = attempt.upstream.name.to_string();
         *sent.entry(engine.clone()).or_default() += 1;
         let is_new = prefilled.insert((engine, part));
         if is_new && !seen.insert(part) {
@@ -92,8 +92,8 @@
         }
         let instance = (request % INSTANCES as u64) as usize;
         let prefill_ms = if is_new { (SHARED_TOKENS + OWN_TOKENS) / 48 } else { OWN_TOKENS / 48 };
-        balancers[instance].note_first_event(&mut ticket, ClockTime::from_millis(at + prefill_ms));
-        running.push((at + prefill_ms + RESPONSE_MS, instance, ticket));
+        balancers[instance].note_first_event(&mut attempt, ClockTime::from_millis(at + prefill_ms));
+        running.push((at + prefill_ms + RESPONSE_MS, instance, attempt));
     }
     Outcome { prefilled_again, busiest: sent.values().copied().max().unwrap() }
 }
@@ -106,10 +106,10 @@
     let profile = profile();
     let centre = centre();
     let outcome = simulate(|balancers, request, parts, now| {
-        let shape =
+        let request_profile =
             RequestProfile { parts, engine: Some(&profile), centre: &centre, repeatable: true };
         let balancer = &mut balancers[(request % INSTANCES as u64) as usize];
-        balancer.choose(engines.iter(), shape, &[], now).unwrap()
+        balancer.choose(engines.iter(), request_profile, &[], now).unwrap()
     });
     // Round robin causes more than 150 (test `round_robin`).
     assert!(outcome.prefilled_again <= 60, "{} parts prefilled again", outcome.prefilled_again);
@@ -128,11 +128,11 @@
     let profile = profile();
     let centre = centre();
     let outcome = simulate(|balancers, request, parts, now| {
-        let shape =
+        let request_profile =
             RequestProfile { parts, engine: Some(&profile), centre: &centre, repeatable: true };
         let only = &engines[request as usize % ENGINES];
         let balancer = &mut balancers[(request % INSTANCES as u64) as usize];
-        balancer.choose(std::iter::once(only), shape, &[], now).unwrap()
+        balancer.choose(std::iter::once(only), request_profile, &[], now).unwrap()
     });
     assert!(outcome.prefilled_again > 150, "{} parts prefilled again", outcome.prefilled_again);
 }
--- a/crates/sagespool-forward/tests/stalled_upstreams.rs
+++ b/crates/sagespool-forward/tests/stalled_upstreams.rs
@@ -43,7 +43,7 @@
 }
 
 struct OpenRequest {
-    ticket: PlacedAttempt,
+    attempt: PlacedAttempt,
     ends: ClockTime,
     outcome: SendOutcome,
 }
@@ -58,20 +58,20 @@
     for step in 0..500 {
         let now = ClockTime::from_millis(1_000 + step * REQUEST_INTERVAL_MS);
         for request in open.extract_if(.., |request| request.ends <= now) {
-            balancer.finish(request.ticket, request.outcome, request.ends);
+            balancer.finish(request.attempt, request.outcome, request.ends);
         }
         let repeatable = repeatable_every > 0 && step % repeatable_every == 0;
-        let shape = RequestProfile { parts: &[], engine: None, centre: &centre, repeatable };
-        let ticket = balancer.choose(upstreams.iter(), shape, &[], now).unwrap();
-        let (wait, outcome) = match (ticket.upstream.name.as_str(), repeatable) {
+        let profile = RequestProfile { parts: &[], engine: None, centre: &centre, repeatable };
+        let attempt = balancer.choose(upstreams.iter(), profile, &[], now).unwrap();
+        let (wait, outcome) = match (attempt.upstream.name.as_str(), repeatable) {
             ("i-1", true) => (RETRY_TIMEOUT, SendOutcome::Broken),
             ("i-1", false) => (CALLER_TIMEOUT, SendOutcome::Cancelled),
             _ => (RESPONSE_TIME, SendOutcome::Answered),
         };
-        if ticket.upstream.name.as_str() == "i-1" {
+        if attempt.upstream.name.as_str() == "i-1" {
             *(if repeatable { &mut lost.repeatable } else { &mut lost.once }) += 1;
         }
-        open.push(OpenRequest { ticket, ends: now.after(wait), outcome });
+        open.push(OpenRequest { attempt, ends: now.after(wait), outcome });
     }
     lost
 }
@@ -101,10 +101,10 @@
     let centre: CentreName = "east".parse().unwrap();
     let mut balancer = LoadBalancer::new(PlacementPolicy::default());
     let only = &upstreams()[..1];
-    let shape = RequestProfile { parts: &[], engine: None, centre: &centre, repeatable: false };
+    let profile = RequestProfile { parts: &[], engine: None, centre: &centre, repeatable: false };
     let at = ClockTime::from_millis;
-    let long = balancer.choose(only.iter(), shape, &[], at(1_000)).unwrap();
-    let mut stream = balancer.choose(only.iter(), shape, &[], at(1_000)).unwrap();
+    let long = balancer.choose(only.iter(), profile, &[], at(1_000)).unwrap();
+    let mut stream = balancer.choose(only.iter(), profile, &[], at(1_000)).unwrap();
     balancer.note_first_event(&mut stream, at(1_040));
     for step in 0..30 {
         balancer.note_progress(&stream, at(1_040 + step * 100));
@@ -112,12 +112,12 @@
     balancer.finish(long, SendOutcome::Cancelled, at(4_000));
     // If the cancellation had counted as a failure, this second one would eject the engine. It
     // still gets new requests.
-    let again = balancer.choose(only.iter(), shape, &[], at(4_010)).unwrap();
+    let again = balancer.choose(only.iter(), profile, &[], at(4_010)).unwrap();
     balancer.finish(again, SendOutcome::Broken, at(4_020));
     let two = upstreams();
     let chosen = (0..400).filter(|step| {
-        let ticket = balancer.choose(two[..2].iter(), shape, &[], at(4_030 + step)).unwrap();
-        ticket.upstream.name.as_str() == "i-1"
+        let attempt = balancer.choose(two[..2].iter(), profile, &[], at(4_030 + step)).unwrap();
+        attempt.upstream.name.as_str() == "i-1"
     });
     assert!(chosen.count() > 0);
 }
--- a/crates/sagespool-forward/tests/upstream_backoff.rs
+++ b/crates/sagespool-forward/tests/upstream_backoff.rs
@@ -49,12 +49,12 @@
             if backs_off && delay.is_none_or(|delay| now.after(delay) < until) {
                 return false;
             }
-            let since = |chosen: ClockTime| {
+            let since = |chosen_at: ClockTime| {
                 let mut current = backoffs.iter().filter(|(_, until)| now < *until);
-                current.all(|(at, _)| *at > chosen) && backs_off
+                current.all(|(at, _)| *at > chosen_at) && backs_off
             };
-            let chosen = ClockTime::from_millis(999);
-            if since(chosen) && !throttle.blocks_dispatch(&name, chosen, now) {
+            let chosen_at = ClockTime::from_millis(999);
+            if since(chosen_at) && !throttle.blocks_dispatch(&name, chosen_at, now) {
                 return false;
             }
         }
@@ -66,6 +66,7 @@
         let (name, selector, now) = (name(), selector(), ClockTime::from_millis(1_000));
         let mut throttle = UpstreamThrottle::new(POLICY);
         throttle.note_backoff(&name, Duration::from_millis(millis), now);
-        throttle.admits(&name, None, &selector, now.after(MAX_BACKOFF)) && throttle.backoff_count(now.after(MAX_BACKOFF)) == 0
+        throttle.admits(&name, None, &selector, now.after(MAX_BACKOFF))
+            && throttle.backoff_count(now.after(MAX_BACKOFF)) == 0
     }
 }
