--- a/crates/sagespool-configuration/src/follower.rs
+++ b/crates/sagespool-configuration/src/follower.rs
@@ -14,11 +14,11 @@
 use sagespool_platform::ObjectClient;
 use sagespool_types::{ClockTime, IncarnationId, StoreRevision};
 
-use crate::relay;
-use crate::state::{FollowState, RelayHint};
+use crate::neighbours;
+use crate::state::{FollowerState, VersionHint};
 
 /// Most bytes of objects in one answer, beside its last object: a frame holds 8 MiB, an object 1 MiB.
-const REPLY_BYTES: usize = 1 << 20;
+const MAX_REPLY_BYTES: usize = 1 << 20;
 
 /// What a follower works with. `apply` puts one object in force; it is called for one at a time.
 #[derive(Clone, Copy)]
@@ -48,8 +48,8 @@
     pub(crate) own: IncarnationId,
     pub(crate) policy: WatchPolicy,
     pub(crate) started: ClockTime,
-    state: Mutex<FollowState>,
-    pub(crate) hinted: Event,
+    state: Mutex<FollowerState>,
+    pub(crate) hint_added: Event,
 }
 
 impl ConfigFollower {
@@ -60,24 +60,24 @@
             own,
             policy: WatchPolicy::default(),
             started: now,
-            state: Mutex::new(FollowState::new(scope)),
-            hinted: Event::new(),
+            state: Mutex::new(FollowerState::new(scope)),
+            hint_added: Event::new(),
         }
     }
 
-    pub(crate) fn state(&self) -> MutexGuard<'_, FollowState> {
+    pub(crate) fn state(&self) -> MutexGuard<'_, FollowerState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Follows the configuration; never returns.
     pub async fn run(&self, context: FollowerContext<'_>) {
-        futures_lite::future::zip(self.watch(context), self.relay(context)).await;
+        futures_lite::future::zip(self.watch(context), self.query_neighbours(context)).await;
     }
 
     /// Takes in what a member's heartbeat says of its configuration.
     pub fn observe_member(&self, member: &MemberInfo) {
-        if relay::can_answer(self.scope, member.role) {
-            self.hint(RelayHint {
+        if neighbours::can_answer(self.scope, member.role) {
+            self.add_hint(VersionHint {
                 address: member.address,
                 newest: StoreRevision(member.config.0),
             });
@@ -86,12 +86,12 @@
 
     /// Takes in a neighbour's notice.
     pub fn handle_notice(&self, notice: &ConfigNotice) {
-        self.hint(RelayHint { address: notice.from, newest: notice.newest });
+        self.add_hint(VersionHint { address: notice.from, newest: notice.newest });
     }
 
-    fn hint(&self, hint: RelayHint) {
-        if self.state().note(hint) {
-            self.hinted.notify(usize::MAX);
+    fn add_hint(&self, hint: VersionHint) {
+        if self.state().record_hint(hint) {
+            self.hint_added.notify(usize::MAX);
         }
     }
 
@@ -110,8 +110,8 @@
         if !state.in_force {
             return None;
         }
-        let mut reply = state.book.reply(ask, REPLY_BYTES)?;
-        reply.word = state.word(self.own, now);
+        let mut reply = state.replica.reply(ask, MAX_REPLY_BYTES)?;
+        reply.word = state.newest_contact(self.own, now);
         Some(reply)
     }
 
@@ -120,39 +120,44 @@
     /// Guards against two ways that meet: a watch and a neighbour bring two versions of one object
     /// at the same time, and the older one, found new a moment before, would be put in force last.
     /// So one lock is held from the decision until the object is in force.
-    pub(crate) fn take(
+    pub(crate) fn apply(
         &self,
         context: FollowerContext<'_>,
-        take: impl FnOnce(&mut FollowState) -> Vec<ConfigObject>,
+        take: impl FnOnce(&mut FollowerState) -> Vec<ConfigObject>,
     ) {
         let mut state = self.state();
         let mut news = take(&mut state);
         if !state.in_force {
-            if !self.may_begin(&mut state, context) {
+            if !self.can_begin(&mut state, context) {
                 return;
             }
             state.in_force = true;
-            news = state.book.objects().cloned().collect();
-            let complete = state.book.complete();
-            log_event!(info, "configuration-begun", complete = complete, store = state.from_store);
+            news = state.replica.objects().cloned().collect();
+            let complete = state.replica.complete();
+            log_event!(
+                info,
+                "configuration-begun",
+                complete = complete,
+                store = state.confirmed_by_store
+            );
         }
         // Without the fleet's object no other can be in force.
         news.sort_by_key(|object| object.key != FLEET_OBJECT_KEY);
         for object in &news {
             (context.apply)(object);
         }
-        let newest = state.book.newest();
+        let newest = state.replica.newest();
         drop(state);
         if !news.is_empty() {
             let is_fleet = news.iter().any(|object| object.key == FLEET_OBJECT_KEY);
-            self.tell_neighbours(context, newest, is_fleet);
+            self.notify_neighbours(context, newest, is_fleet);
         }
     }
 
     /// Puts a configuration in force that was read before the members were known.
-    pub(crate) fn begin(&self, context: FollowerContext<'_>) {
+    pub(crate) fn try_begin(&self, context: FollowerContext<'_>) {
         if !self.state().in_force {
-            self.take(context, |_| Vec::new());
+            self.apply(context, |_| Vec::new());
         }
     }
 
@@ -163,22 +168,23 @@
     /// replaced. Each member's heartbeat tells what it has in force, sidecars' too, so nothing older
     /// than the newest of them is taken, and the view has to be settled to know them. What nobody
     /// in reach has ever seen can't be known here.
-    fn may_begin(&self, state: &mut FollowState, context: FollowerContext<'_>) -> bool {
-        if !state.is_whole() || !(state.from_store || context.members.is_settled()) {
+    fn can_begin(&self, state: &mut FollowerState, context: FollowerContext<'_>) -> bool {
+        if !state.has_configuration() || !(state.confirmed_by_store || context.members.is_settled())
+        {
             return false;
         }
         let live = context.live(ClockTime::now());
         let wanted = live.iter().map(|member| StoreRevision(member.config.0)).max();
-        let (wanted, complete) = (wanted.unwrap_or_default(), state.book.complete());
-        if complete < wanted && state.waits_for != Some(wanted) {
-            state.waits_for = Some(wanted);
+        let (wanted, complete) = (wanted.unwrap_or_default(), state.replica.complete());
+        if complete < wanted && state.logged_wait != Some(wanted) {
+            state.logged_wait = Some(wanted);
             log_event!(warn, "configuration-waits", complete = complete, wanted = wanted);
         }
         complete >= wanted
     }
 
     /// For how long no other process is known to have had a word of the store.
-    pub(crate) fn silence(&self, now: ClockTime) -> Duration {
-        self.state().silence(now).unwrap_or_else(|| now.since(self.started))
+    pub(crate) fn store_silence(&self, now: ClockTime) -> Duration {
+        self.state().store_silence(now).unwrap_or_else(|| now.since(self.started))
     }
 }
--- a/crates/sagespool-configuration/src/lib.rs
+++ b/crates/sagespool-configuration/src/lib.rs
@@ -5,7 +5,7 @@
 //! what a version may replace, is decided in `sagespool_membership`; this package does the calls.
 
 mod follower;
-mod relay;
+mod neighbours;
 mod state;
 mod watcher;
 
--- a/crates/sagespool-configuration/src/relay.rs
+++ b/crates/sagespool-configuration/src/neighbours.rs
@@ -17,15 +17,15 @@
 /// store's word, since heartbeats and notices tell of changes.
 const POLL_PERIOD: Duration = Duration::from_secs(5);
 /// Between two questions of a process that has none yet.
-const START_PERIOD: Duration = Duration::from_millis(200);
+const START_POLL_PERIOD: Duration = Duration::from_millis(200);
 /// How long a neighbour may take over one part of its answer.
-const ASK_LIMIT: Duration = Duration::from_secs(2);
-const NOTICE_LIMIT: Duration = Duration::from_secs(1);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
+const NOTICE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Neighbours of each role that are told of a change at once. With four, all but two in a hundred
 /// are told by someone; heartbeats tell the rest.
-const TOLD_NEIGHBOURS: usize = 4;
+const NOTICE_FANOUT: usize = 4;
 /// Parts of one answer; 64 shards of 1 MB come in fewer.
-const MOST_PARTS: usize = 80;
+const MAX_REPLY_PARTS: usize = 80;
 /// Of so many questions one goes to each of the two first watchers, one to anybody.
 const POLL_CYCLE: usize = 3;
 
@@ -36,15 +36,15 @@
 
 impl ConfigFollower {
     /// Asks neighbours whenever one has something newer, and now and then without a cause.
-    pub(crate) async fn relay(&self, context: FollowerContext<'_>) {
+    pub(crate) async fn query_neighbours(&self, context: FollowerContext<'_>) {
         for round in 0.. {
             let hinted = self.wait_for_hint().await;
             let now = ClockTime::now();
-            let address = hinted.or_else(|| self.choose(&context, round, now));
+            let address = hinted.or_else(|| self.choose_neighbour(&context, round, now));
             if let Some(address) = address {
-                self.ask(context, address).await;
+                self.query(context, address).await;
             }
-            self.begin(context);
+            self.try_begin(context);
         }
     }
 
@@ -52,11 +52,11 @@
     async fn wait_for_hint(&self) -> Option<SocketAddr> {
         let period = match self.state().in_force {
             true => POLL_PERIOD.mul_f64(0.5 + fastrand::f64()),
-            false => START_PERIOD,
+            false => START_POLL_PERIOD,
         };
         let told = async {
             loop {
-                let hinted = self.hinted.listen();
+                let hinted = self.hint_added.listen();
                 let hint = self.state().take_hint();
                 if let Some(hint) = hint {
                     return Some(hint.address);
@@ -72,7 +72,7 @@
     }
 
     /// Whom to ask without a cause.
-    fn choose(
+    fn choose_neighbour(
         &self,
         context: &FollowerContext<'_>,
         round: usize,
@@ -86,7 +86,7 @@
             is_best && can_answer(self.scope, member.role)
         });
         if !self.state().in_force {
-            return newest_of(&live);
+            return choose_newest(&live);
         }
         let own = context.members.own();
         let order = watch_order(&own, &live);
@@ -96,19 +96,19 @@
     }
 
     /// Asks a neighbour for all that is newer, part by part.
-    async fn ask(&self, context: FollowerContext<'_>, address: SocketAddr) {
-        let mut ask = self.state().book.ask();
-        for _ in 0..MOST_PARTS {
+    async fn query(&self, context: FollowerContext<'_>, address: SocketAddr) {
+        let mut ask = self.state().replica.query();
+        for _ in 0..MAX_REPLY_PARTS {
             let request = PeerRequest::AskConfiguration(ask);
-            let reply = context.link.ask(address, &request, ASK_LIMIT).await;
+            let reply = context.link.ask(address, &request, QUERY_TIMEOUT).await;
             let Ok(PeerReply::Configuration(reply)) = reply else {
                 return;
             };
             let next = reply.next;
             if let Some(word) = reply.word {
-                self.state().hear_word(word, self.own, ClockTime::now());
+                self.state().record_peer_contact(word, self.own, ClockTime::now());
             }
-            self.take(context, |state| state.book.take_reply(&ask, reply));
+            self.apply(context, |state| state.replica.apply_reply(&ask, reply));
             match next {
                 Some(next) => ask.after = next,
                 None => return,
@@ -117,7 +117,7 @@
     }
 
     /// Tells a few neighbours of a change; whoever lacks it asks for it, and passes it on in turn.
-    pub(crate) fn tell_neighbours(
+    pub(crate) fn notify_neighbours(
         &self,
         context: FollowerContext<'_>,
         newest: StoreRevision,
@@ -126,10 +126,10 @@
         let now = ClockTime::now();
         let mut told = Vec::new();
         if self.scope == ConfigScope::All {
-            told.extend(some_of(context.members.live(MemberRole::Entry, now)));
+            told.extend(sample(context.members.live(MemberRole::Entry, now)));
         }
         if is_fleet {
-            told.extend(some_of(context.members.live(MemberRole::Sidecar, now)));
+            told.extend(sample(context.members.live(MemberRole::Sidecar, now)));
         }
         let notice = ConfigNotice { from: context.members.own().address, newest };
         for member in told {
@@ -137,21 +137,21 @@
             let request = PeerRequest::NoticeConfiguration(notice);
             smol::spawn(async move {
                 // A notice that is lost is made up for by the next heartbeat.
-                let _ = link.ask(member.address, &request, NOTICE_LIMIT).await;
+                let _ = link.ask(member.address, &request, NOTICE_TIMEOUT).await;
             })
             .detach();
         }
     }
 }
 
-fn some_of(mut members: Vec<MemberInfo>) -> Vec<MemberInfo> {
+fn sample(mut members: Vec<MemberInfo>) -> Vec<MemberInfo> {
     fastrand::shuffle(&mut members);
-    members.truncate(TOLD_NEIGHBOURS);
+    members.truncate(NOTICE_FANOUT);
     members
 }
 
 /// One of the members with the newest configuration, entries before sidecars.
-fn newest_of(live: &[MemberInfo]) -> Option<SocketAddr> {
+fn choose_newest(live: &[MemberInfo]) -> Option<SocketAddr> {
     let rank = |member: &MemberInfo| (member.role == MemberRole::Entry, member.config);
     let best = live.iter().map(rank).max()?;
     let best: Vec<_> = live.iter().filter(|member| rank(member) == best).collect();
--- a/crates/sagespool-membership/examples/gossip_bench.rs
+++ b/crates/sagespool-membership/examples/gossip_bench.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 use fleet::{Fleet, info};
-use sagespool_membership::{MemberTable, MembershipPolicy, encoded_bytes};
+use sagespool_membership::{MemberTable, MembershipPolicy, max_encoded_bytes};
 use sagespool_messages::{Heartbeat, MemberRole};
 use sagespool_types::ClockTime;
 
@@ -47,7 +47,7 @@
     for role in [MemberRole::Entry, MemberRole::Sidecar] {
         let info = info(7, 1, role);
         let bytes = postcard::to_allocvec(&info).map_or(0, |bytes| bytes.len());
-        println!("description role={role} bytes={bytes} estimate={}", encoded_bytes(&info));
+        println!("description role={role} bytes={bytes} estimate={}", max_encoded_bytes(&info));
     }
 }
 
--- a/crates/sagespool-membership/src/config_book.rs
+++ b/crates/sagespool-membership/src/config_replica.rs
@@ -1,49 +1,49 @@
-//! The configuration's objects as a process has them, and what it tells neighbours of them.
+//! A process's replica of the configuration objects, and its exchange with neighbours.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use sagespool_messages::{ConfigAsk, ConfigObject, ConfigReply, ConfigScope};
 use sagespool_types::StoreRevision;
 
-use crate::{AppliedVersions, VersionOffer};
+use crate::{AppliedVersions, OfferOutcome};
 
-/// The objects that a process follows, each at the newest version that it was offered.
+/// The objects that a process follows, each at the newest version offered.
 ///
-/// Objects come from listings and watches of the store and from neighbours, in any order and
-/// however late. No version of an object is taken after a newer one ([`AppliedVersions`]). What
-/// came by each way says up to which revision the process now has *everything* (`complete`); an
-/// object that was offered alone doesn't raise it, else a change before it would never be asked for.
+/// Objects arrive from listings and watches of the store and from neighbours, in any order and
+/// with any delay. No version of an object is accepted after a newer one ([`AppliedVersions`]).
+/// `complete` is the revision up to which *all* changes are here. An object that was offered alone
+/// doesn't raise it, else an earlier change would never be queried.
 #[derive(Debug)]
-pub struct ConfigBook {
+pub struct ConfigReplica {
     scope: ConfigScope,
     versions: AppliedVersions,
-    /// Objects that are there, and those known to be gone, with the version.
+    /// Existing objects and known deletions, with their versions.
     objects: BTreeMap<String, ConfigObject>,
     complete: StoreRevision,
-    /// From here on every deletion is among the objects. Before, the book was not followed.
-    floor: StoreRevision,
+    /// Every deletion after this revision is among the objects. Earlier ones may be missing.
+    deletions_since: StoreRevision,
     is_filled: bool,
 }
 
-impl ConfigBook {
-    /// Nothing known.
+impl ConfigReplica {
+    /// An empty replica.
     pub fn new(scope: ConfigScope) -> Self {
         Self {
             scope,
             versions: AppliedVersions::new(),
             objects: BTreeMap::new(),
             complete: StoreRevision::ZERO,
-            floor: StoreRevision::ZERO,
+            deletions_since: StoreRevision::ZERO,
             is_filled: false,
         }
     }
 
-    /// What is followed.
+    /// Which objects are followed.
     pub fn scope(&self) -> ConfigScope {
         self.scope
     }
 
-    /// True once all objects have been read, from the store or from a neighbour.
+    /// True once all objects have been read, from the store or a neighbour.
     pub fn is_filled(&self) -> bool {
         self.is_filled
     }
@@ -58,59 +58,65 @@
         StoreRevision(self.versions.in_force().0)
     }
 
-    /// Every object that is there.
+    /// All existing objects.
     pub fn objects(&self) -> impl Iterator<Item = &ConfigObject> {
         self.objects.values().filter(|object| object.value.is_some())
     }
 
-    /// Takes in one object; true if it is newer than what was here.
+    /// Stores one object; true if it is newer than the stored one.
     ///
-    /// Guards against an answer that is late by more than a deletion: its object isn't known here any
-    /// more, so no newer version would speak against it, and it would come back. Everything up to
-    /// `complete` is here or gone, so nothing up to there is taken.
+    /// Rejects versions up to `complete`, where every change is stored or deleted already. A delayed
+    /// reply may bring an object that was deleted in the meantime and has no record here: no newer
+    /// version would reject it, and it would return.
     fn offer(&mut self, object: &ConfigObject) -> bool {
         if !self.scope.covers(&object.key) || object.version <= self.complete {
             return false;
         }
-        if self.versions.offer(&object.key, object.version) != VersionOffer::Apply {
+        if self.versions.offer(&object.key, object.version) != OfferOutcome::Apply {
             return false;
         }
         self.objects.insert(object.key.clone(), object.clone());
         true
     }
 
-    /// Takes in all objects as of a revision, read from the store. What is new.
-    pub fn list(&mut self, revision: StoreRevision, items: Vec<ConfigObject>) -> Vec<ConfigObject> {
+    /// Applies a listing of the store at a revision; returns the changed objects.
+    pub fn apply_listing(
+        &mut self,
+        revision: StoreRevision,
+        items: Vec<ConfigObject>,
+    ) -> Vec<ConfigObject> {
         let present = items.iter().map(|object| object.key.clone()).collect();
-        let mut news = self.offer_all(items);
-        news.extend(self.drop_absent(&present, revision));
-        self.filled(revision);
-        news
+        let mut changed = self.offer_all(items);
+        changed.extend(self.remove_absent(&present, revision));
+        self.mark_filled(revision);
+        changed
     }
 
-    /// Takes in what changed in the store after `after`, complete up to `revision`. What is new.
-    pub fn follow(
+    /// Applies all changes of the store after `after` up to `revision`; returns the changed
+    /// objects.
+    pub fn apply_changes(
         &mut self,
         after: StoreRevision,
         revision: StoreRevision,
         changes: Vec<ConfigObject>,
     ) -> Vec<ConfigObject> {
-        let news = self.offer_all(changes);
+        let changed = self.offer_all(changes);
         if after <= self.complete {
             self.complete = self.complete.max(revision);
         }
-        news
+        changed
     }
 
     fn offer_all(&mut self, objects: Vec<ConfigObject>) -> Vec<ConfigObject> {
         objects.into_iter().filter(|object| self.offer(object)).collect()
     }
 
-    /// Objects that weren't there any more at a revision.
+    /// Deletes stored objects that didn't exist any more at a revision.
     ///
-    /// Guards against a deletion that happened while nobody here watched: the object would stay in
-    /// force for ever. Only versions up to that revision are dropped; a later one was put after it.
-    fn drop_absent(
+    /// Guards against a deletion that was missed while not watching: the object would stay in
+    /// force for ever. Only versions below that revision are deleted; later ones were written
+    /// after it.
+    fn remove_absent(
         &mut self,
         present: &BTreeSet<String>,
         revision: StoreRevision,
@@ -125,23 +131,23 @@
         self.offer_all(gone)
     }
 
-    /// All was read as of a revision: of what went away before, nothing is known.
-    fn filled(&mut self, revision: StoreRevision) {
+    /// Records that all objects were read at a revision. Earlier deletions are unknown.
+    fn mark_filled(&mut self, revision: StoreRevision) {
         self.is_filled = true;
         self.complete = self.complete.max(revision);
-        self.floor = self.floor.max(revision);
+        self.deletions_since = self.deletions_since.max(revision);
     }
 
-    /// A question to a neighbour for what is new; the first part of its answer.
-    pub fn ask(&self) -> ConfigAsk {
+    /// The query to a neighbour for newer objects; further parts of the reply change `after`.
+    pub fn query(&self) -> ConfigAsk {
         ConfigAsk { scope: self.scope, after: self.complete, complete: self.complete }
     }
 
-    /// The answer to a neighbour, of `most_bytes` or one object more; nothing if this book doesn't
-    /// have all that is asked for. Parts go by versions: an object that changes between two parts
-    /// gets a version above both, so none is left out.
-    pub fn reply(&self, ask: &ConfigAsk, most_bytes: usize) -> Option<ConfigReply> {
-        // A book that isn't filled yet, or with fewer objects, would have objects taken for gone.
+    /// The reply to a neighbour, of `max_bytes` plus at most one object; `None` if this replica
+    /// doesn't hold everything that is queried. Parts are ordered by version: an object that
+    /// changes between two parts gets a version above both, so none is left out.
+    pub fn reply(&self, ask: &ConfigAsk, max_bytes: usize) -> Option<ConfigReply> {
+        // With an incomplete replica the receiver would take missing objects for deleted.
         if !self.is_filled || (ask.scope == ConfigScope::All && self.scope == ConfigScope::Fleet) {
             return None;
         }
@@ -151,34 +157,34 @@
         let (mut objects, mut bytes) = (Vec::new(), 0);
         let count = newer.len();
         for object in newer {
-            if bytes >= most_bytes {
+            if bytes >= max_bytes {
                 break;
             }
             bytes += object.value.as_ref().map_or(0, String::len);
             objects.push(object.clone());
         }
         let next = objects.last().filter(|_| objects.len() < count).map(|last| last.version);
-        let tells_present = next.is_none() && ask.complete < self.floor;
-        let present = tells_present.then(|| {
+        let sends_present = next.is_none() && ask.complete < self.deletions_since;
+        let present = sends_present.then(|| {
             let keys = self.objects().map(|object| object.key.clone());
             keys.filter(|key| ask.scope.covers(key)).collect()
         });
         Some(ConfigReply { as_of: self.complete, objects, next, present, word: None })
     }
 
-    /// Takes in a neighbour's answer, or a part of it. What is new.
-    pub fn take_reply(&mut self, ask: &ConfigAsk, reply: ConfigReply) -> Vec<ConfigObject> {
+    /// Applies a neighbour's reply, or a part of it; returns the changed objects.
+    pub fn apply_reply(&mut self, ask: &ConfigAsk, reply: ConfigReply) -> Vec<ConfigObject> {
         let ConfigReply { as_of, objects, next, present, .. } = reply;
-        let mut news = self.offer_all(objects);
+        let mut changed = self.offer_all(objects);
         if next.is_some() {
-            return news;
+            return changed;
         }
         if let Some(present) = present {
-            news.extend(self.drop_absent(&present.into_iter().collect(), as_of));
-            self.filled(as_of);
+            changed.extend(self.remove_absent(&present.into_iter().collect(), as_of));
+            self.mark_filled(as_of);
         } else if ask.complete <= self.complete {
             self.complete = self.complete.max(as_of);
         }
-        news
+        changed
     }
 }
--- a/crates/sagespool-membership/src/config_watch.rs
+++ b/crates/sagespool-membership/src/config_watch.rs
@@ -1,8 +1,9 @@
-//! Who watches the store for changes of the configuration.
+//! Which members watch the store for configuration changes.
 //!
-//! The first few in the rendezvous order of each data centre watch, by each process's own view;
-//! the others have changes from their neighbours. Views differ, so for a while more or fewer than
-//! that may watch: more cost the store calls, fewer are found out by [`WatchPlace::is_to_watch`].
+//! The first few members in each data centre's rendezvous order watch, by each process's own
+//! view; the others get changes from their neighbours. Views differ, so temporarily more or
+//! fewer members may watch. More cost the store extra calls; too few are detected by
+//! [`WatchRank::should_watch`].
 
 use std::time::Duration;
 
@@ -11,23 +12,23 @@
 
 use crate::home::{hash_of, weight};
 
-/// The subject of the order; the branch in the order of homes has this place.
+/// Takes the place of the branch's hash in the rendezvous order of homes.
 const SUBJECT_HASH: u64 = 0x636f_6e66_6967_7572;
 
-/// How many watch, and when others take over.
+/// How many members watch, and when others take over.
 #[derive(Debug, Clone, PartialEq, Eq, Builder)]
 pub struct WatchPolicy {
-    /// Watchers of a data centre. Two, so that one that is paused or cut off delays nobody.
+    /// Watchers per data centre. Two, so that one that is paused or cut off causes no delay.
     #[builder(default = 2)]
     pub watchers: usize,
-    /// Silence of the store after which the next in order watch. Longer than a watcher's round and
-    /// the time between two questions to it together.
+    /// Time without contact with the store after which the next tier watches. Longer than a
+    /// watcher's long poll and the time between two queries to it together.
     #[builder(default = Duration::from_secs(15))]
     pub silence_limit: Duration,
-    /// What each further generation waits longer.
+    /// Additional wait of each further tier.
     #[builder(default = Duration::from_secs(2))]
-    pub generation_step: Duration,
-    /// Time after the start in which a process that has heard of nobody doesn't watch yet.
+    pub tier_step: Duration,
+    /// Time after the start in which a process without known members doesn't watch yet.
     #[builder(default = Duration::from_millis(500))]
     pub start_grace: Duration,
 }
@@ -38,8 +39,9 @@
     }
 }
 
-/// The members of the own data centre in the order in which they watch: entries before sidecars,
-/// since entries need all objects and sidecars only one. `live` are the others that can be reached.
+/// The members of the own data centre in the order in which they watch. Entries precede
+/// sidecars, since entries need all objects and sidecars only one. `live` holds the other
+/// reachable members.
 pub fn watch_order(own: &MemberInfo, live: &[MemberInfo]) -> Vec<MemberInfo> {
     let others = live.iter().filter(|member| member.instance != own.instance);
     let near = |member: &&MemberInfo| member.region == own.region && member.centre == own.centre;
@@ -54,43 +56,44 @@
     order
 }
 
-/// A process's place in the watch order.
+/// A process's rank in the watch order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct WatchPlace {
-    /// 0 for those that watch; each further generation takes over when all before it are silent.
-    pub generation: u32,
+pub struct WatchRank {
+    /// 0 for the regular watchers; each further tier takes over when all before it fail.
+    pub tier: u32,
 }
 
-impl WatchPlace {
-    /// The place of the own process in an order from [`watch_order`]; nothing if it isn't in it,
-    /// since it is leaving.
+impl WatchRank {
+    /// The rank of the own process in an order from [`watch_order`]; `None` if it isn't part of
+    /// it because it is leaving.
     pub fn of(own: &MemberInfo, order: &[MemberInfo], policy: &WatchPolicy) -> Option<Self> {
-        let rank = order.iter().position(|member| member.incarnation == own.incarnation)?;
+        let position = order.iter().position(|member| member.incarnation == own.incarnation)?;
         let entries = order.iter().filter(|member| member.role == MemberRole::Entry).count();
-        // A sidecar watches one object, so where there is an entry, it doesn't stand in for one.
-        let (before, rank) = match own.role {
-            MemberRole::Entry => (0, rank),
-            MemberRole::Sidecar => (entries.div_ceil(policy.watchers), rank - entries),
+        // A sidecar watches one object only, so it doesn't stand in for an entry.
+        let (before, position) = match own.role {
+            MemberRole::Entry => (0, position),
+            MemberRole::Sidecar => (entries.div_ceil(policy.watchers), position - entries),
         };
-        Some(Self { generation: (before + rank / policy.watchers) as u32 })
+        Some(Self { tier: (before + position / policy.watchers) as u32 })
     }
 
-    /// Whether to watch, if no other process is known to have had a word of the store for `silent`.
+    /// Whether to watch, given the time since any other process is known to have reached the
+    /// store.
     ///
-    /// Guards against watchers that are alive and can't reach the store themselves: nobody would
-    /// bring changes, and their neighbours would take the silence for calm. It shows as a growing
-    /// age of the store's newest word. Generations take over one after the other, so that those
-    /// that can reach the store are found without all of a data centre trying at once.
-    pub fn is_to_watch(self, silent: Duration, policy: &WatchPolicy) -> bool {
-        match self.generation {
+    /// Guards against watchers that are alive and can't reach the store: no changes would arrive,
+    /// and their neighbours couldn't distinguish that from a store without changes. The age of the
+    /// last known contact with the store then grows. Tiers take over one after the other, so that
+    /// a member with access to the store is found without all of a data centre trying at once.
+    pub fn should_watch(self, silent: Duration, policy: &WatchPolicy) -> bool {
+        match self.tier {
             0 => true,
-            later => silent > policy.silence_limit + policy.generation_step * (later - 1),
+            later => silent > policy.silence_limit + policy.tier_step * (later - 1),
         }
     }
 
-    /// The time between two tries while the store doesn't answer: while it is down all
-    /// generations try, and in sum no more often than a few of the first.
-    pub fn retry_pause(self, base: Duration) -> Duration {
-        base * (self.generation + 1)
+    /// The retry delay while the store doesn't answer. All tiers try while it is down; the delay
+    /// keeps their total rate at that of a few members of the first tier.
+    pub fn retry_delay(self, base: Duration) -> Duration {
+        base * (self.tier + 1)
     }
 }
--- a/crates/sagespool-membership/src/description.rs
+++ b/crates/sagespool-membership/src/digest.rs
@@ -1,4 +1,4 @@
-//! What of a member is news, and digests of a view.
+//! Digests of member descriptions and of views.
 
 use std::hash::{Hash, Hasher};
 
@@ -6,20 +6,19 @@
 use sagespool_types::IncarnationId;
 use twox_hash::XxHash3_64;
 
-/// Slices that a view is divided into at its finest; a power of two.
+/// Slices of the finest division of a view; a power of two.
 const SLICE_COUNT: usize = 256;
-/// Members a slice, at which a repair sends about two kilobytes.
-const MEMBERS_EACH_SLICE: usize = 32;
-
-/// True if the two differ in what every member should know. Numbers, loads and
-/// configuration versions change all the time and travel only with a member's
-/// own heartbeats.
-pub(crate) fn is_described_alike(left: &MemberInfo, right: &MemberInfo) -> bool {
-    digest_of(left) == digest_of(right)
+/// Members per slice; a repair of one slice sends about two kilobytes.
+const MEMBERS_PER_SLICE: usize = 32;
+
+/// True if two descriptions are equal in the fields that are gossiped. Numbers, loads and
+/// configuration versions change all the time and are sent only in a member's own heartbeats.
+pub(crate) fn descriptions_match(left: &MemberInfo, right: &MemberInfo) -> bool {
+    description_digest(left) == description_digest(right)
 }
 
-/// Digest of what every member should know of this one.
-pub(crate) fn digest_of(info: &MemberInfo) -> u64 {
+/// Digest of the fields of a description that are gossiped.
+pub(crate) fn description_digest(info: &MemberInfo) -> u64 {
     let mut hasher = XxHash3_64::new();
     info.incarnation.0.hash(&mut hasher);
     info.instance.hash(&mut hasher);
@@ -35,11 +34,11 @@
     hasher.finish()
 }
 
-/// Digests of a view's members, kept up to date change by change.
+/// Digests of a view's members, updated with each change.
 ///
-/// Each slice holds the members whose incarnation falls into it. Exclusive-or
-/// makes a slice's digest independent of the order of changes, and lets a
-/// coarser division be folded from the finest.
+/// Each slice covers the members whose incarnation hashes to it. Exclusive-or makes a slice's
+/// digest independent of the order of changes, and allows coarser divisions to be folded from
+/// the finest one.
 #[derive(Debug, Clone)]
 pub(crate) struct ViewDigest {
     slices: Vec<u64>,
@@ -63,22 +62,22 @@
 
     fn toggle(&mut self, info: &MemberInfo) {
         let place = slice_of(info.incarnation, SLICE_COUNT);
-        self.slices[place] ^= digest_of(info);
+        self.slices[place] ^= description_digest(info);
     }
 
-    /// How many members are in the view.
+    /// The number of members in the view.
     pub(crate) fn members(&self) -> usize {
         self.members
     }
 
-    /// One digest of the whole view.
+    /// The digest of the whole view.
     pub(crate) fn whole(&self) -> u64 {
         self.slices.iter().fold(0, |whole, slice| whole ^ slice)
     }
 
-    /// The slices' digests, as many as suit the view's size.
+    /// The slices' digests; their number depends on the view's size.
     pub(crate) fn slices(&self) -> Vec<u32> {
-        let wanted = (self.members / MEMBERS_EACH_SLICE).clamp(1, SLICE_COUNT);
+        let wanted = (self.members / MEMBERS_PER_SLICE).clamp(1, SLICE_COUNT);
         self.folded(wanted.next_power_of_two())
     }
 
@@ -90,8 +89,8 @@
         folded.into_iter().map(|digest| digest as u32).collect()
     }
 
-    /// The slices in which a peer's view differs. Nothing for a division that
-    /// this process doesn't make.
+    /// The slices in which a peer's view differs. Empty for a division that this process doesn't
+    /// support.
     pub(crate) fn differing(&self, theirs: &[u32]) -> Vec<usize> {
         let known = theirs.len().is_power_of_two() && theirs.len() <= SLICE_COUNT;
         if !known {
@@ -102,7 +101,7 @@
     }
 }
 
-/// The slice that an incarnation falls into, of a power of two of slices.
+/// The slice of an incarnation in a division into `count` slices, a power of two.
 pub(crate) fn slice_of(incarnation: IncarnationId, count: usize) -> usize {
     let mixed = XxHash3_64::oneshot(&incarnation.0.to_le_bytes());
     (mixed as usize) & (count - 1)
--- a/crates/sagespool-membership/src/tenure.rs
+++ b/crates/sagespool-membership/src/home_since.rs
@@ -1,4 +1,4 @@
-//! Since when a process has been home, and whether it is the only one.
+//! Since when a process has been home, and since when it has been the only candidate.
 
 use sagespool_messages::MemberRole;
 use sagespool_types::{BranchName, ClockTime, IncarnationId};
@@ -8,18 +8,18 @@
 use crate::view::MemberView;
 
 impl MemberView {
-    /// A member is, or just became, unfit to be given work.
+    /// Records that a member is, or just became, unfit for work.
     pub(crate) fn mark_unfit(&mut self, incarnation: IncarnationId, now: ClockTime) {
         self.homes = None;
         if let Some(record) = self.records.get_mut(&incarnation) {
-            record.unfit = Some(now);
+            record.last_unfit = Some(now);
         }
     }
 
-    /// The own start, or a later moment at which this process was believed gone
-    /// and another may have served in its place.
-    fn undoubted_since(&self, now: ClockTime) -> ClockTime {
-        self.rounds.started.unwrap_or(now).max(self.doubted)
+    /// The own start, or the last time at which this process was suspected or paused, so that
+    /// another may have acted in its place.
+    fn undisputed_since(&self, now: ClockTime) -> ClockTime {
+        self.rounds.started.unwrap_or(now).max(self.disputed_at)
     }
 
     pub(crate) fn home_since(&mut self, branch: &BranchName, now: ClockTime) -> Option<ClockTime> {
@@ -28,13 +28,13 @@
             return None;
         }
         let own_hash = hash_of(&self.own.instance);
-        let unfit = self.entries().filter(|record| record.unfit.is_some());
+        let unfit = self.entries().filter(|record| record.last_unfit.is_some());
         let earlier = unfit.filter(|record| {
             let hash = hash_of(&record.info.instance);
             record.info.region == self.own.region && comes_before(hash, own_hash, branch)
         });
-        let lost = earlier.filter_map(|record| record.unfit).max().unwrap_or_default();
-        Some(self.undoubted_since(now).max(lost))
+        let lost = earlier.filter_map(|record| record.last_unfit).max().unwrap_or_default();
+        Some(self.undisputed_since(now).max(lost))
     }
 
     pub(crate) fn exclusive_since(&self, now: ClockTime) -> Option<ClockTime> {
@@ -43,11 +43,11 @@
         if self.entries().any(foreign) {
             return None;
         }
-        let lost = self.entries().filter_map(|record| record.unfit).max().unwrap_or_default();
-        Some(self.undoubted_since(now).max(lost))
+        let lost = self.entries().filter_map(|record| record.last_unfit).max().unwrap_or_default();
+        Some(self.undisputed_since(now).max(lost))
     }
 
-    /// Every entry known but this process, gone ones included.
+    /// All known entries except this process, gone ones included.
     fn entries(&self) -> impl Iterator<Item = &MemberRecord> {
         self.records.values().filter(|record| record.info.role == MemberRole::Entry)
     }
--- a/crates/sagespool-membership/src/lib.rs
+++ b/crates/sagespool-membership/src/lib.rs
@@ -1,36 +1,36 @@
-//! Heartbeats, incarnations, leaving and configuration versions as pure decisions.
+//! Cluster membership: heartbeats, incarnations, leaving members and configuration versions.
 //!
 //! [`MemberTable`] is one process's view of the fleet. Its owner calls
-//! [`MemberTable::due_heartbeats`] every 100 ms or so, sends what it returns, and hands
-//! back what the peers answered. Nothing here opens a socket or reads a clock.
+//! [`MemberTable::due_heartbeats`] about every 100 ms, sends the heartbeats that it returns,
+//! and passes the peers' replies back. The crate does no I/O and reads no clock.
 //!
-//! Nothing that must always hold rests on this view: it says who should try,
-//! while the store's conditional updates and the sidecars decide what may run.
+//! The view is advisory. It decides which process attempts an operation; safety
+//! rests on the store's conditional updates and on the sidecars.
 
-mod config_book;
+mod config_replica;
 mod config_watch;
-mod description;
+mod digest;
 mod exchange;
 mod home;
+mod home_since;
 mod merge;
-mod news;
 mod policy;
 mod record;
 mod rounds;
+mod run_order;
 mod seeds;
-mod seniority;
 mod sizing;
 mod suspicion;
 mod table;
-mod tenure;
+mod update_queue;
 mod versions;
 mod view;
 
-pub use config_book::ConfigBook;
-pub use config_watch::{WatchPlace, WatchPolicy, watch_order};
+pub use config_replica::ConfigReplica;
+pub use config_watch::{WatchPolicy, WatchRank, watch_order};
 pub use policy::MembershipPolicy;
 pub use record::ListedMember;
-pub use seniority::initial_heartbeat_number;
-pub use sizing::encoded_bytes;
+pub use run_order::initial_heartbeat_number;
+pub use sizing::max_encoded_bytes;
 pub use table::{MemberChanges, MemberTable};
-pub use versions::{AppliedVersions, VersionOffer};
+pub use versions::{AppliedVersions, OfferOutcome};
--- a/crates/sagespool-membership/src/policy.rs
+++ b/crates/sagespool-membership/src/policy.rs
@@ -1,79 +1,79 @@
-//! The settings of membership.
+//! Timing and size limits of the membership protocol.
 
 use std::time::Duration;
 
 use bon::Builder;
 
-/// How often to gossip, with how many, and when silence means death.
+/// How often and with how many peers to gossip, and when a silent member counts as dead.
 ///
-/// A fleet of at most `mesh_limit` members is a *mesh*: each hears from each
-/// every `mesh_period`. A larger one *gossips* with `fanout` neighbours every
-/// `gossip_period`, which keeps a node's traffic independent of the fleet's size.
+/// A fleet of at most `mesh_limit` members is a *mesh*: every member exchanges heartbeats
+/// with every other each `mesh_period`. A larger fleet *gossips* with `fanout` neighbours each
+/// `gossip_period`, so that a member's traffic doesn't depend on the fleet's size.
 #[derive(Debug, Clone, PartialEq, Builder)]
 pub struct MembershipPolicy {
-    /// The largest fleet in which everyone hears from everyone.
+    /// The largest fleet that runs as a mesh, in members.
     #[builder(default = 24)]
     pub mesh_limit: usize,
-    /// Time between two rounds in a mesh.
+    /// Time between two rounds of a mesh.
     #[builder(default = Duration::from_millis(500))]
     pub mesh_period: Duration,
-    /// Time between two rounds in a larger fleet.
+    /// Time between two rounds of a larger fleet.
     #[builder(default = Duration::from_secs(3))]
     pub gossip_period: Duration,
-    /// Neighbours that a member of a larger fleet sends to each round.
+    /// Neighbours that a member of a larger fleet sends heartbeats to each round.
     #[builder(default = 3)]
     pub fanout: usize,
-    /// How long a neighbour is kept; a new one costs a handshake.
+    /// Time until a neighbour is replaced. A new neighbour costs a handshake.
     #[builder(default = Duration::from_secs(120))]
-    pub neighbour_life: Duration,
-    /// Silence in a mesh after which a member is suspected.
+    pub neighbour_lifetime: Duration,
+    /// Time without a heartbeat after which a member of a mesh is suspected.
     #[builder(default = Duration::from_millis(1500))]
     pub suspect_after: Duration,
-    /// Time in which a suspected member of a mesh may refute it.
+    /// Time in which a suspected member of a mesh can refute the suspicion.
     #[builder(default = Duration::from_secs(1))]
-    pub mesh_refute: Duration,
-    /// Time in which a suspected member of a larger fleet may refute it.
+    pub mesh_refute_timeout: Duration,
+    /// Time in which a suspected member of a larger fleet can refute the suspicion.
     #[builder(default = Duration::from_secs(3))]
-    pub gossip_refute: Duration,
-    /// Unanswered calls in a row that raise a suspicion.
+    pub gossip_refute_timeout: Duration,
+    /// Consecutive unanswered calls after which a member is suspected.
     #[builder(default = 2)]
-    pub missed_limit: u32,
-    /// Time between two calls to a member that did not answer.
+    pub missed_call_limit: u32,
+    /// Delay before the first retry of an unanswered call; it doubles with each further failure.
     #[builder(default = Duration::from_millis(500))]
-    pub retry_gap: Duration,
-    /// Time between two calls to members believed dead, to find that a partition healed.
+    pub retry_interval: Duration,
+    /// Time between two calls to dead members, which detect that a partition has healed.
     #[builder(default = Duration::from_secs(2))]
-    pub dead_gap: Duration,
-    /// Time for which a dead or replaced incarnation is remembered.
+    pub dead_probe_interval: Duration,
+    /// Time for which the record of a dead or replaced incarnation is kept.
     #[builder(default = Duration::from_secs(6 * 3600))]
-    pub forget_after: Duration,
-    /// Most bytes of news in a heartbeat, so that it fits a datagram.
+    pub gone_retention: Duration,
+    /// Size limit of the updates in a heartbeat, so that it fits a datagram.
     #[builder(default = 900)]
-    pub news_bytes: usize,
-    /// Most bytes of members in a heartbeat that repairs a gap.
+    pub max_update_bytes: usize,
+    /// Size limit of the members sent in one repair of a differing view.
     #[builder(default = 16 * 1024)]
-    pub repair_bytes: usize,
-    /// Time between two repairs that this process begins once its view has settled.
+    pub max_repair_bytes: usize,
+    /// Time between two repairs that this process starts once its view has settled.
     #[builder(default = Duration::from_secs(20))]
-    pub repair_gap: Duration,
-    /// Time between two extra rounds for urgent news in a larger fleet, on average.
+    pub repair_interval: Duration,
+    /// Average time between two extra rounds for urgent updates in a larger fleet.
     #[builder(default = Duration::from_secs(4))]
-    pub urgent_gap: Duration,
-    /// Extra rounds that may follow each other at once.
+    pub urgent_interval: Duration,
+    /// Extra rounds that may follow each other without a wait.
     #[builder(default = 4)]
     pub urgent_burst: u32,
-    /// Watched members that are called each round besides the neighbours.
+    /// Watched members that are called each round in addition to the neighbours.
     #[builder(default = 1)]
-    pub watched_each_round: usize,
+    pub watched_per_round: usize,
     /// Time without discoveries after which the view counts as complete.
     #[builder(default = Duration::from_secs(5))]
     pub settle_after: Duration,
-    /// A gap between calls of `due` that shows that this process itself was paused.
+    /// Time between two calls of `due` above which this process is assumed to have been paused.
     #[builder(default = Duration::from_millis(1200))]
-    pub stall_limit: Duration,
-    /// Most incarnations remembered, dead ones included.
+    pub stall_threshold: Duration,
+    /// Limit of stored incarnations, dead ones included.
     #[builder(default = 65_536)]
-    pub most_members: usize,
+    pub max_members: usize,
 }
 
 impl Default for MembershipPolicy {
--- a/crates/sagespool-membership/src/record.rs
+++ b/crates/sagespool-membership/src/record.rs
@@ -1,4 +1,4 @@
-//! What a view keeps of one member.
+//! The state that a view holds of one member.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,57 +6,57 @@
 use sagespool_messages::{MemberInfo, MemberRole, SuspectNote};
 use sagespool_types::{ClockTime, InstanceName, derives};
 
-/// Time for which a refutation is believed without further proof.
-const REFUTED_TIME: Duration = Duration::from_secs(30);
+/// Time after a refutation in which lower numbers are stale and failed calls raise no suspicion.
+const REFUTATION_TTL: Duration = Duration::from_secs(30);
 
 derives! { record;
-    /// An instance as the platform's list shows it.
+    /// An instance as shown by the platform's instance list.
     pub struct ListedMember {
-        /// Its name.
+        /// The instance's name.
         pub instance: InstanceName,
-        /// Its role.
+        /// Entry or sidecar.
         pub role: MemberRole,
-        /// Where its link is reached.
+        /// The address of its link.
         pub address: SocketAddr,
         /// Whether the list shows it as leaving.
         pub leaving: bool,
     }
 }
 
-/// What is believed of a member.
+/// The state of a member in this view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum MemberState {
-    /// It was heard of, and nobody says otherwise.
+    /// No unrefuted suspicion is known.
     Alive,
-    /// It doesn't answer someone; a number above `number` refutes that.
+    /// Some member got no answer from it. A higher number than `number` refutes that.
     Suspect { since: ClockTime, number: u64 },
-    /// It did not refute the suspicion in time; a number above `number` still does.
+    /// It didn't refute the suspicion in time. A higher number than `number` still does.
     Dead { since: ClockTime, number: u64 },
-    /// A newer run of its instance was heard of.
+    /// A newer run of its instance, or another process at its address, is known.
     Replaced { since: ClockTime },
 }
 
-/// One incarnation in a view.
+/// What a view stores of one incarnation.
 #[derive(Debug, Clone)]
 pub(crate) struct MemberRecord {
     pub(crate) info: MemberInfo,
     pub(crate) state: MemberState,
-    /// When a higher number of it was last heard of, from anyone.
-    pub(crate) heard: ClockTime,
-    /// When it last spoke to this process.
-    pub(crate) direct: Option<ClockTime>,
-    /// When it last called this process by itself.
-    pub(crate) called: Option<ClockTime>,
-    /// The digest of its view when it last spoke to this process.
-    pub(crate) digest: Option<u64>,
-    /// Calls to it in a row that were not answered.
-    pub(crate) missed: u32,
-    /// When it last was, or became, unfit to be given work.
-    pub(crate) unfit: Option<ClockTime>,
+    /// When a higher number of it was last received, from any member.
+    pub(crate) last_heard: ClockTime,
+    /// When it last sent a call or reply to this process.
+    pub(crate) last_contact: Option<ClockTime>,
+    /// When it last called this process on its own initiative.
+    pub(crate) last_call: Option<ClockTime>,
+    /// The digest of its view in its last message to this process.
+    pub(crate) view_digest: Option<u64>,
+    /// Consecutive unanswered calls to it.
+    pub(crate) missed_calls: u32,
+    /// When it last was, or became, unfit for work.
+    pub(crate) last_unfit: Option<ClockTime>,
     /// When it last refuted a suspicion.
-    pub(crate) refuted: Option<ClockTime>,
-    /// Its place in the log of changes.
-    pub(crate) changed: u64,
+    pub(crate) last_refuted: Option<ClockTime>,
+    /// Its position in the change log.
+    pub(crate) change_number: u64,
 }
 
 impl MemberRecord {
@@ -64,35 +64,35 @@
         Self {
             info,
             state: MemberState::Alive,
-            heard: now,
-            direct: None,
-            called: None,
-            digest: None,
-            missed: 0,
-            unfit: None,
-            refuted: None,
-            changed: 0,
+            last_heard: now,
+            last_contact: None,
+            last_call: None,
+            view_digest: None,
+            missed_calls: 0,
+            last_unfit: None,
+            last_refuted: None,
+            change_number: 0,
         }
     }
 
-    /// Alive or suspected: part of the view.
+    /// True for members of the view: alive or suspected.
     pub(crate) fn is_present(&self) -> bool {
         matches!(self.state, MemberState::Alive | MemberState::Suspect { .. })
     }
 
-    /// Believed dead, or replaced by a newer run.
+    /// True if dead or replaced.
     pub(crate) fn is_gone(&self) -> bool {
         !self.is_present()
     }
 
-    /// It refuted a suspicion a short while ago: what else is heard against it
-    /// is old, and if calls from here fail, only the link from here is broken.
-    pub(crate) fn refuted_lately(&self, now: ClockTime) -> bool {
-        self.refuted.is_some_and(|at| now.since(at) < REFUTED_TIME)
+    /// True if it refuted a suspicion within `REFUTATION_TTL`: other suspicions are stale, and if
+    /// calls from here fail, only the link from here is broken.
+    pub(crate) fn recently_refuted(&self, now: ClockTime) -> bool {
+        self.last_refuted.is_some_and(|at| now.since(at) < REFUTATION_TTL)
     }
 
-    /// The number that must be exceeded to be believed alive.
-    pub(crate) fn refuted_above(&self) -> u64 {
+    /// The number that a refutation must exceed.
+    pub(crate) fn refutation_threshold(&self) -> u64 {
         match self.state {
             MemberState::Suspect { number, .. } | MemberState::Dead { number, .. } => {
                 number.max(self.info.number)
@@ -101,27 +101,27 @@
         }
     }
 
-    /// What to tell others of a member that is suspected or believed dead.
-    pub(crate) fn note(&self) -> Option<SuspectNote> {
+    /// The note to send to others; `None` unless suspected or dead.
+    pub(crate) fn suspect_note(&self) -> Option<SuspectNote> {
         match self.state {
             MemberState::Suspect { .. } | MemberState::Dead { .. } => Some(SuspectNote {
                 incarnation: self.info.incarnation,
-                number: self.refuted_above(),
+                number: self.refutation_threshold(),
             }),
             MemberState::Alive | MemberState::Replaced { .. } => None,
         }
     }
 
-    /// False once calls from here fail, though others may still reach it.
-    pub(crate) fn is_reachable(&self, missed_limit: u32) -> bool {
-        match self.missed {
+    /// False once calls from here fail, though others may still reach the member.
+    pub(crate) fn is_reachable(&self, missed_call_limit: u32) -> bool {
+        match self.missed_calls {
             0 => true,
-            missed => missed < missed_limit && self.direct.is_some(),
+            missed => missed < missed_call_limit && self.last_contact.is_some(),
         }
     }
 
-    /// Fit to be given work: alive, and calls from here arrive.
-    pub(crate) fn is_usable(&self, missed_limit: u32) -> bool {
-        self.state == MemberState::Alive && self.is_reachable(missed_limit)
+    /// True if it is fit for work: alive, and calls from here reach it.
+    pub(crate) fn is_usable(&self, missed_call_limit: u32) -> bool {
+        self.state == MemberState::Alive && self.is_reachable(missed_call_limit)
     }
 }
--- a/crates/sagespool-membership/src/rounds.rs
+++ b/crates/sagespool-membership/src/rounds.rs
@@ -1,4 +1,4 @@
-//! When to speak to whom, and what to say.
+//! Scheduling of heartbeats: when, and to which peers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -7,66 +7,67 @@
 use sagespool_messages::Heartbeat;
 use sagespool_types::{ClockTime, IncarnationId};
 
-use crate::exchange::Correction;
+use crate::exchange::PeerCorrection;
 use crate::policy::MembershipPolicy;
 use crate::record::MemberState;
 use crate::view::MemberView;
 
-/// Of a mesh's period: a peer that called within it need not be called.
-const SKIP_SHARE: f64 = 0.6;
-/// Time between two extra rounds that refute rumours about this process.
-const REFUTE_GAP: Duration = Duration::from_millis(500);
+/// Fraction of the mesh period: a peer that called within it isn't called.
+const MESH_SKIP_FRACTION: f64 = 0.6;
+/// Time between two extra rounds that refute suspicions of this process.
+const REFUTE_INTERVAL: Duration = Duration::from_millis(500);
 /// Seeds tried in one round of a larger fleet.
-const SEEDS_EACH_ROUND: usize = 2;
-/// Dead members called at once in a mesh, and how much rarer in a larger fleet.
-const DEAD_EACH_TIME: usize = 3;
-const GOSSIP_DEAD_FACTOR: u32 = 5;
-/// A view counts as complete once all have agreed for so many rounds: at one round they may be the
-/// first few to start, which haven't heard of the next.
+const SEEDS_PER_ROUND: usize = 2;
+/// Dead members called at once in a mesh.
+const MESH_DEAD_PROBES: usize = 3;
+/// Factor by which calls to dead members are rarer in a larger fleet.
+const GOSSIP_DEAD_INTERVAL_FACTOR: u32 = 5;
+/// Consecutive rounds with equal views after which the view counts as complete. After a single
+/// round the equal views may be those of the first few processes to start.
 const AGREED_ROUNDS: u32 = 2;
-/// One in so many members discovered within a window says that more are to come.
-const SETTLED_SHARE: usize = 20;
+/// A window settles the view if it discovered at most one member in this many.
+const SETTLED_DISCOVERY_DIVISOR: usize = 20;
 
-/// What was done when, and what waits to be done.
+/// Times of the last and next activities, and pending work.
 #[derive(Debug)]
-pub(crate) struct RoundClock {
+pub(crate) struct RoundState {
     pub(crate) started: Option<ClockTime>,
     last_due: Option<ClockTime>,
     next_round: ClockTime,
     next_neighbour: ClockTime,
-    next_dead: ClockTime,
+    next_dead_probe: ClockTime,
     pub(crate) next_repair: ClockTime,
     window_start: ClockTime,
-    /// Urgent news of others wait for a round.
+    /// Urgent updates of other members wait for a round.
     pub(crate) urgent: bool,
-    /// Urgent news of this process itself wait for a round.
+    /// An urgent update of this process itself waits for a round.
     own_urgent: bool,
-    /// A rumour about this process waits to be refuted.
-    pub(crate) refuting: bool,
+    /// A suspicion of this process waits to be refuted.
+    pub(crate) refutation_pending: bool,
     refuted_at: ClockTime,
     urgent_tokens: f64,
-    tokens_at: ClockTime,
-    /// Members discovered within the present window.
+    tokens_updated_at: ClockTime,
+    /// Members discovered within the current window.
     pub(crate) discovered: usize,
-    /// Some member spoke to this process.
+    /// Some member has sent a message to this process.
     pub(crate) contacted: bool,
-    /// Rounds in a row at which everybody known had the same view as this process.
+    /// Consecutive rounds in which all known members had the same view as this process.
     agreed_rounds: u32,
-    /// The view is complete: everybody agrees with it, or a whole window brought no discoveries
-    /// worth mentioning.
+    /// The view is complete: all views agree, or a whole window brought few discoveries.
     pub(crate) settled: bool,
     neighbours: Vec<IncarnationId>,
     pub(crate) watched: Vec<IncarnationId>,
-    watched_next: usize,
-    pub(crate) repairs: BTreeSet<SocketAddr>,
-    /// What is to be told to peers at once, and with the next heartbeat to them.
-    pub(crate) pushes: BTreeMap<SocketAddr, Correction>,
-    pub(crate) later: BTreeMap<SocketAddr, Correction>,
-    /// Peers that know the urgent news already.
+    watched_position: usize,
+    pub(crate) pending_repairs: BTreeSet<SocketAddr>,
+    /// Corrections to send at once.
+    pub(crate) corrections: BTreeMap<SocketAddr, PeerCorrection>,
+    /// Corrections to send with the next regular heartbeat to a peer.
+    pub(crate) deferred_corrections: BTreeMap<SocketAddr, PeerCorrection>,
+    /// Peers that already have the urgent updates.
     pub(crate) informed: BTreeSet<SocketAddr>,
 }
 
-impl RoundClock {
+impl RoundState {
     pub(crate) fn new(policy: &MembershipPolicy) -> Self {
         let start = ClockTime::default();
         Self {
@@ -74,74 +75,74 @@
             last_due: None,
             next_round: start,
             next_neighbour: start,
-            next_dead: start,
+            next_dead_probe: start,
             next_repair: start,
             window_start: start,
             urgent: false,
             own_urgent: false,
-            refuting: false,
+            refutation_pending: false,
             refuted_at: start,
             urgent_tokens: f64::from(policy.urgent_burst),
-            tokens_at: start,
+            tokens_updated_at: start,
             discovered: 0,
             contacted: false,
             agreed_rounds: 0,
             settled: false,
             neighbours: Vec::new(),
             watched: Vec::new(),
-            watched_next: 0,
-            repairs: BTreeSet::new(),
-            pushes: BTreeMap::new(),
-            later: BTreeMap::new(),
+            watched_position: 0,
+            pending_repairs: BTreeSet::new(),
+            corrections: BTreeMap::new(),
+            deferred_corrections: BTreeMap::new(),
             informed: BTreeSet::new(),
         }
     }
 
-    /// The own description changed: the next call of `due` makes a round at once.
+    /// Makes the next call of `due` start a round for the own description.
     pub(crate) fn announce_own(&mut self) {
         self.own_urgent = true;
     }
 }
 
 impl MemberView {
-    /// The heartbeats that are due.
-    pub(crate) fn due(&mut self, now: ClockTime) -> Vec<(SocketAddr, Heartbeat)> {
-        self.forgive_stall(now);
+    /// The heartbeats to send now, by address.
+    pub(crate) fn due_heartbeats(&mut self, now: ClockTime) -> Vec<(SocketAddr, Heartbeat)> {
+        self.reset_after_stall(now);
         self.advance(now);
         let mut targets = BTreeSet::new();
         if now >= self.rounds.next_round {
             self.plan_round(now, &mut targets);
-        } else if self.may_hurry(now) {
-            targets.extend(self.partners(Duration::ZERO, now));
+        } else if self.take_early_round(now) {
+            targets.extend(self.round_peers(Duration::ZERO, now));
             targets.extend(self.caller_addresses());
             let informed = std::mem::take(&mut self.rounds.informed);
             targets.retain(|address| !informed.contains(address));
         }
         self.plan_probes(now, &mut targets);
-        targets.extend(self.rounds.repairs.iter().copied());
-        targets.extend(self.rounds.pushes.keys().copied());
+        targets.extend(self.rounds.pending_repairs.iter().copied());
+        targets.extend(self.rounds.corrections.keys().copied());
         targets.remove(&self.own.address);
-        targets.into_iter().map(|address| (address, self.beat_for(address))).collect()
+        targets.into_iter().map(|address| (address, self.heartbeat_for(address))).collect()
     }
 
-    /// A process that was paused finds everyone silent. It doubts itself first:
-    /// else it would declare the whole fleet dead on its return.
-    fn forgive_stall(&mut self, now: ClockTime) {
+    /// Restarts all timeouts after a pause of this process. After a pause everyone looks
+    /// silent, and without this the whole fleet would be declared dead.
+    fn reset_after_stall(&mut self, now: ClockTime) {
         let last = self.rounds.last_due.replace(now);
         let Some(last) = last else {
             self.rounds.started = Some(now);
             self.rounds.window_start = now;
-            self.rounds.tokens_at = now;
+            self.rounds.tokens_updated_at = now;
             return;
         };
-        if now.since(last) < self.policy.stall_limit {
+        if now.since(last) < self.policy.stall_threshold {
             return;
         }
-        self.doubted = now;
+        self.disputed_at = now;
         for incarnation in &self.present {
             let Some(record) = self.records.get_mut(incarnation) else { continue };
-            record.heard = now;
-            record.called = record.called.map(|_| now);
+            record.last_heard = now;
+            record.last_call = record.last_call.map(|_| now);
             if let MemberState::Suspect { since, .. } = &mut record.state {
                 *since = now;
             }
@@ -153,16 +154,20 @@
         let jitter = 0.9 + 0.2 * self.rng.f64();
         self.rounds.next_round = now.after(period.mul_f64(jitter));
         self.own.number += 1;
-        self.settle(now);
-        self.forget_old(now);
-        self.renew_neighbours(now);
-        let partners = self.partners(Duration::ZERO, now);
-        self.rounds.later.retain(|address, _| partners.contains(address));
-        let skip = if self.rounds.own_urgent { Duration::ZERO } else { period.mul_f64(SKIP_SHARE) };
-        targets.extend(self.partners(skip, now));
-        targets.extend(self.watched_now());
-        targets.extend(self.seeds_now(now));
-        targets.extend(self.dead_now(now));
+        self.update_settled(now);
+        self.drop_expired_records(now);
+        self.rotate_neighbours(now);
+        let peers = self.round_peers(Duration::ZERO, now);
+        self.rounds.deferred_corrections.retain(|address, _| peers.contains(address));
+        let skip = if self.rounds.own_urgent {
+            Duration::ZERO
+        } else {
+            period.mul_f64(MESH_SKIP_FRACTION)
+        };
+        targets.extend(self.round_peers(skip, now));
+        targets.extend(self.next_watched());
+        targets.extend(self.due_seeds(now));
+        targets.extend(self.due_dead_members(now));
         self.rounds.own_urgent = false;
         self.rounds.urgent = false;
         self.rounds.informed.clear();
@@ -172,25 +177,26 @@
         if self.is_mesh() { self.policy.mesh_period } else { self.policy.gossip_period }
     }
 
-    /// Whether a round is due before its time. The own news go out at once. In
-    /// a mesh those of others need not be passed on in haste, since everyone
-    /// hears from everyone; in a larger fleet extra rounds are rationed.
-    fn may_hurry(&mut self, now: ClockTime) -> bool {
-        let refutes = self.rounds.refuting && now.since(self.rounds.refuted_at) >= REFUTE_GAP;
+    /// Whether to start a round before its time. Updates of this process go out at once. In a
+    /// mesh those of others need no extra round, since everyone hears from everyone; in a
+    /// larger fleet extra rounds are limited by a token bucket.
+    fn take_early_round(&mut self, now: ClockTime) -> bool {
+        let refutes =
+            self.rounds.refutation_pending && now.since(self.rounds.refuted_at) >= REFUTE_INTERVAL;
         if std::mem::take(&mut self.rounds.own_urgent) || refutes {
             self.own.number += 1;
-            self.rounds.refuting = false;
+            self.rounds.refutation_pending = false;
             self.rounds.refuted_at = now;
             return true;
         }
         if !self.rounds.urgent || self.is_mesh() {
             return false;
         }
-        let earned = now.since(self.rounds.tokens_at).as_secs_f64();
-        let earned = earned / self.policy.urgent_gap.as_secs_f64();
-        let most = f64::from(self.policy.urgent_burst);
-        self.rounds.urgent_tokens = (self.rounds.urgent_tokens + earned).min(most);
-        self.rounds.tokens_at = now;
+        let earned = now.since(self.rounds.tokens_updated_at).as_secs_f64();
+        let earned = earned / self.policy.urgent_interval.as_secs_f64();
+        let limit = f64::from(self.policy.urgent_burst);
+        self.rounds.urgent_tokens = (self.rounds.urgent_tokens + earned).min(limit);
+        self.rounds.tokens_updated_at = now;
         if self.rounds.urgent_tokens < 1.0 {
             return false;
         }
@@ -199,31 +205,33 @@
         true
     }
 
-    /// Those whom a round speaks to, but for callers heard from within `skip`.
-    pub(crate) fn partners(&self, skip: Duration, now: ClockTime) -> Vec<SocketAddr> {
+    /// The peers of a round, without callers heard from within `skip`.
+    pub(crate) fn round_peers(&self, skip: Duration, now: ClockTime) -> Vec<SocketAddr> {
         let mesh = self.is_mesh();
-        let partners: Vec<_> = match mesh {
+        let peers: Vec<_> = match mesh {
             true => self.present.iter().collect(),
             false => self.rounds.neighbours.iter().collect(),
         };
-        let records = partners.into_iter().filter_map(|incarnation| self.records.get(incarnation));
+        let records = peers.into_iter().filter_map(|incarnation| self.records.get(incarnation));
         records
-            .filter(|record| !mesh || record.called.is_none_or(|called| now.since(called) >= skip))
+            .filter(|record| {
+                !mesh || record.last_call.is_none_or(|called| now.since(called) >= skip)
+            })
             .map(|record| record.info.address)
             .collect()
     }
 
-    /// Some members are nobody's chosen neighbour; they are reached as callers.
+    /// The addresses of callers. Some members are no one's chosen neighbour and are reached
+    /// only as callers.
     fn caller_addresses(&self) -> Vec<SocketAddr> {
         let callers = self.callers.iter().filter_map(|caller| self.records.get(caller));
         callers.map(|record| record.info.address).collect()
     }
 
-    /// Neighbours of a larger fleet are chosen at random, and one is replaced
-    /// now and then, so that each member is called by someone it didn't know
-    /// within a few minutes, and views that drifted apart meet.
-    fn renew_neighbours(&mut self, now: ClockTime) {
-        let (records, limit) = (&self.records, self.policy.missed_limit);
+    /// Updates the random neighbours of a larger fleet. One is replaced from time to time, so
+    /// that each member is called by a new one within a few minutes, and diverged views meet.
+    fn rotate_neighbours(&mut self, now: ClockTime) {
+        let (records, limit) = (&self.records, self.policy.missed_call_limit);
         let usable = |neighbour: &IncarnationId| {
             records.get(neighbour).is_some_and(|record| record.is_usable(limit))
         };
@@ -233,7 +241,7 @@
         }
         if now >= self.rounds.next_neighbour {
             self.rounds.next_neighbour =
-                now.after(self.policy.neighbour_life / self.policy.fanout.max(1) as u32);
+                now.after(self.policy.neighbour_lifetime / self.policy.fanout.max(1) as u32);
             if self.rounds.neighbours.len() >= self.policy.fanout {
                 self.rounds.neighbours.remove(0);
             }
@@ -250,15 +258,15 @@
         }
     }
 
-    /// The watched members whose turn it is. In a mesh all are called anyway.
-    fn watched_now(&mut self) -> Vec<SocketAddr> {
+    /// The next watched members in turn; none in a mesh, where all are called anyway.
+    fn next_watched(&mut self) -> Vec<SocketAddr> {
         let watched = &self.rounds.watched;
         if self.is_mesh() || watched.is_empty() {
             return Vec::new();
         }
-        let count = self.policy.watched_each_round.min(watched.len());
-        let first = self.rounds.watched_next;
-        self.rounds.watched_next = (first + count) % watched.len();
+        let count = self.policy.watched_per_round.min(watched.len());
+        let first = self.rounds.watched_position;
+        self.rounds.watched_position = (first + count) % watched.len();
         let turn = (first..first + count).map(|place| watched[place % watched.len()]);
         turn.filter(|incarnation| self.present.contains(incarnation))
             .filter_map(|incarnation| self.records.get(&incarnation))
@@ -266,25 +274,25 @@
             .collect()
     }
 
-    fn seeds_now(&mut self, now: ClockTime) -> Vec<SocketAddr> {
-        let most = if self.is_mesh() { self.policy.mesh_limit } else { SEEDS_EACH_ROUND };
+    fn due_seeds(&mut self, now: ClockTime) -> Vec<SocketAddr> {
+        let limit = if self.is_mesh() { self.policy.mesh_limit } else { SEEDS_PER_ROUND };
         let by_address = &self.by_address;
         let own = self.own.address;
         let known = |address: &SocketAddr| *address == own || by_address.contains_key(address);
-        self.seeds.due(most, now, known)
+        self.seeds.take_due(limit, now, known)
     }
 
-    /// Dead members are called now and then: after a partition heals, nobody
-    /// else tells this side that the other one lives, if the platform is down.
-    fn dead_now(&mut self, now: ClockTime) -> Vec<SocketAddr> {
-        if now < self.rounds.next_dead || self.dead.is_empty() {
+    /// Dead members to call. After a partition heals, this is the only way to find that the
+    /// other side is alive while the platform is down.
+    fn due_dead_members(&mut self, now: ClockTime) -> Vec<SocketAddr> {
+        if now < self.rounds.next_dead_probe || self.dead.is_empty() {
             return Vec::new();
         }
         let (gap, count) = match self.is_mesh() {
-            true => (self.policy.dead_gap, DEAD_EACH_TIME),
-            false => (self.policy.dead_gap * GOSSIP_DEAD_FACTOR, 1),
+            true => (self.policy.dead_probe_interval, MESH_DEAD_PROBES),
+            false => (self.policy.dead_probe_interval * GOSSIP_DEAD_INTERVAL_FACTOR, 1),
         };
-        self.rounds.next_dead = now.after(gap);
+        self.rounds.next_dead_probe = now.after(gap);
         let mut chosen = Vec::new();
         for _ in 0..count {
             let place = self.rng.usize(..self.dead.len());
@@ -308,14 +316,14 @@
         }
     }
 
-    /// Judges whether this process knows the fleet: in a mesh as soon as all agree, else at the end
-    /// of a window.
+    /// Decides whether the view is complete: in a mesh as soon as all views agree, else at the
+    /// end of a window.
     ///
-    /// Without the agreement a process that starts waits for the second window, since the first one
-    /// holds the discovery of everybody: callers of a fleet that lost power got 503 for ten
-    /// seconds.
-    fn settle(&mut self, now: ClockTime) {
-        let agreed = self.is_agreed();
+    /// Without the agreement a starting process waits for the second window, since the first
+    /// one holds the discovery of all members: after a power loss of a whole fleet, callers got
+    /// 503 for ten seconds.
+    fn update_settled(&mut self, now: ClockTime) {
+        let agreed = self.all_views_agree();
         self.rounds.agreed_rounds = if agreed { self.rounds.agreed_rounds + 1 } else { 0 };
         if self.rounds.agreed_rounds >= AGREED_ROUNDS {
             self.rounds.settled = true;
@@ -326,17 +334,17 @@
         if now.since(self.rounds.window_start) < self.policy.settle_after {
             return;
         }
-        let quiet = self.rounds.discovered * SETTLED_SHARE <= self.digest.members();
+        let quiet = self.rounds.discovered * SETTLED_DISCOVERY_DIVISOR <= self.digest.members();
         let alone = self.seeds.is_empty() && self.records.is_empty();
         self.rounds.settled = quiet && (self.rounds.contacted || alone);
         self.rounds.window_start = now;
         self.rounds.discovered = 0;
     }
 
-    /// True in a mesh if every listed address is a member's and every member last said that it sees
-    /// what this process sees. An address that doesn't answer is no agreement: who is there may
-    /// hold grants.
-    fn is_agreed(&self) -> bool {
+    /// True in a mesh if every listed address belongs to a member and every member last reported
+    /// the same view digest. An address that doesn't answer prevents agreement, since a process
+    /// there may hold grants.
+    fn all_views_agree(&self) -> bool {
         let own = self.digest.whole();
         let is_known = |address: &SocketAddr| {
             *address == self.own.address || self.by_address.contains_key(address)
@@ -345,7 +353,7 @@
         self.is_mesh()
             && self.rounds.contacted
             && !self.seeds.is_empty()
-            && self.seeds.are_all(is_known)
-            && present.all(|record| record.digest == Some(own))
+            && self.seeds.all_match(is_known)
+            && present.all(|record| record.view_digest == Some(own))
     }
 }
--- a/crates/sagespool-membership/src/suspicion.rs
+++ b/crates/sagespool-membership/src/suspicion.rs
@@ -1,4 +1,4 @@
-//! Silence, suspicion, death, and taking it back.
+//! Failure detection: silence, suspicion, death and refutation.
 
 use std::net::SocketAddr;
 
@@ -8,43 +8,51 @@
 use crate::record::{MemberRecord, MemberState};
 use crate::view::MemberView;
 
-/// Members called back to check a rumour, at once.
-const MOST_CHECKS: usize = 3;
-/// Silence of a caller, in gossip periods, after which it is called back.
-const SILENT_PERIODS: u32 = 2;
-/// Waits between calls to a member that doesn't answer double so often.
-const MOST_DOUBLINGS: u32 = 7;
+/// Limit of pending calls that check contradictory reports of a member.
+const MAX_PENDING_CHECKS: usize = 3;
+/// Gossip periods without a call from a caller after which it is called.
+const SILENCE_GOSSIP_PERIODS: u32 = 2;
+/// Missed calls after which the retry delay of a member stops doubling.
+const BACKOFF_MISSED_CALLS: u32 = 7;
 
 impl MemberView {
-    /// A peer finds that a member doesn't answer. What is returned sets it right.
+    /// Handles a peer's suspicion of a member. Returns the member's description if the
+    /// suspicion is outdated.
     ///
-    /// In a mesh, whoever heard from the member lately says so. In a larger
-    /// fleet the suspicion is passed on, the member hears of it on some way and
-    /// refutes it itself: a third party's word would only say that it lived some
-    /// seconds ago. Members know different numbers of it, so the highest counts;
-    /// but once it has refuted a suspicion, a note with a lower number is an
-    /// echo, and passing it on under a higher one would never end.
-    pub(crate) fn accuse(&mut self, note: &SuspectNote, now: ClockTime) -> Option<MemberInfo> {
+    /// In a mesh a member that has heard from the suspect lately contradicts the suspicion.
+    /// In a larger fleet the suspicion is gossiped until it reaches the suspect, which refutes
+    /// it; a third party could only confirm that the suspect was alive some seconds ago.
+    /// Members hold different numbers of the suspect, so the highest counts. Once the suspect
+    /// has refuted a suspicion, a note with a lower number is stale: gossiping it again with
+    /// a higher number would never end.
+    pub(crate) fn handle_suspicion(
+        &mut self,
+        note: &SuspectNote,
+        now: ClockTime,
+    ) -> Option<MemberInfo> {
         if note.incarnation == self.own.incarnation {
             self.refute(note.number, now);
             return None;
         }
         let mesh = self.is_mesh();
         let record = self.records.get_mut(&note.incarnation)?;
-        let spoke = record.direct.is_some_and(|at| now.since(at) < self.policy.suspect_after);
-        let echo = record.info.number > note.number && record.refuted_lately(now);
+        let is_recent =
+            record.last_contact.is_some_and(|at| now.since(at) < self.policy.suspect_after);
+        let is_stale = record.info.number > note.number && record.recently_refuted(now);
         match &mut record.state {
-            MemberState::Alive if echo || mesh && spoke => return Some(record.info.clone()),
+            MemberState::Alive if is_stale || mesh && is_recent => {
+                return Some(record.info.clone());
+            }
             MemberState::Alive => {
                 let number = note.number.max(record.info.number);
                 self.suspect(&SuspectNote { number, ..*note }, now);
-                if spoke {
-                    self.check_rumour(note.incarnation, now);
+                if is_recent {
+                    self.schedule_check(note.incarnation, now);
                 }
             }
             MemberState::Suspect { number, .. } | MemberState::Dead { number, .. } => {
                 *number = note.number.max(*number);
-                self.news.known_already(note.incarnation);
+                self.updates.record_known(note.incarnation);
             }
             MemberState::Replaced { .. } => {}
         }
@@ -57,15 +65,15 @@
         record.state = MemberState::Suspect { since: now, number: note.number };
         self.suspects.insert(note.incarnation);
         self.rounds.urgent = true;
-        self.spread(note.incarnation);
+        self.queue_update(note.incarnation);
     }
 
-    /// Someone believes this process dead: its number rises above the rumour's,
-    /// and it says so to all its peers.
+    /// Refutes a suspicion of this process: raises the own number above the suspicion's and
+    /// schedules a heartbeat to all peers.
     pub(crate) fn refute(&mut self, number: u64, now: ClockTime) {
-        self.doubted = now;
+        self.disputed_at = now;
         self.own.number = self.own.number.max(number) + 1;
-        self.rounds.refuting = true;
+        self.rounds.refutation_pending = true;
     }
 
     pub(crate) fn clear_suspicion(&mut self, incarnation: IncarnationId, now: ClockTime) {
@@ -74,39 +82,44 @@
         }
         if let Some(record) = self.records.get_mut(&incarnation) {
             record.state = MemberState::Alive;
-            record.refuted = Some(now);
+            record.last_refuted = Some(now);
         }
         self.rounds.urgent = true;
-        self.spread(incarnation);
+        self.queue_update(incarnation);
     }
 
-    /// Calls a member that rumours disagree on, but few of them at once: after
-    /// a partition heals, thousands come back.
-    pub(crate) fn check_rumour(&mut self, incarnation: IncarnationId, now: ClockTime) {
-        if self.probes.len() < MOST_CHECKS {
+    /// Schedules a call to a member about which reports contradict each other. The number of
+    /// pending calls is limited, since thousands of members return when a partition heals.
+    pub(crate) fn schedule_check(&mut self, incarnation: IncarnationId, now: ClockTime) {
+        if self.probes.len() < MAX_PENDING_CHECKS {
             self.probes.entry(incarnation).or_insert(now);
         }
     }
 
-    /// A member spoke to this process: in a call of its own, or in an answer.
-    pub(crate) fn contact(&mut self, incarnation: IncarnationId, called: bool, now: ClockTime) {
+    /// Records a direct message from a member: a call if `is_call`, else a reply.
+    pub(crate) fn record_contact(
+        &mut self,
+        incarnation: IncarnationId,
+        is_call: bool,
+        now: ClockTime,
+    ) {
         self.rounds.contacted = true;
         let Some(record) = self.records.get_mut(&incarnation) else { return };
-        if record.missed > 0 {
+        if record.missed_calls > 0 {
             self.homes = None;
         }
-        record.direct = Some(now);
-        record.missed = 0;
+        record.last_contact = Some(now);
+        record.missed_calls = 0;
         if record.is_gone() {
             return;
         }
-        record.heard = now;
-        if called {
-            // A single call may be a check, and a check of a check would never end.
-            let limit = self.policy.gossip_period * SILENT_PERIODS;
-            let again = record.called.is_some_and(|before| now.since(before) < limit);
-            record.called = Some(now);
-            if again {
+        record.last_heard = now;
+        if is_call {
+            // A single call may be a check. Calling back after a check would never end.
+            let limit = self.policy.gossip_period * SILENCE_GOSSIP_PERIODS;
+            let is_repeated = record.last_call.is_some_and(|before| now.since(before) < limit);
+            record.last_call = Some(now);
+            if is_repeated {
                 self.callers.insert(incarnation);
             }
         }
@@ -115,16 +128,17 @@
         }
     }
 
-    /// A call to an address was not answered. It is called again, ever more
-    /// rarely; from the second time on the member is suspected.
-    pub(crate) fn missed(&mut self, address: SocketAddr, now: ClockTime) {
+    /// Records an unanswered call. Schedules a retry with exponential backoff, and suspects
+    /// the member after `missed_call_limit` failures.
+    pub(crate) fn record_missed_call(&mut self, address: SocketAddr, now: ClockTime) {
         let Some(incarnation) = self.by_address.get(&address).copied() else { return };
         let Some(record) = self.records.get_mut(&incarnation) else { return };
-        record.missed += 1;
-        let wait = self.policy.retry_gap * 2_u32.pow(record.missed.min(MOST_DOUBLINGS) - 1);
-        let silent = record.missed >= self.policy.missed_limit;
-        // Only the link from here is broken: others would be troubled for nothing.
-        let refuted = record.refuted_lately(now) && record.direct < record.refuted;
+        record.missed_calls += 1;
+        let wait = self.policy.retry_interval
+            * 2_u32.pow(record.missed_calls.min(BACKOFF_MISSED_CALLS) - 1);
+        let silent = record.missed_calls >= self.policy.missed_call_limit;
+        // A recent refutation shows that only the link from here is broken: no suspicion.
+        let refuted = record.recently_refuted(now) && record.last_contact < record.last_refuted;
         let alive = record.state == MemberState::Alive;
         let note = SuspectNote { incarnation, number: record.info.number };
         self.mark_unfit(incarnation, now);
@@ -134,14 +148,14 @@
         }
     }
 
-    /// Lets time pass: silence raises suspicion, and suspicion ends in death.
+    /// Applies timeouts: silent members become suspected, expired suspicions become deaths.
     pub(crate) fn advance(&mut self, now: ClockTime) {
         if self.is_mesh() {
             self.suspect_silent(now);
         } else {
-            self.call_silent_back(now);
+            self.probe_silent_callers(now);
         }
-        self.bury(now);
+        self.expire_suspicions(now);
     }
 
     fn suspect_silent(&mut self, now: ClockTime) {
@@ -150,7 +164,7 @@
             .iter()
             .filter_map(|incarnation| self.records.get(incarnation))
             .filter(|record| record.state == MemberState::Alive)
-            .filter(|record| now.since(record.heard) >= self.policy.suspect_after)
+            .filter(|record| now.since(record.last_heard) >= self.policy.suspect_after)
             .map(|record| SuspectNote {
                 incarnation: record.info.incarnation,
                 number: record.info.number,
@@ -161,12 +175,13 @@
         }
     }
 
-    /// A member that called each round and doesn't any more has chosen another
-    /// neighbour, or is dead: a call tells.
-    fn call_silent_back(&mut self, now: ClockTime) {
-        let limit = self.policy.gossip_period * SILENT_PERIODS;
-        let is_silent =
-            |record: &MemberRecord| record.called.is_none_or(|called| now.since(called) >= limit);
+    /// Calls members that used to call each round and stopped: such a member has either
+    /// chosen another neighbour or died.
+    fn probe_silent_callers(&mut self, now: ClockTime) {
+        let limit = self.policy.gossip_period * SILENCE_GOSSIP_PERIODS;
+        let is_silent = |record: &MemberRecord| {
+            record.last_call.is_none_or(|called| now.since(called) >= limit)
+        };
         let silent: Vec<_> = self
             .callers
             .iter()
@@ -179,34 +194,38 @@
         }
     }
 
-    fn bury(&mut self, now: ClockTime) {
-        let limit =
-            if self.is_mesh() { self.policy.mesh_refute } else { self.policy.gossip_refute };
-        let lapsed = |incarnation: &&IncarnationId| match self.records.get(incarnation) {
+    /// Declares members dead that haven't refuted a suspicion in time.
+    fn expire_suspicions(&mut self, now: ClockTime) {
+        let limit = if self.is_mesh() {
+            self.policy.mesh_refute_timeout
+        } else {
+            self.policy.gossip_refute_timeout
+        };
+        let is_expired = |incarnation: &&IncarnationId| match self.records.get(incarnation) {
             Some(MemberRecord { state: MemberState::Suspect { since, .. }, .. }) => {
                 now.since(*since) >= limit
             }
             _ => true,
         };
-        let lapsed: Vec<_> = self.suspects.iter().filter(lapsed).copied().collect();
-        for incarnation in lapsed {
+        let expired: Vec<_> = self.suspects.iter().filter(is_expired).copied().collect();
+        for incarnation in expired {
             self.declare_dead(incarnation, now);
         }
     }
 
     fn declare_dead(&mut self, incarnation: IncarnationId, now: ClockTime) {
         self.mark_unfit(incarnation, now);
-        self.leave_view(incarnation);
+        self.remove_from_view(incarnation);
         let Some(record) = self.records.get_mut(&incarnation) else { return };
-        let number = record.refuted_above();
+        let number = record.refutation_threshold();
         record.state = MemberState::Dead { since: now, number };
         self.dead.insert(incarnation);
         self.log_change(incarnation);
     }
 
-    /// Forgets incarnations that have been gone for long.
-    pub(crate) fn forget_old(&mut self, now: ClockTime) {
-        let limit = self.policy.forget_after;
+    /// Removes records of incarnations that were gone for `gone_retention`.
+    pub(crate) fn drop_expired_records(&mut self, now: ClockTime) {
+        let limit = self.policy.gone_retention;
         let old: Vec<_> = self
             .records
             .iter()
@@ -219,16 +238,16 @@
             .map(|(incarnation, _)| *incarnation)
             .collect();
         for incarnation in old {
-            self.forget(incarnation);
+            self.remove_record(incarnation);
         }
     }
 
-    fn forget(&mut self, incarnation: IncarnationId) {
+    fn remove_record(&mut self, incarnation: IncarnationId) {
         self.dead.remove(&incarnation);
         let Some(record) = self.records.remove(&incarnation) else { return };
-        self.changes.remove(&record.changed);
-        if self.newest.get(&record.info.instance) == Some(&incarnation) {
-            self.newest.remove(&record.info.instance);
+        self.changes.remove(&record.change_number);
+        if self.newest_runs.get(&record.info.instance) == Some(&incarnation) {
+            self.newest_runs.remove(&record.info.instance);
         }
     }
 }
--- a/crates/sagespool-membership/src/table.rs
+++ b/crates/sagespool-membership/src/table.rs
@@ -1,4 +1,4 @@
-//! The public face of a view: one lock around it.
+//! The public interface of a view, guarded by one lock.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -12,31 +12,30 @@
 use crate::record::ListedMember;
 use crate::view::MemberView;
 
-/// What changed in a view after some point.
+/// The changes of a view after a position of its change log.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MemberChanges {
-    /// To be handed to the next call of [`MemberTable::changes_since`].
-    pub number: u64,
+    /// The log's newest position, for the next call of [`MemberTable::changes_since`].
+    pub position: u64,
     /// Members that are new, or whose description, load or configuration changed.
     pub updated: Vec<MemberInfo>,
-    /// Members believed dead, or replaced by a newer run of their instance.
+    /// Members that are dead, or replaced by a newer run of their instance.
     pub gone: Vec<IncarnationId>,
 }
 
 /// One process's view of the fleet.
 ///
-/// No promise to callers rests on it. A member that is wrongly believed dead,
-/// or two entries that both think they are home of a branch, cost time and
-/// store calls; budgets, claims and leaving upstreams are guarded by the store
-/// and by the sidecars.
+/// The view is advisory: a member that is wrongly taken for dead, or two entries that both act
+/// as home of a branch, cost time and store calls. Budgets, claims and leaving upstreams are
+/// guarded by the store and by the sidecars.
 #[derive(Debug)]
 pub struct MemberTable {
     view: Mutex<MemberView>,
 }
 
 impl MemberTable {
-    /// A view that knows only its own process. Give `own.number` the value of
-    /// [`crate::initial_heartbeat_number`]; `seed` drives the choice of neighbours.
+    /// A view that holds only its own process. `own.number` has to come from
+    /// [`crate::initial_heartbeat_number`]; `seed` drives the random choice of neighbours.
     pub fn new(own: MemberInfo, policy: MembershipPolicy, seed: u64) -> Self {
         Self { view: Mutex::new(MemberView::new(own, policy, seed)) }
     }
@@ -45,61 +44,58 @@
         self.view.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes the own description. `number` rises by itself, instance and
-    /// incarnation stay, and `leaving` is never taken back. A change that
-    /// every member should know (leaving, health, models, capacity) makes the
-    /// next call of [`Self::due_heartbeats`] a round.
+    /// Changes the own description. `number` is raised automatically, instance and incarnation
+    /// can't change, and `leaving` can't be unset. A change that every member needs (leaving,
+    /// health, models, capacity) makes the next call of [`Self::due_heartbeats`] start a round.
     pub fn update_own(&self, change: impl FnOnce(&mut MemberInfo)) {
         self.view().update_own(change);
     }
 
-    /// The own description.
+    /// The own description, without the instance list's leaving state.
     pub fn own(&self) -> MemberInfo {
         self.view().own.clone()
     }
 
-    /// The heartbeats to send now, each to an address. To be called every
-    /// 100 ms or so; a longer pause than the policy's `stall_limit` is taken
-    /// for a pause of this process, and all its peers get their time anew.
+    /// The heartbeats to send now, each with its address. To be called about every 100 ms; a
+    /// longer interval than the policy's `stall_threshold` counts as a pause of this process and
+    /// restarts the timeouts of all peers.
     pub fn due_heartbeats(&self, now: ClockTime) -> Vec<(SocketAddr, Heartbeat)> {
-        self.view().due(now)
+        self.view().due_heartbeats(now)
     }
 
-    /// Takes in a peer's heartbeat and returns the answer to it.
+    /// Handles a peer's heartbeat and returns the reply to it.
     pub fn handle_heartbeat(&self, beat: &Heartbeat, now: ClockTime) -> Heartbeat {
-        self.view().received(beat, now)
+        self.view().handle_heartbeat(beat, now)
     }
 
-    /// Takes in the answer to a heartbeat sent to `address`.
+    /// Handles the reply to a heartbeat sent to `address`.
     pub fn handle_reply(&self, address: SocketAddr, beat: &Heartbeat, now: ClockTime) {
-        self.view().answered(address, beat, now);
+        self.view().handle_reply(address, beat, now);
     }
 
-    /// A heartbeat, or any other request, to `address` was not answered.
+    /// Records that a heartbeat, or any other request, to `address` was not answered.
     pub fn record_call_failure(&self, address: SocketAddr, now: ClockTime) {
         let mut view = self.view();
         view.advance(now);
-        view.missed(address, now);
+        view.record_missed_call(address, now);
     }
 
-    /// Takes in the instance list: addresses to try, and who is leaving. True
-    /// if the own instance is to leave. The list lags, so it neither adds nor
-    /// removes a member.
+    /// Applies the platform's instance list: seed addresses, and leaving instances. True if this
+    /// process has to leave. The list lags, so it neither adds nor removes a member.
     ///
-    /// It names instances, not runs of their processes: one that is started
-    /// again finds the word about its predecessor still there, and would end as
-    /// soon as it began. So a run that the list has never shown otherwise waits
-    /// for as long as a list may lag before it takes the word for its own; it
-    /// takes no work meanwhile, see `is_listed_leaving`.
+    /// The list names instances, not runs of their processes. After a restart it may still show
+    /// the instance as leaving, which refers to the earlier run, and the new run would stop as
+    /// soon as it started. So a run that was never listed otherwise waits for the longest lag of
+    /// the list before it leaves; meanwhile it accepts no work, see `is_listed_leaving`.
     pub fn apply_instance_list(&self, instances: &[ListedMember], now: ClockTime) -> bool {
         let addresses: BTreeSet<_> = instances.iter().map(|listed| listed.address).collect();
         let leaving = instances.iter().filter(|listed| listed.leaving);
         let leaving: BTreeSet<_> = leaving.map(|listed| listed.instance.clone()).collect();
         let mut view = self.view();
         let own_leaving = leaving.contains(&view.own.instance);
-        view.seeds.listed(&addresses, now);
-        view.list_leaving(leaving, now);
-        view.is_to_leave(own_leaving, now)
+        view.seeds.set_listed(&addresses, now);
+        view.set_listed_leaving(leaving, now);
+        view.should_leave(own_leaving, now)
     }
 
     /// Whether the instance list shows the own instance as leaving.
@@ -108,51 +104,50 @@
         view.listed_leaving.contains(&view.own.instance)
     }
 
-    /// Addresses to try from the settings; they are never dropped.
+    /// Adds seed addresses from the settings, which are never removed.
     pub fn add_seeds(&self, addresses: &[SocketAddr], now: ClockTime) {
-        self.view().seeds.settings(addresses, now);
+        self.view().seeds.add_configured(addresses, now);
     }
 
-    /// Members whose load this process wants to know in a fleet too large for
-    /// everyone's load to reach everyone: each round calls the next of them.
-    pub fn watch(&self, members: Vec<IncarnationId>) {
+    /// Sets the members whose load this process needs in a fleet too large for gossip to carry
+    /// every load. Each round calls the next of them.
+    pub fn set_watched(&self, members: Vec<IncarnationId>) {
         self.view().rounds.watched = members;
     }
 
-    /// Everyone not believed gone, this process included.
+    /// All members that aren't gone, this process included.
     pub fn members(&self) -> Vec<MemberInfo> {
         let view = self.view();
         let others = view.present.iter().filter_map(|incarnation| view.records.get(incarnation));
         let others = others.map(|record| &record.info);
-        others.chain([&view.own]).map(|info| view.shown(info)).collect()
+        others.chain([&view.own]).map(|info| view.effective_info(info)).collect()
     }
 
-    /// Members of a role that are fit to be given work: not suspected, and
-    /// reached from here. Leaving ones are among them, marked; this process
-    /// itself is not.
+    /// Members of a role that are fit for work: not suspected, and reachable from here. Leaving
+    /// members are included and marked; this process is not.
     pub fn live(&self, role: MemberRole, now: ClockTime) -> Vec<MemberInfo> {
         let mut view = self.view();
         view.advance(now);
-        let limit = view.policy.missed_limit;
+        let limit = view.policy.missed_call_limit;
         let others = view.present.iter().filter_map(|incarnation| view.records.get(incarnation));
         others
             .filter(|record| record.info.role == role && record.is_usable(limit))
-            .map(|record| view.shown(&record.info))
+            .map(|record| view.effective_info(&record.info))
             .collect()
     }
 
-    /// A member by its incarnation, also if it is believed gone.
+    /// A member by its incarnation, also if it is gone.
     pub fn find(&self, incarnation: IncarnationId) -> Option<MemberInfo> {
         let view = self.view();
         if incarnation == view.own.incarnation {
-            return Some(view.shown(&view.own));
+            return Some(view.effective_info(&view.own));
         }
-        view.records.get(&incarnation).map(|record| view.shown(&record.info))
+        view.records.get(&incarnation).map(|record| view.effective_info(&record.info))
     }
 
-    /// True if an incarnation is believed dead, was replaced by a newer run of
-    /// its instance, or is unknown to a view that has settled. A belief: it
-    /// says that recovery may be tried, never that the process does nothing.
+    /// True if an incarnation is dead, was replaced by a newer run of its instance, or is
+    /// unknown to a settled view. It allows recovery to be tried; it doesn't prove that the
+    /// process has stopped.
     pub fn is_gone(&self, incarnation: IncarnationId, now: ClockTime) -> bool {
         let mut view = self.view();
         view.advance(now);
@@ -165,22 +160,22 @@
         }
     }
 
-    /// True once this view has been quiet for long enough to count as complete.
+    /// True once the view counts as complete.
     pub fn is_settled(&self) -> bool {
         self.view().rounds.settled
     }
 
-    /// The entry that is home of a branch, by what this process sees: one of
-    /// its own region that isn't leaving. Nothing if there is none.
+    /// The home of a branch in this view: an entry of the own region that isn't leaving.
+    /// `None` if there is no such entry.
     pub fn home_of(&self, branch: &BranchName, now: ClockTime) -> Option<MemberInfo> {
         self.homes_of(branch, 1, now).pop()
     }
 
-    /// The home of a branch and those next in order, at most `most`.
-    pub fn homes_of(&self, branch: &BranchName, most: usize, now: ClockTime) -> Vec<MemberInfo> {
+    /// The first `limit` entries in a branch's rendezvous order, the home first.
+    pub fn homes_of(&self, branch: &BranchName, limit: usize, now: ClockTime) -> Vec<MemberInfo> {
         let mut view = self.view();
         view.advance(now);
-        let order = home_order(view.homes(), branch, most);
+        let order = home_order(view.homes(), branch, limit);
         let own = view.own.incarnation;
         let info_of = |incarnation| match incarnation == own {
             true => Some(&view.own),
@@ -189,35 +184,33 @@
         order.into_iter().filter_map(info_of).cloned().collect()
     }
 
-    /// Since when this process has been home of a branch, as far as it can know:
-    /// no entry before it in the branch's order was fit since, and nobody
-    /// doubted this process. Nothing if it isn't home now. What an earlier home
-    /// was told of the branch's keys isn't known here.
+    /// Since when this process has been home of a branch: since then no entry before it in the
+    /// branch's order was fit for work, and this process was neither suspected nor paused. `None`
+    /// if it isn't home now. Keys of the branch that an earlier home received aren't known here.
     pub fn home_since(&self, branch: &BranchName, now: ClockTime) -> Option<ClockTime> {
         let mut view = self.view();
         view.advance(now);
         view.home_since(branch, now)
     }
 
-    /// Since when no other process can have taken a branch's requests in this
-    /// one's place without its knowledge: no entry was lost, suspected, leaving
-    /// or out of reach since. Nothing while there are entries of other regions,
-    /// which have homes of their own.
+    /// Since when no other process can have handled a branch's requests without this one
+    /// noticing: since then no entry was lost, suspected, leaving or unreachable. `None` while
+    /// there are entries of other regions, which have homes of their own.
     pub fn exclusive_since(&self, now: ClockTime) -> Option<ClockTime> {
         let mut view = self.view();
         view.advance(now);
         view.exclusive_since(now)
     }
 
-    /// What changed after `number`, 0 for everything.
-    pub fn changes_since(&self, number: u64) -> MemberChanges {
+    /// All changes after a position of the change log; 0 for all members.
+    pub fn changes_since(&self, position: u64) -> MemberChanges {
         let view = self.view();
-        let (number, changed) = view.changed_since(number);
+        let (position, changed) = view.changed_since(position);
         let (gone, updated): (Vec<_>, Vec<_>) =
             changed.into_iter().partition(|record| record.is_gone());
         MemberChanges {
-            number,
-            updated: updated.into_iter().map(|record| view.shown(&record.info)).collect(),
+            position,
+            updated: updated.into_iter().map(|record| view.effective_info(&record.info)).collect(),
             gone: gone.into_iter().map(|record| record.info.incarnation).collect(),
         }
     }
--- a/crates/sagespool-membership/src/versions.rs
+++ b/crates/sagespool-membership/src/versions.rs
@@ -1,20 +1,20 @@
-//! Configuration versions that never go back.
+//! Applied configuration versions, which never decrease.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use sagespool_types::{ConfigVersion, StoreRevision};
 
-/// What to do with a version of an object.
+/// The result of offering a version of an object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum VersionOffer {
-    /// It is newer: put it in force. It counts as applied from now on.
+pub enum OfferOutcome {
+    /// It is newer and counts as applied from now on; the caller has to apply it.
     Apply,
-    /// It is in force already.
+    /// It is applied already.
     Applied,
-    /// An older one than is in force, or than a neighbour has in force.
+    /// It is older than the applied version, or than the one a neighbour reported.
     Older {
-        /// The lowest version that would be taken.
+        /// The lowest version that is accepted.
         wanted: StoreRevision,
     },
 }
@@ -22,27 +22,26 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct VersionRecord {
     applied: Option<StoreRevision>,
-    heard: StoreRevision,
+    reported: StoreRevision,
 }
 
-/// Which version of each configuration object a process has in force.
+/// The applied version of each configuration object of a process.
 ///
-/// A process never puts a version in force that is lower than one it had: a
-/// relay that lags, or an answer that was delayed, offers old versions. A
-/// process that starts has forgotten what its predecessor had in force; it asks
-/// its neighbours, calls [`Self::heard`] with what each has, and then takes
-/// nothing lower for an object that it hasn't applied yet.
+/// A process never applies a lower version than one it had: lagging relays and delayed replies
+/// offer old versions. A restarted process doesn't have the versions of its predecessor; it
+/// queries its neighbours, calls [`Self::record_reported`] with the version of each, and then
+/// rejects lower ones for an object that it hasn't applied yet.
 ///
 /// ```
-/// use sagespool_membership::{AppliedVersions, VersionOffer};
+/// use sagespool_membership::{AppliedVersions, OfferOutcome};
 /// use sagespool_types::StoreRevision;
 ///
 /// let versions = AppliedVersions::new();
-/// versions.heard("configuration/fleet", StoreRevision(9));
+/// versions.record_reported("configuration/fleet", StoreRevision(9));
 /// let wanted = StoreRevision(9);
 /// let older = versions.offer("configuration/fleet", StoreRevision(7));
-/// assert_eq!(older, VersionOffer::Older { wanted });
-/// assert_eq!(versions.offer("configuration/fleet", wanted), VersionOffer::Apply);
+/// assert_eq!(older, OfferOutcome::Older { wanted });
+/// assert_eq!(versions.offer("configuration/fleet", wanted), OfferOutcome::Apply);
 /// ```
 #[derive(Debug, Default)]
 pub struct AppliedVersions {
@@ -50,7 +49,7 @@
 }
 
 impl AppliedVersions {
-    /// Nothing applied.
+    /// No object applied.
     pub fn new() -> Self {
         Self::default()
     }
@@ -59,34 +58,34 @@
         self.objects.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A version of an object is at hand: is it to be put in force?
-    pub fn offer(&self, object: &str, version: StoreRevision) -> VersionOffer {
+    /// Offers a version of an object; it counts as applied if the result is `Apply`.
+    pub fn offer(&self, object: &str, version: StoreRevision) -> OfferOutcome {
         let mut objects = self.objects();
         let record = objects.entry(object.to_owned()).or_default();
-        let wanted = record.applied.unwrap_or(record.heard);
+        let wanted = record.applied.unwrap_or(record.reported);
         if record.applied == Some(version) {
-            return VersionOffer::Applied;
+            return OfferOutcome::Applied;
         }
         if version < wanted {
-            return VersionOffer::Older { wanted };
+            return OfferOutcome::Older { wanted };
         }
         record.applied = Some(version);
-        VersionOffer::Apply
+        OfferOutcome::Apply
     }
 
-    /// A neighbour has this version in force.
-    pub fn heard(&self, object: &str, version: StoreRevision) {
+    /// Records a version that a neighbour has applied.
+    pub fn record_reported(&self, object: &str, version: StoreRevision) {
         let mut objects = self.objects();
         let record = objects.entry(object.to_owned()).or_default();
-        record.heard = record.heard.max(version);
+        record.reported = record.reported.max(version);
     }
 
-    /// The version of an object that is in force.
+    /// The applied version of an object.
     pub fn applied(&self, object: &str) -> Option<StoreRevision> {
         self.objects().get(object).and_then(|record| record.applied)
     }
 
-    /// Every object with the version in force, for neighbours that start.
+    /// All objects with their applied versions, for neighbours that start.
     pub fn list(&self) -> Vec<(String, StoreRevision)> {
         let objects = self.objects();
         let applied = objects
@@ -95,21 +94,21 @@
         applied.collect()
     }
 
-    /// Objects of which a neighbour has a newer version, with that version.
+    /// Objects of which a neighbour reported a newer version, with that version.
     pub fn missing(&self) -> Vec<(String, StoreRevision)> {
         let objects = self.objects();
-        let missing = objects.iter().filter(|(_, record)| record.applied < Some(record.heard));
-        missing.map(|(object, record)| (object.clone(), record.heard)).collect()
+        let missing = objects.iter().filter(|(_, record)| record.applied < Some(record.reported));
+        missing.map(|(object, record)| (object.clone(), record.reported)).collect()
     }
 
-    /// The newest version in force of any object, as heartbeats carry it.
+    /// The newest applied version of any object, as sent in heartbeats.
     pub fn in_force(&self) -> ConfigVersion {
         let objects = self.objects();
         let newest = objects.values().filter_map(|record| record.applied).max();
         ConfigVersion(newest.unwrap_or_default().0)
     }
 
-    /// True if a member that reports `newest` has something in force that this process lacks.
+    /// True if a member that reports `newest` has a newer version of some object.
     pub fn is_behind(&self, newest: ConfigVersion) -> bool {
         self.in_force() < newest
     }
--- a/crates/sagespool-membership/src/view.rs
+++ b/crates/sagespool-membership/src/view.rs
@@ -1,4 +1,4 @@
-//! One process's view: what it believes of each member, and how it learns.
+//! The state of one process's view of the fleet.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -7,17 +7,17 @@
 use sagespool_messages::{MemberInfo, MemberRole};
 use sagespool_types::{ClockTime, IncarnationId, InstanceName};
 
-use crate::description::{ViewDigest, is_described_alike};
+use crate::digest::{ViewDigest, descriptions_match};
 use crate::home::{HomeCandidate, hash_of};
-use crate::news::NewsQueue;
 use crate::policy::MembershipPolicy;
 use crate::record::MemberRecord;
-use crate::rounds::RoundClock;
+use crate::rounds::RoundState;
 use crate::seeds::SeedList;
+use crate::update_queue::UpdateQueue;
 
-/// The instance list's word about an earlier run of a process may stand so long
-/// after the next run has begun.
-const LIST_LAG: Duration = Duration::from_secs(5);
+/// The longest time for which the instance list may still show an earlier run of an instance
+/// as leaving after the next run has started.
+const MAX_LIST_LAG: Duration = Duration::from_secs(5);
 
 #[derive(Debug)]
 pub(crate) struct MemberView {
@@ -25,33 +25,32 @@
     pub(crate) rng: fastrand::Rng,
     pub(crate) own: MemberInfo,
     pub(crate) records: BTreeMap<IncarnationId, MemberRecord>,
-    /// Alive and suspected members.
+    /// Members that are alive or suspected.
     pub(crate) present: BTreeSet<IncarnationId>,
     pub(crate) suspects: BTreeSet<IncarnationId>,
-    /// Dead members, which are called now and then; replaced ones are not.
+    /// Dead members, which are called from time to time. Replaced ones are not among them.
     pub(crate) dead: BTreeSet<IncarnationId>,
-    /// Members that call this process each round.
+    /// Members that call this process in each of their rounds.
     pub(crate) callers: BTreeSet<IncarnationId>,
     pub(crate) by_address: BTreeMap<SocketAddr, IncarnationId>,
-    /// The newest run known of each instance.
-    pub(crate) newest: BTreeMap<InstanceName, IncarnationId>,
-    /// Members to call besides the rounds, and when.
+    /// The newest known run of each instance.
+    pub(crate) newest_runs: BTreeMap<InstanceName, IncarnationId>,
+    /// Calls to make outside the rounds, and when.
     pub(crate) probes: BTreeMap<IncarnationId, ClockTime>,
     pub(crate) listed_leaving: BTreeSet<InstanceName>,
     /// Whether the list has shown the own instance as not leaving since the start.
-    was_listed_staying: bool,
+    was_listed_active: bool,
     /// When the list was first read.
     first_listed: Option<ClockTime>,
-    /// Other runs of the own instance that this process has outnumbered once.
-    pub(crate) rivals: BTreeSet<IncarnationId>,
+    /// Newer-looking runs of the own instance, above which the own number was raised once.
+    pub(crate) rival_runs: BTreeSet<IncarnationId>,
     pub(crate) seeds: SeedList,
-    pub(crate) news: NewsQueue,
+    pub(crate) updates: UpdateQueue,
     pub(crate) digest: ViewDigest,
-    pub(crate) rounds: RoundClock,
-    /// When this process last learned that others believed it gone, or found
-    /// that it had been paused.
-    pub(crate) doubted: ClockTime,
-    change_number: u64,
+    pub(crate) rounds: RoundState,
+    /// When this process last received a suspicion of itself, or found that it had been paused.
+    pub(crate) disputed_at: ClockTime,
+    last_change: u64,
     pub(crate) changes: BTreeMap<u64, IncarnationId>,
     pub(crate) homes: Option<Vec<HomeCandidate>>,
 }
@@ -61,7 +60,7 @@
         let mut digest = ViewDigest::new();
         digest.insert(&own);
         Self {
-            rounds: RoundClock::new(&policy),
+            rounds: RoundState::new(&policy),
             policy,
             rng: fastrand::Rng::with_seed(seed),
             own,
@@ -71,30 +70,29 @@
             dead: BTreeSet::new(),
             callers: BTreeSet::new(),
             by_address: BTreeMap::new(),
-            newest: BTreeMap::new(),
+            newest_runs: BTreeMap::new(),
             probes: BTreeMap::new(),
             listed_leaving: BTreeSet::new(),
-            was_listed_staying: false,
+            was_listed_active: false,
             first_listed: None,
-            rivals: BTreeSet::new(),
+            rival_runs: BTreeSet::new(),
             seeds: SeedList::default(),
-            news: NewsQueue::default(),
+            updates: UpdateQueue::default(),
             digest,
-            doubted: ClockTime::default(),
-            change_number: 0,
+            disputed_at: ClockTime::default(),
+            last_change: 0,
             changes: BTreeMap::new(),
             homes: None,
         }
     }
 
-    /// True in a fleet small enough for everyone to hear from everyone.
+    /// True if the fleet is small enough for a mesh.
     pub(crate) fn is_mesh(&self) -> bool {
         self.digest.members() <= self.policy.mesh_limit
     }
 
-    /// Changes the own description. A process that is leaving stays so: its
-    /// peers give up its work for good, and a change of mind would have them
-    /// send it requests that it is about to refuse.
+    /// Changes the own description. `leaving` can't be unset: peers stop using a leaving
+    /// process for good, and unsetting it would make them send requests that it refuses.
     pub(crate) fn update_own(&mut self, change: impl FnOnce(&mut MemberInfo)) {
         let before = self.own.clone();
         change(&mut self.own);
@@ -102,7 +100,7 @@
         self.own.incarnation = before.incarnation;
         self.own.leaving |= before.leaving;
         self.own.number = self.own.number.max(before.number) + 1;
-        if is_described_alike(&before, &self.own) {
+        if descriptions_match(&before, &self.own) {
             return;
         }
         self.digest.remove(&before);
@@ -114,25 +112,25 @@
     pub(crate) fn log_change(&mut self, incarnation: IncarnationId) {
         self.homes = None;
         let Some(record) = self.records.get_mut(&incarnation) else { return };
-        self.change_number += 1;
-        self.changes.remove(&record.changed);
-        record.changed = self.change_number;
-        self.changes.insert(self.change_number, incarnation);
+        self.last_change += 1;
+        self.changes.remove(&record.change_number);
+        record.change_number = self.last_change;
+        self.changes.insert(self.last_change, incarnation);
     }
 
-    /// Everything that changed after a place in the log, and the log's newest place.
+    /// All records changed after a position of the change log, and the log's newest position.
     pub(crate) fn changed_since(&self, number: u64) -> (u64, Vec<&MemberRecord>) {
         let changed = self.changes.range(number + 1..).map(|(_, incarnation)| incarnation);
         let changed = changed.filter_map(|incarnation| self.records.get(incarnation)).collect();
-        (self.change_number, changed)
+        (self.last_change, changed)
     }
 
-    /// The instances that the platform's list shows as leaving.
-    pub(crate) fn list_leaving(&mut self, leaving: BTreeSet<InstanceName>, now: ClockTime) {
+    /// Applies the set of instances that the platform's list shows as leaving.
+    pub(crate) fn set_listed_leaving(&mut self, leaving: BTreeSet<InstanceName>, now: ClockTime) {
         let changed: Vec<_> = self
             .listed_leaving
             .symmetric_difference(&leaving)
-            .filter_map(|instance| self.newest.get(instance).copied())
+            .filter_map(|instance| self.newest_runs.get(instance).copied())
             .collect();
         self.listed_leaving = leaving;
         self.homes = None;
@@ -142,34 +140,34 @@
         }
     }
 
-    /// Whether the list's word that the own instance leaves is meant for this run.
-    pub(crate) fn is_to_leave(&mut self, is_listed: bool, now: ClockTime) -> bool {
-        self.was_listed_staying |= !is_listed;
+    /// Whether the list's leaving state of the own instance applies to this run.
+    pub(crate) fn should_leave(&mut self, is_listed: bool, now: ClockTime) -> bool {
+        self.was_listed_active |= !is_listed;
         let first = *self.first_listed.get_or_insert(now);
-        is_listed && (self.was_listed_staying || now.since(first) >= LIST_LAG)
+        is_listed && (self.was_listed_active || now.since(first) >= MAX_LIST_LAG)
     }
 
-    /// A member as it should be seen: the instance list may know that it leaves.
-    pub(crate) fn shown(&self, info: &MemberInfo) -> MemberInfo {
+    /// A member's description with the instance list's leaving state merged in.
+    pub(crate) fn effective_info(&self, info: &MemberInfo) -> MemberInfo {
         let mut info = info.clone();
         info.leaving |= self.listed_leaving.contains(&info.instance);
         info
     }
 
-    /// Entries of the own region that may be a home now.
+    /// Entries of the own region that are eligible as homes.
     pub(crate) fn homes(&mut self) -> &[HomeCandidate] {
         if self.homes.is_none() {
-            self.homes = Some(self.find_homes());
+            self.homes = Some(self.collect_homes());
         }
         self.homes.as_deref().unwrap_or_default()
     }
 
-    fn find_homes(&self) -> Vec<HomeCandidate> {
+    fn collect_homes(&self) -> Vec<HomeCandidate> {
         let others = self
             .present
             .iter()
             .filter_map(|incarnation| self.records.get(incarnation))
-            .filter(|record| record.is_usable(self.policy.missed_limit))
+            .filter(|record| record.is_usable(self.policy.missed_call_limit))
             .map(|record| &record.info);
         others
             .chain([&self.own])
--- a/crates/sagespool-membership/tests/applied_versions.rs
+++ b/crates/sagespool-membership/tests/applied_versions.rs
@@ -1,7 +1,7 @@
 //! Configuration never goes back.
 
 use quickcheck::quickcheck;
-use sagespool_membership::{AppliedVersions, VersionOffer};
+use sagespool_membership::{AppliedVersions, OfferOutcome};
 use sagespool_types::{ConfigVersion, StoreRevision};
 
 const FLEET: &str = "configuration/fleet";
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Offer(u64),
-    Heard(u64),
+    Reported(u64),
 }
 
 /// Relays between neighbours are late and repeat themselves. A process that
@@ -17,22 +17,22 @@
 /// operator was told is in force.
 #[test]
 fn offers_in_order() {
-    use Step::{Heard, Offer};
+    use Step::{Offer, Reported};
     let cases: [(&str, &[Step], &[u64]); 5] = [
         ("newer ones", &[Offer(3), Offer(5)], &[3, 5]),
         ("a late relay", &[Offer(5), Offer(3), Offer(6)], &[5, 6]),
         ("repeated", &[Offer(5), Offer(5)], &[5]),
-        ("restarted, told by a neighbour", &[Heard(9), Offer(7), Offer(9), Offer(8)], &[9]),
-        ("running, told by a neighbour", &[Offer(5), Heard(9), Offer(7), Offer(9)], &[5, 7, 9]),
+        ("restarted, told by a neighbour", &[Reported(9), Offer(7), Offer(9), Offer(8)], &[9]),
+        ("running, told by a neighbour", &[Offer(5), Reported(9), Offer(7), Offer(9)], &[5, 7, 9]),
     ];
     for (case, steps, expected) in cases {
         let versions = AppliedVersions::new();
         let mut applied = Vec::new();
         for step in steps {
             match *step {
-                Heard(version) => versions.heard(FLEET, StoreRevision(version)),
+                Reported(version) => versions.record_reported(FLEET, StoreRevision(version)),
                 Offer(version) => {
-                    if versions.offer(FLEET, StoreRevision(version)) == VersionOffer::Apply {
+                    if versions.offer(FLEET, StoreRevision(version)) == OfferOutcome::Apply {
                         applied.push(version);
                     }
                 }
@@ -43,12 +43,12 @@
 }
 
 #[test]
-fn objects_apart() {
+fn objects_independent() {
     let versions = AppliedVersions::new();
-    assert_eq!(versions.offer(FLEET, StoreRevision(9)), VersionOffer::Apply);
-    assert_eq!(versions.offer("configuration/branches/1", StoreRevision(4)), VersionOffer::Apply);
+    assert_eq!(versions.offer(FLEET, StoreRevision(9)), OfferOutcome::Apply);
+    assert_eq!(versions.offer("configuration/branches/1", StoreRevision(4)), OfferOutcome::Apply);
     assert_eq!(versions.in_force(), ConfigVersion(9));
-    versions.heard("configuration/branches/2", StoreRevision(11));
+    versions.record_reported("configuration/branches/2", StoreRevision(11));
     let missing = ("configuration/branches/2".to_owned(), StoreRevision(11));
     assert_eq!(versions.missing(), [missing]);
     assert!(versions.is_behind(ConfigVersion(11)));
@@ -56,14 +56,14 @@
 }
 
 quickcheck! {
-    fn never_back(offers: Vec<(bool, u8)>) -> bool {
+    fn versions_never_decrease(offers: Vec<(bool, u8)>) -> bool {
         let versions = AppliedVersions::new();
         let mut newest = None;
         offers.into_iter().all(|(heard, version)| {
             let version = StoreRevision(u64::from(version));
             if heard {
-                versions.heard(FLEET, version);
-            } else if versions.offer(FLEET, version) == VersionOffer::Apply {
+                versions.record_reported(FLEET, version);
+            } else if versions.offer(FLEET, version) == OfferOutcome::Apply {
                 let rises = Some(version) > newest;
                 newest = Some(version);
                 return rises;
--- a/crates/sagespool-membership/tests/config_book.rs
+++ b/crates/sagespool-membership/tests/config_replica.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
-use sagespool_membership::ConfigBook;
+use sagespool_membership::ConfigReplica;
 use sagespool_messages::{ConfigAsk, ConfigObject, ConfigReply, ConfigScope, FLEET_OBJECT_KEY};
 use sagespool_types::StoreRevision;
 
-const BOOKS: usize = 3;
+const REPLICAS: usize = 3;
 const KEYS: u8 = 4;
 
 /// The store, and processes that read it or each other.
@@ -30,7 +30,7 @@
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
-        let book = |g: &mut Gen| usize::arbitrary(g) % BOOKS;
+        let book = |g: &mut Gen| usize::arbitrary(g) % REPLICAS;
         let key = |g: &mut Gen| u8::arbitrary(g) % KEYS;
         match u8::arbitrary(g) % 8 {
             0 | 1 => Self::Put(key(g)),
@@ -72,7 +72,7 @@
 }
 
 /// All parts of an answer, one object each.
-fn parts(from: &ConfigBook, mut ask: ConfigAsk) -> Vec<(ConfigAsk, ConfigReply)> {
+fn parts(from: &ConfigReplica, mut ask: ConfigAsk) -> Vec<(ConfigAsk, ConfigReply)> {
     let mut parts = Vec::new();
     while let Some(reply) = from.reply(&ask, 1) {
         let next = reply.next;
@@ -85,7 +85,7 @@
 
 /// What is in force, as a process's owner sees it.
 struct Process {
-    book: ConfigBook,
+    replica: ConfigReplica,
     versions: BTreeMap<String, StoreRevision>,
     went_back: bool,
 }
@@ -100,13 +100,13 @@
 
     fn take(&mut self, parts: Vec<(ConfigAsk, ConfigReply)>) {
         for (ask, reply) in parts {
-            let news = self.book.take_reply(&ask, reply);
+            let news = self.replica.apply_reply(&ask, reply);
             self.apply(news);
         }
     }
 
     fn list(&mut self, store: &Store) {
-        let news = self.book.list(StoreRevision(store.revision), store.present());
+        let news = self.replica.apply_listing(StoreRevision(store.revision), store.present());
         self.apply(news);
     }
 }
@@ -117,11 +117,11 @@
     fn same_as_store(steps: Vec<Step>) -> bool {
         let mut store = Store::default();
         let new = || Process {
-            book: ConfigBook::new(ConfigScope::All),
+            replica: ConfigReplica::new(ConfigScope::All),
             versions: BTreeMap::new(),
             went_back: false,
         };
-        let mut processes: Vec<Process> = (0..BOOKS).map(|_| new()).collect();
+        let mut processes: Vec<Process> = (0..REPLICAS).map(|_| new()).collect();
         let mut late = Vec::new();
         store.change(0, true);
         for step in steps {
@@ -131,32 +131,32 @@
                 Step::List(place) => processes[place].list(&store),
                 Step::Follow(place) => {
                     let process = &mut processes[place];
-                    if process.book.is_filled() {
-                        let after = process.book.complete();
+                    if process.replica.is_filled() {
+                        let after = process.replica.complete();
                         let revision = StoreRevision(store.revision);
-                        let news = process.book.follow(after, revision, store.after(after));
+                        let news = process.replica.apply_changes(after, revision, store.after(after));
                         process.apply(news);
                     }
                 }
                 Step::Relay { from, to } => {
-                    let told = parts(&processes[from].book, processes[to].book.ask());
+                    let told = parts(&processes[from].replica, processes[to].replica.query());
                     processes[to].take(told);
                 }
                 Step::Late { from, to } => {
-                    late.push((to, parts(&processes[from].book, processes[to].book.ask())));
+                    late.push((to, parts(&processes[from].replica, processes[to].replica.query())));
                 }
             }
         }
         processes[0].list(&store);
-        for place in 1..BOOKS {
-            let told = parts(&processes[0].book, processes[place].book.ask());
+        for place in 1..REPLICAS {
+            let told = parts(&processes[0].replica, processes[place].replica.query());
             processes[place].take(told);
         }
         for (place, told) in late {
             processes[place].take(told);
         }
         let is_same = |process: &Process| {
-            process.book.objects().cloned().collect::<Vec<_>>() == store.present()
+            process.replica.objects().cloned().collect::<Vec<_>>() == store.present()
         };
         processes.iter().all(|process| !process.went_back && is_same(process))
     }
@@ -167,11 +167,11 @@
 }
 
 #[test]
-fn whole_answers_only() {
+fn no_reply_from_incomplete_replica() {
     // A process is still reading, or has the fleet's object alone. If it answered a question for
     // everything, the asker would take the branches that it doesn't name for deleted.
-    let ask_all = ConfigBook::new(ConfigScope::All).ask();
-    let mut reading = ConfigBook::new(ConfigScope::All);
+    let ask_all = ConfigReplica::new(ConfigScope::All).query();
+    let mut reading = ConfigReplica::new(ConfigScope::All);
     let part = ConfigReply {
         as_of: StoreRevision(9),
         objects: vec![object(FLEET_OBJECT_KEY, 3)],
@@ -179,26 +179,26 @@
         present: None,
         word: None,
     };
-    reading.take_reply(&ask_all, part);
+    reading.apply_reply(&ask_all, part);
     assert_eq!(reading.reply(&ask_all, 1), None);
 
-    let mut sidecar = ConfigBook::new(ConfigScope::Fleet);
+    let mut sidecar = ConfigReplica::new(ConfigScope::Fleet);
     let listed = vec![object(FLEET_OBJECT_KEY, 3), object(&key(1), 4)];
-    assert_eq!(sidecar.list(StoreRevision(9), listed).len(), 1, "what a sidecar follows");
+    assert_eq!(sidecar.apply_listing(StoreRevision(9), listed).len(), 1, "what a sidecar follows");
     assert_eq!(sidecar.reply(&ask_all, 1), None);
-    let ask_fleet = ConfigBook::new(ConfigScope::Fleet).ask();
+    let ask_fleet = ConfigReplica::new(ConfigScope::Fleet).query();
     let reply = sidecar.reply(&ask_fleet, 1).expect("a sidecar passes the fleet's object on");
     assert_eq!(reply.objects, [object(FLEET_OBJECT_KEY, 3)]);
 }
 
 #[test]
-fn lone_object() {
+fn partial_reply() {
     // A part of an answer brings a branch's object of version 8, and the rest is lost. The object of
     // version 6 is missing still, so the next question must begin before it. Another relay's answer
     // from before comes late, with version 7 of the branch's object: it must not take version 8 back.
-    let mut book = ConfigBook::new(ConfigScope::All);
-    book.list(StoreRevision(5), vec![object(FLEET_OBJECT_KEY, 5)]);
-    let ask = book.ask();
+    let mut replica = ConfigReplica::new(ConfigScope::All);
+    replica.apply_listing(StoreRevision(5), vec![object(FLEET_OBJECT_KEY, 5)]);
+    let ask = replica.query();
     let part = ConfigReply {
         as_of: StoreRevision(9),
         objects: vec![object(&key(1), 8)],
@@ -206,8 +206,8 @@
         present: None,
         word: None,
     };
-    assert_eq!(book.take_reply(&ask, part).len(), 1);
-    assert_eq!(book.ask().after, StoreRevision(5));
+    assert_eq!(replica.apply_reply(&ask, part).len(), 1);
+    assert_eq!(replica.query().after, StoreRevision(5));
     let late = ConfigReply {
         as_of: StoreRevision(7),
         objects: vec![object(&key(1), 7)],
@@ -215,5 +215,5 @@
         present: None,
         word: None,
     };
-    assert_eq!(book.take_reply(&ask, late), []);
+    assert_eq!(replica.apply_reply(&ask, late), []);
 }
--- a/crates/sagespool-membership/tests/config_watch.rs
+++ b/crates/sagespool-membership/tests/config_watch.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use quickcheck::quickcheck;
-use sagespool_membership::{WatchPlace, WatchPolicy, watch_order};
+use sagespool_membership::{WatchPolicy, WatchRank, watch_order};
 use sagespool_messages::{MemberInfo, MemberRole};
 use sagespool_types::{ConfigVersion, IncarnationId};
 
@@ -29,8 +29,8 @@
     let watches = |own: &&MemberInfo| {
         let others: Vec<_> =
             members.iter().filter(|other| other.instance != own.instance).cloned().collect();
-        let place = WatchPlace::of(own, &watch_order(own, &others), &policy);
-        place.is_some_and(|place| place.is_to_watch(Duration::ZERO, &policy))
+        let place = WatchRank::of(own, &watch_order(own, &others), &policy);
+        place.is_some_and(|place| place.should_watch(Duration::ZERO, &policy))
     };
     members.iter().filter(watches).collect()
 }
@@ -69,9 +69,9 @@
             (0..entries % 50).map(|n| member(n, MemberRole::Entry, "north", false)).collect();
         live.extend((0..sidecars % 50).map(|n| member(n, MemberRole::Sidecar, "north", false)));
         let generations = live.len() as u32 + 1;
-        let limit = policy.silence_limit + policy.generation_step * generations;
-        let place = WatchPlace::of(&own, &watch_order(&own, &live), &policy);
-        place.is_some_and(|place| place.is_to_watch(limit, &policy))
+        let limit = policy.silence_limit + policy.tier_step * generations;
+        let place = WatchRank::of(&own, &watch_order(&own, &live), &policy);
+        place.is_some_and(|place| place.should_watch(limit, &policy))
     }
 }
 
@@ -80,7 +80,7 @@
     // The watchers of a data centre answer heartbeats and can't reach the store. The others must
     // not wait for them for ever, nor all turn to the store at once.
     let policy = WatchPolicy::default();
-    let (limit, step) = (policy.silence_limit, policy.generation_step);
+    let (limit, step) = (policy.silence_limit, policy.tier_step);
     let moment = Duration::from_millis(1);
     let cases = [
         (0, Duration::ZERO, true),
@@ -89,8 +89,8 @@
         (2, limit + moment, false),
         (2, limit + step + moment, true),
     ];
-    for (generation, silent, expected) in cases {
-        let watches = WatchPlace { generation }.is_to_watch(silent, &policy);
-        assert_eq!(watches, expected, "generation {generation} after {silent:?}");
+    for (tier, silent, expected) in cases {
+        let watches = WatchRank { tier }.should_watch(silent, &policy);
+        assert_eq!(watches, expected, "tier {tier} after {silent:?}");
     }
 }
--- a/crates/sagespool-membership/tests/fleet/mod.rs
+++ b/crates/sagespool-membership/tests/fleet/mod.rs
@@ -138,8 +138,8 @@
     }
 
     /// Runs until the condition holds; the ticks that took, or nothing after `most`.
-    pub fn run_until(&mut self, most: u32, holds: impl Fn(&Self) -> bool) -> Option<u32> {
-        for ticks in 0..=most {
+    pub fn run_until(&mut self, limit: u32, holds: impl Fn(&Self) -> bool) -> Option<u32> {
+        for ticks in 0..=limit {
             if holds(self) {
                 return Some(ticks);
             }
--- a/crates/sagespool-membership/tests/fresh_fleets.rs
+++ b/crates/sagespool-membership/tests/fresh_fleets.rs
@@ -11,7 +11,7 @@
 /// A fleet takes no longer to learn that a member is there than to learn that one is gone.
 fn known_within() -> u32 {
     let policy = MembershipPolicy::default();
-    let limit: Duration = policy.suspect_after + policy.mesh_refute;
+    let limit: Duration = policy.suspect_after + policy.mesh_refute_timeout;
     (limit.as_millis() / TICK.as_millis()) as u32
 }
 
--- a/crates/sagespool-membership/tests/heartbeat_rounds.rs
+++ b/crates/sagespool-membership/tests/heartbeat_rounds.rs
@@ -3,7 +3,7 @@
 mod fleet;
 
 use fleet::{Fleet, address, info};
-use sagespool_membership::{MemberTable, MembershipPolicy, encoded_bytes};
+use sagespool_membership::{MemberTable, MembershipPolicy, max_encoded_bytes};
 use sagespool_messages::{MemberInfo, MemberRole};
 use sagespool_types::{ClockTime, IncarnationId};
 
@@ -36,7 +36,7 @@
 /// sent its way costs its caller a time-out; the mesh has to notice in 3 s, a
 /// larger fleet by rumour in 10 s, and in neither may another member be blamed.
 #[test]
-fn death_shows() {
+fn death_detected() {
     for (size, most) in [(MESH, 30), (GOSSIP, 100)] {
         let mut fleet = complete_fleet(size);
         let dead = fleet.at(10).own().incarnation;
@@ -136,8 +136,8 @@
     // Three neighbours every three seconds for a minute, and a repair now and then.
     assert!(calls < 72.0, "{calls} calls a member in a minute");
     for (_, beat) in fleet.tables.values().flat_map(|table| table.due_heartbeats(fleet.now)) {
-        let news: usize = beat.others.iter().map(encoded_bytes).sum();
-        assert!(news <= MembershipPolicy::default().news_bytes);
+        let news: usize = beat.others.iter().map(max_encoded_bytes).sum();
+        assert!(news <= MembershipPolicy::default().max_update_bytes);
     }
 }
 
@@ -147,7 +147,7 @@
 fn watched_loads() {
     let mut fleet = complete_fleet(GOSSIP);
     let watched: Vec<_> = [40, 50].map(|place| fleet.at(place).own().incarnation).to_vec();
-    fleet.at(0).watch(watched.clone());
+    fleet.at(0).set_watched(watched.clone());
     for running in [3, 5] {
         for place in [40, 50] {
             fleet.at(place).update_own(|own| {
--- a/crates/sagespool-membership/tests/leaving_spread.rs
+++ b/crates/sagespool-membership/tests/leaving_spread.rs
@@ -32,7 +32,7 @@
 /// A process that is told to stop tells its peers, and a later change of its
 /// description must not make them send it work again.
 #[test]
-fn leaving_sticks() {
+fn leaving_not_unset() {
     let table = MemberTable::new(info(0, 1, MemberRole::Entry), MembershipPolicy::default(), 7);
     table.update_own(|own| own.leaving = true);
     table.update_own(|own| own.leaving = false);
@@ -62,7 +62,7 @@
     let mut fleet = Fleet::start(3, 3, MembershipPolicy::default());
     fleet.run(50);
     let sidecar = fleet.at(4).own();
-    let before = fleet.at(0).changes_since(0).number;
+    let before = fleet.at(0).changes_since(0).position;
     for leaving in [true, false] {
         fleet.at(0).apply_instance_list(&[listed(&sidecar, leaving)], fleet.now);
         let live = fleet.at(0).live(MemberRole::Sidecar, fleet.now);
@@ -83,7 +83,7 @@
 /// says that the instance leaves, which was meant for the earlier run; the new
 /// one must not end for it, and must follow the list from then on.
 #[test]
-fn predecessors_leaving() {
+fn listed_leaving_of_earlier_run() {
     let own = info(0, 1, MemberRole::Sidecar);
     let table = MemberTable::new(own.clone(), MembershipPolicy::default(), 7);
     let now = sagespool_types::ClockTime(1);
