--- a/crates/sagespool-configuration/src/follower.rs
+++ b/crates/sagespool-configuration/src/follower.rs
@@ -1,4 +1,4 @@
-//! The follower: what came is put in force here, in order, and neighbours are told.
+//! The follower: applies received objects in order and notifies neighbours.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -17,24 +17,24 @@
 use crate::neighbours;
 use crate::state::{FollowerState, VersionHint};
 
-/// Most bytes of objects in one answer, beside its last object: a frame holds 8 MiB, an object 1 MiB.
+/// Limit of objects in one reply, except its last one: a frame holds 8 MiB, an object 1 MiB.
 const MAX_REPLY_BYTES: usize = 1 << 20;
 
-/// What a follower works with. `apply` puts one object in force; it is called for one at a time.
+/// What a follower works with. `apply` is called for one object at a time.
 #[derive(Clone, Copy)]
 pub struct FollowerContext<'a> {
-    /// Who is in the fleet.
+    /// The view of the fleet.
     pub members: &'a MemberTable,
-    /// The store.
+    /// The client of the store's objects.
     pub objects: &'a ObjectClient,
     /// The link to neighbours.
     pub link: &'a LinkEndpoint,
-    /// Puts an object in force, or takes it back if it has no value.
+    /// Applies an object, or removes it if it has no value.
     pub apply: &'a (dyn Fn(&ConfigObject) + Send + Sync),
 }
 
 impl FollowerContext<'_> {
-    /// The other members that can be reached.
+    /// The other members that are reachable.
     pub(crate) fn live(&self, now: ClockTime) -> Vec<MemberInfo> {
         let mut live = self.members.live(MemberRole::Entry, now);
         live.extend(self.members.live(MemberRole::Sidecar, now));
@@ -53,7 +53,7 @@
 }
 
 impl ConfigFollower {
-    /// A follower that knows nothing yet.
+    /// A follower without any objects.
     pub fn new(scope: ConfigScope, own: IncarnationId, now: ClockTime) -> Self {
         Self {
             scope,
@@ -74,7 +74,7 @@
         futures_lite::future::zip(self.watch(context), self.query_neighbours(context)).await;
     }
 
-    /// Takes in what a member's heartbeat says of its configuration.
+    /// Handles the configuration version in a member's heartbeat.
     pub fn observe_member(&self, member: &MemberInfo) {
         if neighbours::can_answer(self.scope, member.role) {
             self.add_hint(VersionHint {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Takes in a neighbour's notice.
+    /// Handles a neighbour's notice of a newer version.
     pub fn handle_notice(&self, notice: &ConfigNotice) {
         self.add_hint(VersionHint { address: notice.from, newest: notice.newest });
     }
@@ -95,44 +95,44 @@
         }
     }
 
-    /// The answer to a neighbour; that there is none, if this process doesn't have all that is asked
-    /// for.
-    pub fn handle_query(&self, ask: &ConfigAsk, now: ClockTime) -> PeerReply {
-        let absent = "this process doesn't have the configuration that is asked for";
-        let reply = self.reply(ask, now).map(PeerReply::Configuration);
+    /// The reply to a neighbour's query; `Unsupported` if this process doesn't hold everything
+    /// that is queried.
+    pub fn handle_query(&self, query: &ConfigAsk, now: ClockTime) -> PeerReply {
+        let absent = "the queried configuration is not available in this process";
+        let reply = self.reply(query, now).map(PeerReply::Configuration);
         reply.unwrap_or_else(|| PeerReply::Unsupported(absent.to_owned()))
     }
 
-    /// A process that has nothing in force yet doesn't answer, even if its book is filled: it may
-    /// still find out that what it was told is old.
-    fn reply(&self, ask: &ConfigAsk, now: ClockTime) -> Option<ConfigReply> {
+    /// A process without a configuration in force doesn't reply, even if its replica is filled:
+    /// the replica may turn out to be outdated.
+    fn reply(&self, query: &ConfigAsk, now: ClockTime) -> Option<ConfigReply> {
         let state = self.state();
         if !state.in_force {
             return None;
         }
-        let mut reply = state.replica.reply(ask, MAX_REPLY_BYTES)?;
+        let mut reply = state.replica.reply(query, MAX_REPLY_BYTES)?;
         reply.word = state.newest_contact(self.own, now);
         Some(reply)
     }
 
-    /// Takes objects in, puts in force what is new, and tells neighbours.
+    /// Stores objects, applies the changed ones and notifies neighbours.
     ///
-    /// Guards against two ways that meet: a watch and a neighbour bring two versions of one object
-    /// at the same time, and the older one, found new a moment before, would be put in force last.
-    /// So one lock is held from the decision until the object is in force.
+    /// Guards against a race between a watch and a neighbour that bring two versions of one object
+    /// at the same time: the older one, found to be new a moment before, could be applied last. So
+    /// one lock is held from the decision until the object is applied.
     pub(crate) fn apply(
         &self,
         context: FollowerContext<'_>,
-        take: impl FnOnce(&mut FollowerState) -> Vec<ConfigObject>,
+        update: impl FnOnce(&mut FollowerState) -> Vec<ConfigObject>,
     ) {
         let mut state = self.state();
-        let mut news = take(&mut state);
+        let mut changed = update(&mut state);
         if !state.in_force {
             if !self.can_begin(&mut state, context) {
                 return;
             }
             state.in_force = true;
-            news = state.replica.objects().cloned().collect();
+            changed = state.replica.objects().cloned().collect();
             let complete = state.replica.complete();
             log_event!(
                 info,
@@ -141,33 +141,33 @@
                 store = state.confirmed_by_store
             );
         }
-        // Without the fleet's object no other can be in force.
-        news.sort_by_key(|object| object.key != FLEET_OBJECT_KEY);
-        for object in &news {
+        // No other object can be applied without the fleet's object.
+        changed.sort_by_key(|object| object.key != FLEET_OBJECT_KEY);
+        for object in &changed {
             (context.apply)(object);
         }
         let newest = state.replica.newest();
         drop(state);
-        if !news.is_empty() {
-            let is_fleet = news.iter().any(|object| object.key == FLEET_OBJECT_KEY);
+        if !changed.is_empty() {
+            let is_fleet = changed.iter().any(|object| object.key == FLEET_OBJECT_KEY);
             self.notify_neighbours(context, newest, is_fleet);
         }
     }
 
-    /// Puts a configuration in force that was read before the members were known.
+    /// Applies a configuration that was read before the members were known.
     pub(crate) fn try_begin(&self, context: FollowerContext<'_>) {
         if !self.state().in_force {
             self.apply(context, |_| Vec::new());
         }
     }
 
-    /// Whether a process that has started may put its first configuration in force.
+    /// Whether a starting process may apply its first configuration.
     ///
-    /// Guards against a neighbour with an old view: while the store is away, a process that starts
-    /// finds first whoever was cut off, and would bring back what its own predecessor had seen
-    /// replaced. Each member's heartbeat tells what it has in force, sidecars' too, so nothing older
-    /// than the newest of them is taken, and the view has to be settled to know them. What nobody
-    /// in reach has ever seen can't be known here.
+    /// Guards against an outdated neighbour: while the store is unavailable, a starting process
+    /// may first reach a member that was cut off, and would restore versions that its own
+    /// predecessor had replaced. The heartbeats of all members, sidecars included, carry the
+    /// version in force, so nothing older than the newest of them is applied, and the view has to
+    /// be settled to cover all of them. A version that no reachable member has can't be detected.
     fn can_begin(&self, state: &mut FollowerState, context: FollowerContext<'_>) -> bool {
         if !state.has_configuration() || !(state.confirmed_by_store || context.members.is_settled())
         {
@@ -183,7 +183,7 @@
         complete >= wanted
     }
 
-    /// For how long no other process is known to have had a word of the store.
+    /// The time since any other process is known to have reached the store.
     pub(crate) fn store_silence(&self, now: ClockTime) -> Duration {
         self.state().store_silence(now).unwrap_or_else(|| now.since(self.started))
     }
--- a/crates/sagespool-configuration/src/lib.rs
+++ b/crates/sagespool-configuration/src/lib.rs
@@ -1,8 +1,8 @@
-//! Following the fleet's configuration, for entries and sidecars alike.
+//! Distribution of the fleet's configuration to entries and sidecars.
 //!
-//! A few processes of each data centre watch the store; all others ask neighbours for what is newer
-//! than what they have, when a heartbeat or a notice says that there is something. Who watches, and
-//! what a version may replace, is decided in `sagespool_membership`; this package does the calls.
+//! A few processes of each data centre watch the store. All others query neighbours for newer
+//! objects when a heartbeat or a notice reports some. `sagespool_membership` decides which
+//! processes watch and which versions may replace others; this crate does the I/O.
 
 mod follower;
 mod neighbours;
--- a/crates/sagespool-configuration/src/neighbours.rs
+++ b/crates/sagespool-configuration/src/neighbours.rs
@@ -1,4 +1,4 @@
-//! Asking neighbours for what is newer, and telling them that there is something.
+//! Queries to neighbours for newer objects, and notices to them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,29 +13,29 @@
 
 use crate::{ConfigFollower, FollowerContext};
 
-/// Between two questions of a process that has a configuration, on average; only for the age of the
-/// store's word, since heartbeats and notices tell of changes.
+/// Average time between two queries of a process that has a configuration. These only refresh the
+/// age of the last contact with the store; heartbeats and notices report changes.
 const POLL_PERIOD: Duration = Duration::from_secs(5);
-/// Between two questions of a process that has none yet.
+/// Time between two queries of a process that has no configuration yet.
 const START_POLL_PERIOD: Duration = Duration::from_millis(200);
-/// How long a neighbour may take over one part of its answer.
+/// Timeout of one part of a reply.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 const NOTICE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Neighbours of each role that are told of a change at once. With four, all but two in a hundred
-/// are told by someone; heartbeats tell the rest.
+/// Neighbours of each role that are notified of a change. With four, 98 % of the processes are
+/// notified by someone; heartbeats reach the rest.
 const NOTICE_FANOUT: usize = 4;
-/// Parts of one answer; 64 shards of 1 MB come in fewer.
+/// Limit of the parts of one reply; 64 shards of 1 MB need fewer.
 const MAX_REPLY_PARTS: usize = 80;
-/// Of so many questions one goes to each of the two first watchers, one to anybody.
+/// Queries per cycle: one to each of the first two watchers, one to a random neighbour.
 const POLL_CYCLE: usize = 3;
 
-/// Whether a process of a role has all that a follower needs.
+/// Whether a process of a role holds all objects that a follower needs.
 pub(crate) fn can_answer(scope: ConfigScope, role: MemberRole) -> bool {
     scope == ConfigScope::Fleet || role == MemberRole::Entry
 }
 
 impl ConfigFollower {
-    /// Asks neighbours whenever one has something newer, and now and then without a cause.
+    /// Queries neighbours whenever one has a newer version, and periodically without a hint.
     pub(crate) async fn query_neighbours(&self, context: FollowerContext<'_>) {
         for round in 0.. {
             let hinted = self.wait_for_hint().await;
@@ -48,30 +48,30 @@
         }
     }
 
-    /// Waits until someone is known to have something newer, or a question is due.
+    /// Waits until a member is known to have a newer version, or a periodic query is due.
     async fn wait_for_hint(&self) -> Option<SocketAddr> {
         let period = match self.state().in_force {
             true => POLL_PERIOD.mul_f64(0.5 + fastrand::f64()),
             false => START_POLL_PERIOD,
         };
-        let told = async {
+        let hint_taken = async {
             loop {
-                let hinted = self.hint_added.listen();
+                let added = self.hint_added.listen();
                 let hint = self.state().take_hint();
                 if let Some(hint) = hint {
                     return Some(hint.address);
                 }
-                hinted.await;
+                added.await;
             }
         };
         let due = async {
             Timer::after(period).await;
             None
         };
-        told.or(due).await
+        hint_taken.or(due).await
     }
 
-    /// Whom to ask without a cause.
+    /// The neighbour for a periodic query.
     fn choose_neighbour(
         &self,
         context: &FollowerContext<'_>,
@@ -79,7 +79,7 @@
         now: ClockTime,
     ) -> Option<SocketAddr> {
         let mut live = context.live(now);
-        // What a sidecar passes on of the store is older by its own period between two questions.
+        // The contact age that a sidecar passes on is older by its own query period.
         let has_entry = live.iter().any(|member| member.role == MemberRole::Entry);
         live.retain(|member| {
             let is_best = member.role == MemberRole::Entry || !has_entry;
@@ -95,28 +95,28 @@
         watcher.map(|member| member.address).or_else(|| fastrand::choice(&live).map(|m| m.address))
     }
 
-    /// Asks a neighbour for all that is newer, part by part.
+    /// Queries a neighbour for all newer objects, part by part.
     async fn query(&self, context: FollowerContext<'_>, address: SocketAddr) {
-        let mut ask = self.state().replica.query();
+        let mut query = self.state().replica.query();
         for _ in 0..MAX_REPLY_PARTS {
-            let request = PeerRequest::AskConfiguration(ask);
+            let request = PeerRequest::AskConfiguration(query);
             let reply = context.link.ask(address, &request, QUERY_TIMEOUT).await;
             let Ok(PeerReply::Configuration(reply)) = reply else {
                 return;
             };
             let next = reply.next;
-            if let Some(word) = reply.word {
-                self.state().record_peer_contact(word, self.own, ClockTime::now());
+            if let Some(contact) = reply.word {
+                self.state().record_peer_contact(contact, self.own, ClockTime::now());
             }
-            self.apply(context, |state| state.replica.apply_reply(&ask, reply));
+            self.apply(context, |state| state.replica.apply_reply(&query, reply));
             match next {
-                Some(next) => ask.after = next,
+                Some(next) => query.after = next,
                 None => return,
             }
         }
     }
 
-    /// Tells a few neighbours of a change; whoever lacks it asks for it, and passes it on in turn.
+    /// Notifies a few neighbours of a change. Those that lack it query it and notify others.
     pub(crate) fn notify_neighbours(
         &self,
         context: FollowerContext<'_>,
@@ -124,19 +124,19 @@
         is_fleet: bool,
     ) {
         let now = ClockTime::now();
-        let mut told = Vec::new();
+        let mut receivers = Vec::new();
         if self.scope == ConfigScope::All {
-            told.extend(sample(context.members.live(MemberRole::Entry, now)));
+            receivers.extend(sample(context.members.live(MemberRole::Entry, now)));
         }
         if is_fleet {
-            told.extend(sample(context.members.live(MemberRole::Sidecar, now)));
+            receivers.extend(sample(context.members.live(MemberRole::Sidecar, now)));
         }
         let notice = ConfigNotice { from: context.members.own().address, newest };
-        for member in told {
+        for member in receivers {
             let link = context.link.clone();
             let request = PeerRequest::NoticeConfiguration(notice);
             smol::spawn(async move {
-                // A notice that is lost is made up for by the next heartbeat.
+                // The next heartbeat makes up for a lost notice.
                 let _ = link.ask(member.address, &request, NOTICE_TIMEOUT).await;
             })
             .detach();
@@ -150,7 +150,7 @@
     members
 }
 
-/// One of the members with the newest configuration, entries before sidecars.
+/// A random member among those with the newest configuration; entries before sidecars.
 fn choose_newest(live: &[MemberInfo]) -> Option<SocketAddr> {
     let rank = |member: &MemberInfo| (member.role == MemberRole::Entry, member.config);
     let best = live.iter().map(rank).max()?;
--- a/crates/sagespool-configuration/src/state.rs
+++ b/crates/sagespool-configuration/src/state.rs
@@ -1,4 +1,4 @@
-//! What a follower knows, under one lock.
+//! A follower's state, guarded by one lock.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,26 +7,26 @@
 use sagespool_messages::{ConfigScope, FLEET_OBJECT_KEY, StoreWord};
 use sagespool_types::{ClockTime, IncarnationId, StoreRevision};
 
-/// Someone has something newer.
+/// A member that has a newer version.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct VersionHint {
     pub(crate) address: SocketAddr,
     pub(crate) newest: StoreRevision,
 }
 
-/// What a follower knows.
+/// The state of a follower.
 #[derive(Debug)]
 pub(crate) struct FollowerState {
     pub(crate) replica: ConfigReplica,
-    /// False until the first whole configuration; till then nothing is put in force.
+    /// False until the first complete configuration; nothing is applied before.
     pub(crate) in_force: bool,
-    /// The store itself has confirmed the book, or was read whole.
+    /// The replica was read from the store or confirmed by it.
     pub(crate) confirmed_by_store: bool,
-    /// What a member has in force and this process waits for, as it was logged.
+    /// The version that another member has in force and that was logged as awaited.
     pub(crate) logged_wait: Option<StoreRevision>,
     /// When the store last answered this process.
     last_contact: Option<ClockTime>,
-    /// Another process's newest word of the store, and when this process was told.
+    /// The most recent contact of another process with the store, and when it was reported here.
     peer_contact: Option<(StoreWord, ClockTime)>,
     hint: Option<VersionHint>,
 }
@@ -44,14 +44,14 @@
         }
     }
 
-    /// The store tells all that is newer than what is here; to be called under the same lock as
-    /// its objects are taken in, else the book could be put in force without them.
+    /// Records that the store returned everything newer than the replica. To be called under the
+    /// same lock as the objects are stored, else the replica could be applied without them.
     pub(crate) fn record_store_contact(&mut self, now: ClockTime) {
         self.last_contact = Some(now);
         self.confirmed_by_store = true;
     }
 
-    /// Notes that someone has something; true if this process lacks it.
+    /// Records that a member has a version; true if it is newer than the replica.
     pub(crate) fn record_hint(&mut self, hint: VersionHint) -> bool {
         if hint.newest <= self.replica.complete() {
             return false;
@@ -62,43 +62,44 @@
         true
     }
 
-    /// Whom to ask for what is newer, if there still is something newer.
+    /// The member to query, if it still has a newer version.
     pub(crate) fn take_hint(&mut self) -> Option<VersionHint> {
         let hint = self.hint.take()?;
         (hint.newest > self.replica.complete()).then_some(hint)
     }
 
-    /// Notes another process's word of the store.
+    /// Records another process's contact with the store.
     pub(crate) fn record_peer_contact(
         &mut self,
-        word: StoreWord,
+        contact: StoreWord,
         own: IncarnationId,
         now: ClockTime,
     ) {
-        // A process that took over for silent watchers would take its own word, passed back by a
-        // neighbour, for theirs, and would stop.
-        if word.by == own {
+        // A process that took over for silent watchers would receive its own contact back from a
+        // neighbour, take it for theirs, and stop watching.
+        if contact.by == own {
             return;
         }
-        if self.store_silence(now).is_none_or(|store_silence| word.age < store_silence) {
-            self.peer_contact = Some((word, now));
+        if self.store_silence(now).is_none_or(|store_silence| contact.age < store_silence) {
+            self.peer_contact = Some((contact, now));
         }
     }
 
-    /// For how long no other process is known to have had a word of the store.
+    /// The time since another process is known to have reached the store; `None` if unknown.
     pub(crate) fn store_silence(&self, now: ClockTime) -> Option<Duration> {
-        self.peer_contact.map(|(word, at)| word.age + now.since(at))
+        self.peer_contact.map(|(contact, at)| contact.age + now.since(at))
     }
 
-    /// The newest word to pass on.
+    /// The most recent known contact with the store, to be sent to neighbours.
     pub(crate) fn newest_contact(&self, own: IncarnationId, now: ClockTime) -> Option<StoreWord> {
         let last_contact = self.last_contact.map(|at| StoreWord { by: own, age: now.since(at) });
-        let heard =
-            self.peer_contact.map(|(word, at)| StoreWord { age: word.age + now.since(at), ..word });
-        [last_contact, heard].into_iter().flatten().min_by_key(|word| word.age)
+        let heard = self
+            .peer_contact
+            .map(|(contact, at)| StoreWord { age: contact.age + now.since(at), ..contact });
+        [last_contact, heard].into_iter().flatten().min_by_key(|contact| contact.age)
     }
 
-    /// True if the book holds a whole configuration.
+    /// True if the replica holds a complete configuration.
     pub(crate) fn has_configuration(&self) -> bool {
         self.replica.is_filled()
             && self.replica.objects().any(|object| object.key == FLEET_OBJECT_KEY)
--- a/crates/sagespool-configuration/src/watcher.rs
+++ b/crates/sagespool-configuration/src/watcher.rs
@@ -1,4 +1,4 @@
-//! Watching the store, while this process is one of those that do.
+//! Watching the store, while this process is one of the watchers.
 
 use std::time::Duration;
 
@@ -12,32 +12,32 @@
 
 use crate::{ConfigFollower, FollowerContext};
 
-/// How long a watch waits for a change. Each answer is a word of the store to the others.
+/// Wait of a long poll. Each reply also counts as a contact with the store for the neighbours.
 const LONG_POLL_WAIT: Duration = Duration::from_secs(5);
-/// Between two tries while the store doesn't answer, for the first in order.
+/// Time between two tries of the first tier while the store doesn't answer.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
-/// How long a process that starts is left to its neighbours before it reads all objects itself.
+/// Time after the start in which objects are expected from neighbours before all are read here.
 const NEIGHBOUR_GRACE: Duration = Duration::from_secs(3);
-/// How often a process looks whether it is to watch.
+/// Interval in which a process checks whether it has to watch.
 const RANK_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 impl ConfigFollower {
-    /// Watches the store whenever this process is to.
+    /// Watches the store whenever this process has to.
     pub(crate) async fn watch(&self, context: FollowerContext<'_>) {
         loop {
-            let Some(place) = self.watch_rank(context, ClockTime::now()) else {
+            let Some(rank) = self.watch_rank(context, ClockTime::now()) else {
                 Timer::after(RANK_CHECK_INTERVAL).await;
                 continue;
             };
             if let Err(error) = self.watch_once(context).await {
                 log_event!(debug, "configuration-unread", cause = error);
-                let pause = place.retry_delay(RETRY_DELAY);
+                let pause = rank.retry_delay(RETRY_DELAY);
                 Timer::after(pause.mul_f64(0.5 + fastrand::f64())).await;
             }
         }
     }
 
-    /// This process's place among the watchers, if it is to watch now.
+    /// This process's rank in the watch order; `None` if it doesn't have to watch now.
     fn watch_rank(&self, context: FollowerContext<'_>, now: ClockTime) -> Option<WatchRank> {
         let own = context.members.own();
         let live = context.live(now);
@@ -46,17 +46,17 @@
             return None;
         }
         let order = watch_order(&own, &live);
-        let place = WatchRank::of(&own, &order, &self.policy)?;
+        let rank = WatchRank::of(&own, &order, &self.policy)?;
         let is_wanted =
-            self.must_check_store(now) || place.should_watch(self.store_silence(now), &self.policy);
-        is_wanted.then_some(place)
+            self.must_check_store(now) || rank.should_watch(self.store_silence(now), &self.policy);
+        is_wanted.then_some(rank)
     }
 
-    /// Whether this process has to ask the store before it begins.
+    /// Whether this process has to contact the store before it applies its first configuration.
     ///
-    /// Guards against a start that lasts as long as the fleet is in motion: what a neighbour told may
-    /// be old, and who else could know is settled only once members stop coming and going. One
-    /// call to the store says whether there is anything newer; while it is away, the members decide.
+    /// Guards against a start that takes as long as members keep joining and leaving: a neighbour's
+    /// objects may be outdated, and the view settles only once the members do. One call to the
+    /// store shows whether there is anything newer; while it is unavailable, the members decide.
     fn must_check_store(&self, now: ClockTime) -> bool {
         let state = self.state();
         let has_waited = now.since(self.started) > NEIGHBOUR_GRACE;
--- a/crates/sagespool-membership/src/config_replica.rs
+++ b/crates/sagespool-membership/src/config_replica.rs
@@ -146,13 +146,14 @@
     /// The reply to a neighbour, of `max_bytes` plus at most one object; `None` if this replica
     /// doesn't hold everything that is queried. Parts are ordered by version: an object that
     /// changes between two parts gets a version above both, so none is left out.
-    pub fn reply(&self, ask: &ConfigAsk, max_bytes: usize) -> Option<ConfigReply> {
+    pub fn reply(&self, query: &ConfigAsk, max_bytes: usize) -> Option<ConfigReply> {
         // With an incomplete replica the receiver would take missing objects for deleted.
-        if !self.is_filled || (ask.scope == ConfigScope::All && self.scope == ConfigScope::Fleet) {
+        if !self.is_filled || (query.scope == ConfigScope::All && self.scope == ConfigScope::Fleet)
+        {
             return None;
         }
-        let newer = self.objects.values().filter(|object| object.version > ask.after);
-        let mut newer: Vec<_> = newer.filter(|object| ask.scope.covers(&object.key)).collect();
+        let newer = self.objects.values().filter(|object| object.version > query.after);
+        let mut newer: Vec<_> = newer.filter(|object| query.scope.covers(&object.key)).collect();
         newer.sort_by_key(|object| object.version);
         let (mut objects, mut bytes) = (Vec::new(), 0);
         let count = newer.len();
@@ -164,16 +165,16 @@
             objects.push(object.clone());
         }
         let next = objects.last().filter(|_| objects.len() < count).map(|last| last.version);
-        let sends_present = next.is_none() && ask.complete < self.deletions_since;
+        let sends_present = next.is_none() && query.complete < self.deletions_since;
         let present = sends_present.then(|| {
             let keys = self.objects().map(|object| object.key.clone());
-            keys.filter(|key| ask.scope.covers(key)).collect()
+            keys.filter(|key| query.scope.covers(key)).collect()
         });
         Some(ConfigReply { as_of: self.complete, objects, next, present, word: None })
     }
 
     /// Applies a neighbour's reply, or a part of it; returns the changed objects.
-    pub fn apply_reply(&mut self, ask: &ConfigAsk, reply: ConfigReply) -> Vec<ConfigObject> {
+    pub fn apply_reply(&mut self, query: &ConfigAsk, reply: ConfigReply) -> Vec<ConfigObject> {
         let ConfigReply { as_of, objects, next, present, .. } = reply;
         let mut changed = self.offer_all(objects);
         if next.is_some() {
@@ -182,7 +183,7 @@
         if let Some(present) = present {
             changed.extend(self.remove_absent(&present.into_iter().collect(), as_of));
             self.mark_filled(as_of);
-        } else if ask.complete <= self.complete {
+        } else if query.complete <= self.complete {
             self.complete = self.complete.max(as_of);
         }
         changed
--- a/crates/sagespool-membership/tests/config_replica.rs
+++ b/crates/sagespool-membership/tests/config_replica.rs
@@ -72,13 +72,13 @@
 }
 
 /// All parts of an answer, one object each.
-fn parts(from: &ConfigReplica, mut ask: ConfigAsk) -> Vec<(ConfigAsk, ConfigReply)> {
+fn parts(from: &ConfigReplica, mut query: ConfigAsk) -> Vec<(ConfigAsk, ConfigReply)> {
     let mut parts = Vec::new();
-    while let Some(reply) = from.reply(&ask, 1) {
+    while let Some(reply) = from.reply(&query, 1) {
         let next = reply.next;
-        parts.push((ask, reply));
+        parts.push((query, reply));
         let Some(next) = next else { break };
-        ask.after = next;
+        query.after = next;
     }
     parts
 }
@@ -99,8 +99,8 @@
     }
 
     fn take(&mut self, parts: Vec<(ConfigAsk, ConfigReply)>) {
-        for (ask, reply) in parts {
-            let news = self.replica.apply_reply(&ask, reply);
+        for (query, reply) in parts {
+            let news = self.replica.apply_reply(&query, reply);
             self.apply(news);
         }
     }
@@ -170,7 +170,7 @@
 fn no_reply_from_incomplete_replica() {
     // A process is still reading, or has the fleet's object alone. If it answered a question for
     // everything, the asker would take the branches that it doesn't name for deleted.
-    let ask_all = ConfigReplica::new(ConfigScope::All).query();
+    let query_all = ConfigReplica::new(ConfigScope::All).query();
     let mut reading = ConfigReplica::new(ConfigScope::All);
     let part = ConfigReply {
         as_of: StoreRevision(9),
@@ -179,15 +179,15 @@
         present: None,
         word: None,
     };
-    reading.apply_reply(&ask_all, part);
-    assert_eq!(reading.reply(&ask_all, 1), None);
+    reading.apply_reply(&query_all, part);
+    assert_eq!(reading.reply(&query_all, 1), None);
 
     let mut sidecar = ConfigReplica::new(ConfigScope::Fleet);
     let listed = vec![object(FLEET_OBJECT_KEY, 3), object(&key(1), 4)];
     assert_eq!(sidecar.apply_listing(StoreRevision(9), listed).len(), 1, "what a sidecar follows");
-    assert_eq!(sidecar.reply(&ask_all, 1), None);
-    let ask_fleet = ConfigReplica::new(ConfigScope::Fleet).query();
-    let reply = sidecar.reply(&ask_fleet, 1).expect("a sidecar passes the fleet's object on");
+    assert_eq!(sidecar.reply(&query_all, 1), None);
+    let query_fleet = ConfigReplica::new(ConfigScope::Fleet).query();
+    let reply = sidecar.reply(&query_fleet, 1).expect("a sidecar passes the fleet's object on");
     assert_eq!(reply.objects, [object(FLEET_OBJECT_KEY, 3)]);
 }
 
@@ -198,7 +198,7 @@
     // from before comes late, with version 7 of the branch's object: it must not take version 8 back.
     let mut replica = ConfigReplica::new(ConfigScope::All);
     replica.apply_listing(StoreRevision(5), vec![object(FLEET_OBJECT_KEY, 5)]);
-    let ask = replica.query();
+    let query = replica.query();
     let part = ConfigReply {
         as_of: StoreRevision(9),
         objects: vec![object(&key(1), 8)],
@@ -206,7 +206,7 @@
         present: None,
         word: None,
     };
-    assert_eq!(replica.apply_reply(&ask, part).len(), 1);
+    assert_eq!(replica.apply_reply(&query, part).len(), 1);
     assert_eq!(replica.query().after, StoreRevision(5));
     let late = ConfigReply {
         as_of: StoreRevision(7),
@@ -215,5 +215,5 @@
         present: None,
         word: None,
     };
-    assert_eq!(replica.apply_reply(&ask, late), []);
+    assert_eq!(replica.apply_reply(&query, late), []);
 }
