--- a/crates/sagespool-membership/examples/gossip_bench.rs
+++ b/crates/sagespool-membership/examples/gossip_bench.rs
@@ -1,11 +1,11 @@
-//! What membership costs: bytes, processor time and memory by the fleet's size,
-//! and how long a death or a leave takes to spread.
+//! Cost of membership by fleet size: bytes, processor time and memory, and the time in which a
+//! death or a leave spreads.
 //!
 //! `cargo run --release -p sagespool-membership --example gossip_bench [SIZE…]`
 //!
-//! Whole fleets run in memory, without a network: the bytes are those that
-//! `postcard` makes of the heartbeats. Of 10,000 members only one table is
-//! filled, since all of them together don't fit a machine.
+//! Whole fleets run in memory without a network; bytes are those of the heartbeats encoded by
+//! `postcard`. For 10,000 members only one table is filled, since all of them don't fit in a
+//! machine's memory.
 
 #[path = "../tests/fleet/mod.rs"]
 mod fleet;
@@ -21,17 +21,17 @@
 /// Entries among the members: 2,300 of 10,000.
 const ENTRY_SHARE: f64 = 0.23;
 const MINUTE_TICKS: u32 = 600;
-/// A fleet of 10,000 whose members live for a day restarts one every 8.6 s.
-/// The restart itself takes three.
+/// A fleet of 10,000 with members that live for a day restarts one every 8.6 s. The restart itself
+/// takes three seconds of that.
 const CHURN_TICKS: u32 = 56;
-/// Leaves and deaths that are timed at most; their median and the longest are shown.
+/// Limit of leaves and deaths that are timed; the median and the maximum are printed.
 const SAMPLES: usize = 5;
 
 fn main() {
     let sizes: Vec<u16> = std::env::args().skip(1).filter_map(|size| size.parse().ok()).collect();
     let sizes = if sizes.is_empty() { vec![12, 24, 100, 300, 1000] } else { sizes };
     show_descriptions();
-    // All are kept, so that none gets the memory that another gave back.
+    // All tables are kept, so that none reuses memory freed by another.
     let tables: Vec<_> = [10, 100, 1000, 10_000].into_iter().map(fill_table).collect();
     for size in sizes {
         run_fleet(size);
@@ -78,7 +78,7 @@
     spread(&mut fleet, size, "steady");
 }
 
-/// A sidecar leaves, stops, and comes back as another run.
+/// A sidecar leaves, stops, and restarts as a new run.
 fn restart_one(fleet: &mut Fleet, size: u16, number: u32) {
     let place = size - 1 - (number as u16 % (size / 2));
     let run = fleet.at(place).own().started_at.map_or(1, |run| run.0) + 1;
@@ -110,7 +110,7 @@
     );
 }
 
-/// How long leaves and deaths take until every member knows, several of each.
+/// Times several leaves and deaths until every member has them.
 fn spread(fleet: &mut Fleet, size: u16, phase: &str) {
     let mut leaves = Vec::new();
     let mut deaths = Vec::new();
@@ -122,7 +122,7 @@
         deaths.push(spread_death(fleet, leaver - 1));
         fleet.run(CHURN_TICKS);
     }
-    let (leaves, deaths) = (middle_and_most(leaves), middle_and_most(deaths));
+    let (leaves, deaths) = (median_and_max(leaves), median_and_max(deaths));
     println!("spread size={size} phase={phase} leave_s={leaves} death_s={deaths}");
 }
 
@@ -141,13 +141,13 @@
         .run_until(MINUTE_TICKS, |fleet| fleet.all_but(&[], |table| table.is_gone(dead, fleet.now)))
 }
 
-fn middle_and_most(mut ticks: Vec<Option<u32>>) -> String {
+fn median_and_max(mut ticks: Vec<Option<u32>>) -> String {
     ticks.sort_by_key(|ticks| ticks.unwrap_or(u32::MAX));
     let most = ticks.len() - 1;
     format!("{}..{}", seconds(ticks[most.div_ceil(2)]), seconds(ticks[most]))
 }
 
-/// One table that knows `size` members: memory, and time for a heartbeat.
+/// Fills a table with `size` members and prints its memory use and the time per heartbeat.
 fn fill_table(size: u16) -> MemberTable {
     let before = resident_bytes();
     let table = MemberTable::new(info(0, 1, MemberRole::Entry), MembershipPolicy::default(), 1);
@@ -194,7 +194,7 @@
     table
 }
 
-/// The process's resident memory, by Linux's account; 0 elsewhere.
+/// The process's resident memory from Linux's `/proc`; 0 elsewhere.
 fn resident_bytes() -> usize {
     const PAGE_BYTES: usize = 4096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/sagespool-membership/src/config_replica.rs
+++ b/crates/sagespool-membership/src/config_replica.rs
@@ -65,9 +65,9 @@
 
     /// Stores one object; true if it is newer than the stored one.
     ///
-    /// Rejects versions up to `complete`, where every change is stored or deleted already. A delayed
-    /// reply may bring an object that was deleted in the meantime and has no record here: no newer
-    /// version would reject it, and it would return.
+    /// Rejects versions up to `complete`, where every change is stored or deleted already. A
+    /// delayed reply may bring an object that was deleted in the meantime and has no record here:
+    /// no newer version would reject it, and it would return.
     fn offer(&mut self, object: &ConfigObject) -> bool {
         if !self.scope.covers(&object.key) || object.version <= self.complete {
             return false;
--- a/crates/sagespool-membership/tests/applied_versions.rs
+++ b/crates/sagespool-membership/tests/applied_versions.rs
@@ -1,4 +1,4 @@
-//! Configuration never goes back.
+//! Applied configuration versions never decrease.
 
 use quickcheck::quickcheck;
 use sagespool_membership::{AppliedVersions, OfferOutcome};
@@ -12,9 +12,8 @@
     Reported(u64),
 }
 
-/// Relays between neighbours are late and repeat themselves. A process that
-/// applied an old version after a newer one would take back a limit that an
-/// operator was told is in force.
+/// Relayed objects arrive late and repeatedly. A process that applied an old version after a newer
+/// one would revert a limit that was confirmed to an operator as in force.
 #[test]
 fn offers_in_order() {
     use Step::{Offer, Reported};
@@ -22,8 +21,8 @@
         ("newer ones", &[Offer(3), Offer(5)], &[3, 5]),
         ("a late relay", &[Offer(5), Offer(3), Offer(6)], &[5, 6]),
         ("repeated", &[Offer(5), Offer(5)], &[5]),
-        ("restarted, told by a neighbour", &[Reported(9), Offer(7), Offer(9), Offer(8)], &[9]),
-        ("running, told by a neighbour", &[Offer(5), Reported(9), Offer(7), Offer(9)], &[5, 7, 9]),
+        ("restarted, neighbour newer", &[Reported(9), Offer(7), Offer(9), Offer(8)], &[9]),
+        ("running, neighbour newer", &[Offer(5), Reported(9), Offer(7), Offer(9)], &[5, 7, 9]),
     ];
     for (case, steps, expected) in cases {
         let versions = AppliedVersions::new();
--- a/crates/sagespool-membership/tests/config_replica.rs
+++ b/crates/sagespool-membership/tests/config_replica.rs
@@ -1,4 +1,4 @@
-//! Objects of the configuration as they come from the store and from neighbours.
+//! Configuration objects received from the store and from neighbours.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 const REPLICAS: usize = 3;
 const KEYS: u8 = 4;
 
-/// The store, and processes that read it or each other.
+/// Changes of the store, and exchanges with processes that read it or each other.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Put(u8),
@@ -21,7 +21,7 @@
         from: usize,
         to: usize,
     },
-    /// An answer that a relay gave now and that comes at the end.
+    /// A reply sent now that arrives at the end.
     Late {
         from: usize,
         to: usize,
@@ -30,15 +30,15 @@
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
-        let book = |g: &mut Gen| usize::arbitrary(g) % REPLICAS;
+        let replica = |g: &mut Gen| usize::arbitrary(g) % REPLICAS;
         let key = |g: &mut Gen| u8::arbitrary(g) % KEYS;
         match u8::arbitrary(g) % 8 {
             0 | 1 => Self::Put(key(g)),
             2 => Self::Delete(key(g)),
-            3 => Self::List(book(g)),
-            4 => Self::Follow(book(g)),
-            5 | 6 => Self::Relay { from: book(g), to: book(g) },
-            _ => Self::Late { from: book(g), to: book(g) },
+            3 => Self::List(replica(g)),
+            4 => Self::Follow(replica(g)),
+            5 | 6 => Self::Relay { from: replica(g), to: replica(g) },
+            _ => Self::Late { from: replica(g), to: replica(g) },
         }
     }
 }
@@ -71,7 +71,7 @@
     }
 }
 
-/// All parts of an answer, one object each.
+/// All parts of a reply, one object each.
 fn parts(from: &ConfigReplica, mut query: ConfigAsk) -> Vec<(ConfigAsk, ConfigReply)> {
     let mut parts = Vec::new();
     while let Some(reply) = from.reply(&query, 1) {
@@ -83,7 +83,7 @@
     parts
 }
 
-/// What is in force, as a process's owner sees it.
+/// A replica and the versions that its owner has applied.
 struct Process {
     replica: ConfigReplica,
     versions: BTreeMap<String, StoreRevision>,
@@ -91,8 +91,8 @@
 }
 
 impl Process {
-    fn apply(&mut self, news: Vec<ConfigObject>) {
-        for object in news {
+    fn apply(&mut self, changed: Vec<ConfigObject>) {
+        for object in changed {
             let before = self.versions.insert(object.key, object.version);
             self.went_back |= before.is_some_and(|before| before >= object.version);
         }
@@ -100,20 +100,20 @@
 
     fn take(&mut self, parts: Vec<(ConfigAsk, ConfigReply)>) {
         for (query, reply) in parts {
-            let news = self.replica.apply_reply(&query, reply);
-            self.apply(news);
+            let changed = self.replica.apply_reply(&query, reply);
+            self.apply(changed);
         }
     }
 
     fn list(&mut self, store: &Store) {
-        let news = self.replica.apply_listing(StoreRevision(store.revision), store.present());
-        self.apply(news);
+        let changed = self.replica.apply_listing(StoreRevision(store.revision), store.present());
+        self.apply(changed);
     }
 }
 
 quickcheck! {
-    /// Whatever processes read, from whom and how late: no object goes back, and whoever then asks
-    /// one that has read the store has in force exactly what the store has.
+    /// For any order, source and delay of reads, no object goes back to an older version, and a
+    /// process that then queries one that has read the store holds exactly the store's objects.
     fn same_as_store(steps: Vec<Step>) -> bool {
         let mut store = Store::default();
         let new = || Process {
@@ -134,13 +134,13 @@
                     if process.replica.is_filled() {
                         let after = process.replica.complete();
                         let revision = StoreRevision(store.revision);
-                        let news = process.replica.apply_changes(after, revision, store.after(after));
-                        process.apply(news);
+                        let changed = process.replica.apply_changes(after, revision, store.after(after));
+                        process.apply(changed);
                     }
                 }
                 Step::Relay { from, to } => {
-                    let told = parts(&processes[from].replica, processes[to].replica.query());
-                    processes[to].take(told);
+                    let reply = parts(&processes[from].replica, processes[to].replica.query());
+                    processes[to].take(reply);
                 }
                 Step::Late { from, to } => {
                     late.push((to, parts(&processes[from].replica, processes[to].replica.query())));
@@ -149,11 +149,11 @@
         }
         processes[0].list(&store);
         for place in 1..REPLICAS {
-            let told = parts(&processes[0].replica, processes[place].replica.query());
-            processes[place].take(told);
+            let reply = parts(&processes[0].replica, processes[place].replica.query());
+            processes[place].take(reply);
         }
-        for (place, told) in late {
-            processes[place].take(told);
+        for (place, reply) in late {
+            processes[place].take(reply);
         }
         let is_same = |process: &Process| {
             process.replica.objects().cloned().collect::<Vec<_>>() == store.present()
@@ -168,8 +168,8 @@
 
 #[test]
 fn no_reply_from_incomplete_replica() {
-    // A process is still reading, or has the fleet's object alone. If it answered a question for
-    // everything, the asker would take the branches that it doesn't name for deleted.
+    // One process is still reading, and one holds the fleet's object alone. If they replied to a
+    // query for everything, the receiver would take the missing branches for deleted.
     let query_all = ConfigReplica::new(ConfigScope::All).query();
     let mut reading = ConfigReplica::new(ConfigScope::All);
     let part = ConfigReply {
@@ -193,9 +193,10 @@
 
 #[test]
 fn partial_reply() {
-    // A part of an answer brings a branch's object of version 8, and the rest is lost. The object of
-    // version 6 is missing still, so the next question must begin before it. Another relay's answer
-    // from before comes late, with version 7 of the branch's object: it must not take version 8 back.
+    // A part of a reply brings version 8 of a branch's object, and the rest is lost. The object
+    // of version 6 is still missing, so the next query must start before it. A delayed reply of
+    // another neighbour then brings version 7 of the branch's object, which must not replace
+    // version 8.
     let mut replica = ConfigReplica::new(ConfigScope::All);
     replica.apply_listing(StoreRevision(5), vec![object(FLEET_OBJECT_KEY, 5)]);
     let query = replica.query();
--- a/crates/sagespool-membership/tests/config_watch.rs
+++ b/crates/sagespool-membership/tests/config_watch.rs
@@ -1,4 +1,4 @@
-//! Who watches the store for the others of its data centre.
+//! Which members of a data centre watch the store.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// The members that watch at once, if each sees all others.
+/// The members that watch without any silence, if each has a view of all others.
 fn first_watchers(members: &[MemberInfo]) -> Vec<&MemberInfo> {
     let policy = WatchPolicy::default();
     let watches = |own: &&MemberInfo| {
@@ -36,8 +36,8 @@
 }
 
 quickcheck! {
-    /// With one view of the fleet two entries of a data centre watch, or as many as there are;
-    /// sidecars only where there is no entry; nobody who leaves.
+    /// With equal views two entries of a data centre watch, or one if there is only one; sidecars
+    /// only where there is no entry; no leaving member.
     fn two_watchers(entries: Vec<bool>, sidecars: Vec<bool>) -> bool {
         let all = |role, leaving: &[bool]| -> Vec<MemberInfo> {
             let numbered = (0u8..20).zip(leaving);
@@ -61,7 +61,7 @@
             && north.iter().all(|m| m.role == role && !m.leaving)
     }
 
-    /// However many of the first in order are silent, everyone who stays watches in the end.
+    /// However many members earlier in the order are silent, every later one watches in the end.
     fn all_take_over(entries: u8, sidecars: u8) -> bool {
         let policy = WatchPolicy::default();
         let own = member(200, MemberRole::Sidecar, "north", false);
@@ -78,7 +78,7 @@
 #[test]
 fn silent_watchers() {
     // The watchers of a data centre answer heartbeats and can't reach the store. The others must
-    // not wait for them for ever, nor all turn to the store at once.
+    // take over, but not all at once.
     let policy = WatchPolicy::default();
     let (limit, step) = (policy.silence_limit, policy.tier_step);
     let moment = Duration::from_millis(1);
--- a/crates/sagespool-membership/tests/fleet/mod.rs
+++ b/crates/sagespool-membership/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Processes in memory that exchange heartbeats, with links that can be cut.
+//! An in-memory fleet whose processes exchange heartbeats over links that can be cut.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,7 +11,7 @@
 
 pub const TICK: Duration = Duration::from_millis(100);
 
-/// A description of a process on instance `place`, in its run `run`.
+/// The description of run `run` of the process on instance `place`.
 pub fn info(place: u16, run: u64, role: MemberRole) -> MemberInfo {
     let serves = (role == MemberRole::Sidecar).then(|| sagespool_messages::ServedUpstream {
         upstream: format!("core-{place}").parse().expect("a valid name"),
@@ -50,14 +50,14 @@
     pub cut: BTreeSet<(SocketAddr, SocketAddr)>,
     pub now: ClockTime,
     pub exchanges: u64,
-    /// Bytes of all heartbeats and their answers, if `size_of` is given.
+    /// Bytes of all heartbeats and replies; counted only if `size_of` is set.
     pub bytes: u64,
     pub size_of: Option<fn(&Heartbeat) -> usize>,
     pub policy: MembershipPolicy,
 }
 
 impl Fleet {
-    /// Entries first, then sidecars; each knows the addresses of the first three.
+    /// Starts entries first, then sidecars. The first three entries are everyone's seeds.
     pub fn start(entries: u16, sidecars: u16, policy: MembershipPolicy) -> Self {
         let mut fleet = Self {
             tables: BTreeMap::new(),
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Runs until the condition holds; the ticks that took, or nothing after `most`.
+    /// Steps until the condition holds; returns the ticks it took, or `None` after `limit`.
     pub fn run_until(&mut self, limit: u32, holds: impl Fn(&Self) -> bool) -> Option<u32> {
         for ticks in 0..=limit {
             if holds(self) {
@@ -148,13 +148,13 @@
         None
     }
 
-    /// Everyone knows everyone.
+    /// True if every table has all running members.
     pub fn is_complete(&self) -> bool {
         let count = self.tables.len();
         self.tables.values().all(|table| table.members().len() == count)
     }
 
-    /// All running members but those given hold the condition.
+    /// True if the condition holds for all running members except those at `places`.
     pub fn all_but(&self, places: &[u16], holds: impl Fn(&MemberTable) -> bool) -> bool {
         let left_out: Vec<_> = places.iter().map(|place| address(*place)).collect();
         let others = self.tables.iter().filter(|(address, _)| !left_out.contains(address));
--- a/crates/sagespool-membership/tests/heartbeat_rounds.rs
+++ b/crates/sagespool-membership/tests/heartbeat_rounds.rs
@@ -1,4 +1,4 @@
-//! Who hears from whom, and how a dead member shows.
+//! Heartbeat rounds of meshes and larger fleets, and failure detection.
 
 mod fleet;
 
@@ -12,7 +12,7 @@
 
 fn complete_fleet(size: (u16, u16)) -> Fleet {
     let mut fleet = Fleet::start(size.0, size.1, MembershipPolicy::default());
-    fleet.run_until(600, Fleet::is_complete).expect("everyone finds everyone from three seeds");
+    fleet.run_until(600, Fleet::is_complete).expect("three seeds suffice for a complete fleet");
     fleet.run(200);
     fleet
 }
@@ -32,9 +32,9 @@
     }
 }
 
-/// A sidecar's machine is switched off. Until the entries notice, each request
-/// sent its way costs its caller a time-out; the mesh has to notice in 3 s, a
-/// larger fleet by rumour in 10 s, and in neither may another member be blamed.
+/// A sidecar's machine is switched off. Until the entries detect it, each request sent to it costs
+/// its caller a timeout. The limit is 3 s for a mesh and 10 s for a larger fleet, and no other
+/// member may be declared dead.
 #[test]
 fn death_detected() {
     for (size, most) in [(MESH, 30), (GOSSIP, 100)] {
@@ -44,14 +44,13 @@
         let noticed = fleet
             .run_until(most, |fleet| fleet.all_but(&[], |table| table.is_gone(dead, fleet.now)));
         assert!(noticed.is_some(), "{size:?}: dead for everyone within {most} ticks");
-        assert!(fleet.is_complete(), "nobody else is missing");
+        assert!(fleet.is_complete(), "no other member is missing");
     }
 }
 
-/// The link between two members breaks while both reach everyone else. Each
-/// finds the other silent; if that meant death, a home would be declared dead
-/// and its grants sealed while it serves. The others' word keeps it alive, and in
-/// a mesh they don't even doubt it: their requests go on to the same home.
+/// The link between two members breaks while both reach all others. If each declared the other
+/// dead, the grants of a serving home would be sealed. The others' heartbeats prevent that, and in
+/// a mesh the others don't even suspect either: their requests go on to the same home.
 #[test]
 fn broken_link() {
     for size in [MESH, GOSSIP] {
@@ -62,15 +61,15 @@
             fleet.step();
             assert!(!fleet.at(0).is_gone(right, fleet.now), "{size:?}");
             assert!(!fleet.at(1).is_gone(left, fleet.now), "{size:?}");
-            let trusted = fleet.all_but(&[0, 1], |table| usable(table, fleet.now).len() == 15);
-            assert!(size == GOSSIP || trusted, "{size:?}");
+            let all_usable = fleet.all_but(&[0, 1], |table| usable(table, fleet.now).len() == 15);
+            assert!(size == GOSSIP || all_usable, "{size:?}");
         }
     }
 }
 
-/// A process is stopped for a minute and goes on. By its own clock everyone has
-/// been silent for a minute; if it believed that, it would be home of every
-/// branch. The others believed it dead, and take it back once it speaks.
+/// A process is paused for a minute. By its own clock everyone was silent for a minute; if it
+/// declared them dead, it would be home of every branch. The others declared it dead, and must
+/// accept it again after its next heartbeat.
 #[test]
 fn paused_process() {
     let mut fleet = complete_fleet(MESH);
@@ -81,15 +80,15 @@
     fleet.paused.clear();
     fleet.step();
     let usable = usable(fleet.at(2), fleet.now).len();
-    assert_eq!(usable, fleet.tables.len() - 1, "it blames itself, not others");
+    assert_eq!(usable, fleet.tables.len() - 1, "no other member counts as unusable");
     let back =
         fleet.run_until(30, |fleet| fleet.all_but(&[], |table| !table.is_gone(paused, fleet.now)));
     assert!(back.is_some());
 }
 
-/// A partition lasts for an hour, with the platform down, so that no list says
-/// who is there. Each side buries the other. After it heals both must find each
-/// other by themselves, or the fleet stays in two halves with two homes a branch.
+/// A partition lasts long enough for each side to declare the other dead, and the platform is down,
+/// so no instance list helps. After it heals both sides must find each other, or the fleet keeps
+/// two homes for each branch.
 #[test]
 fn healed_partition() {
     for size in [MESH, GOSSIP] {
@@ -112,12 +111,15 @@
         fleet.run(600);
         let calls = (fleet.exchanges - before) as f64 / fleet.tables.len() as f64;
         let most = if size == MESH { 1000.0 } else { 90.0 };
-        assert!(calls < most, "{size:?}: {calls} calls a member in a minute: old rumours go round");
+        assert!(
+            calls < most,
+            "{size:?}: {calls} calls a member in a minute: stale updates circulate"
+        );
     }
 }
 
-/// A whole fleet starts at once. Everyone discovers everyone, and if each passed
-/// each on as news, a large fleet would be busy with it for many minutes.
+/// A whole fleet starts at once and everyone discovers everyone. If each gossiped every discovery
+/// as an update, a large fleet would be busy with it for many minutes.
 #[test]
 fn quiet_start() {
     let mut fleet = complete_fleet(GOSSIP);
@@ -133,16 +135,16 @@
     let before = fleet.exchanges;
     fleet.run(600);
     let calls = (fleet.exchanges - before) as f64 / fleet.tables.len() as f64;
-    // Three neighbours every three seconds for a minute, and a repair now and then.
+    // Three neighbours every three seconds for a minute, and an occasional repair.
     assert!(calls < 72.0, "{calls} calls a member in a minute");
     for (_, beat) in fleet.tables.values().flat_map(|table| table.due_heartbeats(fleet.now)) {
-        let news: usize = beat.others.iter().map(max_encoded_bytes).sum();
-        assert!(news <= MembershipPolicy::default().max_update_bytes);
+        let updates: usize = beat.others.iter().map(max_encoded_bytes).sum();
+        assert!(updates <= MembershipPolicy::default().max_update_bytes);
     }
 }
 
-/// An entry of a large fleet wants the load of two sidecars that it routes to.
-/// No rumour carries loads: it has to ask, a little more than it would anyway.
+/// An entry of a large fleet needs the load of two sidecars that it routes to. Gossip carries no
+/// loads, so it has to call them, at little extra cost.
 #[test]
 fn watched_loads() {
     let mut fleet = complete_fleet(GOSSIP);
@@ -165,21 +167,21 @@
     }
 }
 
-/// A process that has just started knows nobody. A grant's holder that it never
-/// heard of isn't dead for that, or it would seal the grants of every live home.
+/// A process that has just started has an empty view. It must not take an unknown holder of a grant
+/// for dead, or it would seal the grants of every live home.
 #[test]
 fn unknown_holder() {
     let mut fleet = Fleet::start(4, 0, MembershipPolicy::default());
-    let stranger = IncarnationId(77);
-    assert!(!fleet.at(0).is_gone(stranger, fleet.now));
+    let unknown = IncarnationId(77);
+    assert!(!fleet.at(0).is_gone(unknown, fleet.now));
     fleet.run(10);
-    assert!(!fleet.at(0).is_gone(stranger, fleet.now), "the view has not settled yet");
+    assert!(!fleet.at(0).is_gone(unknown, fleet.now), "the view has not settled yet");
     fleet.run(300);
-    assert!(fleet.at(0).is_gone(stranger, fleet.now));
+    assert!(fleet.at(0).is_gone(unknown, fleet.now));
     let alone = MemberTable::new(info(9, 1, MemberRole::Entry), MembershipPolicy::default(), 1);
     alone.add_seeds(&[address(0)], ClockTime::default());
     for tick in 0..600 {
         alone.due_heartbeats(ClockTime::from_millis(tick * 100));
     }
-    assert!(!alone.is_gone(stranger, ClockTime::from_millis(60_000)), "nobody ever answered it");
+    assert!(!alone.is_gone(unknown, ClockTime::from_millis(60_000)), "no member ever answered");
 }
--- a/crates/sagespool-membership/tests/leaving_spread.rs
+++ b/crates/sagespool-membership/tests/leaving_spread.rs
@@ -1,4 +1,4 @@
-//! A member that leaves is known to leave.
+//! The spread of a member's leaving state.
 
 mod fleet;
 
@@ -14,9 +14,8 @@
     })
 }
 
-/// An upstream is about to be taken down; the sidecar knows, the instance list
-/// says it much later. Every entry that has not heard after 3 s sends it work
-/// that it has to refuse.
+/// An upstream is about to be taken down. Its sidecar announces it, long before the instance list
+/// does. Every entry that doesn't have it within 3 s sends work that the sidecar has to refuse.
 #[test]
 fn leaving_spreads() {
     for (entries, sidecars) in [(3, 13), (20, 80)] {
@@ -29,8 +28,8 @@
     }
 }
 
-/// A process that is told to stop tells its peers, and a later change of its
-/// description must not make them send it work again.
+/// A process that is stopping is announced as leaving; a later change of its description must not
+/// make peers send it work again.
 #[test]
 fn leaving_not_unset() {
     let table = MemberTable::new(info(0, 1, MemberRole::Entry), MembershipPolicy::default(), 7);
@@ -51,12 +50,12 @@
     assert!(fleet.at(0).due_heartbeats(now).is_empty());
     fleet.at(0).update_own(|own| own.leaving = true);
     let beats = fleet.at(0).due_heartbeats(now);
-    assert_eq!(beats.len(), 3, "everyone is told at once");
+    assert_eq!(beats.len(), 3, "one heartbeat to each peer at once");
     assert!(beats.iter().all(|(_, beat)| beat.from.leaving));
 }
 
-/// The platform lists an instance as leaving while its process does not know
-/// yet, and takes it back: the list is followed both ways.
+/// The instance list shows an instance as leaving before its process announces it, and later as
+/// live again. The view follows the list both ways.
 #[test]
 fn listed_leaving() {
     let mut fleet = Fleet::start(3, 3, MembershipPolicy::default());
@@ -74,24 +73,30 @@
     let own = fleet.at(0).own();
     assert!(
         fleet.at(0).apply_instance_list(&[listed(&own, true)], fleet.now),
-        "it is told of itself"
+        "the own instance has to leave"
     );
-    assert!(fleet.is_complete(), "the list removes nobody");
+    assert!(fleet.is_complete(), "the list removes no member");
 }
 
-/// A process is stopped for good and its instance is used again. The list still
-/// says that the instance leaves, which was meant for the earlier run; the new
-/// one must not end for it, and must follow the list from then on.
+/// A process is stopped and its instance is used again. The list still shows the instance as
+/// leaving, which refers to the earlier run. The new run must not stop because of it, and must
+/// follow the list from then on.
 #[test]
 fn listed_leaving_of_earlier_run() {
     let own = info(0, 1, MemberRole::Sidecar);
     let table = MemberTable::new(own.clone(), MembershipPolicy::default(), 7);
     let now = sagespool_types::ClockTime(1);
-    assert!(!table.apply_instance_list(&[listed(&own, true)], now), "the earlier run is meant");
+    assert!(
+        !table.apply_instance_list(&[listed(&own, true)], now),
+        "the listing refers to the earlier run"
+    );
     assert!(table.is_listed_leaving());
     assert!(!table.apply_instance_list(&[listed(&own, false)], now));
     assert!(!table.is_listed_leaving());
-    assert!(table.apply_instance_list(&[listed(&own, true)], now), "now this run is meant");
+    assert!(
+        table.apply_instance_list(&[listed(&own, true)], now),
+        "the listing refers to this run"
+    );
     let table = MemberTable::new(own.clone(), MembershipPolicy::default(), 7);
     assert!(!table.apply_instance_list(&[listed(&own, true)], now));
     let later = now.after(std::time::Duration::from_secs(60));
--- a/crates/sagespool-membership/tests/rendezvous_home.rs
+++ b/crates/sagespool-membership/tests/rendezvous_home.rs
@@ -43,8 +43,8 @@
     assert!(shares.values().all(|share| (40..=120).contains(share)), "{shares:?}");
 }
 
-/// A home dies, leaves or restarts. Only its own branches may move: each that
-/// moves takes new grants and has its old ones sealed.
+/// A home dies, leaves or restarts. Only its own branches may move, since each move requires new
+/// grants and the sealing of the old ones.
 #[test]
 fn few_moves() {
     for change in ["killed", "leaving"] {
@@ -78,9 +78,8 @@
     assert!(homes(&fleet, 30).values().all(|home| home.as_str() == "entry-30"));
 }
 
-/// Requests to a home fail while its heartbeats still count as fresh. Two
-/// failures in a row are enough to turn to the next home in order, well before
-/// the silence shows.
+/// Requests to a home fail while its heartbeats still count as recent. Two consecutive failures
+/// switch to the next home in order, well before the silence timeout.
 #[test]
 fn unanswered_home() {
     let fleet = fleet();
@@ -95,12 +94,11 @@
     assert_ne!(order[0].address, address(9));
 }
 
-/// A home dies and the next in order serves its branches. It must know that it
-/// knows nothing of their keys from before: a caller whose answer was cut off
-/// would get a second run. The same holds for a home that the others believed
-/// dead for a while, and that serves on as if nothing had been.
+/// A home dies and the next in order takes its branches. It must not assume that it has their
+/// earlier keys, else a caller whose answer was cut off gets a second run. The same holds for a
+/// home that the others took for dead for a while and that continues afterwards.
 #[test]
-fn home_tenure() {
+fn home_since_takeover() {
     let mut fleet = fleet();
     let started = ClockTime::from_millis(1200);
     let branch = &branches(1)[0];
--- a/crates/sagespool-membership/tests/stale_incarnation.rs
+++ b/crates/sagespool-membership/tests/stale_incarnation.rs
@@ -1,4 +1,4 @@
-//! A restarted process and its predecessor.
+//! Restarted processes and stale information about their earlier runs.
 
 mod fleet;
 
@@ -24,10 +24,9 @@
     }
 }
 
-/// An entry restarts. A peer that was cut off still passes on the old run, with
-/// a higher count of heartbeats than the new one has. If that brought the old
-/// one back, requests would go to a process that is no more, and the new one
-/// would be taken for it.
+/// An entry restarts, and a peer that was cut off still gossips the old run, with a higher number
+/// than the new run has. The old run must stay gone, else requests are sent to a process that
+/// doesn't exist any more, and the new run is taken for it.
 #[test]
 fn late_gossip() {
     let run = |started_at: Option<u64>, number| {
@@ -36,7 +35,7 @@
         run.number = number;
         run
     };
-    // What the two runs know of their start, which is heard first, and which must win.
+    // Revisions and numbers of the two runs; the second one must win in either order of arrival.
     let cases = [
         ("by the store's revision", run(Some(10), 90), run(Some(20), 50)),
         ("one started while the store was away", run(None, 50), run(Some(20), 90)),
@@ -60,9 +59,8 @@
     }
 }
 
-/// A sidecar dies. A minute later a peer that was paused passes on what it last
-/// knew: the sidecar, alive. If that were believed, it would be routed to again,
-/// and each pause of any member would bring dead ones back.
+/// A sidecar dies, and a minute later a peer that was paused gossips it as alive. If this were
+/// accepted, each pause of any member would bring dead members back into routing.
 #[test]
 fn dead_stays_dead() {
     let mut fleet = Fleet::start(3, 5, MembershipPolicy::default());
@@ -77,13 +75,12 @@
         fleet.step();
         assert!(fleet.at(0).is_gone(dead.incarnation, fleet.now));
     }
-    assert!(fleet.at(1).is_gone(dead.incarnation, fleet.now), "the paused one learns it too");
+    assert!(fleet.at(1).is_gone(dead.incarnation, fleet.now), "the paused member learns it too");
 }
 
-/// An instance's clock was set back and the store is away, so neither tells that
-/// the restarted entry is the newer run; nor does its address, which is another.
-/// Its dead predecessor looks newer to all, and the entry would never be home of
-/// anything: it has to outnumber the rumour.
+/// An instance's clock was set back and the store is unavailable, so neither shows that the
+/// restarted entry is the newer run; its address is a different one, too. The dead run looks newer
+/// to all members, so the entry has to raise its number above it, or it never becomes a home.
 #[test]
 fn clock_set_back() {
     for down_ticks in [2, 60] {
@@ -109,8 +106,8 @@
     }
 }
 
-/// A process restarts at its old address within a second, before anyone missed
-/// it. Its peers must not go on with the old run's promises.
+/// A process restarts at its old address within a second, before any call to it failed. Its peers
+/// must drop the old run's state.
 #[test]
 fn quick_restart() {
     let mut fleet = Fleet::start(3, 5, MembershipPolicy::default());
@@ -125,9 +122,8 @@
     assert!(fleet.is_complete());
 }
 
-/// An instance is taken down, and another gets its address. Whoever calls the
-/// address gets an answer, so no call to the old one ever fails: it would be
-/// routed to for as long as its successor lives.
+/// An instance is removed and another one gets its address. Calls to the address succeed, so the
+/// old member never looks silent and would be routed to as long as the new one lives.
 #[test]
 fn reused_address() {
     let table = table();
@@ -145,22 +141,22 @@
 fn first_numbers() {
     let started = WallTime(1_700_000_000_000);
     let restarted = WallTime(started.0 + 60_000);
-    // A run counts a few heartbeats a second, the clock a thousand milliseconds.
+    // A run counts a few heartbeats per second, the clock a thousand milliseconds.
     assert!(initial_heartbeat_number(started) + 60 * 10 < initial_heartbeat_number(restarted));
 }
 
 quickcheck! {
-    /// Whatever the order and repetition in which runs of one instance are heard
-    /// of, the newest by the store's revision is the one that remains.
+    /// For any order and repetition of descriptions of an instance's runs, the newest by the
+    /// store's revision remains.
     fn newest_remains(heard: Vec<(u8, u16)>) -> TestResult {
         let table = table();
         let mut newest = 0;
         for (run, number) in heard {
             let run = u64::from(run % 4) + 1;
             newest = newest.max(run);
-            let mut said = info(5, run, MemberRole::Entry);
-            said.number = u64::from(number);
-            table.handle_heartbeat(&gossip(vec![said]), NOW);
+            let mut description = info(5, run, MemberRole::Entry);
+            description.number = u64::from(number);
+            table.handle_heartbeat(&gossip(vec![description]), NOW);
         }
         let entries = table.live(MemberRole::Entry, NOW);
         let found = entries.iter().find(|info| info.address == address(5));
