--- a/crates/sagespool-membership/examples/gossip_bench.rs
+++ b/crates/sagespool-membership/examples/gossip_bench.rs
@@ -39,8 +39,8 @@
     drop(tables);
 }
 
-fn size_of(beat: &Heartbeat) -> usize {
-    postcard::to_allocvec(beat).map_or(0, |bytes| bytes.len())
+fn size_of(heartbeat: &Heartbeat) -> usize {
+    postcard::to_allocvec(heartbeat).map_or(0, |bytes| bytes.len())
 }
 
 fn show_descriptions() {
@@ -80,13 +80,13 @@
 
 /// A sidecar leaves, stops, and restarts as a new run.
 fn restart_one(fleet: &mut Fleet, size: u16, number: u32) {
-    let place = size - 1 - (number as u16 % (size / 2));
-    let run = fleet.at(place).own().started_at.map_or(1, |run| run.0) + 1;
-    fleet.at(place).update_own(|own| own.leaving = true);
+    let index = size - 1 - (number as u16 % (size / 2));
+    let run = fleet.at(index).own().started_at.map_or(1, |run| run.0) + 1;
+    fleet.at(index).update_own(|own| own.leaving = true);
     fleet.run(20);
-    fleet.kill(place);
+    fleet.kill(index);
     fleet.run(10);
-    fleet.join(info(place, run, MemberRole::Sidecar));
+    fleet.join(info(index, run, MemberRole::Sidecar));
 }
 
 fn measure(fleet: &mut Fleet, size: u16, phase: &str, mut each: impl FnMut(&mut Fleet, u32)) {
@@ -126,17 +126,17 @@
     println!("spread size={size} phase={phase} leave_s={leaves} death_s={deaths}");
 }
 
-fn spread_leave(fleet: &mut Fleet, place: u16) -> Option<u32> {
-    let leaving = fleet.at(place).own().incarnation;
-    fleet.at(place).update_own(|own| own.leaving = true);
+fn spread_leave(fleet: &mut Fleet, index: u16) -> Option<u32> {
+    let leaving = fleet.at(index).own().incarnation;
+    fleet.at(index).update_own(|own| own.leaving = true);
     fleet.run_until(MINUTE_TICKS, |fleet| {
         fleet.all_but(&[], |table| table.find(leaving).is_some_and(|info| info.leaving))
     })
 }
 
-fn spread_death(fleet: &mut Fleet, place: u16) -> Option<u32> {
-    let dead = fleet.at(place).own().incarnation;
-    fleet.kill(place);
+fn spread_death(fleet: &mut Fleet, index: u16) -> Option<u32> {
+    let dead = fleet.at(index).own().incarnation;
+    fleet.kill(index);
     fleet
         .run_until(MINUTE_TICKS, |fleet| fleet.all_but(&[], |table| table.is_gone(dead, fleet.now)))
 }
@@ -152,16 +152,16 @@
     let before = resident_bytes();
     let table = MemberTable::new(info(0, 1, MemberRole::Entry), MembershipPolicy::default(), 1);
     let mut now = ClockTime::from_millis(1000);
-    let beat_from = |place| {
+    let heartbeat_from = |index| {
         let entries = (f64::from(size) * ENTRY_SHARE) as u16;
-        let role = if place < entries { MemberRole::Entry } else { MemberRole::Sidecar };
+        let role = if index < entries { MemberRole::Entry } else { MemberRole::Sidecar };
         let (others, suspects, slices) = (Vec::new(), Vec::new(), Vec::new());
-        Heartbeat { from: info(place, 1, role), others, view_digest: 0, suspects, slices }
+        Heartbeat { from: info(index, 1, role), others, view_digest: 0, suspects, slices }
     };
-    for place in 1..size {
-        let bytes = postcard::to_allocvec(&beat_from(place)).unwrap_or_default();
-        if let Ok(beat) = postcard::from_bytes(&bytes) {
-            table.handle_heartbeat(&beat, now);
+    for index in 1..size {
+        let bytes = postcard::to_allocvec(&heartbeat_from(index)).unwrap_or_default();
+        if let Ok(heartbeat) = postcard::from_bytes(&bytes) {
+            table.handle_heartbeat(&heartbeat, now);
         }
     }
     let memory = resident_bytes().saturating_sub(before);
@@ -169,9 +169,9 @@
     let timer = Instant::now();
     for number in 0..tries {
         now = now.after(Duration::from_millis(100));
-        let mut beat = beat_from(1 + number % (size - 1).min(6));
-        beat.from.number += 1 + u64::from(number);
-        black_box(table.handle_heartbeat(&beat, now));
+        let mut heartbeat = heartbeat_from(1 + number % (size - 1).min(6));
+        heartbeat.from.number += 1 + u64::from(number);
+        black_box(table.handle_heartbeat(&heartbeat, now));
     }
     let received = timer.elapsed().as_micros() as f64 / f64::from(tries);
     let timer = Instant::now();
--- a/crates/sagespool-membership/src/digest.rs
+++ b/crates/sagespool-membership/src/digest.rs
@@ -61,8 +61,8 @@
     }
 
     fn toggle(&mut self, info: &MemberInfo) {
-        let place = slice_of(info.incarnation, SLICE_COUNT);
-        self.slices[place] ^= description_digest(info);
+        let index = slice_of(info.incarnation, SLICE_COUNT);
+        self.slices[index] ^= description_digest(info);
     }
 
     /// The number of members in the view.
@@ -83,8 +83,8 @@
 
     fn folded(&self, count: usize) -> Vec<u32> {
         let mut folded = vec![0_u64; count];
-        for (place, digest) in self.slices.iter().enumerate() {
-            folded[place & (count - 1)] ^= digest;
+        for (index, digest) in self.slices.iter().enumerate() {
+            folded[index & (count - 1)] ^= digest;
         }
         folded.into_iter().map(|digest| digest as u32).collect()
     }
@@ -97,7 +97,7 @@
             return Vec::new();
         }
         let ours = self.folded(theirs.len());
-        (0..theirs.len()).filter(|place| ours[*place] != theirs[*place]).collect()
+        (0..theirs.len()).filter(|index| ours[*index] != theirs[*index]).collect()
     }
 }
 
--- a/crates/sagespool-membership/src/exchange.rs
+++ b/crates/sagespool-membership/src/exchange.rs
@@ -34,17 +34,17 @@
 impl MemberView {
     /// The heartbeat to a peer, with pending repairs and corrections.
     pub(crate) fn heartbeat_for(&mut self, address: SocketAddr) -> Heartbeat {
-        let mut beat = self.heartbeat_with_updates();
-        beat.suspects.extend(self.suspect_note_for(address));
+        let mut heartbeat = self.heartbeat_with_updates();
+        heartbeat.suspects.extend(self.suspect_note_for(address));
         if self.rounds.pending_repairs.remove(&address) {
-            beat.slices = self.digest.slices();
+            heartbeat.slices = self.digest.slices();
         }
         for pending in [&mut self.rounds.corrections, &mut self.rounds.deferred_corrections] {
             let correction = pending.remove(&address).unwrap_or_default();
-            beat.others.extend(correction.others);
-            beat.suspects.extend(correction.suspects);
+            heartbeat.others.extend(correction.others);
+            heartbeat.suspects.extend(correction.suspects);
         }
-        beat
+        heartbeat
     }
 
     /// The note to a peer that is itself suspected or dead here, so that it can refute it.
@@ -99,16 +99,16 @@
     /// Applies a peer's heartbeat; returns the correction for the peer.
     fn apply_heartbeat(
         &mut self,
-        beat: &Heartbeat,
+        heartbeat: &Heartbeat,
         is_call: bool,
         now: ClockTime,
     ) -> PeerCorrection {
         let mut correction = PeerCorrection::default();
-        let sender = beat.from.incarnation;
+        let sender = heartbeat.from.incarnation;
         if sender == self.own.incarnation {
             return correction;
         }
-        for info in beat.others.iter().chain([&beat.from]) {
+        for info in heartbeat.others.iter().chain([&heartbeat.from]) {
             match self.merge(info, now) {
                 MergeResult::Applied => {}
                 MergeResult::Known => self.updates.record_known(info.incarnation),
@@ -118,47 +118,52 @@
         }
         self.record_contact(sender, is_call, now);
         if let Some(record) = self.records.get_mut(&sender) {
-            record.view_digest = Some(beat.view_digest);
+            record.view_digest = Some(heartbeat.view_digest);
         }
-        for note in &beat.suspects {
+        for note in &heartbeat.suspects {
             correction.others.extend(self.handle_suspicion(note, now));
         }
         correction
     }
 
     /// Handles a peer's heartbeat and returns the reply.
-    pub(crate) fn handle_heartbeat(&mut self, beat: &Heartbeat, now: ClockTime) -> Heartbeat {
+    pub(crate) fn handle_heartbeat(&mut self, heartbeat: &Heartbeat, now: ClockTime) -> Heartbeat {
         self.advance(now);
-        let correction = self.apply_heartbeat(beat, true, now);
+        let correction = self.apply_heartbeat(heartbeat, true, now);
         if self.rounds.urgent {
             // The reply carries the urgent updates, so a round for them can skip this peer.
-            self.rounds.informed.insert(beat.from.address);
+            self.rounds.informed.insert(heartbeat.from.address);
         }
         let mut reply = self.heartbeat_with_updates();
         reply.others.extend(correction.others);
         reply.suspects.extend(correction.suspects);
-        if !beat.slices.is_empty() {
+        if !heartbeat.slices.is_empty() {
             reply.slices = self.digest.slices();
-            reply.others.extend(self.differing_members(&beat.slices, &[]));
+            reply.others.extend(self.differing_members(&heartbeat.slices, &[]));
         }
         reply
     }
 
     /// Handles the reply to a heartbeat.
-    pub(crate) fn handle_reply(&mut self, address: SocketAddr, beat: &Heartbeat, now: ClockTime) {
+    pub(crate) fn handle_reply(
+        &mut self,
+        address: SocketAddr,
+        heartbeat: &Heartbeat,
+        now: ClockTime,
+    ) {
         self.advance(now);
         self.seeds.reset_backoff(address);
-        self.evict_address(address, &beat.from, now);
+        self.evict_address(address, &heartbeat.from, now);
         let had_urgent = self.rounds.urgent;
-        let correction = self.apply_heartbeat(beat, false, now);
+        let correction = self.apply_heartbeat(heartbeat, false, now);
         if self.rounds.urgent && !had_urgent {
             self.rounds.informed.insert(address);
         }
         self.queue_correction(address, correction);
-        if !beat.slices.is_empty() {
-            let others = self.differing_members(&beat.slices, &beat.others);
+        if !heartbeat.slices.is_empty() {
+            let others = self.differing_members(&heartbeat.slices, &heartbeat.others);
             self.rounds.corrections.entry(address).or_default().others.extend(others);
-        } else if beat.view_digest != self.digest.whole() && self.take_repair_turn(now) {
+        } else if heartbeat.view_digest != self.digest.whole() && self.take_repair_turn(now) {
             self.rounds.pending_repairs.insert(address);
         }
     }
@@ -194,9 +199,9 @@
     /// the size limit of a repair. Whole slices go first, in random order, so that a truncated
     /// repair still makes progress.
     fn differing_members(&mut self, theirs: &[u32], sent: &[MemberInfo]) -> Vec<MemberInfo> {
-        let mut places = self.digest.differing(theirs);
-        self.rng.shuffle(&mut places);
-        let order: BTreeMap<_, _> = places.into_iter().zip(0_usize..).collect();
+        let mut indices = self.digest.differing(theirs);
+        self.rng.shuffle(&mut indices);
+        let order: BTreeMap<_, _> = indices.into_iter().zip(0_usize..).collect();
         let sent: BTreeSet<_> = sent.iter().map(|info| info.incarnation).collect();
         let mut found = Vec::new();
         for incarnation in &self.present {
--- a/crates/sagespool-membership/src/policy.rs
+++ b/crates/sagespool-membership/src/policy.rs
@@ -68,7 +68,7 @@
     /// Time without discoveries after which the view counts as complete.
     #[builder(default = Duration::from_secs(5))]
     pub settle_after: Duration,
-    /// Time between two calls of `due` above which this process is assumed to have been paused.
+    /// Time between two calls of `due_heartbeats` above which this process counts as paused.
     #[builder(default = Duration::from_millis(1200))]
     pub stall_threshold: Duration,
     /// Limit of stored incarnations, dead ones included.
--- a/crates/sagespool-membership/src/rounds.rs
+++ b/crates/sagespool-membership/src/rounds.rs
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Makes the next call of `due` start a round for the own description.
+    /// Makes the next call of `due_heartbeats` start a round for the own description.
     pub(crate) fn announce_own(&mut self) {
         self.own_urgent = true;
     }
@@ -250,8 +250,8 @@
             if self.rounds.neighbours.len() >= self.policy.fanout {
                 break;
             }
-            let place = self.rng.usize(..self.present.len());
-            let Some(chosen) = self.present.iter().nth(place).copied() else { break };
+            let index = self.rng.usize(..self.present.len());
+            let Some(chosen) = self.present.iter().nth(index).copied() else { break };
             if !self.rounds.neighbours.contains(&chosen) {
                 self.rounds.neighbours.push(chosen);
             }
@@ -267,7 +267,7 @@
         let count = self.policy.watched_per_round.min(watched.len());
         let first = self.rounds.watched_position;
         self.rounds.watched_position = (first + count) % watched.len();
-        let turn = (first..first + count).map(|place| watched[place % watched.len()]);
+        let turn = (first..first + count).map(|index| watched[index % watched.len()]);
         turn.filter(|incarnation| self.present.contains(incarnation))
             .filter_map(|incarnation| self.records.get(&incarnation))
             .map(|record| record.info.address)
@@ -295,8 +295,8 @@
         self.rounds.next_dead_probe = now.after(gap);
         let mut chosen = Vec::new();
         for _ in 0..count {
-            let place = self.rng.usize(..self.dead.len());
-            let Some(incarnation) = self.dead.iter().nth(place) else { continue };
+            let index = self.rng.usize(..self.dead.len());
+            let Some(incarnation) = self.dead.iter().nth(index) else { continue };
             chosen.extend(self.records.get(incarnation).map(|record| record.info.address));
         }
         chosen
@@ -341,9 +341,9 @@
         self.rounds.discovered = 0;
     }
 
-    /// True in a mesh if every listed address belongs to a member and every member last reported
-    /// the same view digest. An address that doesn't answer prevents agreement, since a process
-    /// there may hold grants.
+    /// True in a mesh if every seed address belongs to a member and every member last reported the
+    /// same view digest as this process has. An address that doesn't answer prevents agreement,
+    /// since a process there may hold grants.
     fn all_views_agree(&self) -> bool {
         let own = self.digest.whole();
         let is_known = |address: &SocketAddr| {
--- a/crates/sagespool-membership/src/table.rs
+++ b/crates/sagespool-membership/src/table.rs
@@ -64,13 +64,13 @@
     }
 
     /// Handles a peer's heartbeat and returns the reply to it.
-    pub fn handle_heartbeat(&self, beat: &Heartbeat, now: ClockTime) -> Heartbeat {
-        self.view().handle_heartbeat(beat, now)
+    pub fn handle_heartbeat(&self, heartbeat: &Heartbeat, now: ClockTime) -> Heartbeat {
+        self.view().handle_heartbeat(heartbeat, now)
     }
 
     /// Handles the reply to a heartbeat sent to `address`.
-    pub fn handle_reply(&self, address: SocketAddr, beat: &Heartbeat, now: ClockTime) {
-        self.view().handle_reply(address, beat, now);
+    pub fn handle_reply(&self, address: SocketAddr, heartbeat: &Heartbeat, now: ClockTime) {
+        self.view().handle_reply(address, heartbeat, now);
     }
 
     /// Records that a heartbeat, or any other request, to `address` was not answered.
--- a/crates/sagespool-membership/tests/config_replica.rs
+++ b/crates/sagespool-membership/tests/config_replica.rs
@@ -128,9 +128,9 @@
             match step {
                 Step::Put(number) => store.change(number, true),
                 Step::Delete(number) => store.change(number, false),
-                Step::List(place) => processes[place].list(&store),
-                Step::Follow(place) => {
-                    let process = &mut processes[place];
+                Step::List(index) => processes[index].list(&store),
+                Step::Follow(index) => {
+                    let process = &mut processes[index];
                     if process.replica.is_filled() {
                         let after = process.replica.complete();
                         let revision = StoreRevision(store.revision);
@@ -148,12 +148,12 @@
             }
         }
         processes[0].list(&store);
-        for place in 1..REPLICAS {
-            let reply = parts(&processes[0].replica, processes[place].replica.query());
-            processes[place].take(reply);
+        for index in 1..REPLICAS {
+            let reply = parts(&processes[0].replica, processes[index].replica.query());
+            processes[index].take(reply);
         }
-        for (place, reply) in late {
-            processes[place].take(reply);
+        for (index, reply) in late {
+            processes[index].take(reply);
         }
         let is_same = |process: &Process| {
             process.replica.objects().cloned().collect::<Vec<_>>() == store.present()
--- a/crates/sagespool-membership/tests/config_watch.rs
+++ b/crates/sagespool-membership/tests/config_watch.rs
@@ -29,8 +29,8 @@
     let watches = |own: &&MemberInfo| {
         let others: Vec<_> =
             members.iter().filter(|other| other.instance != own.instance).cloned().collect();
-        let place = WatchRank::of(own, &watch_order(own, &others), &policy);
-        place.is_some_and(|place| place.should_watch(Duration::ZERO, &policy))
+        let index = WatchRank::of(own, &watch_order(own, &others), &policy);
+        index.is_some_and(|index| index.should_watch(Duration::ZERO, &policy))
     };
     members.iter().filter(watches).collect()
 }
@@ -70,8 +70,8 @@
         live.extend((0..sidecars % 50).map(|n| member(n, MemberRole::Sidecar, "north", false)));
         let generations = live.len() as u32 + 1;
         let limit = policy.silence_limit + policy.tier_step * generations;
-        let place = WatchRank::of(&own, &watch_order(&own, &live), &policy);
-        place.is_some_and(|place| place.should_watch(limit, &policy))
+        let index = WatchRank::of(&own, &watch_order(&own, &live), &policy);
+        index.is_some_and(|index| index.should_watch(limit, &policy))
     }
 }
 
--- a/crates/sagespool-membership/tests/fleet/mod.rs
+++ b/crates/sagespool-membership/tests/fleet/mod.rs
@@ -11,10 +11,10 @@
 
 pub const TICK: Duration = Duration::from_millis(100);
 
-/// The description of run `run` of the process on instance `place`.
-pub fn info(place: u16, run: u64, role: MemberRole) -> MemberInfo {
+/// The description of run `run` of the process on instance `index`.
+pub fn info(index: u16, run: u64, role: MemberRole) -> MemberInfo {
     let serves = (role == MemberRole::Sidecar).then(|| sagespool_messages::ServedUpstream {
-        upstream: format!("core-{place}").parse().expect("a valid name"),
+        upstream: format!("core-{index}").parse().expect("a valid name"),
         kind: sagespool_messages::UpstreamKind::Engine,
         service: "sage-core".parse().expect("a valid name"),
         models: vec!["sage-large".parse().expect("a valid name")],
@@ -23,15 +23,15 @@
         load: Default::default(),
     });
     MemberInfo {
-        instance: format!("{role}-{place}").parse().expect("a valid name"),
-        incarnation: IncarnationId(run * 1_000_000 + u64::from(place)),
+        instance: format!("{role}-{index}").parse().expect("a valid name"),
+        incarnation: IncarnationId(run * 1_000_000 + u64::from(index)),
         number: run * 1_000_000,
         role,
         region: "muscat".parse().expect("a valid name"),
-        centre: ["ghala", "rusayl", "seeb", "qurum"][usize::from(place) % 4]
+        centre: ["ghala", "rusayl", "seeb", "qurum"][usize::from(index) % 4]
             .parse()
             .expect("a valid name"),
-        address: address(place),
+        address: address(index),
         leaving: false,
         config: ConfigVersion(1),
         started_at: Some(StoreRevision(run)),
@@ -39,8 +39,8 @@
     }
 }
 
-pub fn address(place: u16) -> SocketAddr {
-    SocketAddr::from(([10, 0, (place / 250) as u8, (place % 250) as u8], 7000))
+pub fn address(index: u16) -> SocketAddr {
+    SocketAddr::from(([10, 0, (index / 250) as u8, (index % 250) as u8], 7000))
 }
 
 pub struct Fleet {
@@ -69,9 +69,9 @@
             size_of: None,
             policy,
         };
-        for place in 0..entries + sidecars {
-            let role = if place < entries { MemberRole::Entry } else { MemberRole::Sidecar };
-            fleet.join(info(place, 1, role));
+        for index in 0..entries + sidecars {
+            let role = if index < entries { MemberRole::Entry } else { MemberRole::Sidecar };
+            fleet.join(info(index, 1, role));
         }
         fleet
     }
@@ -80,17 +80,17 @@
         let address = info.address;
         let table = MemberTable::new(info.clone(), self.policy.clone(), info.incarnation.0);
         let seeds: Vec<_> =
-            (0..3).map(|place| listed(&self::info(place, 1, MemberRole::Entry), false)).collect();
+            (0..3).map(|index| listed(&self::info(index, 1, MemberRole::Entry), false)).collect();
         table.apply_instance_list(&seeds, self.now);
         self.tables.insert(address, table);
     }
 
-    pub fn at(&self, place: u16) -> &MemberTable {
-        &self.tables[&address(place)]
+    pub fn at(&self, index: u16) -> &MemberTable {
+        &self.tables[&address(index)]
     }
 
-    pub fn kill(&mut self, place: u16) {
-        self.tables.remove(&address(place));
+    pub fn kill(&mut self, index: u16) {
+        self.tables.remove(&address(index));
     }
 
     pub fn cut(&mut self, left: u16, right: u16) {
@@ -98,12 +98,12 @@
         self.cut.insert((address(right), address(left)));
     }
 
-    fn deliver(&mut self, from: SocketAddr, to: SocketAddr, beat: &Heartbeat) {
+    fn deliver(&mut self, from: SocketAddr, to: SocketAddr, heartbeat: &Heartbeat) {
         self.exchanges += 1;
-        self.count(beat);
+        self.count(heartbeat);
         let open = !self.cut.contains(&(from, to)) && !self.paused.contains(&to);
         let peer = self.tables.get(&to).filter(|_| open);
-        let reply = peer.map(|peer| peer.handle_heartbeat(beat, self.now));
+        let reply = peer.map(|peer| peer.handle_heartbeat(heartbeat, self.now));
         if let Some(reply) = &reply {
             self.count(reply);
         }
@@ -114,19 +114,19 @@
         }
     }
 
-    fn count(&mut self, beat: &Heartbeat) {
-        self.bytes += self.size_of.map_or(0, |size_of| size_of(beat)) as u64;
+    fn count(&mut self, heartbeat: &Heartbeat) {
+        self.bytes += self.size_of.map_or(0, |size_of| size_of(heartbeat)) as u64;
     }
 
     pub fn step(&mut self) {
         self.now = self.now.after(TICK);
-        let places: Vec<_> = self.tables.keys().copied().collect();
-        for from in places {
+        let indices: Vec<_> = self.tables.keys().copied().collect();
+        for from in indices {
             if self.paused.contains(&from) {
                 continue;
             }
-            for (to, beat) in self.tables[&from].due_heartbeats(self.now) {
-                self.deliver(from, to, &beat);
+            for (to, heartbeat) in self.tables[&from].due_heartbeats(self.now) {
+                self.deliver(from, to, &heartbeat);
             }
         }
     }
@@ -154,9 +154,9 @@
         self.tables.values().all(|table| table.members().len() == count)
     }
 
-    /// True if the condition holds for all running members except those at `places`.
-    pub fn all_but(&self, places: &[u16], holds: impl Fn(&MemberTable) -> bool) -> bool {
-        let left_out: Vec<_> = places.iter().map(|place| address(*place)).collect();
+    /// True if the condition holds for all running members except those at `indices`.
+    pub fn all_but(&self, indices: &[u16], holds: impl Fn(&MemberTable) -> bool) -> bool {
+        let left_out: Vec<_> = indices.iter().map(|index| address(*index)).collect();
         let others = self.tables.iter().filter(|(address, _)| !left_out.contains(address));
         others.into_iter().all(|(_, table)| holds(table))
     }
--- a/crates/sagespool-membership/tests/heartbeat_rounds.rs
+++ b/crates/sagespool-membership/tests/heartbeat_rounds.rs
@@ -123,7 +123,7 @@
 #[test]
 fn quiet_start() {
     let mut fleet = complete_fleet(GOSSIP);
-    fleet.size_of = Some(|beat| beat.others.len());
+    fleet.size_of = Some(|heartbeat| heartbeat.others.len());
     fleet.run(100);
     assert!(fleet.bytes < 80, "{} members passed on in 10 s", fleet.bytes);
 }
@@ -137,8 +137,8 @@
     let calls = (fleet.exchanges - before) as f64 / fleet.tables.len() as f64;
     // Three neighbours every three seconds for a minute, and an occasional repair.
     assert!(calls < 72.0, "{calls} calls a member in a minute");
-    for (_, beat) in fleet.tables.values().flat_map(|table| table.due_heartbeats(fleet.now)) {
-        let updates: usize = beat.others.iter().map(max_encoded_bytes).sum();
+    for (_, heartbeat) in fleet.tables.values().flat_map(|table| table.due_heartbeats(fleet.now)) {
+        let updates: usize = heartbeat.others.iter().map(max_encoded_bytes).sum();
         assert!(updates <= MembershipPolicy::default().max_update_bytes);
     }
 }
@@ -148,11 +148,11 @@
 #[test]
 fn watched_loads() {
     let mut fleet = complete_fleet(GOSSIP);
-    let watched: Vec<_> = [40, 50].map(|place| fleet.at(place).own().incarnation).to_vec();
+    let watched: Vec<_> = [40, 50].map(|index| fleet.at(index).own().incarnation).to_vec();
     fleet.at(0).set_watched(watched.clone());
     for running in [3, 5] {
-        for place in [40, 50] {
-            fleet.at(place).update_own(|own| {
+        for index in [40, 50] {
+            fleet.at(index).update_own(|own| {
                 let served = own.serves.as_mut().expect("a sidecar");
                 served.load.running = running;
             });
--- a/crates/sagespool-membership/tests/leaving_spread.rs
+++ b/crates/sagespool-membership/tests/leaving_spread.rs
@@ -6,8 +6,8 @@
 use sagespool_membership::{MemberTable, MembershipPolicy};
 use sagespool_messages::MemberRole;
 
-fn known_leaving(fleet: &Fleet, place: u16) -> bool {
-    let member = address(place);
+fn known_leaving(fleet: &Fleet, index: u16) -> bool {
+    let member = address(index);
     fleet.all_but(&[], |table| {
         let seen = table.members().into_iter().find(|info| info.address == member);
         seen.is_some_and(|info| info.leaving)
@@ -49,9 +49,9 @@
     let now = fleet.now.after(std::time::Duration::from_millis(1));
     assert!(fleet.at(0).due_heartbeats(now).is_empty());
     fleet.at(0).update_own(|own| own.leaving = true);
-    let beats = fleet.at(0).due_heartbeats(now);
-    assert_eq!(beats.len(), 3, "one heartbeat to each peer at once");
-    assert!(beats.iter().all(|(_, beat)| beat.from.leaving));
+    let heartbeats = fleet.at(0).due_heartbeats(now);
+    assert_eq!(heartbeats.len(), 3, "one heartbeat to each peer at once");
+    assert!(heartbeats.iter().all(|(_, heartbeat)| heartbeat.from.leaving));
 }
 
 /// The instance list shows an instance as leaving before its process announces it, and later as
--- a/crates/sagespool-membership/tests/rendezvous_home.rs
+++ b/crates/sagespool-membership/tests/rendezvous_home.rs
@@ -14,8 +14,8 @@
     (0..count).map(name).collect()
 }
 
-fn homes(fleet: &Fleet, place: u16) -> BTreeMap<BranchName, InstanceName> {
-    let table = fleet.at(place);
+fn homes(fleet: &Fleet, index: u16) -> BTreeMap<BranchName, InstanceName> {
+    let table = fleet.at(index);
     let home = |branch: &BranchName| {
         table.home_of(branch, fleet.now).expect("there are live entries").instance
     };
@@ -32,8 +32,8 @@
 fn same_everywhere() {
     let fleet = fleet();
     let expected = homes(&fleet, 0);
-    for place in 1..11 {
-        assert_eq!(homes(&fleet, place), expected, "entries and sidecars agree");
+    for index in 1..11 {
+        assert_eq!(homes(&fleet, index), expected, "entries and sidecars agree");
     }
     let mut shares: BTreeMap<_, u32> = BTreeMap::new();
     for home in expected.values() {
@@ -102,8 +102,8 @@
     let mut fleet = fleet();
     let started = ClockTime::from_millis(1200);
     let branch = &branches(1)[0];
-    let order: Vec<u16> = fleet.at(0).homes_of(branch, 5, fleet.now).iter().map(place).collect();
-    let since = |fleet: &Fleet, place| fleet.at(place).home_since(branch, fleet.now);
+    let order: Vec<u16> = fleet.at(0).homes_of(branch, 5, fleet.now).iter().map(index).collect();
+    let since = |fleet: &Fleet, index| fleet.at(index).home_since(branch, fleet.now);
     assert!(since(&fleet, order[0]).is_some_and(|since| since < started));
     assert_eq!(since(&fleet, order[1]), None, "not home");
     fleet.paused.insert(address(order[0]));
@@ -132,6 +132,6 @@
     );
 }
 
-fn place(info: &MemberInfo) -> u16 {
+fn index(info: &MemberInfo) -> u16 {
     (info.incarnation.0 % 1_000_000) as u16
 }
