--- a/crates/sagespool-configuration/src/relay.rs
+++ b/crates/sagespool-configuration/src/neighbours.rs
@@ -1,4 +1,4 @@
-//! Asking neighbours for what is newer, and telling them that there is something.
+//! Queries to neighbours for newer objects, and notices to them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,80 +13,80 @@
 
 use crate::{ConfigFollower, FollowerContext};
 
-/// Between two questions of a process that has a configuration, on average; only for the age of the
-/// store's word, since heartbeats and notices tell of changes.
+/// Average time between two queries of a process that has a configuration. These only refresh the
+/// age of the last contact with the store; heartbeats and notices report changes.
 const POLL_PERIOD: Duration = Duration::from_secs(5);
-/// Between two questions of a process that has none yet.
-const START_PERIOD: Duration = Duration::from_millis(200);
-/// How long a neighbour may take over one part of its answer.
-const ASK_LIMIT: Duration = Duration::from_secs(2);
-const NOTICE_LIMIT: Duration = Duration::from_secs(1);
-/// Neighbours of each role that are told of a change at once. With four, all but two in a hundred
-/// are told by someone; heartbeats tell the rest.
-const TOLD_NEIGHBOURS: usize = 4;
-/// Parts of one answer; 64 shards of 1 MB come in fewer.
-const MOST_PARTS: usize = 80;
-/// Of so many questions one goes to each of the two first watchers, one to anybody.
+/// Time between two queries of a process that has no configuration yet.
+const START_POLL_PERIOD: Duration = Duration::from_millis(200);
+/// Timeout of one part of a reply.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
+const NOTICE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Neighbours of each role that are notified of a change. With four, 98 % of the processes are
+/// notified by someone; heartbeats reach the rest.
+const NOTICE_FANOUT: usize = 4;
+/// Limit of the parts of one reply; 64 shards of 1 MB need fewer.
+const MAX_REPLY_PARTS: usize = 80;
+/// Queries per cycle: one to each of the first two watchers, one to a random neighbour.
 const POLL_CYCLE: usize = 3;
 
-/// Whether a process of a role has all that a follower needs.
+/// Whether a process of a role holds all objects that a follower needs.
 pub(crate) fn can_answer(scope: ConfigScope, role: MemberRole) -> bool {
     scope == ConfigScope::Fleet || role == MemberRole::Entry
 }
 
 impl ConfigFollower {
-    /// Asks neighbours whenever one has something newer, and now and then without a cause.
-    pub(crate) async fn relay(&self, context: FollowerContext<'_>) {
+    /// Queries neighbours whenever one has a newer version, and periodically without a hint.
+    pub(crate) async fn query_neighbours(&self, context: FollowerContext<'_>) {
         for round in 0.. {
             let hinted = self.wait_for_hint().await;
             let now = ClockTime::now();
-            let address = hinted.or_else(|| self.choose(&context, round, now));
+            let address = hinted.or_else(|| self.choose_neighbour(&context, round, now));
             if let Some(address) = address {
-                self.ask(context, address).await;
+                self.query(context, address).await;
             }
-            self.begin(context);
+            self.try_begin(context);
         }
     }
 
-    /// Waits until someone is known to have something newer, or a question is due.
+    /// Waits until a member is known to have a newer version, or a periodic query is due.
     async fn wait_for_hint(&self) -> Option<SocketAddr> {
         let period = match self.state().in_force {
             true => POLL_PERIOD.mul_f64(0.5 + fastrand::f64()),
-            false => START_PERIOD,
+            false => START_POLL_PERIOD,
         };
-        let told = async {
+        let hint_taken = async {
             loop {
-                let hinted = self.hinted.listen();
+                let added = self.hint_added.listen();
                 let hint = self.state().take_hint();
                 if let Some(hint) = hint {
                     return Some(hint.address);
                 }
-                hinted.await;
+                added.await;
             }
         };
         let due = async {
             Timer::after(period).await;
             None
         };
-        told.or(due).await
+        hint_taken.or(due).await
     }
 
-    /// Whom to ask without a cause.
-    fn choose(
+    /// The neighbour for a periodic query.
+    fn choose_neighbour(
         &self,
         context: &FollowerContext<'_>,
         round: usize,
         now: ClockTime,
     ) -> Option<SocketAddr> {
         let mut live = context.live(now);
-        // What a sidecar passes on of the store is older by its own period between two questions.
+        // The contact age that a sidecar passes on is older by its own query period.
         let has_entry = live.iter().any(|member| member.role == MemberRole::Entry);
         live.retain(|member| {
             let is_best = member.role == MemberRole::Entry || !has_entry;
             is_best && can_answer(self.scope, member.role)
         });
         if !self.state().in_force {
-            return newest_of(&live);
+            return choose_newest(&live);
         }
         let own = context.members.own();
         let order = watch_order(&own, &live);
@@ -95,63 +95,63 @@
         watcher.map(|member| member.address).or_else(|| fastrand::choice(&live).map(|m| m.address))
     }
 
-    /// Asks a neighbour for all that is newer, part by part.
-    async fn ask(&self, context: FollowerContext<'_>, address: SocketAddr) {
-        let mut ask = self.state().book.ask();
-        for _ in 0..MOST_PARTS {
-            let request = PeerRequest::AskConfiguration(ask);
-            let reply = context.link.ask(address, &request, ASK_LIMIT).await;
+    /// Queries a neighbour for all newer objects, part by part.
+    async fn query(&self, context: FollowerContext<'_>, address: SocketAddr) {
+        let mut query = self.state().replica.query();
+        for _ in 0..MAX_REPLY_PARTS {
+            let request = PeerRequest::AskConfiguration(query);
+            let reply = context.link.ask(address, &request, QUERY_TIMEOUT).await;
             let Ok(PeerReply::Configuration(reply)) = reply else {
                 return;
             };
             let next = reply.next;
-            if let Some(word) = reply.word {
-                self.state().hear_word(word, self.own, ClockTime::now());
+            if let Some(contact) = reply.word {
+                self.state().record_peer_contact(contact, self.own, ClockTime::now());
             }
-            self.take(context, |state| state.book.take_reply(&ask, reply));
+            self.apply(context, |state| state.replica.apply_reply(&query, reply));
             match next {
-                Some(next) => ask.after = next,
+                Some(next) => query.after = next,
                 None => return,
             }
         }
     }
 
-    /// Tells a few neighbours of a change; whoever lacks it asks for it, and passes it on in turn.
-    pub(crate) fn tell_neighbours(
+    /// Notifies a few neighbours of a change. Those that lack it query it and notify others.
+    pub(crate) fn notify_neighbours(
         &self,
         context: FollowerContext<'_>,
         newest: StoreRevision,
         is_fleet: bool,
     ) {
         let now = ClockTime::now();
-        let mut told = Vec::new();
+        let mut receivers = Vec::new();
         if self.scope == ConfigScope::All {
-            told.extend(some_of(context.members.live(MemberRole::Entry, now)));
+            receivers.extend(sample(context.members.live(MemberRole::Entry, now)));
         }
         if is_fleet {
-            told.extend(some_of(context.members.live(MemberRole::Sidecar, now)));
+            receivers.extend(sample(context.members.live(MemberRole::Sidecar, now)));
         }
         let notice = ConfigNotice { from: context.members.own().address, newest };
-        for member in told {
+        for member in receivers {
             let link = context.link.clone();
             let request = PeerRequest::NoticeConfiguration(notice);
             smol::spawn(async move {
-                // A notice that is lost is made up for by the next heartbeat.
-                let _ = link.ask(member.address, &request, NOTICE_LIMIT).await;
+                // The next heartbeat makes up for a lost notice.
+                let _ = link.ask(member.address, &request, NOTICE_TIMEOUT).await;
             })
             .detach();
         }
     }
 }
 
-fn some_of(mut members: Vec<MemberInfo>) -> Vec<MemberInfo> {
+fn sample(mut members: Vec<MemberInfo>) -> Vec<MemberInfo> {
     fastrand::shuffle(&mut members);
-    members.truncate(TOLD_NEIGHBOURS);
+    members.truncate(NOTICE_FANOUT);
     members
 }
 
-/// One of the members with the newest configuration, entries before sidecars.
-fn newest_of(live: &[MemberInfo]) -> Option<SocketAddr> {
+/// A random member among those with the newest configuration; entries before sidecars.
+fn choose_newest(live: &[MemberInfo]) -> Option<SocketAddr> {
     let rank = |member: &MemberInfo| (member.role == MemberRole::Entry, member.config);
     let best = live.iter().map(rank).max()?;
     let best: Vec<_> = live.iter().filter(|member| rank(member) == best).collect();
--- a/crates/sagespool-membership/examples/gossip_bench.rs
+++ b/crates/sagespool-membership/examples/gossip_bench.rs
@@ -1,11 +1,11 @@
-//! What membership costs: bytes, processor time and memory by the fleet's size,
-//! and how long a death or a leave takes to spread.
+//! Cost of membership by fleet size: bytes, processor time and memory, and the time in which a
+//! death or a leave spreads.
 //!
 //! `cargo run --release -p sagespool-membership --example gossip_bench [SIZE…]`
 //!
-//! Whole fleets run in memory, without a network: the bytes are those that
-//! `postcard` makes of the heartbeats. Of 10,000 members only one table is
-//! filled, since all of them together don't fit a machine.
+//! Whole fleets run in memory without a network; bytes are those of the heartbeats encoded by
+//! `postcard`. For 10,000 members only one table is filled, since all of them don't fit in a
+//! machine's memory.
 
 #[path = "../tests/fleet/mod.rs"]
 mod fleet;
@@ -14,24 +14,24 @@
 use std::time::{Duration, Instant};
 
 use fleet::{Fleet, info};
-use sagespool_membership::{MemberTable, MembershipPolicy, encoded_bytes};
+use sagespool_membership::{MemberTable, MembershipPolicy, max_encoded_bytes};
 use sagespool_messages::{Heartbeat, MemberRole};
 use sagespool_types::ClockTime;
 
 /// Entries among the members: 2,300 of 10,000.
 const ENTRY_SHARE: f64 = 0.23;
 const MINUTE_TICKS: u32 = 600;
-/// A fleet of 10,000 whose members live for a day restarts one every 8.6 s.
-/// The restart itself takes three.
+/// A fleet of 10,000 with members that live for a day restarts one every 8.6 s. The restart itself
+/// takes three seconds of that.
 const CHURN_TICKS: u32 = 56;
-/// Leaves and deaths that are timed at most; their median and the longest are shown.
+/// Limit of leaves and deaths that are timed; the median and the maximum are printed.
 const SAMPLES: usize = 5;
 
 fn main() {
     let sizes: Vec<u16> = std::env::args().skip(1).filter_map(|size| size.parse().ok()).collect();
     let sizes = if sizes.is_empty() { vec![12, 24, 100, 300, 1000] } else { sizes };
     show_descriptions();
-    // All are kept, so that none gets the memory that another gave back.
+    // All tables are kept, so that none reuses memory freed by another.
     let tables: Vec<_> = [10, 100, 1000, 10_000].into_iter().map(fill_table).collect();
     for size in sizes {
         run_fleet(size);
@@ -39,15 +39,15 @@
     drop(tables);
 }
 
-fn size_of(beat: &Heartbeat) -> usize {
-    postcard::to_allocvec(beat).map_or(0, |bytes| bytes.len())
+fn size_of(heartbeat: &Heartbeat) -> usize {
+    postcard::to_allocvec(heartbeat).map_or(0, |bytes| bytes.len())
 }
 
 fn show_descriptions() {
     for role in [MemberRole::Entry, MemberRole::Sidecar] {
         let info = info(7, 1, role);
         let bytes = postcard::to_allocvec(&info).map_or(0, |bytes| bytes.len());
-        println!("description role={role} bytes={bytes} estimate={}", encoded_bytes(&info));
+        println!("description role={role} bytes={bytes} estimate={}", max_encoded_bytes(&info));
     }
 }
 
@@ -78,15 +78,15 @@
     spread(&mut fleet, size, "steady");
 }
 
-/// A sidecar leaves, stops, and comes back as another run.
+/// A sidecar leaves, stops, and restarts as a new run.
 fn restart_one(fleet: &mut Fleet, size: u16, number: u32) {
-    let place = size - 1 - (number as u16 % (size / 2));
-    let run = fleet.at(place).own().started_at.map_or(1, |run| run.0) + 1;
-    fleet.at(place).update_own(|own| own.leaving = true);
+    let index = size - 1 - (number as u16 % (size / 2));
+    let run = fleet.at(index).own().started_at.map_or(1, |run| run.0) + 1;
+    fleet.at(index).update_own(|own| own.leaving = true);
     fleet.run(20);
-    fleet.kill(place);
+    fleet.kill(index);
     fleet.run(10);
-    fleet.join(info(place, run, MemberRole::Sidecar));
+    fleet.join(info(index, run, MemberRole::Sidecar));
 }
 
 fn measure(fleet: &mut Fleet, size: u16, phase: &str, mut each: impl FnMut(&mut Fleet, u32)) {
@@ -110,7 +110,7 @@
     );
 }
 
-/// How long leaves and deaths take until every member knows, several of each.
+/// Times several leaves and deaths until every member has them.
 fn spread(fleet: &mut Fleet, size: u16, phase: &str) {
     let mut leaves = Vec::new();
     let mut deaths = Vec::new();
@@ -122,46 +122,46 @@
         deaths.push(spread_death(fleet, leaver - 1));
         fleet.run(CHURN_TICKS);
     }
-    let (leaves, deaths) = (middle_and_most(leaves), middle_and_most(deaths));
+    let (leaves, deaths) = (median_and_max(leaves), median_and_max(deaths));
     println!("spread size={size} phase={phase} leave_s={leaves} death_s={deaths}");
 }
 
-fn spread_leave(fleet: &mut Fleet, place: u16) -> Option<u32> {
-    let leaving = fleet.at(place).own().incarnation;
-    fleet.at(place).update_own(|own| own.leaving = true);
+fn spread_leave(fleet: &mut Fleet, index: u16) -> Option<u32> {
+    let leaving = fleet.at(index).own().incarnation;
+    fleet.at(index).update_own(|own| own.leaving = true);
     fleet.run_until(MINUTE_TICKS, |fleet| {
         fleet.all_but(&[], |table| table.find(leaving).is_some_and(|info| info.leaving))
     })
 }
 
-fn spread_death(fleet: &mut Fleet, place: u16) -> Option<u32> {
-    let dead = fleet.at(place).own().incarnation;
-    fleet.kill(place);
+fn spread_death(fleet: &mut Fleet, index: u16) -> Option<u32> {
+    let dead = fleet.at(index).own().incarnation;
+    fleet.kill(index);
     fleet
         .run_until(MINUTE_TICKS, |fleet| fleet.all_but(&[], |table| table.is_gone(dead, fleet.now)))
 }
 
-fn middle_and_most(mut ticks: Vec<Option<u32>>) -> String {
+fn median_and_max(mut ticks: Vec<Option<u32>>) -> String {
     ticks.sort_by_key(|ticks| ticks.unwrap_or(u32::MAX));
     let most = ticks.len() - 1;
     format!("{}..{}", seconds(ticks[most.div_ceil(2)]), seconds(ticks[most]))
 }
 
-/// One table that knows `size` members: memory, and time for a heartbeat.
+/// Fills a table with `size` members and prints its memory use and the time per heartbeat.
 fn fill_table(size: u16) -> MemberTable {
     let before = resident_bytes();
     let table = MemberTable::new(info(0, 1, MemberRole::Entry), MembershipPolicy::default(), 1);
     let mut now = ClockTime::from_millis(1000);
-    let beat_from = |place| {
+    let heartbeat_from = |index| {
         let entries = (f64::from(size) * ENTRY_SHARE) as u16;
-        let role = if place < entries { MemberRole::Entry } else { MemberRole::Sidecar };
+        let role = if index < entries { MemberRole::Entry } else { MemberRole::Sidecar };
         let (others, suspects, slices) = (Vec::new(), Vec::new(), Vec::new());
-        Heartbeat { from: info(place, 1, role), others, view_digest: 0, suspects, slices }
+        Heartbeat { from: info(index, 1, role), others, view_digest: 0, suspects, slices }
     };
-    for place in 1..size {
-        let bytes = postcard::to_allocvec(&beat_from(place)).unwrap_or_default();
-        if let Ok(beat) = postcard::from_bytes(&bytes) {
-            table.handle_heartbeat(&beat, now);
+    for index in 1..size {
+        let bytes = postcard::to_allocvec(&heartbeat_from(index)).unwrap_or_default();
+        if let Ok(heartbeat) = postcard::from_bytes(&bytes) {
+            table.handle_heartbeat(&heartbeat, now);
         }
     }
     let memory = resident_bytes().saturating_sub(before);
@@ -169,9 +169,9 @@
     let timer = Instant::now();
     for number in 0..tries {
         now = now.after(Duration::from_millis(100));
-        let mut beat = beat_from(1 + number % (size - 1).min(6));
-        beat.from.number += 1 + u64::from(number);
-        black_box(table.handle_heartbeat(&beat, now));
+        let mut heartbeat = heartbeat_from(1 + number % (size - 1).min(6));
+        heartbeat.from.number += 1 + u64::from(number);
+        black_box(table.handle_heartbeat(&heartbeat, now));
     }
     let received = timer.elapsed().as_micros() as f64 / f64::from(tries);
     let timer = Instant::now();
@@ -194,7 +194,7 @@
     table
 }
 
-/// The process's resident memory, by Linux's account; 0 elsewhere.
+/// The process's resident memory from Linux's `/proc`; 0 elsewhere.
 fn resident_bytes() -> usize {
     const PAGE_BYTES: usize = 4096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/sagespool-membership/tests/config_watch.rs
+++ b/crates/sagespool-membership/tests/config_watch.rs
@@ -1,9 +1,9 @@
-//! Who watches the store for the others of its data centre.
+//! Which members of a data centre watch the store.
 
 use std::time::Duration;
 
 use quickcheck::quickcheck;
-use sagespool_membership::{WatchPlace, WatchPolicy, watch_order};
+use sagespool_membership::{WatchPolicy, WatchRank, watch_order};
 use sagespool_messages::{MemberInfo, MemberRole};
 use sagespool_types::{ConfigVersion, IncarnationId};
 
@@ -23,21 +23,21 @@
     }
 }
 
-/// The members that watch at once, if each sees all others.
+/// The members that watch without any silence, if each has a view of all others.
 fn first_watchers(members: &[MemberInfo]) -> Vec<&MemberInfo> {
     let policy = WatchPolicy::default();
     let watches = |own: &&MemberInfo| {
         let others: Vec<_> =
             members.iter().filter(|other| other.instance != own.instance).cloned().collect();
-        let place = WatchPlace::of(own, &watch_order(own, &others), &policy);
-        place.is_some_and(|place| place.is_to_watch(Duration::ZERO, &policy))
+        let index = WatchRank::of(own, &watch_order(own, &others), &policy);
+        index.is_some_and(|index| index.should_watch(Duration::ZERO, &policy))
     };
     members.iter().filter(watches).collect()
 }
 
 quickcheck! {
-    /// With one view of the fleet two entries of a data centre watch, or as many as there are;
-    /// sidecars only where there is no entry; nobody who leaves.
+    /// With equal views two entries of a data centre watch, or one if there is only one; sidecars
+    /// only where there is no entry; no leaving member.
     fn two_watchers(entries: Vec<bool>, sidecars: Vec<bool>) -> bool {
         let all = |role, leaving: &[bool]| -> Vec<MemberInfo> {
             let numbered = (0u8..20).zip(leaving);
@@ -61,7 +61,7 @@
             && north.iter().all(|m| m.role == role && !m.leaving)
     }
 
-    /// However many of the first in order are silent, everyone who stays watches in the end.
+    /// However many members earlier in the order are silent, every later one watches in the end.
     fn all_take_over(entries: u8, sidecars: u8) -> bool {
         let policy = WatchPolicy::default();
         let own = member(200, MemberRole::Sidecar, "north", false);
@@ -69,18 +69,18 @@
             (0..entries % 50).map(|n| member(n, MemberRole::Entry, "north", false)).collect();
         live.extend((0..sidecars % 50).map(|n| member(n, MemberRole::Sidecar, "north", false)));
         let generations = live.len() as u32 + 1;
-        let limit = policy.silence_limit + policy.generation_step * generations;
-        let place = WatchPlace::of(&own, &watch_order(&own, &live), &policy);
-        place.is_some_and(|place| place.is_to_watch(limit, &policy))
+        let limit = policy.silence_limit + policy.tier_step * generations;
+        let index = WatchRank::of(&own, &watch_order(&own, &live), &policy);
+        index.is_some_and(|index| index.should_watch(limit, &policy))
     }
 }
 
 #[test]
 fn silent_watchers() {
     // The watchers of a data centre answer heartbeats and can't reach the store. The others must
-    // not wait for them for ever, nor all turn to the store at once.
+    // take over, but not all at once.
     let policy = WatchPolicy::default();
-    let (limit, step) = (policy.silence_limit, policy.generation_step);
+    let (limit, step) = (policy.silence_limit, policy.tier_step);
     let moment = Duration::from_millis(1);
     let cases = [
         (0, Duration::ZERO, true),
@@ -89,8 +89,8 @@
         (2, limit + moment, false),
         (2, limit + step + moment, true),
     ];
-    for (generation, silent, expected) in cases {
-        let watches = WatchPlace { generation }.is_to_watch(silent, &policy);
-        assert_eq!(watches, expected, "generation {generation} after {silent:?}");
+    for (tier, silent, expected) in cases {
+        let watches = WatchRank { tier }.should_watch(silent, &policy);
+        assert_eq!(watches, expected, "tier {tier} after {silent:?}");
     }
 }
--- a/crates/sagespool-membership/tests/rendezvous_home.rs
+++ b/crates/sagespool-membership/tests/rendezvous_home.rs
@@ -14,8 +14,8 @@
     (0..count).map(name).collect()
 }
 
-fn homes(fleet: &Fleet, place: u16) -> BTreeMap<BranchName, InstanceName> {
-    let table = fleet.at(place);
+fn homes(fleet: &Fleet, index: u16) -> BTreeMap<BranchName, InstanceName> {
+    let table = fleet.at(index);
     let home = |branch: &BranchName| {
         table.home_of(branch, fleet.now).expect("there are live entries").instance
     };
@@ -32,8 +32,8 @@
 fn same_everywhere() {
     let fleet = fleet();
     let expected = homes(&fleet, 0);
-    for place in 1..11 {
-        assert_eq!(homes(&fleet, place), expected, "entries and sidecars agree");
+    for index in 1..11 {
+        assert_eq!(homes(&fleet, index), expected, "entries and sidecars agree");
     }
     let mut shares: BTreeMap<_, u32> = BTreeMap::new();
     for home in expected.values() {
@@ -43,8 +43,8 @@
     assert!(shares.values().all(|share| (40..=120).contains(share)), "{shares:?}");
 }
 
-/// A home dies, leaves or restarts. Only its own branches may move: each that
-/// moves takes new grants and has its old ones sealed.
+/// A home dies, leaves or restarts. Only its own branches may move, since each move requires new
+/// grants and the sealing of the old ones.
 #[test]
 fn few_moves() {
     for change in ["killed", "leaving"] {
@@ -78,9 +78,8 @@
     assert!(homes(&fleet, 30).values().all(|home| home.as_str() == "entry-30"));
 }
 
-/// Requests to a home fail while its heartbeats still count as fresh. Two
-/// failures in a row are enough to turn to the next home in order, well before
-/// the silence shows.
+/// Requests to a home fail while its heartbeats still count as recent. Two consecutive failures
+/// switch to the next home in order, well before the silence timeout.
 #[test]
 fn unanswered_home() {
     let fleet = fleet();
@@ -95,17 +94,16 @@
     assert_ne!(order[0].address, address(9));
 }
 
-/// A home dies and the next in order serves its branches. It must know that it
-/// knows nothing of their keys from before: a caller whose answer was cut off
-/// would get a second run. The same holds for a home that the others believed
-/// dead for a while, and that serves on as if nothing had been.
+/// A home dies and the next in order takes its branches. It must not assume that it has their
+/// earlier keys, else a caller whose answer was cut off gets a second run. The same holds for a
+/// home that the others took for dead for a while and that continues afterwards.
 #[test]
-fn home_tenure() {
+fn home_since_takeover() {
     let mut fleet = fleet();
     let started = ClockTime::from_millis(1200);
     let branch = &branches(1)[0];
-    let order: Vec<u16> = fleet.at(0).homes_of(branch, 5, fleet.now).iter().map(place).collect();
-    let since = |fleet: &Fleet, place| fleet.at(place).home_since(branch, fleet.now);
+    let order: Vec<u16> = fleet.at(0).homes_of(branch, 5, fleet.now).iter().map(index).collect();
+    let since = |fleet: &Fleet, index| fleet.at(index).home_since(branch, fleet.now);
     assert!(since(&fleet, order[0]).is_some_and(|since| since < started));
     assert_eq!(since(&fleet, order[1]), None, "not home");
     fleet.paused.insert(address(order[0]));
@@ -134,6 +132,6 @@
     );
 }
 
-fn place(info: &MemberInfo) -> u16 {
+fn index(info: &MemberInfo) -> u16 {
     (info.incarnation.0 % 1_000_000) as u16
 }
