--- a/crates/sagespool-gateway/src/attempt.rs
+++ b/crates/sagespool-gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one upstream.
+//! One attempt: sending a request to one upstream.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 use crate::pool::{UpstreamConnection, connect};
 use crate::state::GatewayState;
 
-/// An upstream's answer whose body is still to come.
+/// An upstream's response whose body hasn't been read.
 pub(crate) struct OpenAnswer {
     pub(crate) head: Parts,
     pub(crate) body: Incoming,
@@ -27,42 +27,43 @@
     pub(crate) place: SendPlace,
 }
 
-/// Why a send brought no answer that can be passed on.
+/// Why an attempt produced no response that can be forwarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SendFailure {
-    /// There is no upstream that may be sent to.
+    /// No upstream is eligible.
     NoUpstream(ShortCause),
-    /// Nothing of the request left this process.
+    /// No byte of the request was written.
     NotSent(&'static str),
-    /// Nothing of the request left this process: the upstream asked for less while it waited.
+    /// Nothing was written: the upstream started a backoff or lowered its limit after it was
+    /// chosen.
     HeldBack,
-    /// The upstream says that it hasn't run it.
+    /// The upstream rejected the request without running it.
     TurnedAway,
-    /// Another run has the upstream's address: the one that was meant is gone.
+    /// Another run has the upstream's address; the intended run has ended.
     Misdirected,
-    /// It may have run.
+    /// The response was lost or is unusable; the request may have run.
     Lost(&'static str),
-    /// It may be running; there was no answer in the time that it was given.
+    /// The attempt timed out; the request may be running.
     Silent,
 }
 
-/// Why a service has no upstream for a request.
+/// Why a service has no eligible upstream for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ShortCause {
-    /// None that wasn't tried is known.
+    /// All known upstreams have been tried, or there are none.
     None,
-    /// The data centres of all are evacuated.
+    /// The data centres of all upstreams are evacuated.
     Evacuated,
-    /// None is in a region where the request may run.
+    /// No upstream is in a region where the request may run.
     AwayFromHome,
-    /// All are cold, and get their work from other instances.
+    /// All are cold, and other instances are assigned to send to them.
     Cold,
-    /// All that could take it name limits or rest; the first takes a request again after so long.
+    /// All are rate-limited or in backoff; holds the time until the first accepts a request.
     Limited(Duration),
 }
 
 impl ShortCause {
-    /// The cause after one more upstream was found to be cold.
+    /// Adds a cold upstream.
     fn or_cold(self) -> Self {
         match self {
             Self::Limited(_) => self,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The cause after one more upstream was found to take a request again after so long.
+    /// Adds an upstream that accepts a request again after `turn`.
     fn or_limited(self, turn: Duration) -> Self {
         match self {
             Self::Limited(first) => Self::Limited(first.min(turn)),
@@ -80,10 +81,10 @@
 }
 
 impl SendFailure {
-    /// The connection ended before an answer began.
+    /// The connection closed before the response began.
     pub(crate) const BROKEN: Self = Self::Lost("broken");
 
-    /// Whether the request surely hasn't run, so that it may be sent again and a refusal is true.
+    /// Whether the request has certainly not run, so that a retry or a refusal as not run is safe.
     pub(crate) fn surely_not_run(self) -> bool {
         matches!(
             self,
@@ -111,8 +112,8 @@
     }
 }
 
-/// A request's place at an upstream, given up when this is dropped, also when the caller goes away
-/// in the middle of a send.
+/// A request's slot at its chosen upstream. Released on drop, so also when the caller disconnects
+/// during an attempt.
 pub(crate) struct SendPlace {
     state: Arc<GatewayState>,
     ticket: Option<PlacedAttempt>,
@@ -120,24 +121,24 @@
 
 impl SendPlace {
     pub(crate) fn ticket(&self) -> &PlacedAttempt {
-        self.ticket.as_ref().expect("a place holds its ticket until it is finished")
+        self.ticket.as_ref().expect("the ticket is present until the placement is finished")
     }
 
-    /// Notes that the first event, or the answer, has come.
+    /// Records the arrival of the response head or the first event.
     pub(crate) fn began(&mut self, now: ClockTime) {
         if let Some(ticket) = &mut self.ticket {
             self.state.board().note_first_event(ticket, now);
         }
     }
 
-    /// Notes that a further event has come.
+    /// Records the arrival of a further event.
     pub(crate) fn heard(&self, now: ClockTime) {
         if let Some(ticket) = &self.ticket {
             self.state.board().note_progress(ticket, now);
         }
     }
 
-    /// Gives the place up, with what became of the request.
+    /// Releases the slot with the outcome of the attempt.
     pub(crate) fn finish(mut self, outcome: SendOutcome, now: ClockTime) {
         if let Some(ticket) = self.ticket.take() {
             self.state.board().finish(ticket, outcome, now);
@@ -153,8 +154,8 @@
     }
 }
 
-/// Sends a request to the upstream that is expected to answer first, and waits for the head of its
-/// answer, for at most `timeout`.
+/// Sends a request to the upstream with the lowest expected latency and waits up to `timeout` for
+/// the response head.
 pub(crate) async fn send_once(
     flight: &mut Flight,
     timeout: Duration,
@@ -184,7 +185,7 @@
         }
     };
     if failure == SendFailure::Misdirected {
-        // It didn't reach the upstream that it was meant for.
+        // The intended upstream wasn't reached, so this doesn't count as an attempt.
         flight.sends -= 1;
     }
     if failure.surely_not_run() {
@@ -206,7 +207,7 @@
     Err(failure)
 }
 
-/// Finds the upstream that is expected to answer first, among those that may be sent to.
+/// Chooses the eligible upstream with the lowest expected latency.
 fn choose_place(flight: &Flight, now: ClockTime) -> Result<SendPlace, ShortCause> {
     let state = &flight.state;
     let service = flight.request.index.service(&flight.request.service);
@@ -217,7 +218,7 @@
         repeatable: flight.may_repeat(),
     };
     let warmup = service.and_then(|service| service.warmup.as_ref());
-    // Held until the send is counted, so that no other request takes the same share.
+    // Locked until the send is counted, so that no other request uses the same share.
     let mut guard = state.guard();
     let senders = state.senders();
     let roster = state.roster();
@@ -276,7 +277,7 @@
     Ok((response, connection))
 }
 
-/// Notes that a request leaves now; false if it must not any more.
+/// Records that a request is being sent; false if the upstream no longer allows it.
 fn leaves(state: &GatewayState, ticket: &PlacedAttempt, now: ClockTime) -> bool {
     let mut guard = state.guard();
     if guard.blocks_dispatch(&ticket.upstream.name, ticket.chosen_at, now) {
@@ -286,7 +287,7 @@
     true
 }
 
-/// The library gives a request back only if it wrote nothing of it.
+/// Maps an error of the HTTP client. It returns the request only if no byte of it was written.
 fn failed_send(
     flight: &mut Flight,
     mut error: TrySendError<Request<Full<hyper::body::Bytes>>>,
@@ -321,7 +322,7 @@
     request
 }
 
-/// Looks at the head of an answer: is it for this request, and did the upstream run it?
+/// Checks whether a response belongs to this request and whether the upstream ran the request.
 fn judge(
     flight: &Flight,
     response: Response<Incoming>,
@@ -332,8 +333,8 @@
     let (mut head, body) = response.into_parts();
     connection.note_idle_limit(idle_limit(&head));
     let marks = (flight.state.dialect.read_response_metadata)(head.status, &mut head.headers);
-    // An upstream may send a second answer, which the connection's next request would get. The
-    // request that was sent on it may be running, and its own answer can't be found any more.
+    // An upstream may send a second response to an earlier request on this connection. The current
+    // request may be running, but its response can no longer be identified.
     let crossed =
         marks.request.as_ref().is_some_and(|request| *request != flight.request.demand.request);
     if crossed {
@@ -368,7 +369,7 @@
     Ok(OpenAnswer { head, body, connection, place })
 }
 
-/// Takes in what an upstream says of itself in the answer to a request that was sent to it.
+/// Applies the state that an upstream reports about itself in its response headers.
 fn note_marks(flight: &Flight, ticket: &PlacedAttempt, marks: &ResponseMetadata, now: ClockTime) {
     let (state, name) = (&flight.state, &ticket.upstream.name);
     if let Some(load) = marks.load {
@@ -389,7 +390,7 @@
     }
 }
 
-/// How long the upstream keeps the connection open while it is idle.
+/// The idle timeout in the upstream's `Keep-Alive` header.
 fn idle_limit(head: &Parts) -> Option<Duration> {
     let text = head.headers.get("keep-alive")?.to_str().ok()?;
     let seconds = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
--- a/crates/sagespool-gateway/src/crashes.rs
+++ b/crates/sagespool-gateway/src/crashes.rs
@@ -1,8 +1,8 @@
-//! Requests that take down the upstreams that run them.
+//! Quarantine of requests that crash upstreams.
 //!
-//! A request may crash each upstream that begins to run it, and its caller sends it again, to any
-//! gateway. Each gateway tells the others of connections that broke before an answer began; a
-//! content that did so at several upstreams is refused everywhere.
+//! A request may crash every upstream that runs it, and its caller may retry it at any gateway.
+//! Each gateway reports connections that broke before the response began to the others; a content
+//! that did so at several upstreams is refused by all gateways.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -16,15 +16,15 @@
 use crate::flight::Flight;
 use crate::state::GatewayState;
 
-/// A lost answer looks like a crash, and a caller's second try may lose its answer too: two say
-/// nothing yet.
+/// Crashes until a content is refused. A lost response looks like a crash, and the caller's retry
+/// may lose its response too, so two aren't sufficient evidence.
 const CRASHES_TO_STOP: usize = 3;
 const REPORT_LIMIT: Duration = Duration::from_millis(300);
 
-/// What is known of crashes.
+/// Crash reports of this gateway and of others, by request content.
 pub(crate) struct CrashDesk {
     board: CrashBoard,
-    /// Reports so far: without any, no request's content has to be looked at.
+    /// Number of reports. While it is zero, requests' contents aren't hashed.
     reports: AtomicUsize,
 }
 
@@ -38,12 +38,12 @@
         self.reports.load(Ordering::Relaxed) > 0
     }
 
-    /// Whether a content must not run anywhere.
+    /// Whether a content is refused.
     pub(crate) fn stops(&self, content: impl FnOnce() -> ContentDigest) -> bool {
         self.has_reports() && self.board.stopped(content())
     }
 
-    /// Takes a report, a gateway's own or another's.
+    /// Records a report of this gateway or another one.
     pub(crate) fn record(&self, report: &CrashReport, now: ClockTime) {
         self.reports.fetch_add(1, Ordering::Relaxed);
         let verdict = self.board.record(report, now);
@@ -58,12 +58,13 @@
 }
 
 impl Flight {
-    /// What makes two requests the same, whoever takes them in.
+    /// Identifies equal requests across all gateways.
     pub(crate) fn content(&self) -> ContentDigest {
         content_of(self.request.demand.key.as_deref(), &self.head, &self.request.body)
     }
 
-    /// Notes that an upstream's connection broke before its answer began, here and at the others.
+    /// Records that an upstream's connection broke before the response began, and reports it to the
+    /// other gateways.
     pub(crate) fn report_crash(&self, upstream: &UpstreamName) {
         let report = CrashReport {
             content: self.content(),
@@ -75,7 +76,7 @@
         smol::spawn(spread(self.state.clone(), report)).detach();
     }
 
-    /// Notes that it came through whole: it takes no upstream down.
+    /// Clears earlier crashes of this content after a complete response.
     pub(crate) fn clear_crashes(&self) {
         if self.state.crashes.has_reports() {
             self.state.crashes.board.completed(self.content());
@@ -83,7 +84,7 @@
     }
 }
 
-/// The content of a request: its caller, its target and its body.
+/// The digest of a request's caller key, method, target and body.
 pub(crate) fn content_of(
     key: Option<&str>,
     head: &hyper::http::request::Parts,
--- a/crates/sagespool-gateway/src/desk.rs
+++ b/crates/sagespool-gateway/src/desk.rs
@@ -1,4 +1,4 @@
-//! Client accounts' budgets: what requests reserve, and the grants behind it.
+//! Client accounts' budgets: reservations of requests and the grants that cover them.
 
 mod account;
 mod grants;
@@ -27,36 +27,36 @@
 use crate::fleet::FleetBoard;
 use crate::refusal::Refusal;
 
-/// The share of a request's time that waiting for the store may take.
+/// A request waits for the store for at most its time left divided by this.
 const STORE_SHARE: u32 = 4;
 const LONGEST_STORE_WAIT: Duration = Duration::from_millis(800);
-/// After a failed call, requests that need the store are refused at once for so long. Each call
-/// that waits for nothing costs its request the time in which it could be answered elsewhere.
+/// After a failed call, requests that need the store are refused immediately for this time. Waiting
+/// for a call that fails uses up time in which another instance could serve the request.
 const STORE_PAUSE: Duration = Duration::from_millis(250);
 
-/// What a request asks of its account.
+/// The tokens that a request needs from its account.
 #[derive(Debug, Clone)]
 pub(crate) struct BudgetOrder {
     pub(crate) branch: BranchName,
-    /// The configuration that the total is from.
+    /// The version of the configuration that `prepaid` comes from.
     pub(crate) version: ConfigVersion,
-    /// The account's total.
+    /// The account's total budget.
     pub(crate) prepaid: TokenCount,
-    /// The most that the request can cost.
+    /// The maximum cost of the request.
     pub(crate) amount: TokenCount,
     pub(crate) request: String,
 }
 
-/// This instance's grants.
+/// This instance's grants, by account.
 pub(crate) struct BudgetDesk {
     store: ObjectClient,
     run: IncarnationId,
     instance: InstanceName,
     terms: GrantPolicy,
-    /// Instances at which accounts have their homes, this one among them.
+    /// The number of instances that accounts' homes are spread over, including this one.
     homes: AtomicUsize,
     accounts: Mutex<HashMap<BranchName, Arc<AccountDesk>>>,
-    /// When the last call failed.
+    /// When a call of the store last failed.
     store_failed: Mutex<Option<ClockTime>>,
 }
 
@@ -78,12 +78,11 @@
         }
     }
 
-    /// Notes how many instances there are.
     pub(crate) fn note_homes(&self, homes: usize) {
         self.homes.store(homes, Ordering::Relaxed);
     }
 
-    /// The terms of supplies in a fleet of the present size.
+    /// The grant terms for the current number of instances.
     fn supply_policy(&self) -> GrantPolicy {
         self.terms.scaled_to_homes(self.homes.load(Ordering::Relaxed))
     }
@@ -94,8 +93,9 @@
         accounts.entry(branch.clone()).or_insert_with(fresh).clone()
     }
 
-    /// Asks the store for more if the balance holds less than an order, and a supply beside it. If even
-    /// the book can't cover the order, tells how much balance and book can.
+    /// Raises this instance's grant until its free part covers an order, and requests a larger
+    /// grant early if it runs low. If the book can't cover the order either, returns how much the
+    /// free part and the book cover together.
     pub(crate) async fn stock_up(self: &Arc<Self>, order: &BudgetOrder) -> Option<TokenCount> {
         let account = self.account(&order.branch);
         let now = ClockTime::now();
@@ -117,7 +117,7 @@
         let wanted = order.amount;
         let asked = self.ask_in_time(&account, order, wanted, 1, LONGEST_STORE_WAIT);
         match asked.await {
-            // What was reserved for the order is lent instead.
+            // Release the reservation, so that the amount can be lent.
             Ok(GrantOutcome::Granted) => {
                 lock(&account.balance).settle(wanted, TokenCount::ZERO);
                 None
@@ -134,13 +134,13 @@
         }
     }
 
-    /// Gives a part of this instance's grant to another one.
+    /// Lends a part of this instance's grant to another instance; returns the amount lent.
     pub(crate) fn lend(&self, branch: &BranchName, wanted: TokenCount) -> TokenCount {
         let account = self.account(branch);
         lock(&account.balance).lend(wanted)
     }
 
-    /// How much of a loan for the time ahead another instance gets from this one as the home.
+    /// How much this instance, as the account's home, lends a borrower for future requests.
     pub(crate) fn allowed_loan_ahead(
         &self,
         branch: &BranchName,
@@ -152,7 +152,8 @@
         lock(&account.balance).allowed_loan_ahead(self.terms, prepaid, ahead, now)
     }
 
-    /// Sets the most that a request can cost aside, out of what the store granted or others lent.
+    /// Reserves the maximum cost of a request from the grant of this instance, from loans of other
+    /// instances, or from a larger grant.
     pub(crate) async fn reserve(
         self: &Arc<Self>,
         order: &BudgetOrder,
@@ -173,7 +174,8 @@
         let asked = match self.reserve_at_home(&account, order, fleet).await {
             Some(outcome) => Ok(outcome),
             None => {
-                // An account's home takes supplies for all instances, others only what they miss.
+                // An account's home requests grants for all instances, others for this request
+                // only.
                 let is_home = fleet.is_home(&order.branch, now);
                 let instances = if is_home { 1 } else { fleet.instances() };
                 self.ask_store(&account, order, deadline, instances).await
@@ -182,7 +184,8 @@
         if matches!(asked, Ok(GrantOutcome::Granted)) {
             return Ok(Reservation::new(account, order.amount));
         }
-        // The book's word that it is short is the whole fleet's only with everybody's beside it.
+        // A short book alone doesn't mean that the budget is spent: other instances may have free
+        // grants, so all of them are queried.
         let asks_all = matches!(asked, Ok(GrantOutcome::Short(_)));
         let mut failed = account.round.lock().await;
         let now = ClockTime::now();
@@ -217,8 +220,9 @@
         Err(self.refuse_after(&account, order, asked, loan))
     }
 
-    /// Reserves with a loan of the account's home. The home's word that the book is short is taken
-    /// like the book's own; nothing if the home can't be asked, or lends too little for now.
+    /// Reserves with a loan from the account's home. A shortage of the book that the home reports
+    /// counts like one read from the book. `None` if there is no other home, it doesn't reply, or
+    /// it lends too little without reporting a shortage.
     async fn reserve_at_home(
         &self,
         account: &Arc<AccountDesk>,
@@ -237,7 +241,7 @@
             return Some(GrantOutcome::Granted);
         }
         if ahead > TokenCount::ZERO {
-            // Near the end of a total it may cover the request, if not the time ahead.
+            // When the budget is nearly spent, the home may be able to cover this request alone.
             let missing = order.amount.less(lock(&account.balance).free());
             let size = LoanSize { missing, ahead: TokenCount::ZERO };
             reply = borrow_at_home(fleet, account, order, size).await?;
@@ -249,8 +253,8 @@
         reply.room.map(|room| GrantOutcome::Short(room + own))
     }
 
-    /// The refusal of a request that nobody could pay for. It says that the budget is spent only if
-    /// the store and every other gateway said that they have too little.
+    /// The refusal of a request that no grant or loan covers. It is `BudgetSpent` only if the book
+    /// and every other gateway reported too little.
     fn refuse_after(
         &self,
         account: &AccountDesk,
@@ -263,7 +267,7 @@
                 account.note_shortage(room + loan.lent, order.version, ClockTime::now());
                 self.refuse(account, order, Refusal::BudgetSpent, "book-short")
             }
-            // Somebody who can't be asked may hold enough.
+            // An instance that didn't reply may have enough.
             Ok(_) => self.refuse(account, order, Refusal::BudgetUnreachable, "peer-away"),
             Err(error) => {
                 self.refuse(account, order, Refusal::BudgetUnreachable, &error.to_string())
@@ -321,7 +325,8 @@
         lock(&self.store_failed).is_some_and(|failed| now.since(failed) < STORE_PAUSE)
     }
 
-    /// Asks for more before the balance is empty, so that requests seldom wait for the store.
+    /// Requests a larger grant in the background before the current one is used up, so that
+    /// requests seldom wait for the store.
     fn top_up_early(
         self: &Arc<Self>,
         account: &Arc<AccountDesk>,
--- a/crates/sagespool-gateway/src/desk/account.rs
+++ b/crates/sagespool-gateway/src/desk/account.rs
@@ -1,4 +1,4 @@
-//! One account at this instance: its balance, the book as it is known, and reservations.
+//! The state of one account at this instance: free tokens, the cached book, and reservations.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,17 +12,18 @@
 use super::BudgetOrder;
 use super::shortage::{FailedRound, KnownShortage};
 
-/// One account's.
+/// The state of one account at this instance.
 pub(crate) struct AccountDesk {
     pub(super) branch: BranchName,
     pub(super) balance: Mutex<PrepaidBalance>,
-    /// The book as it was last read or written. Whoever holds the lock writes.
+    /// The book as last read or written; `None` if it must be read again. The lock is held during
+    /// writes.
     pub(super) book: TurnLock<Option<KnownBook>>,
     shortage: Mutex<Option<KnownShortage>>,
-    /// The runs that the book named when it was seen last: they may hold something.
+    /// The runs with a grant in the book when it was last read.
     holders: Mutex<Vec<IncarnationId>>,
-    /// Whoever holds it asks others for loans. Requests of one account wait for each other's round,
-    /// which may serve them too.
+    /// Held while other instances are queried for loans: requests of one account wait for the round
+    /// in progress, whose loans may cover them too. Holds the last round if it failed.
     pub(super) round: TurnLock<Option<FailedRound>>,
     pub(super) tops_up: AtomicBool,
 }
@@ -50,30 +51,31 @@
         }
     }
 
-    /// Takes a loan, and reserves what a request needs; false if that is too much even so.
+    /// Adds a loan and reserves what a request needs; false if the free tokens still don't cover
+    /// it.
     pub(super) fn reserve_with(&self, order: &BudgetOrder, lent: TokenCount) -> bool {
         let mut balance = lock(&self.balance);
         balance.borrow(lent);
         balance.reserve(order.amount, ClockTime::now())
     }
 
-    /// Notes the runs that a book names.
+    /// Records the runs with a grant in the book.
     pub(super) fn see_holders(&self, book: &PrepaidRecord) {
         *lock(&self.holders) = book.holders.keys().copied().collect();
     }
 
-    /// The runs that may hold something of this account.
+    /// The runs that may have a grant of this account.
     pub(super) fn holders(&self) -> Vec<IncarnationId> {
         lock(&self.holders).clone()
     }
 
-    /// Notes that nobody could cover more than this.
+    /// Records that the book and all instances together cover no more than `room`.
     pub(super) fn note_shortage(&self, room: TokenCount, version: ConfigVersion, now: ClockTime) {
         let mut shortage = lock(&self.shortage);
         *shortage = Some(KnownShortage::noted(*shortage, room, version, now));
     }
 
-    /// What could be covered, if that is known to be too little for an order.
+    /// The amount that can be covered, if a recent shortage rules out this order.
     pub(super) fn shortage_of(&self, order: &BudgetOrder, now: ClockTime) -> Option<TokenCount> {
         let shortage = (*lock(&self.shortage))?;
         shortage.covers_less_than(order.amount, order.version, now).then_some(shortage.room())
@@ -84,7 +86,7 @@
     }
 }
 
-/// What a request has set aside. Dropping it settles: the rest is free at once.
+/// Tokens reserved for a request. Dropping it settles the charge and frees the remainder.
 pub(crate) struct Reservation {
     account: Arc<AccountDesk>,
     amount: TokenCount,
@@ -97,17 +99,15 @@
         Self { account, amount, prompt: TokenCount::ZERO, answer: TokenCount::ZERO }
     }
 
-    /// What the account pays.
+    /// The tokens charged to the account, at most the reserved amount.
     pub(crate) fn charged(&self) -> TokenCount {
         (self.prompt + self.answer).min(self.amount)
     }
 
-    /// Sets what is charged for the prompt.
     pub(crate) fn set_prompt(&mut self, tokens: TokenCount) {
         self.prompt = tokens;
     }
 
-    /// Adds to what is charged for the answer.
     pub(crate) fn add_answer(&mut self, tokens: TokenCount) {
         self.answer += tokens;
     }
--- a/crates/sagespool-gateway/src/desk/grants.rs
+++ b/crates/sagespool-gateway/src/desk/grants.rs
@@ -1,4 +1,4 @@
-//! Grants of the store: asked for, raised, and given back.
+//! Requesting, raising and closing grants in the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,20 +13,20 @@
 use super::account::{AccountDesk, KnownBook, lock};
 use super::{BudgetDesk, BudgetOrder};
 
-/// Writes to one book that are tried before a request is refused: other instances write too.
+/// Attempts to write one book before a request is refused. Writes of other instances conflict.
 const MOST_TRIES: u32 = 8;
-/// Between two tries, times the number of tries so far: a write takes some four milliseconds.
+/// Pause between two tries, times the number of tries so far: a write takes about 4 ms.
 const RETRY_PAUSE: Duration = Duration::from_millis(3);
 
-/// What became of asking for a larger grant.
+/// The result of requesting a larger grant.
 pub(super) enum GrantOutcome {
     Granted,
-    /// The book can cover this much and no more.
+    /// The book covers this amount at most.
     Short(TokenCount),
 }
 
 impl BudgetDesk {
-    /// As [`ask`](Self::ask), within a limit.
+    /// [`ask`](Self::ask) with a timeout, which counts as an unavailable store.
     pub(super) async fn ask_in_time(
         &self,
         account: &AccountDesk,
@@ -39,7 +39,7 @@
         within(limit, asked).await.unwrap_or(Err(StoreError::Unavailable))
     }
 
-    /// Asks for a grant that covers `missing` more, and reserves it.
+    /// Requests a grant that covers `missing` more tokens, and reserves them.
     async fn ask(
         &self,
         account: &AccountDesk,
@@ -47,7 +47,7 @@
         missing: TokenCount,
         instances: usize,
     ) -> Result<GrantOutcome, StoreError> {
-        // Requests of one account wait for each other's writes: one grant serves them all.
+        // One writer per account: the grant that it gets may cover the waiting requests too.
         let mut known = account.book.lock().await;
         let key = prepaid_key(&account.branch);
         for tries in 0..MOST_TRIES {
@@ -80,7 +80,7 @@
                     let needed = lock(&account.balance).min_grant();
                     return Ok(GrantOutcome::Short((book.free() + present).less(needed)));
                 }
-                // What was known may be old: others give back.
+                // The cached book may be stale: other instances may have returned tokens.
                 *known = None;
                 continue;
             };
@@ -135,7 +135,7 @@
         );
     }
 
-    /// Ends this run's grants in the books, with what was really spent. For a graceful stop.
+    /// Closes this run's grants in the books with the amounts spent. For a graceful stop.
     pub(crate) async fn close_all(self: &Arc<Self>, limit: Duration) {
         let accounts: Vec<Arc<AccountDesk>> = lock(&self.accounts).values().cloned().collect();
         let closing = accounts.into_iter().map(|account| {
--- a/crates/sagespool-gateway/src/desk/loans.rs
+++ b/crates/sagespool-gateway/src/desk/loans.rs
@@ -1,4 +1,4 @@
-//! Borrowing parts of an account's budget from other gateways.
+//! Borrowing from other gateways' grants of an account.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,48 +13,46 @@
 use super::account::{AccountDesk, lock};
 use crate::fleet::FleetBoard;
 
-/// A loan is a round trip of a millisecond or two.
+/// Timeout of a loan from a gateway; the round trip takes 1 to 2 ms.
 const LEND_LIMIT: Duration = Duration::from_millis(60);
-/// A home may have to ask the store first, which takes some milliseconds.
+/// Timeout of a loan from the home, which may have to call the store first (some milliseconds).
 const HOME_LIMIT: Duration = Duration::from_millis(150);
-/// A loan that comes later than its request waited is still taken for so long.
+/// A loan that arrives after its request's timeout is still accepted within this time.
 const LATE_LIMIT: Duration = Duration::from_millis(1500);
-/// Gateways that are asked beside each other. Each may lend all that is wanted, and what is too
-/// much lies idle here.
+/// Gateways queried concurrently. Each may lend the full amount, and the excess stays unused here.
 const ASKED_AT_ONCE: usize = 8;
 
-/// What became of asking others for a loan.
+/// The result of querying other gateways for loans.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct LoanRound {
-    /// What they lent.
     pub(super) lent: TokenCount,
-    /// True if everyone who is known answered.
+    /// True if every known gateway replied.
     pub(super) complete: bool,
 }
 
-/// How much is asked for.
+/// The amount of a requested loan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct LoanSize {
-    /// What a request misses.
+    /// What the current request lacks.
     pub(super) missing: TokenCount,
-    /// For the requests of the time ahead; a home may lend less.
+    /// For future requests; the home may lend less.
     pub(super) ahead: TokenCount,
 }
 
-/// Who is asked for a loan.
+/// The gateways to query for a loan.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Lenders {
-    /// Every gateway: only then is it known that nobody has enough.
+    /// Every gateway. Required to conclude that the budget is spent.
     All,
-    /// The runs that the account's book named.
+    /// The runs with a grant in the account's book.
     Only(Vec<IncarnationId>),
 }
 
-/// Asks other gateways for a loan, until there is enough.
+/// Borrows from other gateways until the wanted amount is reached.
 ///
-/// While the store is away only those are asked that the book named: with each request asking each
-/// of seventy gateways in turn, a busy one spent its processor on questions, and its callers waited
-/// for seconds.
+/// While the store is unreachable, only the holders in the last known book are queried. With each
+/// request querying all of 70 gateways in turn, a busy gateway spent its CPU time on these queries
+/// and its callers waited for seconds.
 pub(super) async fn borrow(
     fleet: &Arc<FleetBoard>,
     account: &Arc<AccountDesk>,
@@ -63,7 +61,7 @@
     lenders: Lenders,
 ) -> LoanRound {
     let mut others = fleet.others(MemberRole::Entry, ClockTime::now());
-    // Whoever isn't fit to be asked may hold something.
+    // A suspected or leaving member isn't queried but may have a grant.
     let mut complete = others.len() + 1 >= fleet.count(MemberRole::Entry);
     if let Lenders::Only(runs) = lenders {
         complete = false;
@@ -87,13 +85,12 @@
     LoanRound { lent, complete }
 }
 
-/// Asks an account's home for a part of what it holds. Nothing if this gateway is the home, or the
-/// home doesn't answer.
+/// Borrows from the account's home. `None` if this gateway is the home or the home doesn't reply.
 ///
-/// Without a home, each of many gateways takes its own small grants out of one book, and their
-/// writes cross: on the users' small site a request cost one write and a half. The home's grants
-/// serve all, and its word that the book is spent saves the others from reading it: with 31
-/// gateways such readings were a third of all calls of the store.
+/// Without a home, every gateway takes small grants from the same book and their writes conflict:
+/// in a small deployment a request cost 1.5 writes. The home's grants serve all gateways, and a
+/// shortage that it reports saves the others from reading the book: with 31 gateways these reads
+/// were a third of all calls of the store.
 pub(super) async fn borrow_at_home(
     fleet: &Arc<FleetBoard>,
     account: &Arc<AccountDesk>,
@@ -124,12 +121,12 @@
     })
 }
 
-/// A loan on its way to the request that asked for it. If nobody takes it, it goes to the account's
-/// balance.
+/// A loan on its way to the request that it was requested for. If that request no longer waits, the
+/// loan is added to the account's free tokens.
 ///
-/// Guards against loans that are lost: what a lender gave counts as spent there, and a busy instance
-/// sees the answer only after its request has given up, or its caller has gone. Such losses add up to
-/// refusals of what a total would cover.
+/// Guards against lost loans: the lender counts the amount as spent, and a busy borrower may see
+/// the reply only after its request has timed out or its caller has disconnected. Such losses add
+/// up, and requests that the total would cover are refused.
 struct ArrivedLoan {
     account: Arc<AccountDesk>,
     reply: LendReply,
@@ -151,7 +148,7 @@
     }
 }
 
-/// Asks one gateway. Whoever waits for the answer takes what is lent.
+/// Requests a loan from one gateway.
 async fn ask_for_loan(
     fleet: &Arc<FleetBoard>,
     account: &Arc<AccountDesk>,
@@ -163,7 +160,7 @@
     let (fleet, account, address) = (fleet.clone(), account.clone(), lender.address);
     smol::spawn(async move {
         if let Ok(PeerReply::Lend(reply)) = fleet.ask(address, &request, LATE_LIMIT).await {
-            // Dropped with its channel if nobody waits any more.
+            // Dropped with the channel if the request no longer waits.
             let _ = sender.try_send(ArrivedLoan { account, reply, taken: false });
         }
     })
--- a/crates/sagespool-gateway/src/desk/rests.rs
+++ b/crates/sagespool-gateway/src/desk/rests.rs
@@ -1,4 +1,4 @@
-//! What is left of loans at an instance that stops.
+//! Returning the unspent part of loans when an instance stops.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,8 +13,8 @@
 use crate::fleet::FleetBoard;
 
 impl BudgetDesk {
-    /// Hands what is left of loans to the accounts' homes. For a graceful stop: the books know nothing of
-    /// loans, and what stays here is lost to the accounts.
+    /// Returns the unspent part of loans to the accounts' homes. For a graceful stop: loans aren't
+    /// recorded in the books, so what isn't returned is lost to the accounts.
     pub(crate) async fn return_rests(self: &Arc<Self>, fleet: &Arc<FleetBoard>, limit: Duration) {
         let accounts: Vec<Arc<AccountDesk>> = lock(&self.accounts).values().cloned().collect();
         let returning = accounts.into_iter().filter_map(|account| {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Takes what an instance that stops had left.
+    /// Accepts the unspent part of a loan from an instance that stops.
     pub(crate) fn take_rest(&self, rest: &BudgetRest) {
         let account = self.account(&rest.branch);
         lock(&account.balance).borrow(rest.amount);
@@ -43,10 +43,10 @@
 async fn return_rest(fleet: &FleetBoard, rest: BudgetRest, limit: Duration) {
     let (branch, amount) = (rest.branch.clone(), rest.amount);
     let Some(heir) = heir_of(fleet, &branch, ClockTime::now()) else {
-        log_event!(warn, "rest-lost", branch = branch, amount = amount, cause = "nobody is left");
+        log_event!(warn, "rest-lost", branch = branch, amount = amount, cause = "no other gateway");
         return;
     };
-    // Asked once: an answer that was lost doesn't tell whether the rest was taken.
+    // Sent once: after a lost reply, a retry could credit the amount twice.
     match fleet.ask(heir.address, &PeerRequest::ReturnRest(rest), limit).await {
         Ok(PeerReply::Done) => {
             log_event!(info, "rest-returned", branch = branch, amount = amount, to = heir.instance);
@@ -55,7 +55,7 @@
     }
 }
 
-/// Who takes an account's rest: its home, or anybody who stays.
+/// The recipient of an account's unspent loans: its home, or else any gateway that isn't leaving.
 fn heir_of(fleet: &FleetBoard, branch: &BranchName, now: ClockTime) -> Option<MemberInfo> {
     let stays = |member: &MemberInfo| member.incarnation != fleet.run && !member.leaving;
     let home = fleet.members.home_of(branch, now).filter(stays);
--- a/crates/sagespool-gateway/src/desk/shortage.rs
+++ b/crates/sagespool-gateway/src/desk/shortage.rs
@@ -1,25 +1,24 @@
-//! How long word of a spent budget is good for.
+//! Caching of budget shortages and failed loan rounds.
 
 use std::time::Duration;
 
 use sagespool_types::{ClockTime, ConfigVersion, TokenCount};
 
-/// A book that couldn't cover a request is taken to be no fuller for so long at first: money may be
-/// on its way back to it.
+/// How long a shortage holds when it is first found. Short, since tokens may be on their way back
+/// to the book.
 const FIRST_LIFE: Duration = Duration::from_millis(300);
-/// As long at most, when one reading after the other finds no more. Money comes back from an
-/// instance that stops, within a second or two, and with a new configuration, which ends what is
-/// known at once.
+/// Maximum time that a shortage holds after repeated reads found no more. An instance that stops
+/// returns its tokens within one or two seconds; a new configuration ends the shortage immediately.
 const LONGEST_LIFE: Duration = Duration::from_millis(1200);
 
-/// A book, and balances beside it, that couldn't cover a request.
+/// A recent finding that the book and all instances' free tokens together don't cover a request.
 ///
-/// Callers of a spent account go on asking, and each reading of its book is a call of the store and
-/// a question to every other instance. Each that finds no more lets the next one wait twice as
-/// long: with twenty requests a second 22 readings in 25 s, where one each 300 ms makes 84.
+/// Callers of a spent account continue to send requests, and each check is a read of the book and a
+/// query to every other instance. Each check that finds no more doubles the time until the next
+/// one: at 20 requests/s that makes 22 reads in 25 s, against 84 with a fixed interval of 300 ms.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct KnownShortage {
-    /// What could have been covered.
+    /// The amount that could have been covered.
     room: TokenCount,
     version: ConfigVersion,
     noted: ClockTime,
@@ -27,7 +26,7 @@
 }
 
 impl KnownShortage {
-    /// Notes that no more than `room` can be covered, after what was known until now.
+    /// Records that no more than `room` can be covered. `known` is the previous finding, if any.
     pub fn noted(
         known: Option<Self>,
         room: TokenCount,
@@ -39,17 +38,17 @@
         Self { room, version, noted: now, life }
     }
 
-    /// What could have been covered.
+    /// The amount that could have been covered.
     pub fn room(&self) -> TokenCount {
         self.room
     }
 
-    /// Whether it still holds.
+    /// Whether the finding is recent enough to be used.
     pub fn is_fresh(&self, now: ClockTime) -> bool {
         now.since(self.noted) < self.life
     }
 
-    /// Whether an amount is known to be too much, under a configuration.
+    /// Whether the finding rules out an amount. It holds for its own configuration version only.
     pub fn covers_less_than(
         &self,
         amount: TokenCount,
@@ -60,28 +59,29 @@
     }
 }
 
-/// How long word that nobody could be asked stands for the requests that waited for it.
+/// How long a failed round applies to the requests that waited for it.
 const FAILED_LIFE: Duration = Duration::from_millis(200);
 
-/// A round of questions that brought too little, while not everybody could be asked.
+/// A loan round that brought too little while some gateways could not be queried.
 ///
-/// Requests of an account wait for each other's rounds. While the store is away and a holder doesn't
-/// answer, each round lasts until it gives that up; with a round for each of fifty requests a second
-/// the wait would grow by seconds each second, and all would be refused at their deadline.
+/// Requests of an account wait for the round in progress. While the store is unreachable and a
+/// holder doesn't reply, each round lasts until its timeout. With one round per request at 50
+/// requests/s, the wait would grow by seconds each second and all requests would be refused at
+/// their deadlines.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FailedRound {
-    /// What was asked for in vain.
+    /// The amount that the round could not cover.
     amount: TokenCount,
     noted: ClockTime,
 }
 
 impl FailedRound {
-    /// Notes a round that has just ended.
+    /// Records a round that ended at `now`.
     pub fn noted(amount: TokenCount, now: ClockTime) -> Self {
         Self { amount, noted: now }
     }
 
-    /// Whether a request needn't ask again.
+    /// Whether a request for this amount is refused without another round.
     pub fn stands_for(&self, amount: TokenCount, now: ClockTime) -> bool {
         amount >= self.amount && now.since(self.noted) < FAILED_LIFE
     }
--- a/crates/sagespool-gateway/src/flight.rs
+++ b/crates/sagespool-gateway/src/flight.rs
@@ -1,4 +1,4 @@
-//! One request on its way.
+//! The state of one request in the pipeline.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -18,57 +18,57 @@
 use crate::refusal::Refusal;
 use crate::state::GatewayState;
 
-/// A request that may be sent: its route is known, its account pays for it.
+/// A request that passed admission: its route is known and its tokens are reserved.
 pub(crate) struct AdmittedRequest {
     pub(crate) index: Arc<PlanIndex>,
     pub(crate) route: ForwardRoute,
     pub(crate) service: ServiceName,
     pub(crate) branch: Option<BranchName>,
-    /// Where its account lets it run.
+    /// The regions where its account allows it to run.
     pub(crate) branch_homes: AllowedRegions,
     pub(crate) priority: u8,
     pub(crate) demand: RequestAttributes,
     pub(crate) body: Bytes,
     pub(crate) reservation: Option<Reservation>,
-    /// Its part of what this instance takes in.
+    /// Its share of this instance's admission limits.
     pub(crate) _pass: RequestPass,
-    /// When its answer must be complete.
+    /// When the response must be complete.
     pub(crate) deadline: ClockTime,
 }
 
-/// All that the pipeline knows of a request on its way.
+/// The pipeline's state of a request after admission.
 pub(crate) struct Flight {
     pub(crate) state: Arc<GatewayState>,
     pub(crate) request: AdmittedRequest,
     pub(crate) head: Parts,
-    /// Upstreams that it was sent to.
+    /// Attempts that wrote the request to an upstream.
     pub(crate) sends: u32,
-    /// Upstreams that it was sent to or that couldn't be reached.
+    /// Upstreams that were tried, including unreachable ones.
     pub(crate) tried: Vec<UpstreamRun>,
     /// True once an upstream may have run it.
     pub(crate) may_have_run: bool,
-    /// The last event that was passed on to the caller.
+    /// The ID of the last event forwarded to the caller.
     pub(crate) last_event: Option<u64>,
     pub(crate) record: FlightRecord,
 }
 
 impl Flight {
-    /// What is left until the answer must be complete.
+    /// The time until the deadline.
     pub(crate) fn time_left(&self, now: ClockTime) -> Duration {
         self.request.deadline.since(now)
     }
 
-    /// Whether it may reach a second upstream after one that may have run it.
+    /// Whether it may be sent to another upstream after one that may have run it.
     pub(crate) fn is_idempotent(&self) -> bool {
         self.request.route.repeat == RepeatRule::Idempotent
     }
 
-    /// Whether it may go to one more upstream if the next one fails.
+    /// Whether another attempt is allowed if the next one fails.
     pub(crate) fn may_repeat(&self) -> bool {
         self.is_idempotent() && self.sends + 1 < self.request.route.attempts
     }
 
-    /// Whether both its route and its account let it run in a data centre.
+    /// Whether both its route and its account allow it to run in a data centre.
     pub(crate) fn may_run_in(&self, centre: &CentreName) -> bool {
         let region = self.state.region_of(centre);
         self.request.route.homes.allow(region) && self.request.branch_homes.allow(region)
@@ -79,8 +79,8 @@
         self.record.charged = reservation.map_or(TokenCount::ZERO, Reservation::charged);
     }
 
-    /// Charges the prompt: from the moment of sending an upstream may have read it, also if the
-    /// caller goes away before anything comes back.
+    /// Charges the prompt. An upstream may have processed it as soon as the request is sent, also
+    /// if the caller disconnects before the response.
     pub(crate) fn charge_prompt(&mut self) {
         let prompt = self.request.demand.tokens.map_or(TokenCount::ZERO, |tokens| tokens.prompt);
         if let Some(reservation) = &mut self.request.reservation {
@@ -89,7 +89,7 @@
         self.note_charge();
     }
 
-    /// Takes the charge of the prompt back, unless an upstream may have read it.
+    /// Reverses the charge of the prompt, unless an upstream may have processed it.
     pub(crate) fn uncharge_prompt(&mut self) {
         if self.may_have_run {
             return;
@@ -100,8 +100,8 @@
         self.note_charge();
     }
 
-    /// Charges events that are passed on to the caller. An event may hold fewer tokens than most
-    /// do; a request is never charged more than it reserved.
+    /// Charges the configured number of tokens for each event forwarded to the caller. An event may
+    /// hold fewer tokens than that; the total charge never exceeds the reservation.
     pub(crate) fn charge_events(&mut self, count: u64) {
         self.record.events += count;
         let service = self.request.index.service(&self.request.service);
@@ -114,8 +114,7 @@
     }
 }
 
-/// What logs and metrics tell of a request. Written when it ends, also when its caller goes away
-/// and everything else of it is dropped.
+/// The log and metrics data of a request. Written on drop, so also when its caller disconnects.
 pub(crate) struct FlightRecord {
     pub(crate) state: Arc<GatewayState>,
     pub(crate) request: String,
@@ -126,13 +125,13 @@
     pub(crate) upstream: Option<UpstreamName>,
     pub(crate) sends: u32,
     pub(crate) events: u64,
-    /// Tokens that its account pays for.
+    /// Tokens charged to its account.
     pub(crate) charged: TokenCount,
-    /// What became of it.
+    /// `None` until the request is concluded.
     pub(crate) outcome: Option<Outcome>,
     pub(crate) status: u16,
     pub(crate) detail: String,
-    /// How long a ready task waited for the processor when it came.
+    /// Scheduling delay when it arrived: how long a ready task waited for the processor.
     pub(crate) turn: Duration,
 }
 
@@ -157,7 +156,7 @@
         }
     }
 
-    /// Notes how the request ends.
+    /// Records the outcome; `detail` is its cause in the log, empty if there is none.
     pub(crate) fn conclude(&mut self, outcome: Outcome, status: u16, detail: &str) {
         self.outcome = Some(outcome);
         self.status = status;
@@ -169,7 +168,7 @@
     fn drop(&mut self) {
         self.state.requests.fetch_sub(1, Ordering::Relaxed);
         if self.outcome.is_none() && self.state.over.is_given() {
-            // A stream that has begun keeps the status that its caller saw.
+            // A stream that has begun keeps the status already sent to its caller.
             let status =
                 if self.status == 0 { Refusal::Ended.status().as_u16() } else { self.status };
             self.conclude(Outcome::Cut, status, Refusal::Ended.reason());
--- a/crates/sagespool-gateway/src/lib.rs
+++ b/crates/sagespool-gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! The gateway: an entry that forwards opaque requests straight to upstreams.
+//! The gateway forwards opaque HTTP requests directly to upstreams.
 //!
-//! One pipeline carries each request: admit, reserve its tokens, choose an upstream, attempt,
-//! answer, settle. The decisions are `sagespool-forward`'s and `sagespool-ledger`'s; here is the
-//! I/O around them. How callers, upstreams and the store spell things is handed in as a
+//! Each request passes through one pipeline: admit, reserve tokens, choose an upstream, attempt,
+//! respond, settle. The decision logic is in `sagespool-forward` and `sagespool-ledger`; this crate
+//! does the I/O. The wire formats of callers, upstreams and the store are supplied as a
 //! [`WireDialect`].
 
 mod attempt;
--- a/crates/sagespool-gateway/src/pipeline.rs
+++ b/crates/sagespool-gateway/src/pipeline.rs
@@ -1,4 +1,4 @@
-//! A request's way: admit, reserve, attempt, answer, settle.
+//! The request pipeline: admit, reserve, attempt, respond, settle.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,22 +26,22 @@
 use crate::state::GatewayState;
 use crate::stream::start_stream;
 
-/// Less than this isn't worth a send: the way to an upstream and back takes up to two milliseconds.
+/// A request isn't sent with less time left: the round trip to an upstream takes up to 2 ms.
 const LEAST_TIME: Duration = Duration::from_millis(5);
-/// Kept for the answer's way to the caller, so that it arrives before the caller gives up.
+/// Reserved for sending the response to the caller, so that it arrives before the caller's
+/// deadline.
 const ANSWER_WAY: Duration = Duration::from_millis(10);
-/// An answer that isn't a stream is collected whole before it is passed on, up to this length: a
-/// broken one can then be told from a whole one, and asked for again.
+/// Maximum length in bytes of a response that isn't streamed. Such a response is buffered before it
+/// is forwarded, so that a truncated one is detected and the request can be retried.
 const LONGEST_WHOLE: usize = 16 << 20;
-/// The share of the latency target after which an idempotent request goes to another upstream.
+/// Attempt timeout of an idempotent request, as a share of the route's latency target.
 const PATIENCE_SHARE: f64 = 0.6;
-/// With a stream, the first event may wait for long prompts beside it: a second reading of its own
-/// prompt costs more than a late one.
+/// The same for streams, whose first event may queue behind other requests' long prompts:
+/// processing the prompt again on another upstream costs more than a late first event.
 const STREAM_PATIENCE_SHARE: f64 = 1.5;
-/// The least urgent rank that upstreams know.
+/// The lowest priority (largest number) that upstreams accept.
 const LAST_RANK: u8 = 9;
 
-/// Serves one request.
 pub(crate) async fn serve(
     state: Arc<GatewayState>,
     request: Request<Incoming>,
@@ -67,9 +67,9 @@
     run_or_end(flight).await
 }
 
-/// Runs a request to its end, or to the end of this instance. A request that outlasts a graceful
-/// stop would see its connection end without a word, and its caller couldn't tell that from a
-/// broken network: it is told that the request may have run, and the upstream is released.
+/// Runs a request until it ends or until the time limit of a graceful stop. In the second case the
+/// caller gets a response that the request may have run, instead of a closed connection that looks
+/// like a network failure, and the attempt at the upstream is cancelled.
 async fn run_or_end(flight: Flight) -> Response<AnswerBody> {
     let state = flight.state.clone();
     let ended = async {
@@ -84,7 +84,7 @@
     refusal.response()
 }
 
-/// Everything before the first send.
+/// Performs all steps before the first attempt.
 async fn admit(
     state: &Arc<GatewayState>,
     head: &RequestParts,
@@ -158,7 +158,8 @@
     head.headers.get(HOST)?.to_str().ok().map(str::to_owned)
 }
 
-/// The client account whose key a request shows.
+/// Finds the client account of the request's key. `None` is allowed on open routes only, or if the
+/// configuration has no accounts.
 fn find_branch<'a>(
     index: &'a PlanIndex,
     demand: &RequestAttributes,
@@ -171,7 +172,8 @@
     Ok(branch)
 }
 
-/// Sets the most that a request can cost aside.
+/// Reserves the maximum cost of a request. `None` if the account has no budget or the request names
+/// no token counts.
 async fn reserve(
     state: &GatewayState,
     index: &PlanIndex,
@@ -192,7 +194,7 @@
     state.desk.reserve(&order, deadline, &state.fleet).await.map(Some)
 }
 
-/// A whole answer of an upstream.
+/// An upstream's response with its complete body.
 struct WholeAnswer {
     head: ResponseParts,
     bytes: Bytes,
@@ -204,9 +206,9 @@
     }
 }
 
-/// Sends the request until it is answered or given up.
+/// Makes attempts until an upstream responds or no further attempt is allowed.
 async fn run(mut flight: Flight) -> Response<AnswerBody> {
-    // The failure that an upstream answered with, in case no other upstream does better.
+    // The last 5xx response, which is forwarded if no other upstream succeeds.
     let mut failed: Option<WholeAnswer> = None;
     loop {
         let timeout = send_patience(&flight, ClockTime::now());
@@ -237,7 +239,7 @@
     flight.request.route.streaming && answer.head.status.is_success()
 }
 
-/// How long to wait for the head of an answer.
+/// The time limit of an attempt until the response head arrives.
 pub(crate) fn send_patience(flight: &Flight, now: ClockTime) -> Duration {
     let left = flight.time_left(now);
     let route = &flight.request.route;
@@ -249,7 +251,7 @@
     left.min(route.latency_target.mul_f64(share))
 }
 
-/// Whether a request whose send failed may go to another upstream.
+/// Whether a request whose last attempt failed may be sent to another upstream.
 pub(crate) fn may_send_again(flight: &Flight, failure: SendFailure, now: ClockTime) -> bool {
     if matches!(failure, SendFailure::NoUpstream(_)) || flight.time_left(now) < LEAST_TIME {
         return false;
@@ -260,7 +262,7 @@
     if flight.sends >= flight.request.route.attempts {
         return false;
     }
-    // Where nothing left this process, upstreams have nothing more to do.
+    // Nothing was sent, so a retry adds no load to upstreams and needs no retry budget.
     if matches!(failure, SendFailure::NotSent(_) | SendFailure::HeldBack) {
         return true;
     }
@@ -281,7 +283,7 @@
     refuse(flight.record, refusal, failure.as_str())
 }
 
-/// Takes in a whole answer.
+/// Reads a complete response body.
 async fn collect(flight: &mut Flight, answer: OpenAnswer) -> Result<WholeAnswer, SendFailure> {
     flight.may_have_run = true;
     let OpenAnswer { head, body, connection, mut place } = answer;
@@ -309,13 +311,13 @@
     Ok(answer)
 }
 
-/// Whether the upstream closes the connection after this answer.
+/// Whether the upstream closes the connection after this response.
 pub(crate) fn says_close(head: &ResponseParts) -> bool {
     let value = head.headers.get(CONNECTION);
     value.and_then(|value| value.to_str().ok()).is_some_and(|text| text.contains("close"))
 }
 
-/// Passes a whole answer on, with the upstream's status and bytes.
+/// Forwards a complete response with the upstream's status and body.
 fn respond(mut flight: Flight, answer: WholeAnswer) -> Response<AnswerBody> {
     let mut head = answer.head;
     let outcome = if head.status.is_server_error() { Outcome::Failed } else { Outcome::Answered };
--- a/crates/sagespool-gateway/src/refusal.rs
+++ b/crates/sagespool-gateway/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the gateway's own.
+//! Error responses of the gateway itself.
 
 use std::fmt;
 use std::time::Duration;
@@ -10,21 +10,21 @@
 use crate::dialect::CallerHeaderError;
 use crate::intake::ShortResource;
 
-/// Callers who were refused together come back within this time at least.
+/// Minimum range of the jitter in `Retry-After`.
 const LEAST_SPREAD: Duration = Duration::from_millis(200);
 
-/// Why a request isn't answered by an upstream.
+/// Why a request gets no upstream's response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Refusal {
-    /// No configuration is known yet.
+    /// No configuration is loaded yet.
     NoPlan,
-    /// The header can't be used.
+    /// The request headers are invalid.
     Demand(CallerHeaderError),
     /// The request has no host.
     NoHost,
-    /// No route of the host begins the path.
+    /// No route of the host matches the path.
     UnknownRoute,
-    /// The key is missing, or no account holds it.
+    /// The key is missing or belongs to no account.
     UnknownKey,
     /// The body is longer than allowed.
     BodyTooLarge,
@@ -32,29 +32,30 @@
     BodyTooSlow,
     /// The account's budget can't cover the request.
     BudgetSpent,
-    /// The budget's state isn't known at the moment.
+    /// It is unknown whether the budget covers the request: the store or a peer didn't reply.
     BudgetUnreachable,
-    /// Its content took down the upstreams that ran it; it hasn't run now.
+    /// The content is quarantined since it crashed upstreams; it hasn't run.
     Stopped,
-    /// This instance has no processor time or memory left for it; it hasn't run.
+    /// This instance lacks processor time or memory; it hasn't run.
     Crowded(ShortResource),
-    /// This instance stops before the request could end.
+    /// This instance would stop before the request's deadline; it hasn't run.
     Stopping,
-    /// No upstream of the service could take it; it hasn't run.
+    /// No upstream of the service is eligible or reachable; it hasn't run.
     NoUpstream,
     /// The data centres of all the service's upstreams are evacuated; it hasn't run.
     Evacuated,
-    /// The service's upstreams name limits or rest, the first for so long; it hasn't run.
+    /// The service's upstreams are rate-limited or in backoff; holds the time until the first
+    /// accepts a request. It hasn't run.
     Limited(Duration),
-    /// The upstreams turned it away; it hasn't run.
+    /// The upstreams rejected it; it hasn't run.
     Busy,
-    /// No time was left to send it; it hasn't run.
+    /// Too little time was left before its deadline; it hasn't run.
     TooLate,
-    /// The upstream failed, or its answer was lost; it may have run.
+    /// The upstream failed, or its response was lost; it may have run.
     Failed,
-    /// The time ran out at the upstream; it may have run.
+    /// The upstream didn't respond in time; it may have run.
     TimedOut,
-    /// This instance stopped while it was under way; it may have run.
+    /// This instance stopped while it was in flight; it may have run.
     Ended,
 }
 
@@ -82,7 +83,7 @@
         }
     }
 
-    /// The word that logs and metrics use.
+    /// The reason in log lines.
     pub(crate) fn reason(self) -> &'static str {
         match self {
             Self::NoPlan => "no-configuration",
@@ -109,45 +110,46 @@
         }
     }
 
-    /// When to come back; nothing where that wouldn't help. Spread by chance, so that callers who
-    /// were refused together don't come back together.
+    /// The value of `Retry-After`; `None` where a retry wouldn't help. Has jitter, so that callers
+    /// refused at the same time don't retry at the same time.
     fn retry_after(self) -> Option<Duration> {
         let least_ms = match self {
-            // Many are refused while an upstream takes one: the longer its pause, the wider apart.
+            // Many requests are refused for each that an upstream accepts, so the jitter grows with
+            // the wait.
             Self::Limited(turn) => return Some(spread(turn, LEAST_SPREAD.max(turn / 2))),
-            // An instance that starts has its configuration within half a second.
+            // A starting instance loads its configuration within 500 ms.
             Self::NoPlan => 300,
-            // One round of the store, or of an upstream's restart.
+            // The time of some store calls, or of an upstream's restart.
             Self::BudgetUnreachable | Self::NoUpstream => 400,
-            // Operators take seconds or minutes to take an evacuation back.
+            // Operators end an evacuation after seconds or minutes.
             Self::Evacuated => 2000,
-            // A request at an upstream lasts a few hundred milliseconds.
+            // A request at an upstream takes a few hundred milliseconds.
             Self::Busy => 200,
-            // Another instance takes it at once.
+            // Another instance may accept it immediately.
             Self::Crowded(_) | Self::Stopping | Self::TooLate | Self::BodyTooSlow => 0,
             _ => return None,
         };
         Some(spread(Duration::from_millis(least_ms), LEAST_SPREAD))
     }
 
-    /// The answer to the caller.
+    /// The response to the caller.
     pub(crate) fn response(self) -> Response<AnswerBody> {
         let mut response = Response::new(AnswerBody::whole(format!("{self}\n").into()));
         *response.status_mut() = self.status();
         if matches!(self, Self::Crowded(_)) {
-            // Its room is for others; the caller comes back elsewhere.
+            // Free the connection's resources; the caller retries at another instance.
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         if let Some(pause) = self.retry_after() {
             let text = format!("{:.3}", pause.as_secs_f64());
-            let value = HeaderValue::from_str(&text).expect("a number is a header's text");
+            let value = HeaderValue::from_str(&text).expect("a number is a valid header value");
             response.headers_mut().insert(RETRY_AFTER, value);
         }
         response
     }
 }
 
-/// A pause that is longer by chance, by so much at most.
+/// Adds random jitter of at most `most`.
 fn spread(least: Duration, most: Duration) -> Duration {
     least + most.mul_f64(fastrand::f64())
 }
--- a/crates/sagespool-gateway/src/state.rs
+++ b/crates/sagespool-gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a gateway share.
+//! State shared by all tasks of a gateway.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock, RwLockReadGuard};
@@ -28,11 +28,10 @@
 use crate::pool::UpstreamPool;
 use crate::signal::OnceSignal;
 
-/// The least time between two log lines on marks that can't be read: a broken upstream sends one with
-/// each answer.
+/// Minimum interval between log lines about malformed response headers: a faulty upstream sends
+/// one with every response.
 const UNREADABLE_PAUSE: Duration = Duration::from_secs(1);
 
-/// The shared state.
 pub(crate) struct GatewayState {
     pub(crate) settings: GatewaySettings,
     pub(crate) dialect: WireDialect,
@@ -41,17 +40,16 @@
     pub(crate) desk: Arc<BudgetDesk>,
     pub(crate) crashes: CrashDesk,
     pub(crate) metrics: GatewayMetrics,
-    /// A graceful stop has begun.
+    /// Set when a graceful stop begins.
     pub(crate) stopping: AtomicBool,
-    /// By when every request must have ended, in microseconds, once `closing` is given.
+    /// Deadline of all requests in microseconds of `ClockTime`; valid once `closing` is set.
     closing_by: AtomicU64,
-    /// Callers' connections are to end after the request that they carry.
+    /// Set when callers' connections are to close after their current request.
     pub(crate) closing: OnceSignal,
-    /// The time for the stop is over: whatever is still under way ends now.
+    /// Set when the time limit of a graceful stop has passed: requests in flight are aborted.
     pub(crate) over: OnceSignal,
-    /// Requests under way.
+    /// Number of requests in flight.
     pub(crate) requests: AtomicUsize,
-    /// What is taken in from callers.
     pub(crate) intake: Arc<CallerIntake>,
     pub(crate) feeds: FeedDesk,
     pub(crate) fleet: Arc<FleetBoard>,
@@ -61,11 +59,11 @@
     retries: Mutex<RetryBudget>,
     guard: Mutex<UpstreamThrottle>,
     senders: Mutex<SenderSelector>,
-    /// When a mark that can't be read was last noted.
+    /// When a malformed response header was last logged.
     unreadable: Mutex<Option<ClockTime>>,
 }
 
-/// A configuration, and its text as the store has it, for other gateways.
+/// A configuration with its text as stored, which other gateways may request.
 struct KnownPlan {
     index: Arc<PlanIndex>,
     document: Arc<str>,
@@ -99,7 +97,7 @@
         };
         let warmup_terms =
             WarmupPolicy { overage: settings.warmup.overage, slack: settings.warmup.slack };
-        // Without a link there are no others to divide anything with.
+        // Without a link there are no other instances to share sends with.
         let senders = match settings.link {
             Some(_) => SenderSelector::new(settings.instance.clone()),
             None => SenderSelector::alone(settings.instance.clone()),
@@ -140,18 +138,18 @@
         self.known_plan().as_ref().map(|known| known.index.clone())
     }
 
-    /// The configuration in force as the store has it.
+    /// The text of the current configuration as stored.
     pub(crate) fn plan_document(&self) -> Option<String> {
         self.known_plan().as_ref().map(|known| known.document.to_string())
     }
 
-    /// The version of the configuration in force, 0 if there is none.
+    /// The version of the current configuration, 0 if there is none.
     pub(crate) fn plan_version(&self) -> ConfigVersion {
         self.known_plan().as_ref().map_or(ConfigVersion::ZERO, |known| known.index.plan().version)
     }
 
-    /// Puts a configuration in force, unless a newer one is. It never goes back: word of an older
-    /// version may arrive late.
+    /// Applies a configuration and returns true, unless the current one is at least as new. Older
+    /// versions may arrive late and must not replace newer ones.
     pub(crate) fn take_plan(&self, index: PlanIndex, document: &str) -> bool {
         let version = index.plan().version;
         let fresh = KnownPlan { index: Arc::new(index), document: document.into() };
@@ -169,8 +167,8 @@
         self.roster.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Drops an upstream whose address another one has: its name is one run, which has ended, though
-    /// the list may show it for some seconds more.
+    /// Removes an upstream whose address belongs to another one now. An upstream's name stands for
+    /// one run; that run has ended, but the store may list it for some seconds more.
     pub(crate) fn forget_upstream(&self, name: &UpstreamName) {
         self.roster().mark_replaced(name);
         self.board().forget(name);
@@ -194,7 +192,7 @@
         self.senders.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes which instances may be senders to cold upstreams.
+    /// Updates the set of instances that may send to cold upstreams.
     pub(crate) fn observe_senders(&self, now: ClockTime) {
         let members = self.fleet.members.members().into_iter();
         let gateways = members.filter(|member| member.role == MemberRole::Entry);
@@ -205,14 +203,14 @@
         }
     }
 
-    /// Notes that an upstream is cold for so long; nothing if that is zero.
+    /// Records how much longer an upstream is cold. Zero changes nothing.
     pub(crate) fn note_cold(&self, name: &UpstreamName, left: Duration, now: ClockTime) {
         if !left.is_zero() && self.guard().note_cold(name, left, now) {
             log_event!(info, "upstream-cold", upstream = name, left_ms = left.as_millis());
         }
     }
 
-    /// Takes what the answer to a request whose place was chosen then says of its upstream's limit.
+    /// Applies the rate limit, or its absence, in the response to a request placed at `chosen`.
     pub(crate) fn note_rate_limit(
         &self,
         name: &UpstreamName,
@@ -224,7 +222,7 @@
         self.log_limit(name, change, "answer");
     }
 
-    /// Writes what has changed of an upstream's limit, and who told it.
+    /// Logs a change of an upstream's rate limit. `told_by` is its source.
     pub(crate) fn log_limit(&self, name: &UpstreamName, change: RateLimitChange, told_by: &str) {
         match change {
             RateLimitChange::Unchanged => {}
@@ -241,14 +239,14 @@
         }
     }
 
-    /// Notes that an upstream wants nothing from this instance for so long.
+    /// Records an upstream's backoff for this instance.
     pub(crate) fn note_backoff(&self, name: &UpstreamName, rest: Duration, now: ClockTime) {
         if self.guard().note_backoff(name, rest, now) {
             log_event!(info, "upstream-rests", upstream = name, rest_ms = rest.as_millis());
         }
     }
 
-    /// Notes that a mark of an upstream's answer can't be read, in a line a second at most.
+    /// Logs a malformed header of an upstream's response, at most once per `UNREADABLE_PAUSE`.
     pub(crate) fn note_unreadable(&self, name: &UpstreamName, mark: &str, now: ClockTime) {
         let mut noted = self.unreadable.lock().unwrap_or_else(PoisonError::into_inner);
         if noted.is_some_and(|noted| now.since(noted) < UNREADABLE_PAUSE) {
@@ -258,20 +256,20 @@
         log_event!(warn, "upstream-mark-unreadable", upstream = name, mark = mark);
     }
 
-    /// What cold upstreams of a service bear; nothing if it has none.
+    /// The warm-up settings of a service; `None` if its upstreams need no warm-up.
     fn warmup_traits(&self, service: &ServiceName) -> Option<WarmupProfile> {
         self.plan()?.service(service)?.warmup.clone()
     }
 
-    /// Gives the upstreams of a data centre no new work.
+    /// Stops sending new requests to the upstreams of a data centre.
     pub(crate) fn evacuate(&self, centre: CentreName) {
         if self.roster().evacuate(centre.clone()) {
             log_event!(info, "centre-evacuated", centre = centre);
         }
     }
 
-    /// Gives the upstreams of a data centre work again. They may have turned cold meanwhile, and their
-    /// entries may say so only later.
+    /// Allows requests to the upstreams of a data centre again. They are treated as cold at first:
+    /// they may have become cold in the meantime, and their entries may show it only later.
     pub(crate) fn readmit(&self, centre: &CentreName, now: ClockTime) {
         let Some(records) = self.roster().readmit(centre) else {
             return;
@@ -284,13 +282,13 @@
         }
     }
 
-    /// The region of a data centre, if it is known.
+    /// The region of a data centre; `None` if the settings don't list it.
     pub(crate) fn region_of(&self, centre: &CentreName) -> Option<&RegionName> {
         let own = (*centre == self.settings.centre).then_some(&self.settings.region);
         self.settings.regions.get(centre).or(own)
     }
 
-    /// How many instances there are, this one among them.
+    /// The number of instances, including this one.
     pub(crate) fn instances(&self) -> usize {
         self.fleet.instances()
     }
@@ -299,19 +297,19 @@
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Lets callers' connections end; requests that come all the same must end by then.
+    /// Starts closing callers' connections. Requests that still arrive must end by `last`.
     pub(crate) fn close_by(&self, last: ClockTime) {
         self.closing_by.store(last.0, Ordering::SeqCst);
         self.closing.give();
     }
 
-    /// Whether a request that may take until `deadline` would be cut off by the end of this process.
+    /// Whether this process may stop before a request with this deadline has ended.
     pub(crate) fn ends_before(&self, deadline: ClockTime) -> bool {
         self.closing.is_given() && ClockTime(self.closing_by.load(Ordering::SeqCst)) < deadline
     }
 
-    /// Whether this instance can serve requests: it knows the configuration, the upstreams and where
-    /// nothing may be sent, and doesn't stop.
+    /// Whether this instance can serve requests: the configuration, the upstreams and the
+    /// evacuations are loaded, and no stop has begun.
     pub(crate) fn is_ready(&self) -> bool {
         let follows = self.follows_evacuations();
         let knows_evacuations = !follows || self.feeds.slot(FollowedKind::Evacuations).is_loaded();
