--- a/crates/sagespool-gateway/src/body.rs
+++ b/crates/sagespool-gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers.
+//! Bodies of responses to callers.
 
 use std::fmt;
 use std::future::Future;
@@ -15,68 +15,69 @@
 use crate::flush::FlushCounter;
 use crate::intake::HeldMemory;
 
-/// How long an answer that broke off waits until the caller's connection has taken what came before.
-/// A caller that reads takes some milliseconds; one that doesn't must not hold the connection open.
+/// How long an aborted response waits for the caller's connection to write the data before the
+/// abort. A caller that reads needs some milliseconds; one that doesn't must not keep the
+/// connection open.
 const LONGEST_FLUSH: Duration = Duration::from_secs(1);
 
-/// A piece of a streamed answer.
+/// A chunk of a streamed response.
 #[derive(Debug)]
 pub enum BodyPiece {
-    /// Bytes to pass on.
+    /// Bytes to forward.
     Data(Bytes),
-    /// The answer is complete.
+    /// The response is complete.
     End,
 }
 
-/// The answer broke off. Its connection is closed without the mark of a complete answer, so that
-/// the caller can't take it for whole.
+/// The error of an aborted response. The connection is closed without the final chunk, so that the
+/// caller can't mistake the response for a complete one.
 #[derive(Debug)]
 pub struct AnswerCut;
 
 impl fmt::Display for AnswerCut {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the answer broke off")
+        f.write_str("response aborted before its end")
     }
 }
 
 impl std::error::Error for AnswerCut {}
 
-/// The body of an answer: known as a whole, or passed on as it arrives.
+/// The body of a response to a caller.
 #[derive(Debug)]
 pub enum AnswerBody {
-    /// Known as a whole.
+    /// Complete before the head is sent.
     Whole(WholeBody),
-    /// Passed on as it arrives.
+    /// Forwarded as it arrives.
     Stream(StreamedBody),
 }
 
-/// An answer that is known as a whole.
+/// A body that is complete before the head is sent.
 #[derive(Debug)]
 pub struct WholeBody {
-    /// Its bytes, until the caller's connection takes them.
+    /// `None` once the connection has taken them.
     bytes: Option<Bytes>,
-    /// Counts them among what callers use.
+    /// Counts the bytes towards the memory limit.
     _held: Option<HeldMemory>,
 }
 
-/// An answer that is passed on as it arrives.
+/// A body that is forwarded as it arrives.
 #[derive(Debug)]
 pub struct StreamedBody {
-    /// What came before the answer's head was passed on.
+    /// The chunk that arrived before the head was forwarded.
     first: Option<BodyPiece>,
     pieces: Pin<Box<Receiver<BodyPiece>>>,
-    /// Passes the answer on. It ends when the caller goes, because the body is dropped then.
+    /// Forwards the chunks. Cancelled when the caller disconnects, since the body is dropped then.
     _relay: Task<()>,
-    /// The flushes of the caller's connection.
+    /// The flush counter of the caller's connection.
     flushes: Option<Arc<FlushCounter>>,
-    /// Set once the answer has broken off.
+    /// Set once the response is aborted.
     cut: Option<PendingCut>,
 }
 
-/// An answer that has broken off, and whose connection hasn't been broken off yet.
+/// An abort that waits for the connection's next flush.
 #[derive(Debug)]
 struct PendingCut {
-    /// Flushes of the connection when the break was seen.
+    /// The flush count when the abort was noticed.
     flushes: u64,
     limit: Timer,
 }
@@ -86,12 +87,12 @@
         Self::Whole(WholeBody { bytes: (!bytes.is_empty()).then_some(bytes), _held: None })
     }
 
-    /// A whole answer whose bytes are counted among what callers use.
+    /// A complete body whose bytes count towards the memory limit.
     pub(crate) fn counted(bytes: Bytes, held: HeldMemory) -> Self {
         Self::Whole(WholeBody { bytes: (!bytes.is_empty()).then_some(bytes), _held: Some(held) })
     }
 
-    /// An answer of several pieces. `relay` passes them on, and ends with this body.
+    /// A streamed body. `relay` sends the chunks after `first` and is cancelled with this body.
     pub fn stream(first: BodyPiece, pieces: Receiver<BodyPiece>, relay: Task<()>) -> Self {
         let pieces = Box::pin(pieces);
         let body =
@@ -99,7 +100,7 @@
         Self::Stream(body)
     }
 
-    /// Names the connection that the answer goes to, by its flushes.
+    /// Sets the flush counter of the connection that the response is sent over.
     pub fn sent_over(mut self, flushes: &Arc<FlushCounter>) -> Self {
         if let Self::Stream(body) = &mut self {
             body.flushes = Some(flushes.clone());
@@ -116,13 +117,13 @@
         }
     }
 
-    /// Waits until the connection has written all that came before the break.
+    /// Waits until the connection has written everything before the abort.
     ///
-    /// Guards against an answer that loses its end: when a body fails, the library drops the
-    /// connection at once, with whatever it holds unwritten. Where the last events and the break
-    /// are there together, the caller would get none of them, and a stream that breaks off early
-    /// would reach it as a connection closed without a word. The connection counts a flush only
-    /// when nothing is left to write, so the first one after the break covers all pieces before it.
+    /// When a body fails, hyper drops the connection at once with all unwritten data. If the last
+    /// events and the abort arrive together, the caller would get none of these events, and a
+    /// stream aborted early would look like a connection closed without a response. A flush is
+    /// counted only when nothing is left to write, so the first flush after the abort covers all
+    /// earlier chunks.
     fn poll_cut(&mut self, context: &mut Context<'_>) -> Poll<()> {
         let Some(flushes) = &self.flushes else {
             return Poll::Ready(());
@@ -145,7 +146,7 @@
             match ready!(self.poll_piece(context)) {
                 Some(BodyPiece::Data(bytes)) => return Poll::Ready(Some(Ok(Frame::data(bytes)))),
                 Some(BodyPiece::End) => return Poll::Ready(None),
-                // The relay ended without saying that the answer is complete.
+                // The relay task ended without `End`.
                 None => {}
             }
         }
--- a/crates/sagespool-gateway/src/callers.rs
+++ b/crates/sagespool-gateway/src/callers.rs
@@ -25,14 +25,15 @@
 use crate::pipeline::serve;
 use crate::state::GatewayState;
 
-/// Before there is a configuration: what the users' configuration says.
+/// Idle timeout until a configuration is loaded; the usual configured value.
 const DEFAULT_IDLE: Duration = Duration::from_secs(15);
+/// Header limit until a configuration is loaded; the usual configured value.
 const DEFAULT_HEADER_BYTES: usize = 16 << 10;
-/// The library's least.
+/// The smallest buffer that hyper accepts.
 const LEAST_BUFFER: usize = 8 << 10;
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Takes callers' connections for ever.
+/// Accepts callers' connections until cancelled.
 pub(crate) async fn accept(state: Arc<GatewayState>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -41,7 +42,7 @@
                 None => note_unread(&state, peer),
             },
             Err(error) => {
-                // Out of descriptors, most likely: existing connections go on meanwhile.
+                // Most likely out of file descriptors. Open connections are still served.
                 log_event!(warn, "accept-failed", error = error);
                 Timer::after(ACCEPT_PAUSE).await;
             }
@@ -49,7 +50,7 @@
     }
 }
 
-/// The answer as it goes over the caller's connection, which ends with it where room is short.
+/// Prepares a response for the caller's connection, which closes after it if resources are short.
 fn passed_on(
     mut response: Response<AnswerBody>,
     is_tight: bool,
@@ -80,12 +81,12 @@
     );
 }
 
-/// Serves the requests of one connection. When the caller closes it, the library drops the request
-/// under way, and all that hangs on it with it: nothing goes on for nobody.
+/// Serves the requests of one connection. When the caller closes it, hyper drops the request in
+/// flight, which cancels its attempt too.
 async fn carry(state: Arc<GatewayState>, stream: TcpStream, pass: ConnectionPass) {
     let _open = pass;
     if stream.set_nodelay(true).is_err() {
-        // The connection has ended already.
+        // The connection is closed already.
         return;
     }
     let plan = state.plan();
@@ -105,8 +106,8 @@
         }
     });
     let mut builder = http1::Builder::new();
-    // The library's limit for a header runs from the end of the request before, so it has to allow
-    // for the longest idle time.
+    // hyper's header timeout starts at the end of the previous request, so it has to include the
+    // idle timeout.
     builder.timer(SmolTimer::new()).header_read_timeout(idle);
     builder.max_buf_size(header_bytes.max(LEAST_BUFFER));
     let mut connection = pin!(builder.serve_connection(FuturesIo::new(stream), service));
@@ -116,7 +117,7 @@
     };
     let served = poll_fn(|context| match connection.as_mut().poll(context) {
         Poll::Pending => Poll::Pending,
-        // Why a caller's connection broke concerns the caller alone.
+        // Connection errors are the caller's concern and aren't logged.
         Poll::Ready(_) => Poll::Ready(false),
     });
     if or(served, asked).await {
--- a/crates/sagespool-gateway/src/calls.rs
+++ b/crates/sagespool-gateway/src/calls.rs
@@ -1,4 +1,4 @@
-//! Telling how many calls of the store a process makes, and for what.
+//! Logging of the number of store calls by cause.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 
 const LINE_PERIOD: Duration = Duration::from_secs(10);
 
-/// Writes the calls so far to the log, for ever. Calls that were made for other processes are
-/// told apart.
+/// Logs the store call counts periodically until cancelled. Calls forwarded for other processes
+/// have a kind of their own.
 pub(crate) async fn tell_calls(store: ObjectClient) {
     loop {
         Timer::after(LINE_PERIOD).await;
--- a/crates/sagespool-gateway/src/contact.rs
+++ b/crates/sagespool-gateway/src/contact.rs
@@ -1,4 +1,4 @@
-//! How the store fares, as seen by what follows it.
+//! Reachability of the store as seen by the tasks that follow it.
 
 use std::fmt::Display;
 use std::time::Duration;
@@ -12,25 +12,25 @@
 use crate::follow::Followed;
 use crate::state::GatewayState;
 
-/// Between a failed call and the next: enough that a store that comes back isn't flooded. Each
-/// further failure doubles it.
+/// Initial backoff after a failed call, so that a store that recovers isn't flooded. Each further
+/// failure doubles it.
 const FAILURE_PAUSE: Duration = Duration::from_millis(120);
 const LONGEST_FAILURE_PAUSE: Duration = Duration::from_millis(900);
 const MOST_DOUBLINGS: u32 = 8;
 
-/// How the store fares, as far as one that follows it can tell.
+/// Reachability of the store for one followed prefix.
 #[derive(Default)]
 pub(crate) struct StoreContact {
-    /// Since when it has been lost.
+    /// Since when the store is unreachable.
     lost: Option<ClockTime>,
-    /// Calls that failed in a row.
+    /// Number of consecutive failed calls.
     failures: u32,
-    /// The neighbour that is asked in its place.
+    /// The neighbour that changes come from, `None` for the store.
     neighbour: Option<IncarnationId>,
 }
 
 impl StoreContact {
-    /// Notes whom changes are learnt from.
+    /// Records the source of changes: a neighbour, or the store if `None`.
     pub(crate) fn go_by(&mut self, followed: &Followed, neighbour: Option<&MemberInfo>) {
         let id = neighbour.map(|member| member.incarnation);
         if std::mem::replace(&mut self.neighbour, id) == id {
@@ -41,7 +41,7 @@
         log_event!(info, "followed-by-way-of", what = followed.what, from = from);
     }
 
-    /// Notes that the store doesn't answer.
+    /// Records that the store is unreachable.
     pub(crate) fn lose(&mut self, state: &GatewayState, followed: &Followed, error: &dyn Display) {
         state.feeds.slot(followed.kind).note_store(true);
         if self.lost.is_none() {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Notes that it does.
+    /// Records that the store is reachable.
     pub(crate) fn succeed(&mut self, state: &GatewayState, followed: &Followed) {
         self.failures = 0;
         state.feeds.slot(followed.kind).note_store(false);
@@ -62,10 +62,10 @@
         }
     }
 
-    /// Notes a call that failed, and waits before the next one.
+    /// Records a failed call and waits for an exponential backoff with jitter.
     ///
-    /// Guards against a store that is down or turns callers away: all instances would call it again
-    /// at once, many times a second, and the first thing that it meets when it comes back is that.
+    /// Without it, all instances would retry many times a second while the store is down or rejects
+    /// calls, and would overload it when it recovers.
     pub(crate) async fn fail(
         &mut self,
         state: &GatewayState,
--- a/crates/sagespool-gateway/src/dialect.rs
+++ b/crates/sagespool-gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! How callers, upstreams and the store spell things.
+//! The interface to the wire formats of callers, upstreams and the store.
 
 use std::fmt;
 use std::time::Duration;
@@ -10,30 +10,30 @@
 use sagespool_types::{BranchName, SendRate, UpstreamName};
 use serde_json::value::RawValue;
 
-/// The translations that a gateway is given.
+/// The wire formats, store keys and paths that a gateway uses.
 #[derive(Clone, Copy)]
 pub struct WireDialect {
-    /// The store's calls.
+    /// The store's API.
     pub store: StoreDialect,
-    /// The prefix under which the configuration stands.
+    /// The store prefix of configurations.
     pub plan_prefix: &'static str,
-    /// The key of the configuration in force.
+    /// The store key of the active configuration.
     pub plan_key: &'static str,
-    /// The prefix under which upstreams list themselves.
+    /// The store prefix where upstreams register.
     pub upstream_prefix: &'static str,
-    /// The prefix under which operators name the data centres that are evacuated.
+    /// The store prefix where operators list evacuated data centres.
     pub evacuation_prefix: &'static str,
-    /// The path at which the balancer asks whether this instance takes requests.
+    /// The path of the load balancer's readiness check.
     pub readiness_path: &'static str,
-    /// Reads a configuration.
+    /// Parses a configuration.
     pub read_plan: fn(&RawValue) -> Result<ForwardPlan, String>,
-    /// Reads an upstream's entry, by its name.
+    /// Parses the registration of the upstream of the given name.
     pub read_upstream: fn(&str, &RawValue) -> Result<UpstreamRecord, String>,
-    /// Reads the terms of a caller's request.
+    /// Parses the headers of a caller's request.
     pub read_caller_headers: fn(&HeaderMap) -> Result<RequestAttributes, CallerHeaderError>,
-    /// Turns a caller's header into the one that an upstream gets.
+    /// Converts a caller's request headers to those that are sent to an upstream.
     pub write_upstream_headers: fn(&mut HeaderMap, &UpstreamRequestTerms<'_>),
-    /// Reads what an upstream's answer says beside its content.
+    /// Parses an upstream's response headers, and removes those not meant for callers.
     pub read_response_metadata: fn(StatusCode, &mut HeaderMap) -> ResponseMetadata,
 }
 
@@ -43,12 +43,12 @@
     }
 }
 
-/// What is wrong with the header of a caller's request.
+/// An error in the headers of a caller's request. Holds the name of the affected value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallerHeaderError {
-    /// Something that every request needs isn't there.
+    /// A required value is missing.
     Missing(&'static str),
-    /// Something can't be read.
+    /// A value can't be parsed.
     Malformed(&'static str),
 }
 
@@ -61,42 +61,42 @@
     }
 }
 
-/// What an upstream is told beside what the caller said.
+/// The values that the gateway adds to a request to an upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct UpstreamRequestTerms<'a> {
-    /// The run of an upstream that is meant.
+    /// The intended run of the upstream.
     pub upstream: &'a UpstreamName,
-    /// The client account.
+    /// The client account, `None` on open routes without a key.
     pub branch: Option<&'a BranchName>,
-    /// How long the upstream may take.
+    /// The time until the request's deadline.
     pub time_left: Duration,
-    /// The rank of the request, 0 is the most urgent.
+    /// The priority; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// The last event that the caller has.
+    /// The ID of the last event that the caller has received.
     pub resume_after: Option<u64>,
 }
 
-/// What an upstream's answer says beside its content.
+/// The metadata in an upstream's response headers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ResponseMetadata {
-    /// The request that it answers, if it says so.
+    /// The ID of the request that the response belongs to, if it has one.
     pub request: Option<String>,
-    /// The upstream promises that it hasn't run the request.
+    /// The upstream guarantees that it hasn't run the request.
     pub not_run: bool,
-    /// Another upstream has the address now.
+    /// The address belongs to another upstream now.
     pub misdirected: bool,
-    /// It is signed by the upstream.
+    /// The response carries the upstream's signature.
     pub signed: bool,
-    /// Requests that the upstream runs or keeps waiting.
+    /// The number of running and queued requests at the upstream.
     pub load: Option<u32>,
-    /// How much longer the upstream is cold, if it says that it is.
+    /// How much longer the upstream is cold, if it reports so.
     pub cold_left: Option<Duration>,
-    /// What the upstream takes from all instances together, if it names a limit.
+    /// The upstream's limit for all instances together, if it names one.
     pub rate_limit: Option<SendRate>,
-    /// The upstream leaves, and wants no new work.
+    /// The upstream is leaving and accepts no new requests.
     pub leaving: bool,
-    /// How long the upstream wants nothing from this instance, if it asks for rest.
+    /// The upstream's backoff for this instance, if it requests one.
     pub backoff: Option<Duration>,
-    /// The first mark that can't be read, by its wire name. The others stand all the same.
+    /// The name of the first malformed header. The other values are valid nevertheless.
     pub unreadable: Option<&'static str>,
 }
--- a/crates/sagespool-gateway/src/evacuations.rs
+++ b/crates/sagespool-gateway/src/evacuations.rs
@@ -1,4 +1,4 @@
-//! Following which data centres operators keep free of work.
+//! Following the list of evacuated data centres in the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::follow::{Followed, follow, key_name};
 use crate::state::GatewayState;
 
-/// Follows the evacuations of data centres for ever.
+/// Follows the evacuations until cancelled.
 pub(crate) async fn follow_evacuations(state: Arc<GatewayState>) {
     let followed = Followed {
         what: "evacuations",
@@ -41,7 +41,7 @@
     follow(&state, followed).await;
 }
 
-/// The data centre that an evacuation's key names.
+/// The data centre in the key of an evacuation; `None` and a log line if it is no valid name.
 fn read_centre(key: &str) -> Option<CentreName> {
     let centre = key_name(key).parse().ok();
     if centre.is_none() {
--- a/crates/sagespool-gateway/src/feeds.rs
+++ b/crates/sagespool-gateway/src/feeds.rs
@@ -1,4 +1,4 @@
-//! Telling neighbours what the store holds, and asking them.
+//! Replication of store contents between neighbours, the gateways of one data centre.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -22,7 +22,7 @@
 const MICROS_IN_SECOND: u64 = 1_000_000;
 const NANOS_IN_MICRO: u64 = 1_000;
 
-/// The time by a clock that runs on while the machine is suspended.
+/// The time of a clock that includes the time in which the machine is suspended.
 pub(crate) fn unsuspended_now() -> ClockTime {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
@@ -30,7 +30,7 @@
     ClockTime(seconds * MICROS_IN_SECOND + micros)
 }
 
-/// One thing that is followed: the copy of it, and who waits for news.
+/// A local copy of one followed prefix, and the neighbours' requests that wait for its changes.
 #[derive(Debug, Default)]
 pub(crate) struct FeedSlot {
     state: Mutex<SlotState>,
@@ -48,7 +48,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a whole listing of the store.
+    /// Replaces the copy by a full listing of the store that was current at `valid_at`.
     pub(crate) fn apply_listing(
         &self,
         revision: StoreRevision,
@@ -59,7 +59,7 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Takes the changes that matter, and notes up to which revision and when they were all.
+    /// Applies relevant changes. The copy is then complete up to `revision` as of `valid_at`.
     pub(crate) fn take_changes(
         &self,
         changes: Vec<FeedObject>,
@@ -78,12 +78,12 @@
         }
     }
 
-    /// Whether there is a copy at all.
+    /// Whether a listing has been received.
     pub(crate) fn is_loaded(&self) -> bool {
         self.age().is_some()
     }
 
-    /// Notes whether the store answers.
+    /// Records whether the store is unreachable.
     pub(crate) fn note_store(&self, lost: bool) {
         self.state().store_lost = lost;
     }
@@ -96,7 +96,8 @@
         self.state().feed.age(unsuspended_now())
     }
 
-    /// Answers a neighbour, as soon as there is something that it doesn't know.
+    /// Replies to a neighbour's long poll as soon as there are changes after its revision, or when
+    /// its wait time is over.
     async fn answer(&self, ask: FollowAsk) -> FollowReply {
         let changed = self.changed.listen();
         let has_news = self.state().feed.has_changes_after(ask.after);
@@ -120,7 +121,7 @@
     FollowedObject { key: object.key, revision: object.revision, value }
 }
 
-/// All that is followed, and from whom.
+/// The copies of all followed prefixes, and the choice of their sources.
 #[derive(Debug)]
 pub(crate) struct FeedDesk {
     terms: Option<FeedTiming>,
@@ -144,7 +145,7 @@
         }
     }
 
-    /// The terms under which a kind is learnt from neighbours; nothing if the store is always asked.
+    /// The terms for following a kind by neighbours; `None` if it always follows the store.
     pub(crate) fn terms(&self, kind: FollowedKind) -> Option<FeedTiming> {
         match kind {
             FollowedKind::Configuration | FollowedKind::Upstreams => self.terms,
@@ -164,7 +165,7 @@
         self.sources.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The neighbour to ask for changes; nothing if the store is to be asked.
+    /// The neighbour to request changes from; `None` for the store.
     pub(crate) fn neighbour(
         &self,
         fleet: &FleetBoard,
@@ -183,11 +184,11 @@
         }
     }
 
-    /// Asks a neighbour for changes. Nothing if it can't be relied on: it didn't answer, or its word
-    /// is older than may be taken. It isn't asked again for a while then.
+    /// Requests changes from a neighbour. `None` if it didn't reply or its copy is too old; it is
+    /// then avoided for a while.
     ///
-    /// Guards against a neighbour that is cut off, frozen or slow: it goes on answering with what it
-    /// knew, and changes that the store has accepted wouldn't come into force here.
+    /// Guards against a neighbour that is partitioned, frozen or slow: its copy is stale, and
+    /// changes that the store has accepted wouldn't take effect here.
     pub(crate) async fn ask(
         &self,
         fleet: &FleetBoard,
@@ -203,9 +204,9 @@
             _ => None,
         };
         let cause = match reply.as_ref().map(|reply| reply.age) {
-            None => "no answer".to_owned(),
-            Some(None) => "no word".to_owned(),
-            Some(Some(age)) => format!("word of {} ms ago", age.as_millis()),
+            None => "no reply".to_owned(),
+            Some(None) => "no copy".to_owned(),
+            Some(Some(age)) => format!("copy is {} ms old", age.as_millis()),
         };
         let fresh = reply.filter(|reply| reply.age.is_some_and(|age| age <= terms.max_age));
         if fresh.is_none() {
@@ -221,7 +222,7 @@
         fresh
     }
 
-    /// Answers a neighbour.
+    /// Replies to a neighbour's long poll.
     pub(crate) async fn answer(&self, ask: FollowAsk) -> FollowReply {
         let longest = self.terms(ask.kind).map_or(REPLY_TIMEOUT, |terms| terms.poll_wait);
         let ask = FollowAsk { wait: ask.wait.min(longest), ..ask };
--- a/crates/sagespool-gateway/src/fleet.rs
+++ b/crates/sagespool-gateway/src/fleet.rs
@@ -1,4 +1,5 @@
-//! The other processes: finding them, staying in touch, calling the store by way of them.
+//! Communication with the other processes: discovery, heartbeats, requests, and calls of the store
+//! through them.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
@@ -25,70 +26,71 @@
 
 use crate::identity::make_identity;
 
-/// The membership is asked this often what is due.
+/// Interval of the checks which heartbeats are due.
 const ROUND: Duration = Duration::from_millis(200);
-/// The largest fleet in which everyone hears from everyone. A connection to a peer takes up to a
-/// megabyte on each side, and the machines are small.
+/// The largest fleet with a full mesh of heartbeats. A connection to a peer takes up to 1 MB on
+/// each side, and the machines are small.
 const MESH_LIMIT: usize = 8;
-/// Time between two rounds in a larger fleet.
+/// Heartbeat interval in larger fleets, which use gossip.
 const GOSSIP_PERIOD: Duration = Duration::from_millis(1500);
-/// How often members of a small fleet hear from each other. The configuration's version travels
-/// with it, and must reach a gateway that the store turns away within seconds.
+/// Heartbeat interval in a full mesh. Heartbeats carry the configuration's version, which must
+/// reach a gateway that the store rejects within seconds.
 const MESH_PERIOD: Duration = Duration::from_millis(1000);
-/// Without word for so long a member is taken to be away, which only means that it isn't asked.
+/// Without a heartbeat for this time a member is suspected. Suspicion only means that no requests
+/// are sent to it.
 const SUSPECT_AFTER: Duration = Duration::from_millis(3000);
 const BEAT_LIMIT: Duration = Duration::from_millis(700);
-/// Between two readings of the members' addresses in the store; heartbeats tell of new ones.
+/// Interval of reading the members' addresses from the store. Heartbeats carry new ones sooner.
 const LISTING_PERIOD: Duration = Duration::from_secs(30);
 const FAILURE_PAUSE: Duration = Duration::from_millis(400);
 const WRITE_LIMIT: Duration = Duration::from_secs(2);
-/// Where processes write their addresses.
+/// The store prefix of processes' addresses.
 const ADDRESS_PREFIX: &str = "members/";
-const NO_LINK: &str = "the own link isn't open yet";
-/// Processes that are asked to make a call of the store, one after the other.
+const NO_LINK: &str = "this process's link isn't open yet";
+/// Number of processes tried, one after the other, to forward a call of the store.
 const MOST_DETOURS: usize = 3;
 
-/// Who a process is in the fleet.
+/// The identity and addresses of this process in the fleet.
 #[derive(Debug, Clone, Builder)]
 pub(crate) struct OwnPlace {
     pub(crate) instance: InstanceName,
     pub(crate) region: RegionName,
     pub(crate) centre: CentreName,
     pub(crate) role: MemberRole,
-    /// Where its link listens.
+    /// The listen address of its link.
     pub(crate) link: SocketAddr,
-    /// Where others are told to reach it, if that differs.
+    /// The address that others connect to, if it differs.
     pub(crate) advertise: Option<SocketAddr>,
-    /// Links of others to begin with.
+    /// Link addresses of seed peers.
     pub(crate) peers: Vec<SocketAddr>,
 }
 
 impl OwnPlace {
-    /// Where others reach this process.
+    /// The address that others connect to.
     fn reached_at(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.link)
     }
 }
 
 derives! { record;
-    /// Where a process's link is reached.
+    /// The stored link address of a process.
     #[derive(Default)]
     struct AddressRecord {
         address: Option<SocketAddr>,
         run: Option<IncarnationId>,
-        /// What the process is; nothing in records of earlier versions.
+        /// `None` in records of earlier versions.
         #[serde(default)]
         role: Option<MemberRole>,
     }
 }
 
-/// The other processes, as far as they are known.
+/// The known members of the fleet, and the link to them.
 pub(crate) struct FleetBoard {
     place: OwnPlace,
     pub(crate) run: IncarnationId,
     pub(crate) members: MemberTable,
     link: OnceLock<LinkEndpoint>,
-    /// The gateways whose addresses stood in the store when they were read last.
+    /// The gateways in the last listing of addresses, until it is taken.
     listed: Mutex<Option<Vec<InstanceName>>>,
 }
 
@@ -118,23 +120,23 @@
         Self { place, run, members, link: OnceLock::new(), listed: Mutex::default() }
     }
 
-    /// How many members of a role there are, this process among them.
+    /// The number of members of a role, including this process.
     pub(crate) fn count(&self, role: MemberRole) -> usize {
         self.members.members().iter().filter(|member| member.role == role).count()
     }
 
-    /// How many gateways share what is shared, this one among them.
+    /// The number of gateways that shared limits are divided by, including this one.
     pub(crate) fn instances(&self) -> usize {
         self.count(MemberRole::Entry).max(MIN_INSTANCES)
     }
 
-    /// Whether this process is an account's home.
+    /// Whether this process is an account's home. True too if no home is known.
     pub(crate) fn is_home(&self, branch: &BranchName, now: ClockTime) -> bool {
         let home = self.members.home_of(branch, now);
         home.is_none_or(|home| home.incarnation == self.run)
     }
 
-    /// Members of a role that are fit to be asked, in random order.
+    /// The live members of a role without this process, in random order.
     pub(crate) fn others(&self, role: MemberRole, now: ClockTime) -> Vec<MemberInfo> {
         let mut others = self.members.live(role, now);
         fastrand::shuffle(&mut others);
@@ -153,12 +155,12 @@
         }
     }
 
-    /// The reply to a heartbeat.
     pub(crate) fn answer_heartbeat(&self, beat: &Heartbeat) -> PeerReply {
         PeerReply::Heartbeat(self.members.handle_heartbeat(beat, ClockTime::now()))
     }
 
-    /// Opens the link and stays in touch for ever. `heard` is told of each member that answers.
+    /// Opens the link and sends heartbeats until cancelled. `heard` is called for each member that
+    /// replies.
     pub(crate) async fn run(
         self: Arc<Self>,
         store: ObjectClient,
@@ -197,7 +199,8 @@
         }
     }
 
-    /// The link needs the fleet's authority, which is in the store: tries until it has it.
+    /// Opens the link. It needs the fleet's certificate authority from the store, which is read
+    /// with retries until it succeeds.
     async fn open_link(&self, store: &ObjectClient, handler: PeerHandler) -> Option<LinkEndpoint> {
         let mut told = false;
         loop {
@@ -221,7 +224,7 @@
         }
     }
 
-    /// Writes this process's address to the store, and reads the others'.
+    /// Writes this process's address to the store, and reads the other addresses periodically.
     async fn follow_addresses(self: Arc<Self>, store: ObjectClient) {
         let own = self.place.reached_at();
         let key = format!("{ADDRESS_PREFIX}{}", self.place.instance);
@@ -230,7 +233,7 @@
         let mut written = false;
         loop {
             written = written || write_address(&store, &key, &record).await;
-            // Gateways look for others; a relay is found.
+            // Relays needn't discover others: gateways connect to them.
             if written && self.place.role == MemberRole::Sidecar {
                 return;
             }
@@ -265,13 +268,14 @@
         self.listed.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The gateways that the store listed since this was asked last; nothing if it didn't.
+    /// Takes the gateways in the store's listing; `None` if there was no listing since the last
+    /// call.
     pub(crate) fn listed_gateways(&self) -> Option<Vec<InstanceName>> {
         self.listed().take()
     }
 
-    /// The way to the store by other members: those that stand beside upstreams first, which are
-    /// seldom cut off together with this process.
+    /// Forwards calls of the store through other members when it can't be reached directly. Relays
+    /// come first: they run beside upstreams and seldom lose the store together with this process.
     pub(crate) fn detour(self: &Arc<Self>) -> StoreDetour {
         let board = self.clone();
         StoreDetour::new(move |form, limit| {
@@ -306,8 +310,8 @@
     }
 
     fn detours(&self, now: ClockTime) -> Vec<MemberInfo> {
-        // The same few each time: their connections are open already, and a new one is dear. Each
-        // process has others, so that none is everybody's.
+        // Always the same members, whose connections are open already: new ones are expensive. The
+        // order differs between processes, so that the load is spread.
         let preference = |other: &MemberInfo| other.incarnation.0 ^ self.run.0;
         let mut others = self.members.live(MemberRole::Sidecar, now);
         others.sort_by_key(|other| (other.centre != self.place.centre, preference(other)));
@@ -331,7 +335,7 @@
     Some(PeerRequest::CallStore(StoreCall { method, path, body, wait }))
 }
 
-/// Makes a call of the store for another process.
+/// Calls the store on behalf of another process.
 pub(crate) async fn answer_store_call(store: &ObjectClient, call: StoreCall) -> PeerReply {
     let method = match call.method {
         StoreMethod::Get => CallMethod::Get,
--- a/crates/sagespool-gateway/src/flush.rs
+++ b/crates/sagespool-gateway/src/flush.rs
@@ -1,4 +1,4 @@
-//! Knowing when a connection has written everything out.
+//! Detection of when a connection has written all its data.
 
 use std::future::Future;
 use std::io;
@@ -12,7 +12,7 @@
 use smol::Timer;
 use smol::net::TcpStream;
 
-/// Counts how often a connection had nothing left to write.
+/// Counts the completed flushes of a connection.
 #[derive(Debug, Default)]
 pub struct FlushCounter {
     flushes: AtomicU64,
@@ -20,12 +20,11 @@
 }
 
 impl FlushCounter {
-    /// How many flushes there were.
     pub(crate) fn count(&self) -> u64 {
         self.flushes.load(Ordering::Acquire)
     }
 
-    /// Waits for a flush after those that were counted. One task may wait at a time.
+    /// Waits until there are more flushes than `counted`. Only one task may wait at a time.
     pub(crate) fn poll_past(&self, counted: u64, context: &Context<'_>) -> Poll<()> {
         let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
         if self.count() > counted {
@@ -44,36 +43,35 @@
     }
 }
 
-/// A connection whose flushes are counted. Its user flushes it only when all was written to it, as
-/// the HTTP library does.
+/// A connection whose flushes are counted. It must be flushed only after all data was written to
+/// it, as hyper does.
 #[derive(Debug)]
 pub struct CountedStream {
     stream: TcpStream,
     flushes: Arc<FlushCounter>,
-    /// How long the peer may take nothing of what waits to be written.
+    /// Timeout of a blocked write; `None` for no timeout.
     unread_limit: Option<Duration>,
-    /// Runs while the peer takes nothing.
+    /// Runs while a write is blocked.
     unread: Option<Timer>,
 }
 
 impl CountedStream {
-    /// Counts a connection's flushes from now on.
+    /// Wraps a connection without a write timeout.
     pub fn new(stream: TcpStream, flushes: Arc<FlushCounter>) -> Self {
         Self { stream, flushes, unread_limit: None, unread: None }
     }
 
-    /// Fails a connection whose peer takes nothing for so long.
+    /// Sets the timeout after which a blocked write fails.
     ///
-    /// Guards against callers whose machine went dark in the middle of an answer: without a word
-    /// from them the system keeps the connection for a quarter of an hour, with its descriptor and
-    /// all that the answer holds. One that still reads, however slowly, starts the time anew with
-    /// each write.
+    /// Guards against callers whose machine fails during a response: the operating system keeps
+    /// such a connection for 15 minutes, with its descriptor and the buffered response. Each
+    /// successful write restarts the timeout, so slow readers aren't affected.
     pub fn unread_for(mut self, limit: Duration) -> Self {
         self.unread_limit = Some(limit);
         self
     }
 
-    /// Fails a write that waits for too long; one that was taken ends the wait.
+    /// Applies the write timeout to the result of a write.
     fn bound_write(
         &mut self,
         written: Poll<io::Result<usize>>,
--- a/crates/sagespool-gateway/src/follow.rs
+++ b/crates/sagespool-gateway/src/follow.rs
@@ -1,4 +1,4 @@
-//! Following the configuration and the list of upstreams in the store.
+//! Following the configuration and the registered upstreams in the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,14 +15,14 @@
 use crate::feeds::unsuspended_now;
 use crate::state::GatewayState;
 
-/// How long the store may hold a watch. A connection that has fallen silent shows only when this
-/// time is over, and a configuration must be in force two seconds after the store has it.
+/// Wait time of a long poll of the store. A dead connection is noticed only after this time, and a
+/// configuration must take effect within two seconds after it is stored.
 const WATCH_WAIT: Duration = Duration::from_millis(2000);
-/// Between the answer of a watch of upstreams and the next one. They write all the time, and each
-/// answer is a call: a few changes are taken together. Leaving upstreams go on for two seconds.
+/// Pause between two polls for upstream changes. Upstreams write all the time and each poll is a
+/// call of the store, so changes are batched. Leaving upstreams still serve for two seconds.
 const UPSTREAM_PAUSE: Duration = Duration::from_millis(400);
 /// With more gateways than this, the pause grows with their number: all read the same changes, and
-/// the store's rates grow more slowly than fleets do.
+/// the store's rate limits grow more slowly than the number of gateways.
 const PAUSE_INSTANCES: usize = 8;
 const LONGEST_UPSTREAM_PAUSE: Duration = Duration::from_millis(1100);
 
@@ -34,19 +34,20 @@
 pub(crate) type RawListing = ObjectListing<Box<RawValue>>;
 pub(crate) type RawChange = ObjectChange<Box<RawValue>>;
 
-/// One thing that is followed.
+/// A store prefix that is followed, with the functions that apply its contents.
 pub(crate) struct Followed {
     pub(crate) what: &'static str,
     pub(crate) kind: FollowedKind,
     pub(crate) prefix: &'static str,
     pub(crate) pause: fn(&GatewayState) -> Duration,
     pub(crate) on_listing: fn(&GatewayState, RawListing),
-    /// Tells whether the change matters.
+    /// Applies a change; false if it is irrelevant to neighbours.
     pub(crate) on_change: fn(&GatewayState, RawChange) -> bool,
+    /// Called with the duration of an outage when the store is reachable again.
     pub(crate) on_return: fn(&GatewayState, Duration),
 }
 
-/// Follows the configuration for ever.
+/// Follows the configuration until cancelled.
 pub(crate) async fn follow_plan(state: Arc<GatewayState>) {
     let followed = Followed {
         what: "configuration",
@@ -69,7 +70,7 @@
     follow(&state, followed).await;
 }
 
-/// Follows the list of upstreams for ever.
+/// Follows the registered upstreams until cancelled.
 pub(crate) async fn follow_upstreams(state: Arc<GatewayState>) {
     let followed = Followed {
         what: "upstreams",
@@ -108,10 +109,10 @@
     follow(&state, followed).await;
 }
 
-/// Why following has to begin anew with a listing.
+/// The store no longer has the changes since our revision; a new listing is needed.
 struct HistoryGone;
 
-/// Follows one thing for ever.
+/// Follows one prefix until cancelled.
 pub(crate) async fn follow(state: &GatewayState, followed: Followed) {
     let mut contact = StoreContact::default();
     loop {
@@ -138,7 +139,7 @@
     }
 }
 
-/// Learns of the next changes, from a neighbour that follows the store or from the store itself.
+/// Receives the next changes, from a neighbour that follows the store or from the store itself.
 async fn follow_changes(
     state: &GatewayState,
     followed: &Followed,
@@ -157,7 +158,7 @@
     watch_store(state, followed, contact).await
 }
 
-/// Takes what a neighbour told.
+/// Applies a neighbour's reply.
 fn take_reply(
     state: &GatewayState,
     followed: &Followed,
@@ -165,7 +166,7 @@
     reply: FollowReply,
 ) {
     match reply.store_lost {
-        true => contact.lose(state, followed, &"a neighbour can't reach it"),
+        true => contact.lose(state, followed, &"unreachable from the neighbour"),
         false => {
             contact.succeed(state, followed);
             state.store.heard_of();
@@ -205,7 +206,8 @@
             contact.succeed(state, followed);
             let upto = changes.revision;
             let news = changes.changes.into_iter().filter_map(|mut change| {
-                // An object that another writer spoilt has no revision of its own.
+                // An object that another writer stored in a wrong format has no revision of its
+                // own.
                 if change.version == StoreRevision::ZERO {
                     change.version = upto;
                 }
@@ -225,7 +227,7 @@
     }
 }
 
-/// Puts a change in force here. Gives what neighbours have to know of it, if it matters.
+/// Applies a change. Returns the object for neighbours, if the change is relevant to them.
 fn apply(state: &GatewayState, followed: &Followed, change: RawChange) -> Option<FeedObject> {
     let value = change.value.as_ref().map(|value| Arc::from(value.get()));
     let object = FeedObject { key: change.key.clone(), revision: change.version, value };
@@ -237,8 +239,8 @@
     FeedObject { key: key.clone(), revision: object.version, value }
 }
 
-/// A neighbour's word in the store client's form. Text that is no JSON is left out, which a
-/// neighbour of this version doesn't send.
+/// Converts a neighbour's object to the store client's type. `None` for invalid JSON, which
+/// neighbours of this version don't send.
 fn raw_change(object: FollowedObject) -> Option<RawChange> {
     let value = object.value.map(RawValue::from_string).transpose().ok()?;
     Some(RawChange { key: object.key, version: object.revision, value })
@@ -266,8 +268,8 @@
     }
 }
 
-/// Reads an upstream's entry. Other writers may spoil entries: one that can't be read takes its
-/// upstream out of use, and no other.
+/// Reads an upstream's entry. Entries come from other writers and may be malformed: a malformed one
+/// affects only its own upstream.
 fn read_upstream(state: &GatewayState, key: &str, value: &RawValue) -> Option<UpstreamRecord> {
     match (state.dialect.read_upstream)(key_name(key), value) {
         Ok(record) => Some(record),
@@ -281,7 +283,7 @@
     }
 }
 
-/// The name in a key, after its kind.
+/// The last segment of a key.
 pub(crate) fn key_name(key: &str) -> &str {
     key.rsplit_once('/').map_or(key, |(_, name)| name)
 }
@@ -299,16 +301,16 @@
     if matches!(change, UpstreamChange::Gone | UpstreamChange::Restarted) {
         state.board().forget(&name);
     }
-    // An entry may lapse and come back: what its upstream asked holds until another run of it begins.
+    // An entry may expire and return: the limits and backoffs that its upstream requested hold
+    // until its next run.
     if change == UpstreamChange::Restarted {
         state.guard().forget(&name);
     }
 }
 
-/// How often idle connections and lapsed entries are looked at.
 const SWEEP_PERIOD: Duration = Duration::from_millis(500);
 
-/// Drops what is no longer of use, for ever.
+/// Removes idle connections and expired entries periodically until cancelled.
 pub(crate) async fn sweep(state: Arc<GatewayState>) {
     loop {
         Timer::after(SWEEP_PERIOD).await;
--- a/crates/sagespool-gateway/src/hop.rs
+++ b/crates/sagespool-gateway/src/hop.rs
@@ -1,4 +1,4 @@
-//! Headers that concern one connection only.
+//! Removal of hop-by-hop headers.
 
 use hyper::header::{
     CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE,
@@ -8,8 +8,8 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 const EXPECT: HeaderName = hyper::header::EXPECT;
-/// Framing is made anew for each connection: a length that was passed on beside another framing
-/// would let a caller hide a second request in the first.
+/// Includes `Content-Length`: framing is set for each connection, and a forwarded length beside
+/// another framing would allow request smuggling.
 const OF_ONE_CONNECTION: [HeaderName; 11] = [
     CONNECTION,
     KEEP_ALIVE,
@@ -24,7 +24,7 @@
     EXPECT,
 ];
 
-/// Drops what concerns one connection only, also what the header itself names as such.
+/// Removes hop-by-hop headers, including those listed in `Connection`.
 pub(crate) fn strip_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
--- a/crates/sagespool-gateway/src/identity.rs
+++ b/crates/sagespool-gateway/src/identity.rs
@@ -1,8 +1,8 @@
-//! Who this gateway is to the others.
+//! The TLS identity of this process on the link.
 //!
-//! No machine has a disk, and none is told a secret, so the fleet's authority lies in the store,
-//! where the budgets lie too: whoever may read it there may join the fleet. The first gateway
-//! writes it; each run signs a certificate of its own with it.
+//! The machines have no disks and are provisioned without secrets, so the fleet's certificate
+//! authority is kept in the store beside the budgets: whoever can read it there can join the fleet.
+//! The first gateway creates it; each run signs its own certificate with it.
 
 use std::fmt;
 
@@ -16,27 +16,28 @@
 
 const AUTHORITY_KEY: &str = "fleet/authority";
 const AUTHORITY_TITLE: &str = "sagespool fleet authority";
-/// Loans are answered within milliseconds; calls of the store by way of another process wait up to
-/// two seconds, three or four of each gateway that is cut off. With 12,000 in place of this, the
-/// first gateways of a fleet of 87 processes held 75 MB as soon as all had connected, now 16 MB.
+/// Concurrent requests per connection. Loans take milliseconds; calls of the store through another
+/// process wait up to two seconds, three or four for each gateway without access to the store. With
+/// 12,000, the first gateways of a fleet of 87 processes used 75 MB once all had connected; with
+/// 128, 16 MB.
 const MOST_QUESTIONS: u32 = 128;
-/// Peers are reached by IP numbers, so this name only has to be some name.
+/// Peers are addressed by IP address, so any fixed name will do.
 const SERVER_NAME: &str = "sagespool";
 
 derives! { record;
-    /// The fleet's authority as the store keeps it, in PEM text.
+    /// The stored certificate authority of the fleet, in PEM format.
     struct AuthorityRecord {
         certificate: String,
         key: String,
     }
 }
 
-/// Why there is no identity yet.
+/// Why no identity could be created.
 #[derive(Debug)]
 pub(crate) enum IdentityFault {
-    /// The store can't be asked.
+    /// The call of the store failed.
     Store(StoreError),
-    /// The authority, or a certificate of it, can't be made or read.
+    /// The authority or a certificate can't be created or parsed.
     Certificate(String),
 }
 
@@ -44,7 +45,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Store(error) => error.fmt(f),
-            Self::Certificate(detail) => write!(f, "the certificate can't be made: {detail}"),
+            Self::Certificate(detail) => write!(f, "can't create the link certificate: {detail}"),
         }
     }
 }
@@ -55,7 +56,7 @@
     }
 }
 
-/// Makes an identity of the fleet's authority, which is made too if there is none.
+/// Creates an identity signed by the fleet's authority, and the authority too if there is none.
 pub(crate) async fn make_identity(
     store: &ObjectClient,
     instance: &InstanceName,
@@ -79,7 +80,7 @@
     Ok(found.map(|object| object.value))
 }
 
-/// Of several gateways that start at once one writes first; the others take what it wrote.
+/// Creates the authority. If another gateway writes one first, that one is returned.
 async fn create_authority(store: &ObjectClient) -> Result<AuthorityRecord, IdentityFault> {
     let key = KeyPair::generate()?;
     let certificate = authority_params()?.self_signed(&key)?.pem();
--- a/crates/sagespool-gateway/src/intake.rs
+++ b/crates/sagespool-gateway/src/intake.rs
@@ -1,4 +1,5 @@
-//! How much a gateway takes in from callers: as far as its processor, memory and descriptors go.
+//! Admission control: limits callers' connections and requests by processor, memory and file
+//! descriptors.
 
 use std::fmt;
 use std::fs;
@@ -14,54 +15,55 @@
 
 use crate::refusal::Refusal;
 
-/// What the process needs beside callers: its code and heap, the link to its peers, the
-/// configuration, and the lists that it reads.
+/// Memory of the process without callers: code, heap, the link to its peers, the configuration and
+/// the lists that it reads.
 const OWN_MEMORY: u64 = 40 << 20;
-/// Of what is left, callers may have this share. The rest is for what isn't counted: the
-/// allocator's gaps, and bytes that the system holds for connections that aren't read yet.
+/// Share of the remaining memory that is available to callers. The rest covers uncounted memory:
+/// fragmentation of the allocator and the kernel's buffers of unread connections.
 const CALLERS_SHARE: f64 = 0.6;
-/// Descriptors that aren't callers' or upstreams': files, the link, the store, the balancer.
+/// File descriptors not used for callers or upstreams: files, the link, the store, the load
+/// balancer.
 const OWN_DESCRIPTORS: usize = 400;
-/// An open connection: the library's buffers on both sides of it, its task, the system's part.
+/// Memory of an open connection: hyper's read and write buffers, its task, the kernel's part.
 const CONNECTION_BYTES: u64 = 48 << 10;
-/// A request under way, beside its body: the connection to its upstream, and the pieces of its
-/// answer that wait for the caller.
+/// Memory of a request in flight without its body: the connection to its upstream, and the response
+/// chunks queued for the caller.
 const REQUEST_BYTES: u64 = 32 << 10;
-/// A body is there twice while its pieces are put together.
+/// A body is in memory twice while its chunks are joined.
 const BODY_COPIES: u64 = 2;
-/// From this share of the bound on, connections end with the answer that they carry: callers who
-/// keep idle ones would otherwise hold the room of those who come with a request.
+/// Above this share of a limit, connections close after their current response. Otherwise idle
+/// connections would occupy resources that new requests need.
 const TIGHT_SHARE: f64 = 0.4;
-/// With a wait for each turn that is longer than this, connections aren't even taken: reading a
-/// request to turn it away costs more than the processor has.
+/// Above this scheduling delay, new connections are closed unread: reading a request in order to
+/// refuse it would take more CPU time than is available.
 const SWAMPED_TURN: Duration = Duration::from_millis(120);
-/// Between two lines that tell of connections that were closed unread.
+/// Minimum interval between log lines about connections that were closed unread.
 const UNREAD_LINE_PERIOD: Duration = Duration::from_millis(200);
-/// Requests stop this much earlier than connections, so that a connection that is still taken can
-/// be told why its request isn't.
+/// Share of the memory limit that requests may use. Below 1, so that a caller whose connection is
+/// still accepted gets the reason why its request is refused.
 const REQUEST_SHARE: f64 = 0.85;
 
-/// What an instance has too little of to take a request in.
+/// The resource that is too scarce to admit a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ShortResource {
-    /// Ready tasks wait too long for their turn.
+    /// The scheduling delay is too long.
     Processor,
-    /// What callers hold is at its bound.
+    /// Callers' memory is at its limit.
     Memory,
 }
 
-/// The bounds and what is used of them.
+/// The limits of callers' resources and their current use.
 pub(crate) struct CallerIntake {
     board: Mutex<AdmissionController>,
     memory_limit: u64,
     connection_limit: usize,
-    /// Bytes that connections, requests and their answers are counted with.
+    /// Bytes accounted for connections, requests and their responses.
     held: AtomicU64,
     connections: AtomicUsize,
     unread: Mutex<UnreadCount>,
 }
 
-/// Connections that were closed unread, between two lines of the log.
+/// The connections closed unread since the last log line.
 #[derive(Debug, Default)]
 struct UnreadCount {
     count: u64,
@@ -77,7 +79,7 @@
         Self {
             board: Mutex::default(),
             memory_limit: (spare * CALLERS_SHARE) as u64,
-            // A request may need a connection to its upstream beside its caller's.
+            // A request may need a connection to its upstream in addition to its caller's.
             connection_limit: descriptors.saturating_sub(OWN_DESCRIPTORS) / 2,
             held: AtomicU64::new(0),
             connections: AtomicUsize::new(0),
@@ -89,7 +91,7 @@
         self.board.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What is used of the bounds.
+    /// The current use of the limits.
     pub(crate) fn reading(&self, now: ClockTime) -> IntakeReading {
         IntakeReading {
             held: ByteCount(self.held.load(Ordering::Relaxed)),
@@ -99,17 +101,17 @@
         }
     }
 
-    /// Callers' connections that are open.
+    /// The number of callers' open connections.
     pub(crate) fn connections(&self) -> usize {
         self.connections.load(Ordering::Relaxed)
     }
 
-    /// Takes a caller's connection in; nothing if there is no room for it.
+    /// Admits a caller's connection; `None` if a limit is reached.
     ///
-    /// Guards against a process that is ended by the system: while callers come faster than they
-    /// are answered, each connection holds buffers and bytes that nobody has read, and a small
-    /// machine's memory is full within seconds. Everybody's requests are lost then. A connection
-    /// that is closed unread tells its caller that nothing has run.
+    /// Guards against an out-of-memory kill: while requests arrive faster than they are served,
+    /// each connection holds buffers and unread bytes, and the memory of a small machine is full
+    /// within seconds. All requests in flight would be lost. A connection that is closed unread
+    /// shows its caller that nothing has run.
     pub(crate) fn open_connection(self: &Arc<Self>) -> Option<ConnectionPass> {
         if self.board().scheduling_delay(ClockTime::now()) > SWAMPED_TURN {
             return None;
@@ -123,14 +125,13 @@
         Some(ConnectionPass { intake: self.clone(), _memory: memory })
     }
 
-    /// How long a task that is ready waits for its turn.
+    /// The scheduling delay: how long a ready task waits for the processor.
     pub(crate) fn turn(&self, now: ClockTime) -> Duration {
         self.board().scheduling_delay(now)
     }
 
-    /// Counts a connection that was closed unread. Gives how many there were since the last time that
-    /// the log was told, if it is to be told again: a line for each would take the processor from
-    /// those who are served.
+    /// Counts a connection that was closed unread. Returns the count since the last log line if
+    /// another line is due: one line per connection would take CPU time from admitted requests.
     pub(crate) fn note_unread(&self, now: ClockTime) -> Option<u64> {
         let mut unread = self.unread.lock().unwrap_or_else(PoisonError::into_inner);
         unread.count += 1;
@@ -141,14 +142,16 @@
         Some(std::mem::take(&mut unread.count))
     }
 
-    /// Whether connections are to end with the answer that they carry.
+    /// Whether connections are to close after their current response.
     pub(crate) fn is_tight(&self) -> bool {
         self.held.load(Ordering::Relaxed) as f64 > self.memory_limit as f64 * TIGHT_SHARE
             || self.connections() as f64 > self.connection_limit as f64 * TIGHT_SHARE
     }
 
-    /// Takes a request in whose head has arrived, or says why not. `body` is its length, as far as
-    /// it says so.
+    /// Admits a request whose head has arrived. `body` is its declared length, 0 if there is none.
+    ///
+    /// # Errors
+    /// `Refusal::Crowded` with the resource that is short.
     pub(crate) async fn admit(
         self: &Arc<Self>,
         request: ArrivedRequest<'_>,
@@ -180,34 +183,34 @@
         self.add_held(bytes, limit).then(|| HeldMemory { intake: self.clone(), bytes })
     }
 
-    /// Counts bytes, unless that would be more than the limit.
+    /// Adds to the held bytes; false if that would exceed the limit.
     fn add_held(&self, bytes: u64, limit: u64) -> bool {
         let add = |held: u64| held.checked_add(bytes).filter(|sum| *sum <= limit);
         self.held.fetch_update(Ordering::Relaxed, Ordering::Relaxed, add).is_ok()
     }
 
-    /// Counts bytes that are there already, also over the bound: an answer that is ready is
-    /// delivered, and what comes after it waits for its room.
+    /// Accounts for bytes that are in memory already, even above the limit: a complete response is
+    /// delivered, and later admissions wait until its memory is free.
     pub(crate) fn hold(self: &Arc<Self>, bytes: ByteCount) -> HeldMemory {
         self.held.fetch_add(bytes.0, Ordering::Relaxed);
         HeldMemory { intake: self.clone(), bytes: bytes.0 }
     }
 }
 
-/// What callers use of this process.
+/// The use of callers' resources at one time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct IntakeReading {
-    /// Bytes that their connections and requests are counted with.
+    /// Bytes accounted for connections and requests.
     pub(crate) held: ByteCount,
-    /// The most that those may be.
+    /// The limit of `held`.
     pub(crate) limit: ByteCount,
-    /// Their open connections.
+    /// Open connections.
     pub(crate) connections: usize,
-    /// How long a task that is ready waits for its turn at the processor.
+    /// The scheduling delay: how long a ready task waits for the processor.
     pub(crate) turn: Duration,
 }
 
-/// Bytes that are counted until this is dropped.
+/// Bytes accounted for until this is dropped.
 pub struct HeldMemory {
     intake: Arc<CallerIntake>,
     bytes: u64,
@@ -220,7 +223,7 @@
 }
 
 impl HeldMemory {
-    /// Counts more; false if there is no room for it.
+    /// Accounts for more bytes; false if that would exceed the limit.
     fn grow(&mut self, bytes: u64, limit: u64) -> bool {
         let taken = self.intake.add_held(bytes, limit);
         if taken {
@@ -236,7 +239,7 @@
     }
 }
 
-/// A caller's open connection.
+/// The permit of a caller's open connection.
 pub(crate) struct ConnectionPass {
     intake: Arc<CallerIntake>,
     _memory: HeldMemory,
@@ -248,7 +251,7 @@
     }
 }
 
-/// A request that was taken in, until it has ended.
+/// The permit of an admitted request, released on drop.
 pub(crate) struct RequestPass {
     intake: Arc<CallerIntake>,
     branch: Option<BranchName>,
@@ -256,10 +259,10 @@
 }
 
 impl RequestPass {
-    /// Counts bytes of a body that didn't say how long it is.
+    /// Accounts for bytes of a body without a declared length.
     ///
     /// # Errors
-    /// If there is no room for them. Nothing of the request has run yet.
+    /// If the memory limit is reached. The request hasn't been sent to an upstream yet.
     pub(crate) fn count_body(&mut self, bytes: usize) -> Result<(), Refusal> {
         let bytes = (bytes as u64).saturating_mul(BODY_COPIES);
         match self.memory.grow(bytes, self.intake.request_limit()) {
@@ -277,7 +280,7 @@
     }
 }
 
-/// The machine's memory, as the system tells it.
+/// The machine's total memory according to the kernel.
 fn system_memory() -> Option<ByteCount> {
     let text = fs::read_to_string("/proc/meminfo").ok()?;
     let line = text.lines().find_map(|line| line.strip_prefix("MemTotal:"))?;
--- a/crates/sagespool-gateway/src/limits.rs
+++ b/crates/sagespool-gateway/src/limits.rs
@@ -1,7 +1,7 @@
-//! What gateways tell each other of the limits that upstreams name.
+//! Exchange of upstreams' rate limits between gateways.
 //!
-//! Few instances send to a limited upstream, and only its answers tell of the limit's end: the others ask.
-//! That no limit is passed doesn't rest on it.
+//! Few instances send to a rate-limited upstream, and only its responses show the end of the limit,
+//! so the other gateways query them. Keeping the limit doesn't depend on this exchange.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,11 +14,11 @@
 use crate::state::GatewayState;
 
 const ASK_PERIOD: Duration = Duration::from_secs(1);
-/// Gateways that are asked each time, chosen by chance: word spreads among hundreds within some seconds.
+/// Random gateways queried per round; a change reaches hundreds of gateways within some seconds.
 const ASKED_GATEWAYS: usize = 2;
 const ASK_LIMIT: Duration = Duration::from_millis(500);
 
-/// Asks others about limits of which nothing was heard lately, for ever.
+/// Queries others about limits without a recent update, until cancelled.
 pub(crate) async fn follow_limits(state: Arc<GatewayState>) {
     loop {
         Timer::after(ASK_PERIOD.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
@@ -38,8 +38,8 @@
     }
 }
 
-/// Takes the words of a reply. Its ages are as of some moment between the question and now: a limit is
-/// taken to be as new as it may be, and its end as old.
+/// Applies the limits in a reply. Their ages were measured at some time between the query and now.
+/// A limit gets the latest possible time and the end of a limit the earliest.
 fn take_words(state: &GatewayState, reply: LimitReply, asked: ClockTime, now: ClockTime) {
     for LimitWord { upstream, per_second, age } in reply.words {
         let notice = match per_second.map(SendRate::new) {
@@ -52,7 +52,7 @@
     }
 }
 
-/// What this gateway knows of upstreams' limits.
+/// The reply with this gateway's state of upstreams' limits.
 pub(crate) fn answer_limits(state: &GatewayState, ask: &LimitAsk, now: ClockTime) -> LimitReply {
     let guard = state.guard();
     let known =
--- a/crates/sagespool-gateway/src/metrics.rs
+++ b/crates/sagespool-gateway/src/metrics.rs
@@ -16,18 +16,18 @@
 
 use crate::intake::IntakeReading;
 
-/// What became of a request.
+/// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum Outcome {
-    /// Answered whole by an upstream.
+    /// Complete response of an upstream.
     Answered,
-    /// Answered whole by an upstream that failed.
+    /// Complete 5xx response of an upstream.
     Failed,
     /// Refused by this gateway.
     Refused,
-    /// A stream that broke off.
+    /// A stream that was lost or timed out, or any request aborted by the stop of this instance.
     Cut,
-    /// Its caller went away.
+    /// The caller disconnected.
     CallerGone,
 }
 
@@ -71,14 +71,14 @@
     branch: String,
 }
 
-/// Upper bounds of the histograms in seconds: from a lookup's answer to a long stream's end.
+/// Upper bounds of the histograms' buckets in seconds: from a lookup to the end of a long stream.
 const BOUNDS: [f64; 10] = [0.01, 0.03, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 12.0];
 
 fn histogram() -> Histogram {
     Histogram::new(BOUNDS)
 }
 
-/// What a gateway counts.
+/// The metrics of a gateway.
 pub(crate) struct GatewayMetrics {
     registry: Registry,
     requests: Family<RequestLabels, Counter>,
@@ -99,16 +99,16 @@
     resting: Gauge,
 }
 
-/// What is kept from upstreams at the moment.
+/// The current restrictions on sending to upstreams.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SparedReading {
-    /// Data centres that are evacuated.
+    /// Evacuated data centres.
     pub(crate) evacuated: usize,
-    /// Upstreams that are taken to be cold.
+    /// Upstreams assumed to be cold.
     pub(crate) cold: usize,
-    /// Upstreams that name a limit.
+    /// Upstreams with a rate limit.
     pub(crate) limited: usize,
-    /// Upstreams that want nothing from this instance.
+    /// Upstreams in backoff for this instance.
     pub(crate) resting: usize,
 }
 
@@ -181,7 +181,7 @@
         self.requests.get_or_create(&labels).inc();
     }
 
-    /// Notes the times of a request: to its first event or answer, and to its end.
+    /// Records the latencies of a request: to its first event or response, and to its end.
     pub(crate) fn observe(
         &self,
         route: &str,
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Takes how many calls of the store there were, by cause.
+    /// Sets the totals of store calls by cause.
     pub(crate) fn take_calls(&self, causes: Vec<(CallCause, u64)>) {
         for (cause, count) in causes {
             let labels = CallLabels { kind: cause.kind.as_str(), subject: cause.subject };
@@ -214,8 +214,7 @@
         self.closed_unread.inc();
     }
 
-    /// All metrics as text, with the number of gateways, what callers use and which upstreams are spared
-    /// at the moment.
+    /// All metrics in the text format, with the given current values of the gauges.
     pub(crate) fn encode(
         &self,
         members: usize,
@@ -232,7 +231,7 @@
         self.open.set(intake.connections as i64);
         self.turn.set(intake.turn.as_secs_f64());
         let mut text = String::new();
-        encode(&mut text, &self.registry).expect("writing to a string doesn't fail");
+        encode(&mut text, &self.registry).expect("writing to a String is infallible");
         text
     }
 }
--- a/crates/sagespool-gateway/src/peers.rs
+++ b/crates/sagespool-gateway/src/peers.rs
@@ -1,4 +1,4 @@
-//! What gateways do for each other: loans and the configuration.
+//! Handling of requests from other processes, and fetching newer configurations from gateways.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 
 const PLAN_LIMIT: Duration = Duration::from_millis(500);
 
-/// Stays in touch with the others for ever.
+/// Serves other processes and sends heartbeats until cancelled.
 pub(crate) async fn run_peers(state: Arc<GatewayState>) {
     let heard = {
         let state = state.clone();
@@ -71,9 +71,9 @@
     }
 }
 
-/// Lends what is asked for. A home may have to ask the store first; if the asker has given up
-/// meanwhile nothing is lent, for what a lost answer carries is spent by nobody: in a cut from the
-/// store such answers took 8 in 100 of a small account's total.
+/// Replies to a loan request. A home may have to call the store first. If the borrower has
+/// cancelled in the meantime, nothing is lent, since the amount in a lost reply can't be spent by
+/// anyone: during an outage of the store such replies took 8% of a small account's total.
 async fn lend(state: &GatewayState, request: &LendRequest, responder: PeerResponder) {
     let mut shortage = None;
     let mut wanted = request.wanted;
@@ -104,7 +104,8 @@
     responder.reply(PeerReply::Lend(LendReply { lent, room })).await;
 }
 
-/// What a home is to hold for a borrower: what it misses, and its share of what is lent ahead.
+/// What the home needs for a loan: the amount that the borrower lacks, plus its part for future
+/// requests. `None` if the account has no budget in the current configuration.
 fn lending_order(state: &GatewayState, request: &LendRequest) -> Option<BudgetOrder> {
     let index = state.plan()?;
     let branch = index.plan().branches.iter().find(|branch| branch.name == request.branch);
@@ -121,8 +122,8 @@
     })
 }
 
-/// Takes a newer configuration from a gateway that has one: the store may turn this one away while
-/// it serves the others, and operators' changes hold here all the same.
+/// Fetches a newer configuration from a gateway that has one. The store may reject this gateway
+/// while it serves others, and operators' changes must still take effect here.
 fn catch_up(state: &Arc<GatewayState>, from: &MemberInfo) {
     if from.config <= state.plan_version() {
         return;
--- a/crates/sagespool-gateway/src/pool.rs
+++ b/crates/sagespool-gateway/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams.
+//! The pool of connections to upstreams.
 
 use std::collections::HashMap;
 use std::io;
@@ -16,24 +16,23 @@
 use smol::net::TcpStream;
 use smol_hyper::rt::FuturesIo;
 
-/// How long connecting may take: the round trip within a region is a millisecond or two, and the
-/// platform's upstreams take one more. A lost packet is sent again after a second, when another
-/// upstream would long have answered.
+/// Connect timeout. The round trip within a region takes 1 to 2 ms and upstreams take one more. TCP
+/// resends a lost SYN only after 1 s, by which time another upstream would have responded.
 const CONNECT_LIMIT: Duration = Duration::from_millis(300);
-/// A kept connection is used again within this time, unless the upstream told another. Upstreams
-/// close idle ones by themselves, and a request that crosses the close may or may not have run.
+/// Maximum idle time of a reused connection, unless the upstream names its own. Upstreams close
+/// idle connections, and it is unknown whether a request sent during the close has run.
 const DEFAULT_IDLE: Duration = Duration::from_secs(2);
-/// Of the time that an upstream tells, this share is used.
+/// Share of the idle timeout named by an upstream after which a connection isn't reused.
 const IDLE_SHARE: f64 = 0.6;
-/// Idle connections kept to one upstream; upstreams take a few hundred from all instances.
+/// Maximum idle connections per upstream; upstreams accept a few hundred from all instances.
 const MOST_IDLE: usize = 16;
 
-/// A connection to an upstream. Dropping it closes it at once, which tells the upstream that
-/// nobody waits for the answer any more.
+/// A connection to an upstream. Dropping it closes it immediately, which cancels the request at the
+/// upstream.
 #[derive(Debug)]
 pub(crate) struct UpstreamConnection {
     pub(crate) sender: SendRequest<Full<Bytes>>,
-    /// Requests that it has carried.
+    /// Number of requests sent on it.
     pub(crate) carried: u32,
     /// The run of the upstream that it was opened to.
     run: UpstreamRun,
@@ -43,7 +42,7 @@
 }
 
 impl UpstreamConnection {
-    /// Takes the upstream's word on how long it keeps idle connections.
+    /// Applies the idle timeout that the upstream names, if any.
     pub(crate) fn note_idle_limit(&mut self, told: Option<Duration>) {
         if let Some(told) = told {
             self.idle_limit = told.mul_f64(IDLE_SHARE);
@@ -51,9 +50,9 @@
     }
 }
 
-/// Idle connections, by upstream. Each is used for the run that it was opened to only: an upstream
-/// that lost power and started again under its name says nothing on connections from before, and a
-/// request sent on one would wait for its whole time.
+/// Idle connections by upstream. Each is reused only for the run that it was opened to: an upstream
+/// that restarted after a power loss doesn't reset connections of its previous run, and a request
+/// sent on one would wait until its timeout.
 #[derive(Debug, Default)]
 pub(crate) struct UpstreamPool {
     idle: Mutex<HashMap<UpstreamName, Vec<UpstreamConnection>>>,
@@ -64,7 +63,7 @@
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A kept connection that is still good, the one used last.
+    /// Takes the most recently used connection that can be reused.
     pub(crate) fn take(
         &self,
         upstream: &UpstreamRecord,
@@ -82,7 +81,7 @@
         None
     }
 
-    /// Keeps a connection whose request has ended well.
+    /// Returns a connection to the pool after a successful request.
     pub(crate) fn keep(
         &self,
         upstream: &UpstreamName,
@@ -101,7 +100,7 @@
         }
     }
 
-    /// Closes what was idle for too long, and everything of upstreams that are gone.
+    /// Closes connections that were idle for too long, and all connections to unlisted upstreams.
     pub(crate) fn sweep(&self, is_listed: impl Fn(&UpstreamName) -> bool, now: ClockTime) {
         let mut idle = self.idle();
         idle.retain(|upstream, kept| {
@@ -114,16 +113,16 @@
     }
 }
 
-/// Opens a connection.
+/// Opens a connection to an upstream.
 ///
 /// # Errors
-/// If the upstream can't be reached in time. Nothing was sent then.
+/// If it isn't established within the timeout. No request was sent then.
 pub(crate) async fn connect(upstream: &UpstreamRecord) -> io::Result<UpstreamConnection> {
     let opened = within(CONNECT_LIMIT, open_stream(upstream.address)).await;
     let stream = opened.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))?;
     let (sender, driver) =
         http1::handshake(FuturesIo::new(stream)).await.map_err(io::Error::other)?;
-    // What ends the connection shows at the request that it carries.
+    // A connection error is reported to the request in flight.
     let driver = smol::spawn(async move {
         let _ = driver.await;
     });
--- a/crates/sagespool-gateway/src/relay_role.rs
+++ b/crates/sagespool-gateway/src/relay_role.rs
@@ -1,7 +1,7 @@
-//! A relay: a small process beside an upstream that makes calls of the store for gateways.
+//! A relay: a small process beside an upstream that forwards gateways' calls of the store.
 //!
-//! Gateways are the fleet's entries and get cut off from the store, all at once at times; the
-//! machines beside upstreams usually aren't. A relay holds no state and takes no decisions.
+//! Gateways may lose the store, sometimes all at once, while the machines beside upstreams usually
+//! still reach it. A relay is stateless and makes no decisions.
 
 use std::sync::Arc;
 
@@ -17,13 +17,13 @@
 use crate::fleet::{FleetBoard, OwnPlace, answer_store_call};
 use crate::role::STORE_LIMIT;
 
-/// A relay that runs. Dropping it ends it; nothing is lost then.
+/// A running relay. Dropping it stops it; it has no state to save.
 pub struct RelayRole {
     _tasks: [Task<()>; 2],
 }
 
 impl RelayRole {
-    /// Starts a relay.
+    /// Starts a relay; `dialect` is the store's API.
     pub fn start(settings: RelaySettings, dialect: StoreDialect) -> Self {
         let run = IncarnationId::random();
         log_event!(
--- a/crates/sagespool-gateway/src/request_body.rs
+++ b/crates/sagespool-gateway/src/request_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of callers' requests: read, counted, or forgotten.
+//! Reading or discarding the bodies of callers' requests.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 use crate::intake::RequestPass;
 use crate::refusal::Refusal;
 
-/// How long the rest of a refused request's body may take to arrive.
+/// How long the remaining body of a refused request is read.
 const DISCARD_LIMIT: Duration = Duration::from_secs(1);
 
-/// Takes in what is still to come of a refused request's body, and forgets it. A connection that is
-/// closed with bytes unread is reset, which would take the refusal away from its caller.
+/// Reads and discards the remaining body of a refused request. Closing a connection with unread
+/// data resets it, and the caller could lose the refusal.
 pub(crate) fn discard(mut body: Incoming) {
     if body.is_end_stream() {
         return;
@@ -25,13 +25,13 @@
     smol::spawn(within(DISCARD_LIMIT, rest)).detach();
 }
 
-/// The length that a request says its body has; nothing for one that is sent in pieces, which is
-/// counted when it is there.
+/// The declared length of a request's body; 0 for a chunked body, which is accounted for as it
+/// arrives.
 pub(crate) fn declared_length(body: &Incoming) -> ByteCount {
     ByteCount(body.size_hint().exact().unwrap_or(0))
 }
 
-/// Takes in a request's body within a time.
+/// Reads a request's body within a time limit.
 pub(crate) async fn read_body(
     index: &PlanIndex,
     body: Incoming,
@@ -54,7 +54,7 @@
     }
     let mut whole = BytesMut::with_capacity(declared.unwrap_or(0) as usize);
     while let Some(frame) = body.frame().await {
-        // A broken connection: the answer reaches nobody.
+        // The connection is broken, so this response won't be delivered.
         let frame = frame.map_err(|_| Refusal::BodyTooSlow)?;
         let Ok(bytes) = frame.into_data() else {
             continue;
--- a/crates/sagespool-gateway/src/role.rs
+++ b/crates/sagespool-gateway/src/role.rs
@@ -1,4 +1,4 @@
-//! A gateway from its settings to its graceful stop.
+//! The gateway's life cycle, from its settings to its graceful stop.
 
 use std::fmt;
 use std::net::{SocketAddr, TcpListener};
@@ -23,33 +23,34 @@
 use crate::state::GatewayState;
 use crate::status::serve_status;
 
-/// A call of the store takes 4 ms; a slow store takes a quarter of a second.
+/// Timeout of a call of the store. A call usually takes 4 ms, and 250 ms with a slow store.
 pub(crate) const STORE_LIMIT: Duration = Duration::from_millis(500);
-/// The balancer asks once a second and takes an instance out after two refusals: until then new
-/// callers come, and they are served.
+/// The load balancer checks once a second and removes an instance after two failed checks. Until
+/// then new callers arrive and are served.
 const ROTATION_TIME: Duration = Duration::from_millis(2600);
-/// Of the time for a graceful stop, kept for ending the grants in the store and the last writes.
+/// Part of a graceful stop's time limit reserved for closing grants and the last writes to the
+/// store.
 const CLOSING_TIME: Duration = Duration::from_millis(1200);
-/// How long another instance may take to confirm what is left of loans.
+/// Timeout of another instance's confirmation of returned loans.
 const RETURN_TIME: Duration = Duration::from_millis(300);
-/// Connections that wait to be taken.
+/// Backlog of the callers' listener: connections that wait to be accepted.
 const ACCEPT_QUEUE: i32 = 1024;
 const STOP_POLL: Duration = Duration::from_millis(25);
-/// After the last request, connections have so long to hand their answers to the network.
+/// Time for connections to write their responses after the last request has ended.
 const FLUSH_TIME: Duration = Duration::from_millis(300);
 
 /// Why a gateway can't start.
 #[derive(Debug)]
 pub enum GatewayError {
-    /// It can't listen at an address.
+    /// The address can't be listened on.
     Listen(SocketAddr),
 }
 
 impl GatewayError {
-    /// What a person can do about it.
+    /// A hint for the operator.
     pub fn help(&self) -> &'static str {
         match self {
-            Self::Listen(_) => "check that the address is this machine's, and free",
+            Self::Listen(_) => "check that the address belongs to this machine and is not in use",
         }
     }
 }
@@ -64,14 +65,14 @@
 
 impl std::error::Error for GatewayError {}
 
-/// How a graceful stop went.
+/// The result of a graceful stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StopReport {
-    /// Requests that were cut off at the limit.
+    /// Number of requests aborted at the time limit.
     pub cut: usize,
 }
 
-/// A gateway that runs.
+/// A running gateway.
 pub struct GatewayRole {
     state: Arc<GatewayState>,
     accepting: Task<()>,
@@ -79,10 +80,10 @@
 }
 
 impl GatewayRole {
-    /// Starts a gateway; it is ready once it has read the configuration and the upstreams.
+    /// Starts a gateway. It is ready once the configuration and the upstreams are loaded.
     ///
     /// # Errors
-    /// If it can't listen where its settings say.
+    /// If an address in the settings can't be listened on.
     pub fn start(
         settings: GatewaySettings,
         dialect: WireDialect,
@@ -130,15 +131,16 @@
         Ok(Self { state, accepting, _tasks: tasks })
     }
 
-    /// Takes settings that were read again. What a running process can't change is said in the log
-    /// and holds from its next start on.
+    /// Compares reloaded settings with the current ones and logs whether they differ. Changes take
+    /// effect at the next start.
     pub fn reload(&self, settings: &GatewaySettings) {
         let changed = *settings != self.state.settings;
         log_event!(info, "settings-read", changed = changed, in_force = "at the next start");
     }
 
-    /// Stops gracefully: out of rotation first, while callers are still served. Then new requests are
-    /// served only if they end in time, and connections end one by one. Last, unspent grants go back.
+    /// Stops gracefully. First the readiness check fails while callers are still served. Then new
+    /// requests are accepted only if they can end in time, and connections are closed. Last,
+    /// unspent loans and grants are returned.
     pub async fn stop(self, limit: Duration) -> StopReport {
         let Self { state, accepting, _tasks } = self;
         let began = ClockTime::now();
@@ -151,7 +153,7 @@
         wait_until(|| requests() == 0, last).await;
         let cut = requests();
         state.over.give();
-        // Whoever connects from here on finds nobody, and knows that nothing has run.
+        // Later connections are refused by the kernel, which shows callers that nothing has run.
         drop(accepting);
         let open = || state.intake.connections();
         wait_until(|| open() == 0, ClockTime::now().after(FLUSH_TIME)).await;
@@ -171,8 +173,8 @@
 
 fn listen(address: SocketAddr) -> Result<TcpListener, Report<GatewayError>> {
     let listener = TcpListener::bind(address).change_context(GatewayError::Listen(address))?;
-    // The library's queue holds 128 connections, which a burst of callers fills between two turns;
-    // the system lets those that don't fit in try again only after seconds.
+    // The standard library's backlog is 128, which a burst of callers fills between two runs of the
+    // accept task; connections that don't fit are retried by TCP only after seconds.
     let longer = rustix::net::listen(&listener, ACCEPT_QUEUE);
     longer.change_context(GatewayError::Listen(address))?;
     Ok(listener)
--- a/crates/sagespool-gateway/src/signal.rs
+++ b/crates/sagespool-gateway/src/signal.rs
@@ -1,10 +1,10 @@
-//! Something that happens once.
+//! A one-time notification.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use event_listener::Event;
 
-/// Something that happens once, and that tasks may wait for.
+/// A flag that is set once and that tasks can wait for.
 #[derive(Debug, Default)]
 pub(crate) struct OnceSignal {
     given: AtomicBool,
@@ -21,9 +21,9 @@
         self.given.load(Ordering::SeqCst)
     }
 
-    /// Waits until it is given.
+    /// Waits until the flag is set.
     pub(crate) async fn wait(&self) {
-        // Listening comes first: it may be given between the look and the wait.
+        // Register the listener before the check, so that a concurrent notification isn't missed.
         let told = self.told.listen();
         if !self.is_given() {
             told.await;
--- a/crates/sagespool-gateway/src/status.rs
+++ b/crates/sagespool-gateway/src/status.rs
@@ -1,4 +1,4 @@
-//! Readiness for the balancer, and metrics.
+//! The HTTP endpoints for readiness and metrics.
 
 use std::io;
 use std::net::TcpListener;
@@ -15,7 +15,7 @@
 const METRICS_PATH: &str = "/metrics";
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Answers on a socket whether this instance takes requests, and with its metrics.
+/// Serves the readiness check and the metrics on a listener.
 pub(crate) fn serve_status(state: Arc<GatewayState>, listener: TcpListener) -> io::Result<()> {
     let server = http_server(listener)?;
     let handler = move |conn: Conn| {
@@ -42,7 +42,7 @@
     state.metrics.take_calls(state.store.causes());
     let now = ClockTime::now();
     let intake = state.intake.reading(now);
-    // One lock at a time: the choice of an upstream takes them in another order.
+    // Lock one at a time: the choice of an upstream locks them in another order.
     let evacuated = state.roster().evacuated().count();
     let guard = state.guard();
     let (cold, limited) = (guard.cold_count(now), guard.limited_count());
--- a/crates/sagespool-gateway/src/stream.rs
+++ b/crates/sagespool-gateway/src/stream.rs
@@ -1,4 +1,4 @@
-//! Passing a stream on as it arrives, and going on with it at another upstream.
+//! Forwarding of streamed responses, and resuming them at another upstream.
 
 use std::future::Future;
 
@@ -19,26 +19,27 @@
 use crate::pipeline::{may_send_again, says_close, send_patience};
 use crate::refusal::Refusal;
 
-/// Pieces on their way to the caller's connection. A caller that reads slowly holds its upstream
-/// up after these, in place of filling this process's memory.
+/// Chunks buffered for the caller's connection. Beyond these, a slow caller causes backpressure on
+/// its upstream instead of using this process's memory.
 const PIECES_AHEAD: usize = 8;
 
 /// How the stream of one upstream ended.
 enum StreamEnd {
-    /// It is complete.
+    /// Complete.
     Whole,
-    /// It broke off.
+    /// The connection broke.
     Broken,
-    /// The time ran out.
+    /// The request's deadline passed.
     TimeOver,
-    /// The caller has gone.
+    /// The caller disconnected.
     CallerGone,
 }
 
-/// Answers with a stream; a task of its own passes the events on.
+/// Responds with a stream whose events are forwarded by a task of its own.
 ///
-/// The head waits for the first event: a stream that breaks off before it would reach the caller as a
-/// connection that ends without a word, since the library writes the head together with what follows.
+/// The head is returned only with the first event. hyper writes the head together with the first
+/// data, so a stream that breaks before would reach the caller as a closed connection without a
+/// response.
 pub(crate) async fn start_stream(
     mut flight: Flight,
     mut answer: OpenAnswer,
@@ -55,12 +56,12 @@
     });
     match pieces.recv().await {
         Ok(first) => Response::from_parts(head, AnswerBody::stream(first, pieces, relay)),
-        // The relay has given up, and has written why to the log.
+        // The relay task ended without an event and has logged the cause.
         Err(_) => Refusal::Failed.response(),
     }
 }
 
-/// Passes on the events of one upstream after the other, until the stream is complete or given up.
+/// Forwards events until the stream is complete or aborted, resuming it at other upstreams.
 async fn relay_all(mut flight: Flight, mut answer: OpenAnswer, sender: Sender<BodyPiece>) {
     loop {
         let end = relay_one(&mut flight, answer, &sender).await;
@@ -68,7 +69,7 @@
             StreamEnd::Whole => {
                 flight.record.conclude(Outcome::Answered, flight.record.status, "");
                 flight.clear_crashes();
-                // Settled before the caller can know that the stream is complete.
+                // Settle the charge before the caller receives the end of the stream.
                 drop(flight.request.reservation.take());
                 let _ = sender.send(BodyPiece::End).await;
                 return;
@@ -90,14 +91,14 @@
     }
 }
 
-/// Notes that a stream broke off. Before its first event the caller gets another answer.
+/// Records an aborted stream. Before its first event the caller gets an error response instead.
 fn conclude_cut(flight: &mut Flight, detail: &str) {
     let began = flight.record.events > 0;
     let status = if began { flight.record.status } else { Refusal::Failed.status().as_u16() };
     flight.record.conclude(Outcome::Cut, status, detail);
 }
 
-/// Sends the request to another upstream, to go on after the last event that was passed on.
+/// Sends the request to another upstream, to resume after the last forwarded event.
 async fn go_on(flight: &mut Flight, mut failure: SendFailure) -> Option<OpenAnswer> {
     while flight.request.route.resumable && may_send_again(flight, failure, ClockTime::now()) {
         let timeout = send_patience(flight, ClockTime::now());
@@ -153,7 +154,7 @@
             Some(Err(_)) => return StreamEnd::Broken,
             Some(Ok(frame)) => match frame.into_data() {
                 Ok(bytes) => bytes,
-                // Trailers carry nothing for callers.
+                // Trailers aren't forwarded.
                 Err(_) => continue,
             },
         };
@@ -174,7 +175,7 @@
     }
 }
 
-/// Passes on what stands after the last whole event: the upstream ended the stream there itself.
+/// Forwards the data after the last complete event; the upstream ended its stream there.
 async fn finish_stream(
     flight: &mut Flight,
     cutter: &mut EventSplitter,
@@ -192,7 +193,7 @@
     }
 }
 
-/// What a step brings before the request's time is over.
+/// Awaits a step until the request's deadline; `None` after it.
 async fn in_time<T>(flight: &Flight, step: impl Future<Output = T>) -> Option<T> {
     within(flight.time_left(ClockTime::now()), step).await
 }
