--- a/crates/sagespool-gateway/tests/cut_answers.rs
+++ b/crates/sagespool-gateway/tests/cut_answers.rs
@@ -1,4 +1,4 @@
-//! Answers that break off.
+//! Aborted responses.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests")]
 
@@ -18,18 +18,18 @@
 use smol::net::{TcpListener, TcpStream};
 use smol_hyper::rt::FuturesIo;
 
-const QUESTION: &[u8] = b"GET /stream HTTP/1.1\r\nHost: stand.example\r\n\r\n";
-/// More than the connection takes before its peer reads.
+const REQUEST: &[u8] = b"GET /stream HTTP/1.1\r\nHost: stand.example\r\n\r\n";
+/// Larger than the socket buffers, so that a write blocks until the peer reads.
 const LARGE_EVENT: usize = 1 << 20;
-/// Any time will do: the caller never reads.
-const UNREAD_LIMIT: Duration = Duration::from_millis(100);
+/// Any value will do, since the caller never reads.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(100);
 
 fn event(id: u64, length: usize) -> String {
     format!("id: {id}\ndata: {}\n\n", "x".repeat(length))
 }
 
-/// An answer whose pieces and whose break are all there before the connection looks for them.
-fn broken_answer(events: &[String]) -> AnswerBody {
+/// A response whose chunks and abort are all available before the connection polls the body.
+fn aborted_response(events: &[String]) -> AnswerBody {
     let (sender, pieces): (_, Receiver<BodyPiece>) = bounded(events.len());
     for event in &events[1..] {
         sender.try_send(BodyPiece::Data(event.clone().into())).unwrap();
@@ -38,8 +38,8 @@
     AnswerBody::stream(first, pieces, smol::spawn(async {}))
 }
 
-/// What a caller reads until its connection ends.
-fn read_answer(events: Vec<String>) -> String {
+/// Returns what a caller reads until its connection closes.
+fn read_response(events: Vec<String>) -> String {
     smol::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -48,85 +48,83 @@
             let flushes = Arc::new(FlushCounter::default());
             let stream = CountedStream::new(stream, flushes.clone());
             let service = service_fn(move |_: Request<hyper::body::Incoming>| {
-                let body = broken_answer(&events).sent_over(&flushes);
+                let body = aborted_response(&events).sent_over(&flushes);
                 async move { Ok::<_, Infallible>(Response::new(body)) }
             });
             let served = http1::Builder::new().serve_connection(FuturesIo::new(stream), service);
-            assert!(served.await.is_err(), "an answer that broke off ends its connection");
+            assert!(served.await.is_err(), "an aborted response closes its connection");
         });
         let mut caller = TcpStream::connect(address).await.unwrap();
-        caller.write_all(QUESTION).await.unwrap();
+        caller.write_all(REQUEST).await.unwrap();
         let mut answer = Vec::new();
-        // The end may be a reset, which takes nothing of what was read before it.
+        // The connection may end with a reset; data read before it is kept.
         let _ = caller.read_to_end(&mut answer).await;
         server.await;
         String::from_utf8(answer).unwrap()
     })
 }
 
-/// A caller reads a stream and sees its connection close without a word, though the log counts five
-/// events passed on. The events and the break of the upstream were there together when the caller's
-/// connection looked for them, and the library dropped what it hadn't written yet.
+/// Guards against lost events before an abort: hyper drops unwritten data when a body fails. If
+/// events and abort are available at the same poll, the caller gets a closed connection without any
+/// event.
 #[test]
-fn events_before_break() {
+fn small_events_precede_the_abort() {
     let events: Vec<String> = (1..=5).map(|id| event(id, 8)).collect();
-    let answer = read_answer(events.clone());
+    let answer = read_response(events.clone());
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer:?}");
     for event in &events {
         assert!(answer.contains(event), "{event:?} is missing in {answer:?}");
     }
-    assert!(!answer.ends_with("0\r\n\r\n"), "a broken answer must not look whole");
+    assert!(!answer.ends_with("0\r\n\r\n"), "an aborted response must not look complete");
 }
 
-/// The same with more than the connection takes at once: the break waits until the caller has read.
+/// The same with more data than the socket buffers hold: the abort waits until the caller has read.
 #[test]
-fn long_events_before_break() {
+fn large_events_precede_the_abort() {
     let events: Vec<String> = (1..=4).map(|id| event(id, LARGE_EVENT)).collect();
-    let answer = read_answer(events.clone());
+    let answer = read_response(events.clone());
     for event in &events {
         assert!(answer.contains(event), "an event is missing of {} bytes", answer.len());
     }
-    assert!(!answer.ends_with("0\r\n\r\n"), "a broken answer must not look whole");
+    assert!(!answer.ends_with("0\r\n\r\n"), "an aborted response must not look complete");
 }
 
-/// A caller stops reading at the end of a stream that then breaks off. The gateway waits for what
-/// came before the break to be written, and must not wait for ever: the connection would stay open
-/// for as long as the caller likes, and a stop of the gateway would wait for it.
+/// Guards against an unbounded wait before an abort: if the caller stops reading, the earlier data
+/// is never flushed, the connection would stay open, and a graceful stop would wait for it.
 #[test]
-fn unread_before_break() {
+fn abort_does_not_wait_for_a_stalled_caller() {
     let events = [event(1, 8), event(2, 8)];
     let never_flushed = Arc::new(FlushCounter::default());
-    let mut body = broken_answer(&events).sent_over(&never_flushed);
+    let mut body = aborted_response(&events).sent_over(&never_flushed);
     smol::block_on(async {
         let mut frame = async || poll_fn(|context| Pin::new(&mut body).poll_frame(context)).await;
         for event in &events {
             let data = frame().await.unwrap().unwrap().into_data().unwrap();
             assert_eq!(data, event.as_bytes());
         }
-        assert!(frame().await.unwrap().is_err(), "the break is passed on without a flush as well");
+        assert!(frame().await.unwrap().is_err(), "the abort must follow without a flush too");
     });
 }
 
-/// A caller's machine goes dark in the middle of a long answer, and its connection stays open in
-/// the gateway with all that the answer holds, until the system gives the connection up after a
-/// quarter of an hour. The library writes only as the caller reads, and looks for no break before
-/// that.
+/// Guards against connections to a caller whose machine fails during a long response: without a
+/// write timeout, the connection and its buffers stay until TCP times out after 15 minutes. hyper
+/// polls the body for an abort only after the pending write.
 #[test]
-fn dark_caller() {
+fn stalled_write_closes_the_connection() {
     let events: Vec<String> = (1..=16).map(|id| event(id, LARGE_EVENT)).collect();
     smol::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let mut caller = TcpStream::connect(address).await.unwrap();
         let (stream, _) = listener.accept().await.unwrap();
-        caller.write_all(QUESTION).await.unwrap();
+        caller.write_all(REQUEST).await.unwrap();
         let flushes = Arc::new(FlushCounter::default());
-        let stream = CountedStream::new(stream, flushes.clone()).unread_for(UNREAD_LIMIT);
+        let stream = CountedStream::new(stream, flushes.clone()).unread_for(WRITE_TIMEOUT);
         let service = service_fn(move |_: Request<hyper::body::Incoming>| {
-            let body = broken_answer(&events).sent_over(&flushes);
+            let body = aborted_response(&events).sent_over(&flushes);
             async move { Ok::<_, Infallible>(Response::new(body)) }
         });
         let served = http1::Builder::new().serve_connection(FuturesIo::new(stream), service).await;
-        assert!(served.is_err(), "the connection of a caller that doesn't read is closed");
+        assert!(served.is_err(), "a connection whose caller doesn't read must be closed");
     });
 }
--- a/crates/sagespool-gateway/tests/failed_rounds.rs
+++ b/crates/sagespool-gateway/tests/failed_rounds.rs
@@ -1,33 +1,32 @@
-//! Requests of an account that wait for each other's rounds of questions.
+//! Requests of an account that wait for each other's loan rounds.
 //!
-//! The store is away, and a gateway that holds a part of the account has gone dark. A large caller sends
-//! fifty requests a second; a round lasts until the dark one is given up. With a round for each request
-//! the line grows by five seconds each second, and callers wait until their deadline for a refusal
-//! that was known at once.
+//! The store is unreachable, and a gateway with a grant of the account doesn't reply, so each round
+//! lasts until its timeout. With one round per request at 50 requests/s, the queue grows by five
+//! seconds each second, and callers wait until their deadlines for a refusal that is known already.
 
 use std::time::Duration;
 
 use sagespool_gateway::FailedRound;
 use sagespool_types::{ClockTime, TokenCount};
 
-const PACE: Duration = Duration::from_millis(20);
-const ROUND: Duration = Duration::from_millis(120);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
+const ROUND_TIME: Duration = Duration::from_millis(120);
 const AMOUNT: TokenCount = TokenCount(7_000);
 const REQUESTS: u32 = 500;
-/// A caller that is told within this time can still be answered elsewhere.
-const TOLD: Duration = Duration::from_millis(300);
+/// A caller that is refused within this time can still retry at another instance.
+const MAX_WAIT: Duration = Duration::from_millis(300);
 
-/// Plays the line; gives the longest wait and the rounds.
-fn play(is_known: impl Fn(FailedRound, ClockTime) -> bool) -> (Duration, u32) {
+/// Simulates the queue; returns the longest wait and the number of rounds.
+fn simulate(is_known: impl Fn(FailedRound, ClockTime) -> bool) -> (Duration, u32) {
     let start = ClockTime::from_millis(1_000);
     let (mut longest, mut rounds) = (Duration::ZERO, 0);
     let (mut free_at, mut failed) = (start, None);
     for number in 0..REQUESTS {
-        let arrived = start.after(PACE * number);
+        let arrived = start.after(REQUEST_INTERVAL * number);
         let turn = arrived.max(free_at);
         if !failed.is_some_and(|failed| is_known(failed, turn)) {
             rounds += 1;
-            free_at = turn.after(ROUND);
+            free_at = turn.after(ROUND_TIME);
             failed = Some(FailedRound::noted(AMOUNT, free_at));
         }
         longest = longest.max(turn.max(free_at).since(arrived));
@@ -36,17 +35,17 @@
 }
 
 #[test]
-fn prompt_word() {
-    let (longest, rounds) = play(|failed, now| failed.stands_for(AMOUNT, now));
-    assert!(longest <= TOLD, "{longest:?}");
-    assert!(rounds > 1, "what was in vain is tried again");
-    let (without, _) = play(|_, _| false);
+fn waiting_requests_use_the_failed_round() {
+    let (longest, rounds) = simulate(|failed, now| failed.stands_for(AMOUNT, now));
+    assert!(longest <= MAX_WAIT, "{longest:?}");
+    assert!(rounds > 1, "a failed round must be repeated later");
+    let (without, _) = simulate(|_, _| false);
     assert!(without > Duration::from_secs(10), "{without:?}");
 }
 
-/// A request for less than was asked for in vain asks for itself.
+/// A request for a smaller amount than the failed round, or a later one, starts its own round.
 #[test]
-fn smaller_request() {
+fn smaller_or_later_request_starts_a_round() {
     let now = ClockTime::from_millis(1_000);
     let failed = FailedRound::noted(AMOUNT, now);
     assert!(failed.stands_for(AMOUNT, now));
--- a/crates/sagespool-gateway/tests/spent_budgets.rs
+++ b/crates/sagespool-gateway/tests/spent_budgets.rs
@@ -1,7 +1,7 @@
-//! Callers that go on asking for a spent budget.
+//! Requests against a spent budget must not read its book too often.
 //!
-//! The load is that of the users' larger sites: accounts that are spent at the middle of a day, whose
-//! callers send some twenty requests a second at every instance until its end.
+//! Load of a large deployment: accounts that are spent in the middle of the day, while their
+//! callers continue to send 20 requests/s to every instance until its end.
 
 use std::time::Duration;
 
@@ -11,48 +11,48 @@
 const VERSION: ConfigVersion = ConfigVersion(4);
 const ROOM: TokenCount = TokenCount(50);
 const AMOUNT: TokenCount = TokenCount(900);
-const PACE: Duration = Duration::from_millis(50);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 const SPENT_FOR: Duration = Duration::from_secs(25);
 
-/// Readings of a book that stays as it is, while requests come.
-fn readings() -> usize {
+/// Counts the reads of an unchanged book while requests arrive.
+fn count_reads() -> usize {
     let start = ClockTime::from_millis(1_000);
-    let (mut known, mut readings, mut now) = (None, 0, start);
+    let (mut known, mut reads, mut now) = (None, 0, start);
     while now.since(start) < SPENT_FOR {
         let is_known =
             known.is_some_and(|known: KnownShortage| known.covers_less_than(AMOUNT, VERSION, now));
         if !is_known {
-            readings += 1;
+            reads += 1;
             known = Some(KnownShortage::noted(known, ROOM, VERSION, now));
         }
-        now = now.after(PACE);
+        now = now.after(REQUEST_INTERVAL);
     }
-    readings
+    reads
 }
 
-/// Asked again every 300 ms, a spent book is read 84 times in 25 s by one instance.
+/// With a fixed interval of 300 ms, one instance reads a spent book 84 times in 25 s.
 #[test]
-fn few_readings() {
-    assert!(readings() <= 25, "{} readings", readings());
+fn repeated_shortage_is_read_seldom() {
+    assert!(count_reads() <= 25, "{} reads", count_reads());
 }
 
 #[test]
-fn fuller_book() {
+fn larger_room_restarts_the_interval() {
     let now = ClockTime::from_millis(1_000);
     let mut known = KnownShortage::noted(None, ROOM, VERSION, now);
     for _ in 0..5 {
         known = KnownShortage::noted(Some(known), ROOM, VERSION, now);
     }
     assert!(known.is_fresh(now.after(Duration::from_secs(1))));
-    // Money has come back, and may go on coming.
+    // Tokens were returned, and more may follow.
     let fuller = KnownShortage::noted(Some(known), ROOM + ROOM, VERSION, now);
     assert!(!fuller.is_fresh(now.after(Duration::from_millis(300))));
     assert!(!fuller.covers_less_than(ROOM, VERSION, now));
 }
 
-/// A raise of the total is in force: what was known of the smaller one says nothing.
+/// A shortage under an earlier configuration must not apply after the total is raised.
 #[test]
-fn raised_total() {
+fn raised_total_ends_the_shortage() {
     let now = ClockTime::from_millis(1_000);
     let known = KnownShortage::noted(None, ROOM, VERSION, now);
     assert!(known.covers_less_than(AMOUNT, VERSION, now));
