--- a/crates/sagespool-gateway/src/body.rs
+++ b/crates/sagespool-gateway/src/body.rs
@@ -18,11 +18,11 @@
 /// How long an aborted response waits for the caller's connection to write the data before the
 /// abort. A caller that reads needs some milliseconds; one that doesn't must not keep the
 /// connection open.
-const LONGEST_FLUSH: Duration = Duration::from_secs(1);
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A chunk of a streamed response.
 #[derive(Debug)]
-pub enum BodyPiece {
+pub enum BodyChunk {
     /// Bytes to forward.
     Data(Bytes),
     /// The response is complete.
@@ -32,19 +32,19 @@
 /// The error of an aborted response. The connection is closed without the final chunk, so that the
 /// caller can't mistake the response for a complete one.
 #[derive(Debug)]
-pub struct AnswerCut;
+pub struct ResponseAborted;
 
-impl fmt::Display for AnswerCut {
+impl fmt::Display for ResponseAborted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("response aborted before its end")
     }
 }
 
-impl std::error::Error for AnswerCut {}
+impl std::error::Error for ResponseAborted {}
 
 /// The body of a response to a caller.
 #[derive(Debug)]
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// Complete before the head is sent.
     Whole(WholeBody),
     /// Forwarded as it arrives.
@@ -64,25 +64,25 @@
 #[derive(Debug)]
 pub struct StreamedBody {
     /// The chunk that arrived before the head was forwarded.
-    first: Option<BodyPiece>,
-    pieces: Pin<Box<Receiver<BodyPiece>>>,
+    first: Option<BodyChunk>,
+    chunks: Pin<Box<Receiver<BodyChunk>>>,
     /// Forwards the chunks. Cancelled when the caller disconnects, since the body is dropped then.
     _relay: Task<()>,
     /// The flush counter of the caller's connection.
     flushes: Option<Arc<FlushCounter>>,
     /// Set once the response is aborted.
-    cut: Option<PendingCut>,
+    abort: Option<PendingAbort>,
 }
 
 /// An abort that waits for the connection's next flush.
 #[derive(Debug)]
-struct PendingCut {
+struct PendingAbort {
     /// The flush count when the abort was noticed.
     flushes: u64,
     limit: Timer,
 }
 
-impl AnswerBody {
+impl ResponseBody {
     pub(crate) fn whole(bytes: Bytes) -> Self {
         Self::Whole(WholeBody { bytes: (!bytes.is_empty()).then_some(bytes), _held: None })
     }
@@ -93,15 +93,15 @@
     }
 
     /// A streamed body. `relay` sends the chunks after `first` and is cancelled with this body.
-    pub fn stream(first: BodyPiece, pieces: Receiver<BodyPiece>, relay: Task<()>) -> Self {
-        let pieces = Box::pin(pieces);
+    pub fn stream(first: BodyChunk, chunks: Receiver<BodyChunk>, relay: Task<()>) -> Self {
+        let chunks = Box::pin(chunks);
         let body =
-            StreamedBody { first: Some(first), pieces, _relay: relay, flushes: None, cut: None };
+            StreamedBody { first: Some(first), chunks, _relay: relay, flushes: None, abort: None };
         Self::Stream(body)
     }
 
     /// Sets the flush counter of the connection that the response is sent over.
-    pub fn sent_over(mut self, flushes: &Arc<FlushCounter>) -> Self {
+    pub fn with_flush_counter(mut self, flushes: &Arc<FlushCounter>) -> Self {
         if let Self::Stream(body) = &mut self {
             body.flushes = Some(flushes.clone());
         }
@@ -110,10 +110,10 @@
 }
 
 impl StreamedBody {
-    fn poll_piece(&mut self, context: &mut Context<'_>) -> Poll<Option<BodyPiece>> {
+    fn poll_chunk(&mut self, context: &mut Context<'_>) -> Poll<Option<BodyChunk>> {
         match self.first.take() {
-            Some(piece) => Poll::Ready(Some(piece)),
-            None => self.pieces.as_mut().poll_next(context),
+            Some(chunk) => Poll::Ready(Some(chunk)),
+            None => self.chunks.as_mut().poll_next(context),
         }
     }
 
@@ -124,45 +124,45 @@
     /// stream aborted early would look like a connection closed without a response. A flush is
     /// counted only when nothing is left to write, so the first flush after the abort covers all
     /// earlier chunks.
-    fn poll_cut(&mut self, context: &mut Context<'_>) -> Poll<()> {
+    fn poll_abort(&mut self, context: &mut Context<'_>) -> Poll<()> {
         let Some(flushes) = &self.flushes else {
             return Poll::Ready(());
         };
-        let cut = self.cut.get_or_insert_with(|| PendingCut {
+        let abort = self.abort.get_or_insert_with(|| PendingAbort {
             flushes: flushes.count(),
-            limit: Timer::after(LONGEST_FLUSH),
+            limit: Timer::after(FLUSH_TIMEOUT),
         });
-        if flushes.poll_past(cut.flushes, context).is_ready() {
+        if flushes.poll_after(abort.flushes, context).is_ready() {
             return Poll::Ready(());
         }
-        Pin::new(&mut cut.limit).poll(context).map(|_| ())
+        Pin::new(&mut abort.limit).poll(context).map(|_| ())
     }
 
     fn poll_stream(
         &mut self,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerCut>>> {
-        if self.cut.is_none() {
-            match ready!(self.poll_piece(context)) {
-                Some(BodyPiece::Data(bytes)) => return Poll::Ready(Some(Ok(Frame::data(bytes)))),
-                Some(BodyPiece::End) => return Poll::Ready(None),
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseAborted>>> {
+        if self.abort.is_none() {
+            match ready!(self.poll_chunk(context)) {
+                Some(BodyChunk::Data(bytes)) => return Poll::Ready(Some(Ok(Frame::data(bytes)))),
+                Some(BodyChunk::End) => return Poll::Ready(None),
                 // The relay task ended without `End`.
                 None => {}
             }
         }
-        ready!(self.poll_cut(context));
-        Poll::Ready(Some(Err(AnswerCut)))
+        ready!(self.poll_abort(context));
+        Poll::Ready(Some(Err(ResponseAborted)))
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = AnswerCut;
+    type Error = ResponseAborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerCut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseAborted>>> {
         match &mut *self {
             Self::Whole(whole) => {
                 Poll::Ready(whole.bytes.take().map(|bytes| Ok(Frame::data(bytes))))
--- a/crates/sagespool-gateway/src/callers.rs
+++ b/crates/sagespool-gateway/src/callers.rs
@@ -19,18 +19,18 @@
 use smol::net::{TcpListener, TcpStream};
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
-use crate::body::AnswerBody;
-use crate::flush::{CountedStream, FlushCounter};
-use crate::intake::ConnectionPass;
+use crate::body::ResponseBody;
+use crate::flush::{FlushCounter, FlushCountingStream};
+use crate::intake::ConnectionPermit;
 use crate::pipeline::serve;
 use crate::state::GatewayState;
 
 /// Idle timeout until a configuration is loaded; the usual configured value.
-const DEFAULT_IDLE: Duration = Duration::from_secs(15);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// Header limit until a configuration is loaded; the usual configured value.
 const DEFAULT_HEADER_BYTES: usize = 16 << 10;
 /// The smallest buffer that hyper accepts.
-const LEAST_BUFFER: usize = 8 << 10;
+const MIN_BUFFER_BYTES: usize = 8 << 10;
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// Accepts callers' connections until cancelled.
@@ -38,8 +38,10 @@
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => match state.intake.open_connection() {
-                Some(pass) => smol::spawn(carry(state.clone(), stream, pass)).detach(),
-                None => note_unread(&state, peer),
+                Some(permit) => {
+                    smol::spawn(serve_connection(state.clone(), stream, permit)).detach()
+                }
+                None => log_unread(&state, peer),
             },
             Err(error) => {
                 // Most likely out of file descriptors. Open connections are still served.
@@ -51,18 +53,18 @@
 }
 
 /// Prepares a response for the caller's connection, which closes after it if resources are short.
-fn passed_on(
-    mut response: Response<AnswerBody>,
-    is_tight: bool,
+fn prepare_response(
+    mut response: Response<ResponseBody>,
+    is_nearly_full: bool,
     flushes: &Arc<FlushCounter>,
-) -> Response<AnswerBody> {
-    if is_tight {
+) -> Response<ResponseBody> {
+    if is_nearly_full {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    response.map(|body| body.sent_over(flushes))
+    response.map(|body| body.with_flush_counter(flushes))
 }
 
-fn note_unread(state: &GatewayState, peer: SocketAddr) {
+fn log_unread(state: &GatewayState, peer: SocketAddr) {
     let now = ClockTime::now();
     state.metrics.closed_unread();
     let Some(count) = state.intake.note_unread(now) else {
@@ -83,33 +85,33 @@
 
 /// Serves the requests of one connection. When the caller closes it, hyper drops the request in
 /// flight, which cancels its attempt too.
-async fn carry(state: Arc<GatewayState>, stream: TcpStream, pass: ConnectionPass) {
-    let _open = pass;
+async fn serve_connection(state: Arc<GatewayState>, stream: TcpStream, permit: ConnectionPermit) {
+    let _open = permit;
     if stream.set_nodelay(true).is_err() {
         // The connection is closed already.
         return;
     }
     let plan = state.plan();
     let limits = plan.as_ref().map(|index| &index.plan().limits);
-    let idle = limits.map_or(DEFAULT_IDLE, |limits| limits.idle_time);
+    let idle = limits.map_or(DEFAULT_IDLE_TIMEOUT, |limits| limits.idle_time);
     let header_bytes = limits.map_or(DEFAULT_HEADER_BYTES, |limits| limits.header_bytes.0 as usize);
     let flushes = Arc::new(FlushCounter::default());
-    let stream = CountedStream::new(stream, flushes.clone()).unread_for(idle);
+    let stream = FlushCountingStream::new(stream, flushes.clone()).with_write_timeout(idle);
     let shared = state.clone();
     let service = service_fn(move |request| {
         let (state, flushes) = (shared.clone(), flushes.clone());
         async move {
             let intake = state.intake.clone();
             let response = serve(state, request).await;
-            let is_tight = intake.is_tight();
-            Ok::<_, Infallible>(passed_on(response, is_tight, &flushes))
+            let is_nearly_full = intake.is_nearly_full();
+            Ok::<_, Infallible>(prepare_response(response, is_nearly_full, &flushes))
         }
     });
     let mut builder = http1::Builder::new();
     // hyper's header timeout starts at the end of the previous request, so it has to include the
     // idle timeout.
     builder.timer(SmolTimer::new()).header_read_timeout(idle);
-    builder.max_buf_size(header_bytes.max(LEAST_BUFFER));
+    builder.max_buf_size(header_bytes.max(MIN_BUFFER_BYTES));
     let mut connection = pin!(builder.serve_connection(FuturesIo::new(stream), service));
     let asked = async {
         state.closing.wait().await;
--- a/crates/sagespool-gateway/src/flight.rs
+++ b/crates/sagespool-gateway/src/context.rs
@@ -13,7 +13,7 @@
 use sagespool_types::{BranchName, CentreName, ClockTime, ServiceName, TokenCount, UpstreamName};
 
 use crate::desk::Reservation;
-use crate::intake::RequestPass;
+use crate::intake::RequestPermit;
 use crate::metrics::Outcome;
 use crate::refusal::Refusal;
 use crate::state::GatewayState;
@@ -31,13 +31,13 @@
     pub(crate) body: Bytes,
     pub(crate) reservation: Option<Reservation>,
     /// Its share of this instance's admission limits.
-    pub(crate) _pass: RequestPass,
+    pub(crate) _permit: RequestPermit,
     /// When the response must be complete.
     pub(crate) deadline: ClockTime,
 }
 
 /// The pipeline's state of a request after admission.
-pub(crate) struct Flight {
+pub(crate) struct RequestContext {
     pub(crate) state: Arc<GatewayState>,
     pub(crate) request: AdmittedRequest,
     pub(crate) head: Parts,
@@ -49,10 +49,10 @@
     pub(crate) may_have_run: bool,
     /// The ID of the last event forwarded to the caller.
     pub(crate) last_event: Option<u64>,
-    pub(crate) record: FlightRecord,
+    pub(crate) log: RequestLog,
 }
 
-impl Flight {
+impl RequestContext {
     /// The time until the deadline.
     pub(crate) fn time_left(&self, now: ClockTime) -> Duration {
         self.request.deadline.since(now)
@@ -76,7 +76,7 @@
 
     fn note_charge(&mut self) {
         let reservation = self.request.reservation.as_ref();
-        self.record.charged = reservation.map_or(TokenCount::ZERO, Reservation::charged);
+        self.log.charged = reservation.map_or(TokenCount::ZERO, Reservation::charged);
     }
 
     /// Charges the prompt. An upstream may have processed it as soon as the request is sent, also
@@ -103,7 +103,7 @@
     /// Charges the configured number of tokens for each event forwarded to the caller. An event may
     /// hold fewer tokens than that; the total charge never exceeds the reservation.
     pub(crate) fn charge_events(&mut self, count: u64) {
-        self.record.events += count;
+        self.log.events += count;
         let service = self.request.index.service(&self.request.service);
         let engine = service.and_then(|service| service.engine.as_ref());
         let each = engine.map_or(0, |engine| engine.event_tokens.0);
@@ -115,7 +115,7 @@
 }
 
 /// The log and metrics data of a request. Written on drop, so also when its caller disconnects.
-pub(crate) struct FlightRecord {
+pub(crate) struct RequestLog {
     pub(crate) state: Arc<GatewayState>,
     pub(crate) request: String,
     pub(crate) route: String,
@@ -135,7 +135,7 @@
     pub(crate) turn: Duration,
 }
 
-impl FlightRecord {
+impl RequestLog {
     pub(crate) fn new(state: &Arc<GatewayState>, began: ClockTime) -> Self {
         state.requests.fetch_add(1, Ordering::Relaxed);
         Self {
@@ -164,14 +164,14 @@
     }
 }
 
-impl Drop for FlightRecord {
+impl Drop for RequestLog {
     fn drop(&mut self) {
         self.state.requests.fetch_sub(1, Ordering::Relaxed);
-        if self.outcome.is_none() && self.state.over.is_given() {
+        if self.outcome.is_none() && self.state.abort.is_set() {
             // A stream that has begun keeps the status already sent to its caller.
             let status =
-                if self.status == 0 { Refusal::Ended.status().as_u16() } else { self.status };
-            self.conclude(Outcome::Cut, status, Refusal::Ended.reason());
+                if self.status == 0 { Refusal::Aborted.status().as_u16() } else { self.status };
+            self.conclude(Outcome::Cut, status, Refusal::Aborted.reason());
         }
         let now = ClockTime::now();
         let outcome = self.outcome.unwrap_or(Outcome::CallerGone);
@@ -198,8 +198,8 @@
             detail = self.detail,
         );
         let metrics = &self.state.metrics;
-        metrics.ended(outcome, &self.route);
-        metrics.observe(
+        metrics.count_outcome(outcome, &self.route);
+        metrics.observe_latency(
             &self.route,
             self.branch.as_ref(),
             first.since(self.began),
--- a/crates/sagespool-gateway/src/crashes.rs
+++ b/crates/sagespool-gateway/src/crashes.rs
@@ -13,24 +13,24 @@
 use sagespool_messages::{CrashReport, MemberRole, PeerRequest};
 use sagespool_types::{AttemptNumber, ClockTime, ContentDigest, RequestId, UpstreamName};
 
-use crate::flight::Flight;
+use crate::context::RequestContext;
 use crate::state::GatewayState;
 
 /// Crashes until a content is refused. A lost response looks like a crash, and the caller's retry
 /// may lose its response too, so two aren't sufficient evidence.
-const CRASHES_TO_STOP: usize = 3;
-const REPORT_LIMIT: Duration = Duration::from_millis(300);
+const CRASHES_TO_QUARANTINE: usize = 3;
+const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Crash reports of this gateway and of others, by request content.
-pub(crate) struct CrashDesk {
+pub(crate) struct CrashTracker {
     board: CrashBoard,
     /// Number of reports. While it is zero, requests' contents aren't hashed.
     reports: AtomicUsize,
 }
 
-impl CrashDesk {
+impl CrashTracker {
     pub(crate) fn new() -> Self {
-        let policy = CrashPolicy::builder().stop_at(CRASHES_TO_STOP).build();
+        let policy = CrashPolicy::builder().stop_at(CRASHES_TO_QUARANTINE).build();
         Self { board: CrashBoard::with_policy(policy), reports: AtomicUsize::new(0) }
     }
 
@@ -39,7 +39,7 @@
     }
 
     /// Whether a content is refused.
-    pub(crate) fn stops(&self, content: impl FnOnce() -> ContentDigest) -> bool {
+    pub(crate) fn is_quarantined(&self, content: impl FnOnce() -> ContentDigest) -> bool {
         self.has_reports() && self.board.stopped(content())
     }
 
@@ -57,7 +57,7 @@
     }
 }
 
-impl Flight {
+impl RequestContext {
     /// Identifies equal requests across all gateways.
     pub(crate) fn content(&self) -> ContentDigest {
         content_of(self.request.demand.key.as_deref(), &self.head, &self.request.body)
@@ -73,7 +73,7 @@
             attempt: AttemptNumber(self.sends),
         };
         self.state.crashes.record(&report, ClockTime::now());
-        smol::spawn(spread(self.state.clone(), report)).detach();
+        smol::spawn(broadcast(self.state.clone(), report)).detach();
     }
 
     /// Clears earlier crashes of this content after a complete response.
@@ -94,10 +94,10 @@
     ContentDigest::of(&target, body)
 }
 
-async fn spread(state: Arc<GatewayState>, report: CrashReport) {
+async fn broadcast(state: Arc<GatewayState>, report: CrashReport) {
     for other in state.fleet.others(MemberRole::Entry, ClockTime::now()) {
         let request = PeerRequest::ReportCrash(report.clone());
-        if let Err(error) = state.fleet.ask(other.address, &request, REPORT_LIMIT).await {
+        if let Err(error) = state.fleet.call(other.address, &request, REPORT_TIMEOUT).await {
             log_event!(warn, "crash-untold", to = other.instance, error = error);
         }
     }
--- a/crates/sagespool-gateway/src/desk.rs
+++ b/crates/sagespool-gateway/src/desk.rs
@@ -2,12 +2,12 @@
 
 mod account;
 mod grants;
+mod loan_returns;
 mod loans;
-mod rests;
 mod shortage;
 
 pub(crate) use self::account::Reservation;
-pub use self::shortage::{FailedRound, KnownShortage};
+pub use self::shortage::{CachedShortage, FailedLoanRound};
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -21,22 +21,22 @@
     BranchName, ClockTime, ConfigVersion, IncarnationId, InstanceName, TokenCount,
 };
 
-use self::account::{AccountDesk, lock};
+use self::account::{AccountState, lock};
 use self::grants::GrantOutcome;
-use self::loans::{Lenders, LoanRound, LoanSize, borrow, borrow_at_home};
-use crate::fleet::FleetBoard;
+use self::loans::{Lenders, LoanAmount, LoanOutcome, borrow, borrow_at_home};
+use crate::fleet::FleetClient;
 use crate::refusal::Refusal;
 
 /// A request waits for the store for at most its time left divided by this.
 const STORE_SHARE: u32 = 4;
-const LONGEST_STORE_WAIT: Duration = Duration::from_millis(800);
+const MAX_STORE_WAIT: Duration = Duration::from_millis(800);
 /// After a failed call, requests that need the store are refused immediately for this time. Waiting
 /// for a call that fails uses up time in which another instance could serve the request.
-const STORE_PAUSE: Duration = Duration::from_millis(250);
+const STORE_BACKOFF: Duration = Duration::from_millis(250);
 
 /// The tokens that a request needs from its account.
 #[derive(Debug, Clone)]
-pub(crate) struct BudgetOrder {
+pub(crate) struct BudgetRequest {
     pub(crate) branch: BranchName,
     /// The version of the configuration that `prepaid` comes from.
     pub(crate) version: ConfigVersion,
@@ -48,19 +48,19 @@
 }
 
 /// This instance's grants, by account.
-pub(crate) struct BudgetDesk {
+pub(crate) struct BudgetPool {
     store: ObjectClient,
     run: IncarnationId,
     instance: InstanceName,
     terms: GrantPolicy,
     /// The number of instances that accounts' homes are spread over, including this one.
     homes: AtomicUsize,
-    accounts: Mutex<HashMap<BranchName, Arc<AccountDesk>>>,
+    accounts: Mutex<HashMap<BranchName, Arc<AccountState>>>,
     /// When a call of the store last failed.
     store_failed: Mutex<Option<ClockTime>>,
 }
 
-impl BudgetDesk {
+impl BudgetPool {
     pub(crate) fn new(
         store: ObjectClient,
         run: IncarnationId,
@@ -87,16 +87,19 @@
         self.terms.scaled_to_homes(self.homes.load(Ordering::Relaxed))
     }
 
-    fn account(&self, branch: &BranchName) -> Arc<AccountDesk> {
+    fn account(&self, branch: &BranchName) -> Arc<AccountState> {
         let mut accounts = lock(&self.accounts);
-        let fresh = || Arc::new(AccountDesk::new(branch));
+        let fresh = || Arc::new(AccountState::new(branch));
         accounts.entry(branch.clone()).or_insert_with(fresh).clone()
     }
 
     /// Raises this instance's grant until its free part covers an order, and requests a larger
     /// grant early if it runs low. If the book can't cover the order either, returns how much the
     /// free part and the book cover together.
-    pub(crate) async fn stock_up(self: &Arc<Self>, order: &BudgetOrder) -> Option<TokenCount> {
+    pub(crate) async fn ensure_covered(
+        self: &Arc<Self>,
+        order: &BudgetRequest,
+    ) -> Option<TokenCount> {
         let account = self.account(&order.branch);
         let now = ClockTime::now();
         let holds_enough = {
@@ -105,17 +108,17 @@
             order.amount <= balance.free()
         };
         if holds_enough {
-            self.top_up_early(&account, order, now);
+            self.top_up_in_background(&account, order, now);
             return None;
         }
         if let Some(room) = account.shortage_of(order, now) {
             return Some(room);
         }
-        if self.store_is_away(now) {
+        if self.is_store_failing(now) {
             return None;
         }
         let wanted = order.amount;
-        let asked = self.ask_in_time(&account, order, wanted, 1, LONGEST_STORE_WAIT);
+        let asked = self.request_grant_in_time(&account, order, wanted, 1, MAX_STORE_WAIT);
         match asked.await {
             // Release the reservation, so that the amount can be lent.
             Ok(GrantOutcome::Granted) => {
@@ -156,15 +159,15 @@
     /// instances, or from a larger grant.
     pub(crate) async fn reserve(
         self: &Arc<Self>,
-        order: &BudgetOrder,
+        order: &BudgetRequest,
         deadline: ClockTime,
-        fleet: &Arc<FleetBoard>,
+        fleet: &Arc<FleetClient>,
     ) -> Result<Reservation, Refusal> {
         let account = self.account(&order.branch);
         let now = ClockTime::now();
         if lock(&account.balance).reserve(order.amount, now) {
             if self.runs_low(&account, order, now) && fleet.is_home(&order.branch, now) {
-                self.top_up_early(&account, order, now);
+                self.top_up_in_background(&account, order, now);
             }
             return Ok(Reservation::new(account, order.amount));
         }
@@ -196,7 +199,7 @@
         if account.shortage_of(order, now).is_some() {
             return Err(self.refuse(&account, order, Refusal::BudgetSpent, "known-short"));
         }
-        if failed.is_some_and(|failed| failed.stands_for(order.amount, now)) {
+        if failed.is_some_and(|failed| failed.applies_to(order.amount, now)) {
             return Err(self.refuse(&account, order, Refusal::BudgetUnreachable, "peers-away"));
         }
         let missing = order.amount.less(lock(&account.balance).free());
@@ -205,7 +208,7 @@
         let reserved = account.reserve_with(order, loan.lent);
         let everybody_told = asks_all && loan.complete;
         let in_vain = !reserved && !everybody_told;
-        *failed = in_vain.then(|| FailedRound::noted(order.amount, ClockTime::now()));
+        *failed = in_vain.then(|| FailedLoanRound::noted(order.amount, ClockTime::now()));
         drop(failed);
         if reserved {
             log_event!(
@@ -225,9 +228,9 @@
     /// it lends too little without reporting a shortage.
     async fn reserve_at_home(
         &self,
-        account: &Arc<AccountDesk>,
-        order: &BudgetOrder,
-        fleet: &Arc<FleetBoard>,
+        account: &Arc<AccountState>,
+        order: &BudgetRequest,
+        fleet: &Arc<FleetClient>,
     ) -> Option<GrantOutcome> {
         let (missing, ahead) = {
             let balance = lock(&account.balance);
@@ -235,7 +238,7 @@
                 balance.loan_ahead(self.terms, order.prepaid, order.amount, ClockTime::now());
             (order.amount.less(balance.free()), ahead)
         };
-        let size = LoanSize { missing, ahead };
+        let size = LoanAmount { missing, ahead };
         let mut reply = borrow_at_home(fleet, account, order, size).await?;
         if account.reserve_with(order, reply.lent) {
             return Some(GrantOutcome::Granted);
@@ -243,7 +246,7 @@
         if ahead > TokenCount::ZERO {
             // When the budget is nearly spent, the home may be able to cover this request alone.
             let missing = order.amount.less(lock(&account.balance).free());
-            let size = LoanSize { missing, ahead: TokenCount::ZERO };
+            let size = LoanAmount { missing, ahead: TokenCount::ZERO };
             reply = borrow_at_home(fleet, account, order, size).await?;
             if account.reserve_with(order, reply.lent) {
                 return Some(GrantOutcome::Granted);
@@ -257,10 +260,10 @@
     /// and every other gateway reported too little.
     fn refuse_after(
         &self,
-        account: &AccountDesk,
-        order: &BudgetOrder,
+        account: &AccountState,
+        order: &BudgetRequest,
         asked: Result<GrantOutcome, StoreError>,
-        loan: LoanRound,
+        loan: LoanOutcome,
     ) -> Refusal {
         match asked {
             Ok(GrantOutcome::Short(room)) if loan.complete => {
@@ -277,17 +280,18 @@
 
     async fn ask_store(
         &self,
-        account: &AccountDesk,
-        order: &BudgetOrder,
+        account: &AccountState,
+        order: &BudgetRequest,
         deadline: ClockTime,
         instances: usize,
     ) -> Result<GrantOutcome, StoreError> {
         let now = ClockTime::now();
-        if self.store_is_away(now) {
+        if self.is_store_failing(now) {
             return Err(StoreError::Unavailable);
         }
-        let limit = (deadline.since(now) / STORE_SHARE).min(LONGEST_STORE_WAIT);
-        let asked = self.ask_in_time(account, order, order.amount, instances, limit).await;
+        let limit = (deadline.since(now) / STORE_SHARE).min(MAX_STORE_WAIT);
+        let asked =
+            self.request_grant_in_time(account, order, order.amount, instances, limit).await;
         if asked.is_err() {
             *lock(&self.store_failed) = Some(ClockTime::now());
         }
@@ -296,8 +300,8 @@
 
     fn refuse(
         &self,
-        account: &AccountDesk,
-        order: &BudgetOrder,
+        account: &AccountState,
+        order: &BudgetRequest,
         refusal: Refusal,
         cause: &str,
     ) -> Refusal {
@@ -317,37 +321,38 @@
         refusal
     }
 
-    fn runs_low(&self, account: &AccountDesk, order: &BudgetOrder, now: ClockTime) -> bool {
+    fn runs_low(&self, account: &AccountState, order: &BudgetRequest, now: ClockTime) -> bool {
         lock(&account.balance).runs_low(self.supply_policy(), order.prepaid, now)
     }
 
-    fn store_is_away(&self, now: ClockTime) -> bool {
-        lock(&self.store_failed).is_some_and(|failed| now.since(failed) < STORE_PAUSE)
+    fn is_store_failing(&self, now: ClockTime) -> bool {
+        lock(&self.store_failed).is_some_and(|failed| now.since(failed) < STORE_BACKOFF)
     }
 
     /// Requests a larger grant in the background before the current one is used up, so that
     /// requests seldom wait for the store.
-    fn top_up_early(
+    fn top_up_in_background(
         self: &Arc<Self>,
-        account: &Arc<AccountDesk>,
-        order: &BudgetOrder,
+        account: &Arc<AccountState>,
+        order: &BudgetRequest,
         now: ClockTime,
     ) {
         let runs_low = self.runs_low(account, order, now);
-        if !runs_low || account.is_nearly_spent(now) || self.store_is_away(now) {
+        if !runs_low || account.is_nearly_spent(now) || self.is_store_failing(now) {
             return;
         }
-        if account.tops_up.swap(true, Ordering::Relaxed) {
+        if account.topping_up.swap(true, Ordering::Relaxed) {
             return;
         }
         let (desk, account, order) = (self.clone(), account.clone(), order.clone());
         smol::spawn(async move {
-            let asked = desk.ask_in_time(&account, &order, TokenCount::ZERO, 1, LONGEST_STORE_WAIT);
+            let asked =
+                desk.request_grant_in_time(&account, &order, TokenCount::ZERO, 1, MAX_STORE_WAIT);
             if let Err(error) = asked.await {
                 *lock(&desk.store_failed) = Some(ClockTime::now());
                 log_event!(warn, "top-up-failed", branch = account.branch, error = error);
             }
-            account.tops_up.store(false, Ordering::Relaxed);
+            account.topping_up.store(false, Ordering::Relaxed);
         })
         .detach();
     }
--- a/crates/sagespool-gateway/src/desk/account.rs
+++ b/crates/sagespool-gateway/src/desk/account.rs
@@ -9,23 +9,23 @@
     BranchName, ClockTime, ConfigVersion, IncarnationId, StoreRevision, TokenCount,
 };
 
-use super::BudgetOrder;
-use super::shortage::{FailedRound, KnownShortage};
+use super::BudgetRequest;
+use super::shortage::{CachedShortage, FailedLoanRound};
 
 /// The state of one account at this instance.
-pub(crate) struct AccountDesk {
+pub(crate) struct AccountState {
     pub(super) branch: BranchName,
     pub(super) balance: Mutex<PrepaidBalance>,
     /// The book as last read or written; `None` if it must be read again. The lock is held during
     /// writes.
     pub(super) book: TurnLock<Option<KnownBook>>,
-    shortage: Mutex<Option<KnownShortage>>,
+    shortage: Mutex<Option<CachedShortage>>,
     /// The runs with a grant in the book when it was last read.
     holders: Mutex<Vec<IncarnationId>>,
     /// Held while other instances are queried for loans: requests of one account wait for the round
     /// in progress, whose loans may cover them too. Holds the last round if it failed.
-    pub(super) round: TurnLock<Option<FailedRound>>,
-    pub(super) tops_up: AtomicBool,
+    pub(super) round: TurnLock<Option<FailedLoanRound>>,
+    pub(super) topping_up: AtomicBool,
 }
 
 #[derive(Clone)]
@@ -38,7 +38,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl AccountDesk {
+impl AccountState {
     pub(super) fn new(branch: &BranchName) -> Self {
         Self {
             branch: branch.clone(),
@@ -47,20 +47,20 @@
             shortage: Mutex::default(),
             holders: Mutex::default(),
             round: TurnLock::new(None),
-            tops_up: AtomicBool::new(false),
+            topping_up: AtomicBool::new(false),
         }
     }
 
     /// Adds a loan and reserves what a request needs; false if the free tokens still don't cover
     /// it.
-    pub(super) fn reserve_with(&self, order: &BudgetOrder, lent: TokenCount) -> bool {
+    pub(super) fn reserve_with(&self, order: &BudgetRequest, lent: TokenCount) -> bool {
         let mut balance = lock(&self.balance);
         balance.borrow(lent);
         balance.reserve(order.amount, ClockTime::now())
     }
 
     /// Records the runs with a grant in the book.
-    pub(super) fn see_holders(&self, book: &PrepaidRecord) {
+    pub(super) fn note_holders(&self, book: &PrepaidRecord) {
         *lock(&self.holders) = book.holders.keys().copied().collect();
     }
 
@@ -72,13 +72,13 @@
     /// Records that the book and all instances together cover no more than `room`.
     pub(super) fn note_shortage(&self, room: TokenCount, version: ConfigVersion, now: ClockTime) {
         let mut shortage = lock(&self.shortage);
-        *shortage = Some(KnownShortage::noted(*shortage, room, version, now));
+        *shortage = Some(CachedShortage::noted(*shortage, room, version, now));
     }
 
     /// The amount that can be covered, if a recent shortage rules out this order.
-    pub(super) fn shortage_of(&self, order: &BudgetOrder, now: ClockTime) -> Option<TokenCount> {
+    pub(super) fn shortage_of(&self, order: &BudgetRequest, now: ClockTime) -> Option<TokenCount> {
         let shortage = (*lock(&self.shortage))?;
-        shortage.covers_less_than(order.amount, order.version, now).then_some(shortage.room())
+        shortage.excludes(order.amount, order.version, now).then_some(shortage.room())
     }
 
     pub(super) fn is_nearly_spent(&self, now: ClockTime) -> bool {
@@ -88,14 +88,14 @@
 
 /// Tokens reserved for a request. Dropping it settles the charge and frees the remainder.
 pub(crate) struct Reservation {
-    account: Arc<AccountDesk>,
+    account: Arc<AccountState>,
     amount: TokenCount,
     prompt: TokenCount,
     answer: TokenCount,
 }
 
 impl Reservation {
-    pub(super) fn new(account: Arc<AccountDesk>, amount: TokenCount) -> Self {
+    pub(super) fn new(account: Arc<AccountState>, amount: TokenCount) -> Self {
         Self { account, amount, prompt: TokenCount::ZERO, answer: TokenCount::ZERO }
     }
 
--- a/crates/sagespool-gateway/src/desk/grants.rs
+++ b/crates/sagespool-gateway/src/desk/grants.rs
@@ -10,11 +10,11 @@
 use sagespool_types::{ClockTime, StoreRevision, TokenCount};
 use smol::{Task, Timer};
 
-use super::account::{AccountDesk, KnownBook, lock};
-use super::{BudgetDesk, BudgetOrder};
+use super::account::{AccountState, KnownBook, lock};
+use super::{BudgetPool, BudgetRequest};
 
 /// Attempts to write one book before a request is refused. Writes of other instances conflict.
-const MOST_TRIES: u32 = 8;
+const MAX_TRIES: u32 = 8;
 /// Pause between two tries, times the number of tries so far: a write takes about 4 ms.
 const RETRY_PAUSE: Duration = Duration::from_millis(3);
 
@@ -25,32 +25,32 @@
     Short(TokenCount),
 }
 
-impl BudgetDesk {
-    /// [`ask`](Self::ask) with a timeout, which counts as an unavailable store.
-    pub(super) async fn ask_in_time(
+impl BudgetPool {
+    /// [`request_grant`](Self::request_grant) with a timeout, which counts as an unavailable store.
+    pub(super) async fn request_grant_in_time(
         &self,
-        account: &AccountDesk,
-        order: &BudgetOrder,
+        account: &AccountState,
+        order: &BudgetRequest,
         missing: TokenCount,
         instances: usize,
         limit: Duration,
     ) -> Result<GrantOutcome, StoreError> {
-        let asked = self.ask(account, order, missing, instances);
+        let asked = self.request_grant(account, order, missing, instances);
         within(limit, asked).await.unwrap_or(Err(StoreError::Unavailable))
     }
 
     /// Requests a grant that covers `missing` more tokens, and reserves them.
-    async fn ask(
+    async fn request_grant(
         &self,
-        account: &AccountDesk,
-        order: &BudgetOrder,
+        account: &AccountState,
+        order: &BudgetRequest,
         missing: TokenCount,
         instances: usize,
     ) -> Result<GrantOutcome, StoreError> {
         // One writer per account: the grant that it gets may cover the waiting requests too.
         let mut known = account.book.lock().await;
         let key = prepaid_key(&account.branch);
-        for tries in 0..MOST_TRIES {
+        for tries in 0..MAX_TRIES {
             if missing > TokenCount::ZERO
                 && lock(&account.balance).reserve(missing, ClockTime::now())
             {
@@ -66,7 +66,7 @@
             let mut book = read.value;
             book.set_total(order.version, order.prepaid);
             book.close_earlier_runs(self.run, &self.instance);
-            account.see_holders(&book);
+            account.note_holders(&book);
             let present = book.granted(self.run);
             let now = ClockTime::now();
             let terms = self.supply_policy().per_instance(instances);
@@ -116,7 +116,7 @@
 
     fn log_grant(
         &self,
-        account: &AccountDesk,
+        account: &AccountState,
         book: &PrepaidRecord,
         granted: TokenCount,
         version: StoreRevision,
@@ -137,7 +137,7 @@
 
     /// Closes this run's grants in the books with the amounts spent. For a graceful stop.
     pub(crate) async fn close_all(self: &Arc<Self>, limit: Duration) {
-        let accounts: Vec<Arc<AccountDesk>> = lock(&self.accounts).values().cloned().collect();
+        let accounts: Vec<Arc<AccountState>> = lock(&self.accounts).values().cloned().collect();
         let closing = accounts.into_iter().map(|account| {
             let desk = self.clone();
             smol::spawn(async move { desk.close(&account, limit).await })
@@ -148,7 +148,7 @@
         }
     }
 
-    async fn close(&self, account: &AccountDesk, limit: Duration) {
+    async fn close(&self, account: &AccountState, limit: Duration) {
         let spent = lock(&account.balance).min_grant();
         lock(&account.balance).lower_grant_to(spent);
         let key = prepaid_key(&account.branch);
--- a/crates/sagespool-gateway/src/desk/loans.rs
+++ b/crates/sagespool-gateway/src/desk/loans.rs
@@ -9,22 +9,22 @@
 use sagespool_messages::{LendReply, LendRequest, MemberInfo, MemberRole, PeerReply, PeerRequest};
 use sagespool_types::{ClockTime, IncarnationId, TokenCount};
 
-use super::BudgetOrder;
-use super::account::{AccountDesk, lock};
-use crate::fleet::FleetBoard;
+use super::BudgetRequest;
+use super::account::{AccountState, lock};
+use crate::fleet::FleetClient;
 
 /// Timeout of a loan from a gateway; the round trip takes 1 to 2 ms.
-const LEND_LIMIT: Duration = Duration::from_millis(60);
+const LOAN_TIMEOUT: Duration = Duration::from_millis(60);
 /// Timeout of a loan from the home, which may have to call the store first (some milliseconds).
-const HOME_LIMIT: Duration = Duration::from_millis(150);
+const HOME_LOAN_TIMEOUT: Duration = Duration::from_millis(150);
 /// A loan that arrives after its request's timeout is still accepted within this time.
-const LATE_LIMIT: Duration = Duration::from_millis(1500);
+const LATE_LOAN_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Gateways queried concurrently. Each may lend the full amount, and the excess stays unused here.
-const ASKED_AT_ONCE: usize = 8;
+const CONCURRENT_QUERIES: usize = 8;
 
 /// The result of querying other gateways for loans.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct LoanRound {
+pub(super) struct LoanOutcome {
     pub(super) lent: TokenCount,
     /// True if every known gateway replied.
     pub(super) complete: bool,
@@ -32,7 +32,7 @@
 
 /// The amount of a requested loan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct LoanSize {
+pub(super) struct LoanAmount {
     /// What the current request lacks.
     pub(super) missing: TokenCount,
     /// For future requests; the home may lend less.
@@ -54,12 +54,12 @@
 /// request querying all of 70 gateways in turn, a busy gateway spent its CPU time on these queries
 /// and its callers waited for seconds.
 pub(super) async fn borrow(
-    fleet: &Arc<FleetBoard>,
-    account: &Arc<AccountDesk>,
-    order: &BudgetOrder,
+    fleet: &Arc<FleetClient>,
+    account: &Arc<AccountState>,
+    order: &BudgetRequest,
     wanted: TokenCount,
     lenders: Lenders,
-) -> LoanRound {
+) -> LoanOutcome {
     let mut others = fleet.others(MemberRole::Entry, ClockTime::now());
     // A suspected or leaving member isn't queried but may have a grant.
     let mut complete = others.len() + 1 >= fleet.count(MemberRole::Entry);
@@ -68,11 +68,12 @@
         others.retain(|other| runs.contains(&other.incarnation));
     }
     let mut lent = TokenCount::ZERO;
-    for some in others.chunks(ASKED_AT_ONCE) {
-        let missing = LoanSize { missing: wanted.less(lent), ahead: TokenCount::ZERO };
+    for some in others.chunks(CONCURRENT_QUERIES) {
+        let missing = LoanAmount { missing: wanted.less(lent), ahead: TokenCount::ZERO };
         let request = lend_request(fleet, order, missing, false);
-        let ask = |other| ask_for_loan(fleet, account, other, request.clone(), LEND_LIMIT);
-        for answer in join_all(some.iter().map(ask)).await {
+        let request_grant =
+            |other| request_loan(fleet, account, other, request.clone(), LOAN_TIMEOUT);
+        for answer in join_all(some.iter().map(request_grant)).await {
             match answer {
                 Some(reply) => lent += reply.lent,
                 None => complete = false,
@@ -82,7 +83,7 @@
             break;
         }
     }
-    LoanRound { lent, complete }
+    LoanOutcome { lent, complete }
 }
 
 /// Borrows from the account's home. `None` if this gateway is the home or the home doesn't reply.
@@ -92,23 +93,23 @@
 /// shortage that it reports saves the others from reading the book: with 31 gateways these reads
 /// were a third of all calls of the store.
 pub(super) async fn borrow_at_home(
-    fleet: &Arc<FleetBoard>,
-    account: &Arc<AccountDesk>,
-    order: &BudgetOrder,
-    size: LoanSize,
+    fleet: &Arc<FleetClient>,
+    account: &Arc<AccountState>,
+    order: &BudgetRequest,
+    size: LoanAmount,
 ) -> Option<LendReply> {
     let home = fleet.members.home_of(&order.branch, ClockTime::now())?;
     if home.incarnation == fleet.run {
         return None;
     }
     let request = lend_request(fleet, order, size, true);
-    ask_for_loan(fleet, account, &home, request, HOME_LIMIT).await
+    request_loan(fleet, account, &home, request, HOME_LOAN_TIMEOUT).await
 }
 
 fn lend_request(
-    fleet: &FleetBoard,
-    order: &BudgetOrder,
-    size: LoanSize,
+    fleet: &FleetClient,
+    order: &BudgetRequest,
+    size: LoanAmount,
     as_home: bool,
 ) -> PeerRequest {
     PeerRequest::Lend(LendRequest {
@@ -127,20 +128,20 @@
 /// Guards against lost loans: the lender counts the amount as spent, and a busy borrower may see
 /// the reply only after its request has timed out or its caller has disconnected. Such losses add
 /// up, and requests that the total would cover are refused.
-struct ArrivedLoan {
-    account: Arc<AccountDesk>,
+struct PendingLoan {
+    account: Arc<AccountState>,
     reply: LendReply,
     taken: bool,
 }
 
-impl ArrivedLoan {
+impl PendingLoan {
     fn take(mut self) -> LendReply {
         self.taken = true;
         self.reply
     }
 }
 
-impl Drop for ArrivedLoan {
+impl Drop for PendingLoan {
     fn drop(&mut self) {
         if !self.taken {
             lock(&self.account.balance).borrow(self.reply.lent);
@@ -149,9 +150,9 @@
 }
 
 /// Requests a loan from one gateway.
-async fn ask_for_loan(
-    fleet: &Arc<FleetBoard>,
-    account: &Arc<AccountDesk>,
+async fn request_loan(
+    fleet: &Arc<FleetClient>,
+    account: &Arc<AccountState>,
     lender: &MemberInfo,
     request: PeerRequest,
     limit: Duration,
@@ -159,9 +160,9 @@
     let (sender, arrived) = bounded(1);
     let (fleet, account, address) = (fleet.clone(), account.clone(), lender.address);
     smol::spawn(async move {
-        if let Ok(PeerReply::Lend(reply)) = fleet.ask(address, &request, LATE_LIMIT).await {
+        if let Ok(PeerReply::Lend(reply)) = fleet.call(address, &request, LATE_LOAN_TIMEOUT).await {
             // Dropped with the channel if the request no longer waits.
-            let _ = sender.try_send(ArrivedLoan { account, reply, taken: false });
+            let _ = sender.try_send(PendingLoan { account, reply, taken: false });
         }
     })
     .detach();
--- a/crates/sagespool-gateway/src/desk/shortage.rs
+++ b/crates/sagespool-gateway/src/desk/shortage.rs
@@ -6,10 +6,10 @@
 
 /// How long a shortage holds when it is first found. Short, since tokens may be on their way back
 /// to the book.
-const FIRST_LIFE: Duration = Duration::from_millis(300);
+const INITIAL_TTL: Duration = Duration::from_millis(300);
 /// Maximum time that a shortage holds after repeated reads found no more. An instance that stops
 /// returns its tokens within one or two seconds; a new configuration ends the shortage immediately.
-const LONGEST_LIFE: Duration = Duration::from_millis(1200);
+const MAX_TTL: Duration = Duration::from_millis(1200);
 
 /// A recent finding that the book and all instances' free tokens together don't cover a request.
 ///
@@ -17,15 +17,15 @@
 /// query to every other instance. Each check that finds no more doubles the time until the next
 /// one: at 20 requests/s that makes 22 reads in 25 s, against 84 with a fixed interval of 300 ms.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct KnownShortage {
+pub struct CachedShortage {
     /// The amount that could have been covered.
     room: TokenCount,
     version: ConfigVersion,
     noted: ClockTime,
-    life: Duration,
+    ttl: Duration,
 }
 
-impl KnownShortage {
+impl CachedShortage {
     /// Records that no more than `room` can be covered. `known` is the previous finding, if any.
     pub fn noted(
         known: Option<Self>,
@@ -34,8 +34,8 @@
         now: ClockTime,
     ) -> Self {
         let confirmed = known.filter(|known| known.version == version && room <= known.room);
-        let life = confirmed.map_or(FIRST_LIFE, |known| (known.life * 2).min(LONGEST_LIFE));
-        Self { room, version, noted: now, life }
+        let ttl = confirmed.map_or(INITIAL_TTL, |known| (known.ttl * 2).min(MAX_TTL));
+        Self { room, version, noted: now, ttl }
     }
 
     /// The amount that could have been covered.
@@ -45,22 +45,17 @@
 
     /// Whether the finding is recent enough to be used.
     pub fn is_fresh(&self, now: ClockTime) -> bool {
-        now.since(self.noted) < self.life
+        now.since(self.noted) < self.ttl
     }
 
     /// Whether the finding rules out an amount. It holds for its own configuration version only.
-    pub fn covers_less_than(
-        &self,
-        amount: TokenCount,
-        version: ConfigVersion,
-        now: ClockTime,
-    ) -> bool {
+    pub fn excludes(&self, amount: TokenCount, version: ConfigVersion, now: ClockTime) -> bool {
         self.version == version && self.is_fresh(now) && amount > self.room
     }
 }
 
 /// How long a failed round applies to the requests that waited for it.
-const FAILED_LIFE: Duration = Duration::from_millis(200);
+const FAILED_ROUND_TTL: Duration = Duration::from_millis(200);
 
 /// A loan round that brought too little while some gateways could not be queried.
 ///
@@ -69,20 +64,20 @@
 /// requests/s, the wait would grow by seconds each second and all requests would be refused at
 /// their deadlines.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct FailedRound {
+pub struct FailedLoanRound {
     /// The amount that the round could not cover.
     amount: TokenCount,
     noted: ClockTime,
 }
 
-impl FailedRound {
+impl FailedLoanRound {
     /// Records a round that ended at `now`.
     pub fn noted(amount: TokenCount, now: ClockTime) -> Self {
         Self { amount, noted: now }
     }
 
     /// Whether a request for this amount is refused without another round.
-    pub fn stands_for(&self, amount: TokenCount, now: ClockTime) -> bool {
-        amount >= self.amount && now.since(self.noted) < FAILED_LIFE
+    pub fn applies_to(&self, amount: TokenCount, now: ClockTime) -> bool {
+        amount >= self.amount && now.since(self.noted) < FAILED_ROUND_TTL
     }
 }
--- a/crates/sagespool-gateway/src/evacuations.rs
+++ b/crates/sagespool-gateway/src/evacuations.rs
@@ -7,12 +7,12 @@
 use sagespool_messages::FollowedKind;
 use sagespool_types::{CentreName, ClockTime};
 
-use crate::follow::{Followed, follow, key_name};
+use crate::follow::{FollowedPrefix, follow, key_name};
 use crate::state::GatewayState;
 
 /// Follows the evacuations until cancelled.
 pub(crate) async fn follow_evacuations(state: Arc<GatewayState>) {
-    let followed = Followed {
+    let followed = FollowedPrefix {
         what: "evacuations",
         kind: FollowedKind::Evacuations,
         prefix: state.dialect.evacuation_prefix,
--- a/crates/sagespool-gateway/src/feeds.rs
+++ b/crates/sagespool-gateway/src/feeds.rs
@@ -17,7 +17,7 @@
 use sagespool_settings::InForceSettings;
 use sagespool_types::{CentreName, ClockTime, IncarnationId, StoreRevision};
 
-use crate::fleet::FleetBoard;
+use crate::fleet::FleetClient;
 
 const MICROS_IN_SECOND: u64 = 1_000_000;
 const NANOS_IN_MICRO: u64 = 1_000;
@@ -32,19 +32,19 @@
 
 /// A local copy of one followed prefix, and the neighbours' requests that wait for its changes.
 #[derive(Debug, Default)]
-pub(crate) struct FeedSlot {
-    state: Mutex<SlotState>,
+pub(crate) struct FeedReplica {
+    state: Mutex<ReplicaState>,
     changed: Event,
 }
 
 #[derive(Debug, Default)]
-struct SlotState {
+struct ReplicaState {
     feed: ChangeFeed,
     store_lost: bool,
 }
 
-impl FeedSlot {
-    fn state(&self) -> MutexGuard<'_, SlotState> {
+impl FeedReplica {
+    fn state(&self) -> MutexGuard<'_, ReplicaState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -111,37 +111,37 @@
             age: state.feed.age(unsuspended_now()),
             store_lost: state.store_lost,
             whole,
-            objects: objects.into_iter().map(told_object).collect(),
+            objects: objects.into_iter().map(wire_object).collect(),
         }
     }
 }
 
-fn told_object(object: FeedObject) -> FollowedObject {
+fn wire_object(object: FeedObject) -> FollowedObject {
     let value = object.value.map(|value| value.to_string());
     FollowedObject { key: object.key, revision: object.revision, value }
 }
 
 /// The copies of all followed prefixes, and the choice of their sources.
 #[derive(Debug)]
-pub(crate) struct FeedDesk {
+pub(crate) struct FeedRegistry {
     terms: Option<FeedTiming>,
     evacuation_terms: Option<FeedTiming>,
     sources: Mutex<FeedSourceSelector>,
-    configuration: FeedSlot,
-    upstreams: FeedSlot,
-    evacuations: FeedSlot,
+    configuration: FeedReplica,
+    upstreams: FeedReplica,
+    evacuations: FeedReplica,
 }
 
-impl FeedDesk {
+impl FeedRegistry {
     pub(crate) fn new(in_force: Option<InForceSettings>) -> Self {
         let evacuations = in_force.and_then(|times| times.evacuations);
         Self {
             terms: in_force.and_then(|times| FeedTiming::within(times.changes)),
             evacuation_terms: evacuations.and_then(FeedTiming::within),
             sources: Mutex::default(),
-            configuration: FeedSlot::default(),
-            upstreams: FeedSlot::default(),
-            evacuations: FeedSlot::default(),
+            configuration: FeedReplica::default(),
+            upstreams: FeedReplica::default(),
+            evacuations: FeedReplica::default(),
         }
     }
 
@@ -153,7 +153,7 @@
         }
     }
 
-    pub(crate) fn slot(&self, kind: FollowedKind) -> &FeedSlot {
+    pub(crate) fn replica(&self, kind: FollowedKind) -> &FeedReplica {
         match kind {
             FollowedKind::Configuration => &self.configuration,
             FollowedKind::Upstreams => &self.upstreams,
@@ -168,13 +168,13 @@
     /// The neighbour to request changes from; `None` for the store.
     pub(crate) fn neighbour(
         &self,
-        fleet: &FleetBoard,
+        fleet: &FleetClient,
         centre: &CentreName,
         kind: FollowedKind,
         now: ClockTime,
     ) -> Option<MemberInfo> {
         let terms = self.terms(kind)?;
-        let own_age = self.slot(kind).age();
+        let own_age = self.replica(kind).age();
         let mut others = fleet.others(MemberRole::Entry, now);
         others.retain(|other| other.centre == *centre && !other.leaving);
         let ids: Vec<IncarnationId> = others.iter().map(|other| other.incarnation).collect();
@@ -189,17 +189,17 @@
     ///
     /// Guards against a neighbour that is partitioned, frozen or slow: its copy is stale, and
     /// changes that the store has accepted wouldn't take effect here.
-    pub(crate) async fn ask(
+    pub(crate) async fn query(
         &self,
-        fleet: &FleetBoard,
+        fleet: &FleetClient,
         neighbour: &MemberInfo,
         kind: FollowedKind,
     ) -> Option<FollowReply> {
         let terms = self.terms(kind)?;
-        let after = self.slot(kind).revision();
+        let after = self.replica(kind).revision();
         let request = PeerRequest::Follow(FollowAsk { kind, after, wait: terms.poll_wait });
         let limit = terms.poll_wait + REPLY_TIMEOUT;
-        let reply = match fleet.ask(neighbour.address, &request, limit).await {
+        let reply = match fleet.call(neighbour.address, &request, limit).await {
             Ok(PeerReply::Follow(reply)) => Some(reply),
             _ => None,
         };
@@ -226,6 +226,6 @@
     pub(crate) async fn answer(&self, ask: FollowAsk) -> FollowReply {
         let longest = self.terms(ask.kind).map_or(REPLY_TIMEOUT, |terms| terms.poll_wait);
         let ask = FollowAsk { wait: ask.wait.min(longest), ..ask };
-        self.slot(ask.kind).answer(ask).await
+        self.replica(ask.kind).answer(ask).await
     }
 }
--- a/crates/sagespool-gateway/src/fleet.rs
+++ b/crates/sagespool-gateway/src/fleet.rs
@@ -24,10 +24,10 @@
 };
 use smol::Timer;
 
-use crate::identity::make_identity;
+use crate::identity::create_identity;
 
 /// Interval of the checks which heartbeats are due.
-const ROUND: Duration = Duration::from_millis(200);
+const HEARTBEAT_CHECK_PERIOD: Duration = Duration::from_millis(200);
 /// The largest fleet with a full mesh of heartbeats. A connection to a peer takes up to 1 MB on
 /// each side, and the machines are small.
 const MESH_LIMIT: usize = 8;
@@ -39,20 +39,20 @@
 /// Without a heartbeat for this time a member is suspected. Suspicion only means that no requests
 /// are sent to it.
 const SUSPECT_AFTER: Duration = Duration::from_millis(3000);
-const BEAT_LIMIT: Duration = Duration::from_millis(700);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(700);
 /// Interval of reading the members' addresses from the store. Heartbeats carry new ones sooner.
 const LISTING_PERIOD: Duration = Duration::from_secs(30);
-const FAILURE_PAUSE: Duration = Duration::from_millis(400);
-const WRITE_LIMIT: Duration = Duration::from_secs(2);
+const RETRY_BACKOFF: Duration = Duration::from_millis(400);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// The store prefix of processes' addresses.
 const ADDRESS_PREFIX: &str = "members/";
 const NO_LINK: &str = "this process's link isn't open yet";
 /// Number of processes tried, one after the other, to forward a call of the store.
-const MOST_DETOURS: usize = 3;
+const MAX_FORWARDERS: usize = 3;
 
 /// The identity and addresses of this process in the fleet.
 #[derive(Debug, Clone, Builder)]
-pub(crate) struct OwnPlace {
+pub(crate) struct LocalMember {
     pub(crate) instance: InstanceName,
     pub(crate) region: RegionName,
     pub(crate) centre: CentreName,
@@ -65,9 +65,9 @@
     pub(crate) peers: Vec<SocketAddr>,
 }
 
-impl OwnPlace {
+impl LocalMember {
     /// The address that others connect to.
-    fn reached_at(&self) -> SocketAddr {
+    fn public_address(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.link)
     }
 }
@@ -85,8 +85,8 @@
 }
 
 /// The known members of the fleet, and the link to them.
-pub(crate) struct FleetBoard {
-    place: OwnPlace,
+pub(crate) struct FleetClient {
+    local: LocalMember,
     pub(crate) run: IncarnationId,
     pub(crate) members: MemberTable,
     link: OnceLock<LinkEndpoint>,
@@ -94,16 +94,16 @@
     listed: Mutex<Option<Vec<InstanceName>>>,
 }
 
-impl FleetBoard {
-    pub(crate) fn new(place: OwnPlace, run: IncarnationId) -> Self {
+impl FleetClient {
+    pub(crate) fn new(local: LocalMember, run: IncarnationId) -> Self {
         let own = MemberInfo {
-            instance: place.instance.clone(),
+            instance: local.instance.clone(),
             incarnation: run,
             number: initial_heartbeat_number(WallTime::now()),
-            role: place.role,
-            region: place.region.clone(),
-            centre: place.centre.clone(),
-            address: place.reached_at(),
+            role: local.role,
+            region: local.region.clone(),
+            centre: local.centre.clone(),
+            address: local.public_address(),
             leaving: false,
             config: ConfigVersion::ZERO,
             started_at: None,
@@ -116,8 +116,8 @@
             .suspect_after(SUSPECT_AFTER)
             .build();
         let members = MemberTable::new(own, policy, run.0);
-        members.add_seeds(&place.peers, ClockTime::now());
-        Self { place, run, members, link: OnceLock::new(), listed: Mutex::default() }
+        members.add_seeds(&local.peers, ClockTime::now());
+        Self { local, run, members, link: OnceLock::new(), listed: Mutex::default() }
     }
 
     /// The number of members of a role, including this process.
@@ -143,7 +143,7 @@
         others
     }
 
-    pub(crate) async fn ask(
+    pub(crate) async fn call(
         &self,
         address: SocketAddr,
         request: &PeerRequest,
@@ -155,8 +155,8 @@
         }
     }
 
-    pub(crate) fn answer_heartbeat(&self, beat: &Heartbeat) -> PeerReply {
-        PeerReply::Heartbeat(self.members.handle_heartbeat(beat, ClockTime::now()))
+    pub(crate) fn answer_heartbeat(&self, heartbeat: &Heartbeat) -> PeerReply {
+        PeerReply::Heartbeat(self.members.handle_heartbeat(heartbeat, ClockTime::now()))
     }
 
     /// Opens the link and sends heartbeats until cancelled. `heard` is called for each member that
@@ -172,25 +172,26 @@
         };
         log_event!(info, "link-open", address = endpoint.local_address());
         if self.link.set(endpoint).is_err() {
-            log_event!(error, "link-opened-twice", address = self.place.link);
+            log_event!(error, "link-opened-twice", address = self.local.link);
             return;
         }
         smol::spawn(self.clone().follow_addresses(store)).detach();
         loop {
-            for (address, beat) in self.members.due_heartbeats(ClockTime::now()) {
-                smol::spawn(self.clone().beat(address, beat, heard.clone())).detach();
+            for (address, heartbeat) in self.members.due_heartbeats(ClockTime::now()) {
+                smol::spawn(self.clone().send_heartbeat(address, heartbeat, heard.clone()))
+                    .detach();
             }
-            Timer::after(ROUND).await;
+            Timer::after(HEARTBEAT_CHECK_PERIOD).await;
         }
     }
 
-    async fn beat(
+    async fn send_heartbeat(
         self: Arc<Self>,
         address: SocketAddr,
-        beat: Heartbeat,
+        heartbeat: Heartbeat,
         heard: impl Fn(&MemberInfo),
     ) {
-        match self.ask(address, &PeerRequest::Heartbeat(beat), BEAT_LIMIT).await {
+        match self.call(address, &PeerRequest::Heartbeat(heartbeat), HEARTBEAT_TIMEOUT).await {
             Ok(PeerReply::Heartbeat(reply)) => {
                 self.members.handle_reply(address, &reply, ClockTime::now());
                 heard(&reply.from);
@@ -204,9 +205,9 @@
     async fn open_link(&self, store: &ObjectClient, handler: PeerHandler) -> Option<LinkEndpoint> {
         let mut told = false;
         loop {
-            match make_identity(store, &self.place.instance).await {
+            match create_identity(store, &self.local.instance).await {
                 Ok(identity) => {
-                    return match LinkEndpoint::start(self.place.link, identity, handler) {
+                    return match LinkEndpoint::start(self.local.link, identity, handler) {
                         Ok(endpoint) => Some(endpoint),
                         Err(report) => {
                             log_event!(error, "link-closed", detail = format!("{report:?}"));
@@ -226,15 +227,15 @@
 
     /// Writes this process's address to the store, and reads the other addresses periodically.
     async fn follow_addresses(self: Arc<Self>, store: ObjectClient) {
-        let own = self.place.reached_at();
-        let key = format!("{ADDRESS_PREFIX}{}", self.place.instance);
-        let role = Some(self.place.role);
+        let own = self.local.public_address();
+        let key = format!("{ADDRESS_PREFIX}{}", self.local.instance);
+        let role = Some(self.local.role);
         let record = AddressRecord { address: Some(own), run: Some(self.run), role };
         let mut written = false;
         loop {
             written = written || write_address(&store, &key, &record).await;
             // Relays needn't discover others: gateways connect to them.
-            if written && self.place.role == MemberRole::Sidecar {
+            if written && self.local.role == MemberRole::Sidecar {
                 return;
             }
             match store.list::<AddressRecord>(ADDRESS_PREFIX).await {
@@ -290,8 +291,8 @@
             return Err(RawFailure::NotSent);
         };
         let mut failure = RawFailure::NotSent;
-        for other in self.detours(ClockTime::now()) {
-            let reply = self.ask(other.address, &request, limit).await;
+        for other in self.forwarders(ClockTime::now()) {
+            let reply = self.call(other.address, &request, limit).await;
             failure = match reply {
                 Ok(PeerReply::StoreCall(StoreCallReply::Answered { status, body })) => {
                     return Ok(RawAnswer { status, body });
@@ -309,16 +310,16 @@
         Err(failure)
     }
 
-    fn detours(&self, now: ClockTime) -> Vec<MemberInfo> {
+    fn forwarders(&self, now: ClockTime) -> Vec<MemberInfo> {
         // Always the same members, whose connections are open already: new ones are expensive. The
         // order differs between processes, so that the load is spread.
         let preference = |other: &MemberInfo| other.incarnation.0 ^ self.run.0;
         let mut others = self.members.live(MemberRole::Sidecar, now);
-        others.sort_by_key(|other| (other.centre != self.place.centre, preference(other)));
+        others.sort_by_key(|other| (other.centre != self.local.centre, preference(other)));
         let mut entries = self.members.live(MemberRole::Entry, now);
         entries.sort_by_key(preference);
         others.extend(entries);
-        others.truncate(MOST_DETOURS);
+        others.truncate(MAX_FORWARDERS);
         others
     }
 }
@@ -352,7 +353,7 @@
 }
 
 async fn pause_after_failure() {
-    Timer::after(FAILURE_PAUSE.mul_f64(0.5 + fastrand::f64())).await;
+    Timer::after(RETRY_BACKOFF.mul_f64(0.5 + fastrand::f64())).await;
 }
 
 async fn write_address(store: &ObjectClient, key: &str, record: &AddressRecord) -> bool {
@@ -363,7 +364,7 @@
         *present = record.clone();
         UpdateChoice::Write
     };
-    match update_object(store, key, WRITE_LIMIT, apply).await {
+    match update_object(store, key, WRITE_TIMEOUT, apply).await {
         Ok(_) => true,
         Err(error) => {
             log_event!(warn, "address-unwritten", error = error);
--- a/crates/sagespool-gateway/src/flush.rs
+++ b/crates/sagespool-gateway/src/flush.rs
@@ -25,7 +25,7 @@
     }
 
     /// Waits until there are more flushes than `counted`. Only one task may wait at a time.
-    pub(crate) fn poll_past(&self, counted: u64, context: &Context<'_>) -> Poll<()> {
+    pub(crate) fn poll_after(&self, counted: u64, context: &Context<'_>) -> Poll<()> {
         let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
         if self.count() > counted {
             return Poll::Ready(());
@@ -46,19 +46,19 @@
 /// A connection whose flushes are counted. It must be flushed only after all data was written to
 /// it, as hyper does.
 #[derive(Debug)]
-pub struct CountedStream {
+pub struct FlushCountingStream {
     stream: TcpStream,
     flushes: Arc<FlushCounter>,
     /// Timeout of a blocked write; `None` for no timeout.
-    unread_limit: Option<Duration>,
+    write_timeout: Option<Duration>,
     /// Runs while a write is blocked.
-    unread: Option<Timer>,
+    write_timer: Option<Timer>,
 }
 
-impl CountedStream {
+impl FlushCountingStream {
     /// Wraps a connection without a write timeout.
     pub fn new(stream: TcpStream, flushes: Arc<FlushCounter>) -> Self {
-        Self { stream, flushes, unread_limit: None, unread: None }
+        Self { stream, flushes, write_timeout: None, write_timer: None }
     }
 
     /// Sets the timeout after which a blocked write fails.
@@ -66,29 +66,29 @@
     /// Guards against callers whose machine fails during a response: the operating system keeps
     /// such a connection for 15 minutes, with its descriptor and the buffered response. Each
     /// successful write restarts the timeout, so slow readers aren't affected.
-    pub fn unread_for(mut self, limit: Duration) -> Self {
-        self.unread_limit = Some(limit);
+    pub fn with_write_timeout(mut self, limit: Duration) -> Self {
+        self.write_timeout = Some(limit);
         self
     }
 
     /// Applies the write timeout to the result of a write.
-    fn bound_write(
+    fn apply_write_timeout(
         &mut self,
         written: Poll<io::Result<usize>>,
         context: &mut Context<'_>,
     ) -> Poll<io::Result<usize>> {
         if written.is_ready() {
-            self.unread = None;
+            self.write_timer = None;
             return written;
         }
-        let Some(limit) = self.unread_limit else { return Poll::Pending };
-        let unread = self.unread.get_or_insert_with(|| Timer::after(limit));
-        ready!(Pin::new(unread).poll(context));
+        let Some(limit) = self.write_timeout else { return Poll::Pending };
+        let write_timer = self.write_timer.get_or_insert_with(|| Timer::after(limit));
+        ready!(Pin::new(write_timer).poll(context));
         Poll::Ready(Err(io::ErrorKind::TimedOut.into()))
     }
 }
 
-impl AsyncRead for CountedStream {
+impl AsyncRead for FlushCountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -98,14 +98,14 @@
     }
 }
 
-impl AsyncWrite for CountedStream {
+impl AsyncWrite for FlushCountingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.bound_write(written, context)
+        self.apply_write_timeout(written, context)
     }
 
     fn poll_write_vectored(
@@ -114,7 +114,7 @@
         parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(context, parts);
-        self.bound_write(written, context)
+        self.apply_write_timeout(written, context)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/sagespool-gateway/src/follow.rs
+++ b/crates/sagespool-gateway/src/follow.rs
@@ -11,9 +11,9 @@
 use serde_json::value::RawValue;
 use smol::Timer;
 
-use crate::contact::StoreContact;
 use crate::feeds::unsuspended_now;
 use crate::state::GatewayState;
+use crate::store_health::StoreHealth;
 
 /// Wait time of a long poll of the store. A dead connection is noticed only after this time, and a
 /// configuration must take effect within two seconds after it is stored.
@@ -23,19 +23,19 @@
 const UPSTREAM_PAUSE: Duration = Duration::from_millis(400);
 /// With more gateways than this, the pause grows with their number: all read the same changes, and
 /// the store's rate limits grow more slowly than the number of gateways.
-const PAUSE_INSTANCES: usize = 8;
-const LONGEST_UPSTREAM_PAUSE: Duration = Duration::from_millis(1100);
+const UNSCALED_INSTANCES: usize = 8;
+const MAX_UPSTREAM_PAUSE: Duration = Duration::from_millis(1100);
 
 fn upstream_pause(state: &GatewayState) -> Duration {
-    let factor = state.instances() as f64 / PAUSE_INSTANCES as f64;
-    UPSTREAM_PAUSE.mul_f64(factor.max(1.0)).min(LONGEST_UPSTREAM_PAUSE)
+    let factor = state.instances() as f64 / UNSCALED_INSTANCES as f64;
+    UPSTREAM_PAUSE.mul_f64(factor.max(1.0)).min(MAX_UPSTREAM_PAUSE)
 }
 
 pub(crate) type RawListing = ObjectListing<Box<RawValue>>;
 pub(crate) type RawChange = ObjectChange<Box<RawValue>>;
 
 /// A store prefix that is followed, with the functions that apply its contents.
-pub(crate) struct Followed {
+pub(crate) struct FollowedPrefix {
     pub(crate) what: &'static str,
     pub(crate) kind: FollowedKind,
     pub(crate) prefix: &'static str,
@@ -49,7 +49,7 @@
 
 /// Follows the configuration until cancelled.
 pub(crate) async fn follow_plan(state: Arc<GatewayState>) {
-    let followed = Followed {
+    let followed = FollowedPrefix {
         what: "configuration",
         kind: FollowedKind::Configuration,
         prefix: state.dialect.plan_prefix,
@@ -72,7 +72,7 @@
 
 /// Follows the registered upstreams until cancelled.
 pub(crate) async fn follow_upstreams(state: Arc<GatewayState>) {
-    let followed = Followed {
+    let followed = FollowedPrefix {
         what: "upstreams",
         kind: FollowedKind::Upstreams,
         prefix: state.dialect.upstream_prefix,
@@ -113,18 +113,18 @@
 struct HistoryGone;
 
 /// Follows one prefix until cancelled.
-pub(crate) async fn follow(state: &GatewayState, followed: Followed) {
-    let mut contact = StoreContact::default();
+pub(crate) async fn follow(state: &GatewayState, followed: FollowedPrefix) {
+    let mut health = StoreHealth::default();
     loop {
         let listing = match state.store.list::<Box<RawValue>>(followed.prefix).await {
             Ok(listing) => listing,
             Err(error) => {
-                contact.fail(state, &followed, &error).await;
+                health.back_off(state, &followed, &error).await;
                 continue;
             }
         };
         let read = unsuspended_now();
-        contact.succeed(state, &followed);
+        health.mark_reachable(state, &followed);
         log_event!(
             info,
             "list-read",
@@ -133,53 +133,53 @@
             revision = listing.revision,
         );
         let objects = listing.items.iter().map(listed_object);
-        state.feeds.slot(followed.kind).apply_listing(listing.revision, objects.collect(), read);
+        state.feeds.replica(followed.kind).apply_listing(listing.revision, objects.collect(), read);
         (followed.on_listing)(state, listing);
-        while follow_changes(state, &followed, &mut contact).await.is_ok() {}
+        while follow_changes(state, &followed, &mut health).await.is_ok() {}
     }
 }
 
 /// Receives the next changes, from a neighbour that follows the store or from the store itself.
 async fn follow_changes(
     state: &GatewayState,
-    followed: &Followed,
-    contact: &mut StoreContact,
+    followed: &FollowedPrefix,
+    health: &mut StoreHealth,
 ) -> Result<(), HistoryGone> {
     let centre = &state.settings.centre;
     let now = ClockTime::now();
     if let Some(neighbour) = state.feeds.neighbour(&state.fleet, centre, followed.kind, now) {
-        contact.go_by(followed, Some(&neighbour));
-        if let Some(reply) = state.feeds.ask(&state.fleet, &neighbour, followed.kind).await {
-            take_reply(state, followed, contact, reply);
+        health.set_source(followed, Some(&neighbour));
+        if let Some(reply) = state.feeds.query(&state.fleet, &neighbour, followed.kind).await {
+            apply_reply(state, followed, health, reply);
             return Ok(());
         }
     }
-    contact.go_by(followed, None);
-    watch_store(state, followed, contact).await
+    health.set_source(followed, None);
+    watch_store(state, followed, health).await
 }
 
 /// Applies a neighbour's reply.
-fn take_reply(
+fn apply_reply(
     state: &GatewayState,
-    followed: &Followed,
-    contact: &mut StoreContact,
+    followed: &FollowedPrefix,
+    health: &mut StoreHealth,
     reply: FollowReply,
 ) {
     match reply.store_lost {
-        true => contact.lose(state, followed, &"unreachable from the neighbour"),
+        true => health.mark_lost(state, followed, &"unreachable from the neighbour"),
         false => {
-            contact.succeed(state, followed);
+            health.mark_reachable(state, followed);
             state.store.heard_of();
         }
     }
-    let slot = state.feeds.slot(followed.kind);
+    let replica = state.feeds.replica(followed.kind);
     let told = ClockTime(unsuspended_now().0.saturating_sub(REPLY_TIMEOUT.as_micros() as u64));
     let valid_at =
         ClockTime(told.0.saturating_sub(reply.age.unwrap_or(Duration::MAX).as_micros() as u64));
     let changes: Vec<RawChange> = reply.objects.into_iter().filter_map(raw_change).collect();
     if !reply.whole {
         let news = changes.into_iter().filter_map(|change| apply(state, followed, change));
-        slot.take_changes(news.collect(), reply.revision, valid_at);
+        replica.take_changes(news.collect(), reply.revision, valid_at);
         return;
     }
     let items = changes.into_iter().filter_map(|change| {
@@ -187,23 +187,23 @@
     });
     let listing = ObjectListing { revision: reply.revision, items: items.collect() };
     let objects = listing.items.iter().map(listed_object);
-    slot.apply_listing(reply.revision, objects.collect(), valid_at);
+    replica.apply_listing(reply.revision, objects.collect(), valid_at);
     (followed.on_listing)(state, listing);
 }
 
 async fn watch_store(
     state: &GatewayState,
-    followed: &Followed,
-    contact: &mut StoreContact,
+    followed: &FollowedPrefix,
+    health: &mut StoreHealth,
 ) -> Result<(), HistoryGone> {
     Timer::after((followed.pause)(state)).await;
-    let slot = state.feeds.slot(followed.kind);
-    let revision = slot.revision();
+    let replica = state.feeds.replica(followed.kind);
+    let revision = replica.revision();
     let wait = state.feeds.terms(followed.kind).map_or(WATCH_WAIT, |terms| terms.watch_wait);
     match state.store.watch(followed.prefix, revision, wait).await {
         Ok(changes) => {
             let read = unsuspended_now();
-            contact.succeed(state, followed);
+            health.mark_reachable(state, followed);
             let upto = changes.revision;
             let news = changes.changes.into_iter().filter_map(|mut change| {
                 // An object that another writer stored in a wrong format has no revision of its
@@ -213,7 +213,7 @@
                 }
                 apply(state, followed, change)
             });
-            slot.take_changes(news.collect(), upto, read);
+            replica.take_changes(news.collect(), upto, read);
             Ok(())
         }
         Err(StoreError::HistoryGone) => {
@@ -221,14 +221,14 @@
             Err(HistoryGone)
         }
         Err(error) => {
-            contact.fail(state, followed, &error).await;
+            health.back_off(state, followed, &error).await;
             Ok(())
         }
     }
 }
 
 /// Applies a change. Returns the object for neighbours, if the change is relevant to them.
-fn apply(state: &GatewayState, followed: &Followed, change: RawChange) -> Option<FeedObject> {
+fn apply(state: &GatewayState, followed: &FollowedPrefix, change: RawChange) -> Option<FeedObject> {
     let value = change.value.as_ref().map(|value| Arc::from(value.get()));
     let object = FeedObject { key: change.key.clone(), revision: change.version, value };
     (followed.on_change)(state, change).then_some(object)
@@ -275,10 +275,10 @@
         Ok(record) => Some(record),
         Err(detail) => {
             let name: Option<UpstreamName> = key_name(key).parse().ok();
-            let stands_for = name.and_then(|name| state.roster().record_for_unreadable(&name));
-            let known = stands_for.is_some();
+            let fallback = name.and_then(|name| state.roster().record_for_unreadable(&name));
+            let known = fallback.is_some();
             log_event!(warn, "upstream-unreadable", key = key, known = known, detail = detail);
-            stands_for
+            fallback
         }
     }
 }
--- a/crates/sagespool-gateway/src/hop.rs
+++ b/crates/sagespool-gateway/src/hop_by_hop.rs
@@ -10,7 +10,7 @@
 const EXPECT: HeaderName = hyper::header::EXPECT;
 /// Includes `Content-Length`: framing is set for each connection, and a forwarded length beside
 /// another framing would allow request smuggling.
-const OF_ONE_CONNECTION: [HeaderName; 11] = [
+const HOP_BY_HOP: [HeaderName; 11] = [
     CONNECTION,
     KEEP_ALIVE,
     PROXY_CONNECTION,
@@ -25,7 +25,7 @@
 ];
 
 /// Removes hop-by-hop headers, including those listed in `Connection`.
-pub(crate) fn strip_hop(headers: &mut HeaderMap) {
+pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -36,7 +36,7 @@
     for name in named {
         headers.remove(name);
     }
-    for name in &OF_ONE_CONNECTION {
+    for name in &HOP_BY_HOP {
         headers.remove(name);
     }
 }
--- a/crates/sagespool-gateway/src/identity.rs
+++ b/crates/sagespool-gateway/src/identity.rs
@@ -20,7 +20,7 @@
 /// process wait up to two seconds, three or four for each gateway without access to the store. With
 /// 12,000, the first gateways of a fleet of 87 processes used 75 MB once all had connected; with
 /// 128, 16 MB.
-const MOST_QUESTIONS: u32 = 128;
+const MAX_CONCURRENT_REQUESTS: u32 = 128;
 /// Peers are addressed by IP address, so any fixed name will do.
 const SERVER_NAME: &str = "sagespool";
 
@@ -34,14 +34,14 @@
 
 /// Why no identity could be created.
 #[derive(Debug)]
-pub(crate) enum IdentityFault {
+pub(crate) enum IdentityError {
     /// The call of the store failed.
     Store(StoreError),
     /// The authority or a certificate can't be created or parsed.
     Certificate(String),
 }
 
-impl fmt::Display for IdentityFault {
+impl fmt::Display for IdentityError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Store(error) => error.fmt(f),
@@ -50,17 +50,17 @@
     }
 }
 
-impl From<rcgen::Error> for IdentityFault {
+impl From<rcgen::Error> for IdentityError {
     fn from(error: rcgen::Error) -> Self {
         Self::Certificate(error.to_string())
     }
 }
 
 /// Creates an identity signed by the fleet's authority, and the authority too if there is none.
-pub(crate) async fn make_identity(
+pub(crate) async fn create_identity(
     store: &ObjectClient,
     instance: &InstanceName,
-) -> Result<LinkIdentity, IdentityFault> {
+) -> Result<LinkIdentity, IdentityError> {
     let authority = match read_authority(store).await? {
         Some(authority) => authority,
         None => create_authority(store).await?,
@@ -71,17 +71,17 @@
     let certificate = own_params(instance)?.signed_by(&own_key, &issuer)?.pem();
     let own_key = own_key.serialize_pem();
     let identity = LinkIdentity::from_pem(&certificate, &own_key, &authority.certificate)
-        .map_err(|report| IdentityFault::Certificate(report.to_string()))?;
-    Ok(identity.with_most_questions(MOST_QUESTIONS))
+        .map_err(|report| IdentityError::Certificate(report.to_string()))?;
+    Ok(identity.with_most_questions(MAX_CONCURRENT_REQUESTS))
 }
 
-async fn read_authority(store: &ObjectClient) -> Result<Option<AuthorityRecord>, IdentityFault> {
-    let found = store.get::<AuthorityRecord>(AUTHORITY_KEY).await.map_err(IdentityFault::Store)?;
+async fn read_authority(store: &ObjectClient) -> Result<Option<AuthorityRecord>, IdentityError> {
+    let found = store.get::<AuthorityRecord>(AUTHORITY_KEY).await.map_err(IdentityError::Store)?;
     Ok(found.map(|object| object.value))
 }
 
 /// Creates the authority. If another gateway writes one first, that one is returned.
-async fn create_authority(store: &ObjectClient) -> Result<AuthorityRecord, IdentityFault> {
+async fn create_authority(store: &ObjectClient) -> Result<AuthorityRecord, IdentityError> {
     let key = KeyPair::generate()?;
     let certificate = authority_params()?.self_signed(&key)?.pem();
     let record = AuthorityRecord { certificate, key: key.serialize_pem() };
@@ -89,9 +89,9 @@
         Ok(_) => Ok(record),
         Err(StoreError::Conflict { .. }) => {
             let written = read_authority(store).await?;
-            written.ok_or(IdentityFault::Store(StoreError::Unavailable))
+            written.ok_or(IdentityError::Store(StoreError::Unavailable))
         }
-        Err(error) => Err(IdentityFault::Store(error)),
+        Err(error) => Err(IdentityError::Store(error)),
     }
 }
 
--- a/crates/sagespool-gateway/src/intake.rs
+++ b/crates/sagespool-gateway/src/intake.rs
@@ -17,13 +17,13 @@
 
 /// Memory of the process without callers: code, heap, the link to its peers, the configuration and
 /// the lists that it reads.
-const OWN_MEMORY: u64 = 40 << 20;
+const RESERVED_MEMORY_BYTES: u64 = 40 << 20;
 /// Share of the remaining memory that is available to callers. The rest covers uncounted memory:
 /// fragmentation of the allocator and the kernel's buffers of unread connections.
-const CALLERS_SHARE: f64 = 0.6;
+const CALLER_MEMORY_SHARE: f64 = 0.6;
 /// File descriptors not used for callers or upstreams: files, the link, the store, the load
 /// balancer.
-const OWN_DESCRIPTORS: usize = 400;
+const RESERVED_DESCRIPTORS: usize = 400;
 /// Memory of an open connection: hyper's read and write buffers, its task, the kernel's part.
 const CONNECTION_BYTES: u64 = 48 << 10;
 /// Memory of a request in flight without its body: the connection to its upstream, and the response
@@ -33,15 +33,15 @@
 const BODY_COPIES: u64 = 2;
 /// Above this share of a limit, connections close after their current response. Otherwise idle
 /// connections would occupy resources that new requests need.
-const TIGHT_SHARE: f64 = 0.4;
+const KEEP_ALIVE_SHARE: f64 = 0.4;
 /// Above this scheduling delay, new connections are closed unread: reading a request in order to
 /// refuse it would take more CPU time than is available.
-const SWAMPED_TURN: Duration = Duration::from_millis(120);
+const MAX_SCHEDULING_DELAY: Duration = Duration::from_millis(120);
 /// Minimum interval between log lines about connections that were closed unread.
-const UNREAD_LINE_PERIOD: Duration = Duration::from_millis(200);
+const UNREAD_LOG_PERIOD: Duration = Duration::from_millis(200);
 /// Share of the memory limit that requests may use. Below 1, so that a caller whose connection is
 /// still accepted gets the reason why its request is refused.
-const REQUEST_SHARE: f64 = 0.85;
+const REQUEST_MEMORY_SHARE: f64 = 0.85;
 
 /// The resource that is too scarce to admit a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -53,7 +53,7 @@
 }
 
 /// The limits of callers' resources and their current use.
-pub(crate) struct CallerIntake {
+pub(crate) struct ResourceLimiter {
     board: Mutex<AdmissionController>,
     memory_limit: u64,
     connection_limit: usize,
@@ -70,17 +70,17 @@
     told: Option<ClockTime>,
 }
 
-impl CallerIntake {
+impl ResourceLimiter {
     pub(crate) fn new(settings: LimitSettings) -> Self {
         let memory = settings.memory.or_else(system_memory).map_or(u64::MAX, |bytes| bytes.0);
         let descriptors = settings.descriptors.or_else(system_descriptors);
         let descriptors = descriptors.map_or(usize::MAX, |count| count as usize);
-        let spare = memory.saturating_sub(OWN_MEMORY) as f64;
+        let spare = memory.saturating_sub(RESERVED_MEMORY_BYTES) as f64;
         Self {
             board: Mutex::default(),
-            memory_limit: (spare * CALLERS_SHARE) as u64,
+            memory_limit: (spare * CALLER_MEMORY_SHARE) as u64,
             // A request may need a connection to its upstream in addition to its caller's.
-            connection_limit: descriptors.saturating_sub(OWN_DESCRIPTORS) / 2,
+            connection_limit: descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2,
             held: AtomicU64::new(0),
             connections: AtomicUsize::new(0),
             unread: Mutex::default(),
@@ -92,8 +92,8 @@
     }
 
     /// The current use of the limits.
-    pub(crate) fn reading(&self, now: ClockTime) -> IntakeReading {
-        IntakeReading {
+    pub(crate) fn reading(&self, now: ClockTime) -> ResourceUsage {
+        ResourceUsage {
             held: ByteCount(self.held.load(Ordering::Relaxed)),
             limit: ByteCount(self.memory_limit),
             connections: self.connections(),
@@ -112,17 +112,17 @@
     /// each connection holds buffers and unread bytes, and the memory of a small machine is full
     /// within seconds. All requests in flight would be lost. A connection that is closed unread
     /// shows its caller that nothing has run.
-    pub(crate) fn open_connection(self: &Arc<Self>) -> Option<ConnectionPass> {
-        if self.board().scheduling_delay(ClockTime::now()) > SWAMPED_TURN {
+    pub(crate) fn open_connection(self: &Arc<Self>) -> Option<ConnectionPermit> {
+        if self.board().scheduling_delay(ClockTime::now()) > MAX_SCHEDULING_DELAY {
             return None;
         }
         let open = self.connections.load(Ordering::Relaxed);
-        let memory = self.take_memory(CONNECTION_BYTES, self.memory_limit)?;
+        let memory = self.reserve_memory(CONNECTION_BYTES, self.memory_limit)?;
         if open >= self.connection_limit {
             return None;
         }
         self.connections.fetch_add(1, Ordering::Relaxed);
-        Some(ConnectionPass { intake: self.clone(), _memory: memory })
+        Some(ConnectionPermit { intake: self.clone(), _memory: memory })
     }
 
     /// The scheduling delay: how long a ready task waits for the processor.
@@ -135,7 +135,7 @@
     pub(crate) fn note_unread(&self, now: ClockTime) -> Option<u64> {
         let mut unread = self.unread.lock().unwrap_or_else(PoisonError::into_inner);
         unread.count += 1;
-        if unread.told.is_some_and(|told| now.since(told) < UNREAD_LINE_PERIOD) {
+        if unread.told.is_some_and(|told| now.since(told) < UNREAD_LOG_PERIOD) {
             return None;
         }
         unread.told = Some(now);
@@ -143,48 +143,48 @@
     }
 
     /// Whether connections are to close after their current response.
-    pub(crate) fn is_tight(&self) -> bool {
-        self.held.load(Ordering::Relaxed) as f64 > self.memory_limit as f64 * TIGHT_SHARE
-            || self.connections() as f64 > self.connection_limit as f64 * TIGHT_SHARE
+    pub(crate) fn is_nearly_full(&self) -> bool {
+        self.held.load(Ordering::Relaxed) as f64 > self.memory_limit as f64 * KEEP_ALIVE_SHARE
+            || self.connections() as f64 > self.connection_limit as f64 * KEEP_ALIVE_SHARE
     }
 
     /// Admits a request whose head has arrived. `body` is its declared length, 0 if there is none.
     ///
     /// # Errors
-    /// `Refusal::Crowded` with the resource that is short.
+    /// `Refusal::Overloaded` with the resource that is short.
     pub(crate) async fn admit(
         self: &Arc<Self>,
         request: ArrivedRequest<'_>,
         body: ByteCount,
-    ) -> Result<RequestPass, Refusal> {
+    ) -> Result<RequestPermit, Refusal> {
         let asked = ClockTime::now();
         yield_now().await;
         let now = ClockTime::now();
         let mut board = self.board();
         board.note_scheduling_delay(now.since(asked), now);
         if !board.admits(request, now) {
-            return Err(Refusal::Crowded(ShortResource::Processor));
+            return Err(Refusal::Overloaded(ShortResource::Processor));
         }
         let bytes = REQUEST_BYTES + body.0.saturating_mul(BODY_COPIES);
-        let memory = self.take_memory(bytes, self.request_limit());
-        let memory = memory.ok_or(Refusal::Crowded(ShortResource::Memory))?;
+        let memory = self.reserve_memory(bytes, self.request_limit());
+        let memory = memory.ok_or(Refusal::Overloaded(ShortResource::Memory))?;
         if let Some(branch) = request.branch {
             board.begin(branch);
         }
         let branch = request.branch.cloned();
-        Ok(RequestPass { intake: self.clone(), branch, memory })
+        Ok(RequestPermit { intake: self.clone(), branch, memory })
     }
 
     fn request_limit(&self) -> u64 {
-        (self.memory_limit as f64 * REQUEST_SHARE) as u64
+        (self.memory_limit as f64 * REQUEST_MEMORY_SHARE) as u64
     }
 
-    fn take_memory(self: &Arc<Self>, bytes: u64, limit: u64) -> Option<HeldMemory> {
-        self.add_held(bytes, limit).then(|| HeldMemory { intake: self.clone(), bytes })
+    fn reserve_memory(self: &Arc<Self>, bytes: u64, limit: u64) -> Option<HeldMemory> {
+        self.try_add_held(bytes, limit).then(|| HeldMemory { intake: self.clone(), bytes })
     }
 
     /// Adds to the held bytes; false if that would exceed the limit.
-    fn add_held(&self, bytes: u64, limit: u64) -> bool {
+    fn try_add_held(&self, bytes: u64, limit: u64) -> bool {
         let add = |held: u64| held.checked_add(bytes).filter(|sum| *sum <= limit);
         self.held.fetch_update(Ordering::Relaxed, Ordering::Relaxed, add).is_ok()
     }
@@ -199,7 +199,7 @@
 
 /// The use of callers' resources at one time.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct IntakeReading {
+pub(crate) struct ResourceUsage {
     /// Bytes accounted for connections and requests.
     pub(crate) held: ByteCount,
     /// The limit of `held`.
@@ -212,7 +212,7 @@
 
 /// Bytes accounted for until this is dropped.
 pub struct HeldMemory {
-    intake: Arc<CallerIntake>,
+    intake: Arc<ResourceLimiter>,
     bytes: u64,
 }
 
@@ -225,7 +225,7 @@
 impl HeldMemory {
     /// Accounts for more bytes; false if that would exceed the limit.
     fn grow(&mut self, bytes: u64, limit: u64) -> bool {
-        let taken = self.intake.add_held(bytes, limit);
+        let taken = self.intake.try_add_held(bytes, limit);
         if taken {
             self.bytes += bytes;
         }
@@ -240,25 +240,25 @@
 }
 
 /// The permit of a caller's open connection.
-pub(crate) struct ConnectionPass {
-    intake: Arc<CallerIntake>,
+pub(crate) struct ConnectionPermit {
+    intake: Arc<ResourceLimiter>,
     _memory: HeldMemory,
 }
 
-impl Drop for ConnectionPass {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.intake.connections.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// The permit of an admitted request, released on drop.
-pub(crate) struct RequestPass {
-    intake: Arc<CallerIntake>,
+pub(crate) struct RequestPermit {
+    intake: Arc<ResourceLimiter>,
     branch: Option<BranchName>,
     memory: HeldMemory,
 }
 
-impl RequestPass {
+impl RequestPermit {
     /// Accounts for bytes of a body without a declared length.
     ///
     /// # Errors
@@ -267,12 +267,12 @@
         let bytes = (bytes as u64).saturating_mul(BODY_COPIES);
         match self.memory.grow(bytes, self.intake.request_limit()) {
             true => Ok(()),
-            false => Err(Refusal::Crowded(ShortResource::Memory)),
+            false => Err(Refusal::Overloaded(ShortResource::Memory)),
         }
     }
 }
 
-impl Drop for RequestPass {
+impl Drop for RequestPermit {
     fn drop(&mut self) {
         if let Some(branch) = &self.branch {
             self.intake.board().end(branch);
--- a/crates/sagespool-gateway/src/limits.rs
+++ b/crates/sagespool-gateway/src/limits.rs
@@ -13,26 +13,26 @@
 
 use crate::state::GatewayState;
 
-const ASK_PERIOD: Duration = Duration::from_secs(1);
+const QUERY_PERIOD: Duration = Duration::from_secs(1);
 /// Random gateways queried per round; a change reaches hundreds of gateways within some seconds.
-const ASKED_GATEWAYS: usize = 2;
-const ASK_LIMIT: Duration = Duration::from_millis(500);
+const QUERIED_GATEWAYS: usize = 2;
+const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Queries others about limits without a recent update, until cancelled.
-pub(crate) async fn follow_limits(state: Arc<GatewayState>) {
+pub(crate) async fn query_limits(state: Arc<GatewayState>) {
     loop {
-        Timer::after(ASK_PERIOD.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
+        Timer::after(QUERY_PERIOD.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
         let now = ClockTime::now();
         let upstreams = state.guard().stale_rate_limits(now);
         if upstreams.is_empty() {
             continue;
         }
         let request = PeerRequest::AskLimits(LimitAsk { upstreams });
-        for other in state.fleet.others(MemberRole::Entry, now).into_iter().take(ASKED_GATEWAYS) {
+        for other in state.fleet.others(MemberRole::Entry, now).into_iter().take(QUERIED_GATEWAYS) {
             let asked = ClockTime::now();
-            let reply = state.fleet.ask(other.address, &request, ASK_LIMIT).await;
+            let reply = state.fleet.call(other.address, &request, QUERY_TIMEOUT).await;
             if let Ok(PeerReply::Limits(reply)) = reply {
-                take_words(&state, reply, asked, ClockTime::now());
+                merge_reply(&state, reply, asked, ClockTime::now());
             }
         }
     }
@@ -40,7 +40,7 @@
 
 /// Applies the limits in a reply. Their ages were measured at some time between the query and now.
 /// A limit gets the latest possible time and the end of a limit the earliest.
-fn take_words(state: &GatewayState, reply: LimitReply, asked: ClockTime, now: ClockTime) {
+fn merge_reply(state: &GatewayState, reply: LimitReply, asked: ClockTime, now: ClockTime) {
     for LimitWord { upstream, per_second, age } in reply.words {
         let notice = match per_second.map(SendRate::new) {
             Some(None) => continue,
@@ -53,7 +53,7 @@
 }
 
 /// The reply with this gateway's state of upstreams' limits.
-pub(crate) fn answer_limits(state: &GatewayState, ask: &LimitAsk, now: ClockTime) -> LimitReply {
+pub(crate) fn limits_reply(state: &GatewayState, ask: &LimitAsk, now: ClockTime) -> LimitReply {
     let guard = state.guard();
     let known =
         ask.upstreams.iter().filter_map(|name| Some((name, guard.rate_limit_status(name)?)));
--- a/crates/sagespool-gateway/src/metrics.rs
+++ b/crates/sagespool-gateway/src/metrics.rs
@@ -14,7 +14,7 @@
 use sagespool_platform::CallCause;
 use sagespool_types::BranchName;
 
-use crate::intake::IntakeReading;
+use crate::intake::ResourceUsage;
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -96,12 +96,12 @@
     evacuated: Gauge,
     cold: Gauge,
     limited: Gauge,
-    resting: Gauge,
+    in_backoff: Gauge,
 }
 
 /// The current restrictions on sending to upstreams.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct SparedReading {
+pub(crate) struct RestrictionCounts {
     /// Evacuated data centres.
     pub(crate) evacuated: usize,
     /// Upstreams assumed to be cold.
@@ -109,7 +109,7 @@
     /// Upstreams with a rate limit.
     pub(crate) limited: usize,
     /// Upstreams in backoff for this instance.
-    pub(crate) resting: usize,
+    pub(crate) in_backoff: usize,
 }
 
 impl GatewayMetrics {
@@ -152,9 +152,9 @@
         registry.register("cold_upstreams", "Upstreams that are taken to be cold", cold.clone());
         let limited = Gauge::default();
         registry.register("limited_upstreams", "Upstreams that name a limit", limited.clone());
-        let resting = Gauge::default();
+        let in_backoff = Gauge::default();
         let help = "Upstreams that want nothing from this instance for now";
-        registry.register("resting_upstreams", help, resting.clone());
+        registry.register("resting_upstreams", help, in_backoff.clone());
         Self {
             registry,
             requests,
@@ -172,17 +172,17 @@
             evacuated,
             cold,
             limited,
-            resting,
+            in_backoff,
         }
     }
 
-    pub(crate) fn ended(&self, outcome: Outcome, route: &str) {
+    pub(crate) fn count_outcome(&self, outcome: Outcome, route: &str) {
         let labels = RequestLabels { route: route.to_owned(), outcome };
         self.requests.get_or_create(&labels).inc();
     }
 
     /// Records the latencies of a request: to its first event or response, and to its end.
-    pub(crate) fn observe(
+    pub(crate) fn observe_latency(
         &self,
         route: &str,
         branch: Option<&BranchName>,
@@ -195,7 +195,7 @@
         self.total.get_or_create(&BranchLabel { branch }).observe(total.as_secs_f64());
     }
 
-    pub(crate) fn sent(&self, on_new_connection: bool) {
+    pub(crate) fn record_send(&self, on_new_connection: bool) {
         self.sends.inc();
         if on_new_connection {
             self.connects.inc();
@@ -203,7 +203,7 @@
     }
 
     /// Sets the totals of store calls by cause.
-    pub(crate) fn take_calls(&self, causes: Vec<(CallCause, u64)>) {
+    pub(crate) fn set_store_calls(&self, causes: Vec<(CallCause, u64)>) {
         for (cause, count) in causes {
             let labels = CallLabels { kind: cause.kind.as_str(), subject: cause.subject };
             self.calls.get_or_create(&labels).set(count as i64);
@@ -218,13 +218,13 @@
     pub(crate) fn encode(
         &self,
         members: usize,
-        intake: IntakeReading,
-        spared: SparedReading,
+        intake: ResourceUsage,
+        restrictions: RestrictionCounts,
     ) -> String {
-        self.evacuated.set(spared.evacuated as i64);
-        self.cold.set(spared.cold as i64);
-        self.limited.set(spared.limited as i64);
-        self.resting.set(spared.resting as i64);
+        self.evacuated.set(restrictions.evacuated as i64);
+        self.cold.set(restrictions.cold as i64);
+        self.limited.set(restrictions.limited as i64);
+        self.in_backoff.set(restrictions.in_backoff as i64);
         self.members.set(members as i64);
         self.held.set(intake.held.0 as i64);
         self.held_limit.set(i64::try_from(intake.limit.0).unwrap_or(i64::MAX));
--- a/crates/sagespool-gateway/src/peers.rs
+++ b/crates/sagespool-gateway/src/peers.rs
@@ -13,18 +13,18 @@
 use sagespool_types::{ClockTime, TokenCount};
 use serde_json::value::RawValue;
 
-use crate::desk::BudgetOrder;
+use crate::desk::BudgetRequest;
 use crate::fleet::answer_store_call;
-use crate::limits::answer_limits;
+use crate::limits::limits_reply;
 use crate::state::GatewayState;
 
-const PLAN_LIMIT: Duration = Duration::from_millis(500);
+const PLAN_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Serves other processes and sends heartbeats until cancelled.
 pub(crate) async fn run_peers(state: Arc<GatewayState>) {
     let heard = {
         let state = state.clone();
-        move |from: &MemberInfo| catch_up(&state, from)
+        move |from: &MemberInfo| fetch_newer_plan(&state, from)
     };
     let (fleet, store) = (state.fleet.clone(), state.store.clone());
     fleet.run(store, handler(state), heard).await;
@@ -47,7 +47,7 @@
 async fn answer(state: &Arc<GatewayState>, request: PeerRequest) -> PeerReply {
     match request {
         PeerRequest::Heartbeat(beat) => {
-            catch_up(state, &beat.from);
+            fetch_newer_plan(state, &beat.from);
             state.fleet.answer_heartbeat(&beat)
         }
         PeerRequest::AskPlan(ask) => {
@@ -59,12 +59,12 @@
             PeerReply::Done
         }
         PeerRequest::ReturnRest(rest) => {
-            state.desk.take_rest(&rest);
+            state.desk.accept_returned_loan(&rest);
             PeerReply::Done
         }
         PeerRequest::Follow(ask) => PeerReply::Follow(state.feeds.answer(ask).await),
         PeerRequest::AskLimits(ask) => {
-            PeerReply::Limits(answer_limits(state, &ask, ClockTime::now()))
+            PeerReply::Limits(limits_reply(state, &ask, ClockTime::now()))
         }
         PeerRequest::CallStore(call) => answer_store_call(&state.store, call).await,
         _ => PeerReply::Unsupported("this process is a gateway".to_owned()),
@@ -79,9 +79,9 @@
     let mut wanted = request.wanted;
     if request.as_home {
         let gone = responder.asker_gone();
-        if let Some(order) = lending_order(state, request) {
+        if let Some(order) = budget_for_loan(state, request) {
             wanted = order.amount;
-            shortage = state.desk.stock_up(&order).await;
+            shortage = state.desk.ensure_covered(&order).await;
             shortage = shortage.filter(|_| order.version >= request.version);
         }
         if poll_once(gone).await.is_some() {
@@ -106,14 +106,14 @@
 
 /// What the home needs for a loan: the amount that the borrower lacks, plus its part for future
 /// requests. `None` if the account has no budget in the current configuration.
-fn lending_order(state: &GatewayState, request: &LendRequest) -> Option<BudgetOrder> {
+fn budget_for_loan(state: &GatewayState, request: &LendRequest) -> Option<BudgetRequest> {
     let index = state.plan()?;
     let branch = index.plan().branches.iter().find(|branch| branch.name == request.branch);
     let prepaid = branch.and_then(|branch| branch.prepaid)?;
     let missing = request.wanted.less(request.ahead);
     let ahead =
         state.desk.allowed_loan_ahead(&request.branch, prepaid, request.ahead, ClockTime::now());
-    Some(BudgetOrder {
+    Some(BudgetRequest {
         branch: request.branch.clone(),
         version: index.plan().version,
         prepaid,
@@ -124,17 +124,17 @@
 
 /// Fetches a newer configuration from a gateway that has one. The store may reject this gateway
 /// while it serves others, and operators' changes must still take effect here.
-fn catch_up(state: &Arc<GatewayState>, from: &MemberInfo) {
+fn fetch_newer_plan(state: &Arc<GatewayState>, from: &MemberInfo) {
     if from.config <= state.plan_version() {
         return;
     }
     let (state, from) = (state.clone(), from.clone());
-    smol::spawn(async move { take_from(&state, &from).await }).detach();
+    smol::spawn(async move { fetch_plan(&state, &from).await }).detach();
 }
 
-async fn take_from(state: &GatewayState, from: &MemberInfo) {
+async fn fetch_plan(state: &GatewayState, from: &MemberInfo) {
     let request = PeerRequest::AskPlan(PlanAsk { have: state.plan_version() });
-    let reply = state.fleet.ask(from.address, &request, PLAN_LIMIT).await;
+    let reply = state.fleet.call(from.address, &request, PLAN_TIMEOUT).await;
     let Ok(PeerReply::Plan(PlanReply { document: Some(document) })) = reply else {
         return;
     };
--- a/crates/sagespool-gateway/src/pool.rs
+++ b/crates/sagespool-gateway/src/pool.rs
@@ -18,14 +18,14 @@
 
 /// Connect timeout. The round trip within a region takes 1 to 2 ms and upstreams take one more. TCP
 /// resends a lost SYN only after 1 s, by which time another upstream would have responded.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Maximum idle time of a reused connection, unless the upstream names its own. Upstreams close
 /// idle connections, and it is unknown whether a request sent during the close has run.
-const DEFAULT_IDLE: Duration = Duration::from_secs(2);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Share of the idle timeout named by an upstream after which a connection isn't reused.
 const IDLE_SHARE: f64 = 0.6;
 /// Maximum idle connections per upstream; upstreams accept a few hundred from all instances.
-const MOST_IDLE: usize = 16;
+const MAX_IDLE_CONNECTIONS: usize = 16;
 
 /// A connection to an upstream. Dropping it closes it immediately, which cancels the request at the
 /// upstream.
@@ -33,7 +33,7 @@
 pub(crate) struct UpstreamConnection {
     pub(crate) sender: SendRequest<Full<Bytes>>,
     /// Number of requests sent on it.
-    pub(crate) carried: u32,
+    pub(crate) requests_sent: u32,
     /// The run of the upstream that it was opened to.
     run: UpstreamRun,
     idle_limit: Duration,
@@ -95,7 +95,7 @@
         let mut idle = self.idle();
         let kept = idle.entry(upstream.clone()).or_default();
         kept.retain(|other| !other.sender.is_closed());
-        if kept.len() < MOST_IDLE {
+        if kept.len() < MAX_IDLE_CONNECTIONS {
             kept.push(connection);
         }
     }
@@ -118,7 +118,7 @@
 /// # Errors
 /// If it isn't established within the timeout. No request was sent then.
 pub(crate) async fn connect(upstream: &UpstreamRecord) -> io::Result<UpstreamConnection> {
-    let opened = within(CONNECT_LIMIT, open_stream(upstream.address)).await;
+    let opened = within(CONNECT_TIMEOUT, open_stream(upstream.address)).await;
     let stream = opened.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))?;
     let (sender, driver) =
         http1::handshake(FuturesIo::new(stream)).await.map_err(io::Error::other)?;
@@ -128,9 +128,9 @@
     });
     Ok(UpstreamConnection {
         sender,
-        carried: 0,
+        requests_sent: 0,
         run: upstream.run(),
-        idle_limit: DEFAULT_IDLE,
+        idle_limit: DEFAULT_IDLE_TIMEOUT,
         idle_since: ClockTime::default(),
         _driver: driver,
     })
--- a/crates/sagespool-gateway/src/refusal.rs
+++ b/crates/sagespool-gateway/src/refusal.rs
@@ -6,12 +6,12 @@
 use hyper::header::{CONNECTION, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 use crate::dialect::CallerHeaderError;
 use crate::intake::ShortResource;
 
 /// Minimum range of the jitter in `Retry-After`.
-const LEAST_SPREAD: Duration = Duration::from_millis(200);
+const MIN_JITTER: Duration = Duration::from_millis(200);
 
 /// Why a request gets no upstream's response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -19,7 +19,7 @@
     /// No configuration is loaded yet.
     NoPlan,
     /// The request headers are invalid.
-    Demand(CallerHeaderError),
+    BadHeader(CallerHeaderError),
     /// The request has no host.
     NoHost,
     /// No route of the host matches the path.
@@ -35,9 +35,9 @@
     /// It is unknown whether the budget covers the request: the store or a peer didn't reply.
     BudgetUnreachable,
     /// The content is quarantined since it crashed upstreams; it hasn't run.
-    Stopped,
+    Quarantined,
     /// This instance lacks processor time or memory; it hasn't run.
-    Crowded(ShortResource),
+    Overloaded(ShortResource),
     /// This instance would stop before the request's deadline; it hasn't run.
     Stopping,
     /// No upstream of the service is eligible or reachable; it hasn't run.
@@ -48,7 +48,7 @@
     /// accepts a request. It hasn't run.
     Limited(Duration),
     /// The upstreams rejected it; it hasn't run.
-    Busy,
+    UpstreamsBusy,
     /// Too little time was left before its deadline; it hasn't run.
     TooLate,
     /// The upstream failed, or its response was lost; it may have run.
@@ -56,13 +56,13 @@
     /// The upstream didn't respond in time; it may have run.
     TimedOut,
     /// This instance stopped while it was in flight; it may have run.
-    Ended,
+    Aborted,
 }
 
 impl Refusal {
     pub(crate) fn status(self) -> StatusCode {
         match self {
-            Self::Demand(_) | Self::NoHost => StatusCode::BAD_REQUEST,
+            Self::BadHeader(_) | Self::NoHost => StatusCode::BAD_REQUEST,
             Self::UnknownRoute => StatusCode::NOT_FOUND,
             Self::UnknownKey => StatusCode::UNAUTHORIZED,
             Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
@@ -70,15 +70,15 @@
             Self::BudgetSpent => StatusCode::PAYMENT_REQUIRED,
             Self::NoPlan
             | Self::BudgetUnreachable
-            | Self::Stopped
-            | Self::Crowded(_)
+            | Self::Quarantined
+            | Self::Overloaded(_)
             | Self::Stopping
             | Self::NoUpstream
             | Self::Evacuated
             | Self::Limited(_)
-            | Self::Busy
+            | Self::UpstreamsBusy
             | Self::TooLate => StatusCode::SERVICE_UNAVAILABLE,
-            Self::Failed | Self::Ended => StatusCode::BAD_GATEWAY,
+            Self::Failed | Self::Aborted => StatusCode::BAD_GATEWAY,
             Self::TimedOut => StatusCode::GATEWAY_TIMEOUT,
         }
     }
@@ -87,7 +87,7 @@
     pub(crate) fn reason(self) -> &'static str {
         match self {
             Self::NoPlan => "no-configuration",
-            Self::Demand(_) => "bad-header",
+            Self::BadHeader(_) => "bad-header",
             Self::NoHost => "no-host",
             Self::UnknownRoute => "unknown-route",
             Self::UnknownKey => "unknown-key",
@@ -95,18 +95,18 @@
             Self::BodyTooSlow => "body-too-slow",
             Self::BudgetSpent => "budget-spent",
             Self::BudgetUnreachable => "budget-unreachable",
-            Self::Stopped => "crashes-upstreams",
-            Self::Crowded(ShortResource::Processor) => "crowded-processor",
-            Self::Crowded(ShortResource::Memory) => "crowded-memory",
+            Self::Quarantined => "crashes-upstreams",
+            Self::Overloaded(ShortResource::Processor) => "crowded-processor",
+            Self::Overloaded(ShortResource::Memory) => "crowded-memory",
             Self::Stopping => "stopping",
             Self::NoUpstream => "no-upstream",
             Self::Evacuated => "evacuated",
             Self::Limited(_) => "limited",
-            Self::Busy => "busy",
+            Self::UpstreamsBusy => "busy",
             Self::TooLate => "too-late",
             Self::Failed => "failed",
             Self::TimedOut => "timed-out",
-            Self::Ended => "stopped",
+            Self::Aborted => "stopped",
         }
     }
 
@@ -116,7 +116,7 @@
         let least_ms = match self {
             // Many requests are refused for each that an upstream accepts, so the jitter grows with
             // the wait.
-            Self::Limited(turn) => return Some(spread(turn, LEAST_SPREAD.max(turn / 2))),
+            Self::Limited(turn) => return Some(with_jitter(turn, MIN_JITTER.max(turn / 2))),
             // A starting instance loads its configuration within 500 ms.
             Self::NoPlan => 300,
             // The time of some store calls, or of an upstream's restart.
@@ -124,19 +124,19 @@
             // Operators end an evacuation after seconds or minutes.
             Self::Evacuated => 2000,
             // A request at an upstream takes a few hundred milliseconds.
-            Self::Busy => 200,
+            Self::UpstreamsBusy => 200,
             // Another instance may accept it immediately.
-            Self::Crowded(_) | Self::Stopping | Self::TooLate | Self::BodyTooSlow => 0,
+            Self::Overloaded(_) | Self::Stopping | Self::TooLate | Self::BodyTooSlow => 0,
             _ => return None,
         };
-        Some(spread(Duration::from_millis(least_ms), LEAST_SPREAD))
+        Some(with_jitter(Duration::from_millis(least_ms), MIN_JITTER))
     }
 
     /// The response to the caller.
-    pub(crate) fn response(self) -> Response<AnswerBody> {
-        let mut response = Response::new(AnswerBody::whole(format!("{self}\n").into()));
+    pub(crate) fn response(self) -> Response<ResponseBody> {
+        let mut response = Response::new(ResponseBody::whole(format!("{self}\n").into()));
         *response.status_mut() = self.status();
-        if matches!(self, Self::Crowded(_)) {
+        if matches!(self, Self::Overloaded(_)) {
             // Free the connection's resources; the caller retries at another instance.
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
@@ -150,7 +150,7 @@
 }
 
 /// Adds random jitter of at most `most`.
-fn spread(least: Duration, most: Duration) -> Duration {
+fn with_jitter(least: Duration, most: Duration) -> Duration {
     least + most.mul_f64(fastrand::f64())
 }
 
@@ -158,7 +158,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoPlan => f.write_str("this instance has no configuration yet"),
-            Self::Demand(fault) => fault.fmt(f),
+            Self::BadHeader(fault) => fault.fmt(f),
             Self::NoHost => f.write_str("the request names no host"),
             Self::UnknownRoute => f.write_str("no route of this host begins the path"),
             Self::UnknownKey => f.write_str("no client account holds this key"),
@@ -168,10 +168,10 @@
             Self::BudgetUnreachable => {
                 f.write_str("the budget can't be read at the moment; nothing ran")
             }
-            Self::Stopped => {
+            Self::Quarantined => {
                 f.write_str("this request takes down what runs it, and isn't run any more")
             }
-            Self::Crowded(_) => {
+            Self::Overloaded(_) => {
                 f.write_str("this instance is busy, others may not be; nothing ran")
             }
             Self::Stopping => f.write_str("this instance is about to stop; nothing ran"),
@@ -182,11 +182,11 @@
             Self::Limited(_) => {
                 f.write_str("the upstreams take few requests at present; nothing ran")
             }
-            Self::Busy => f.write_str("the upstreams are full; nothing ran"),
+            Self::UpstreamsBusy => f.write_str("the upstreams are full; nothing ran"),
             Self::TooLate => f.write_str("no time was left to send the request; nothing ran"),
             Self::Failed => f.write_str("the upstream failed; the request may have run"),
             Self::TimedOut => f.write_str("the upstream took too long; the request may have run"),
-            Self::Ended => f.write_str("this instance has stopped; the request may have run"),
+            Self::Aborted => f.write_str("this instance has stopped; the request may have run"),
         }
     }
 }
--- a/crates/sagespool-gateway/src/relay_role.rs
+++ b/crates/sagespool-gateway/src/relay_role.rs
@@ -13,9 +13,9 @@
 use sagespool_types::IncarnationId;
 use smol::Task;
 
-use crate::calls::tell_calls;
-use crate::fleet::{FleetBoard, OwnPlace, answer_store_call};
-use crate::role::STORE_LIMIT;
+use crate::fleet::{FleetClient, LocalMember, answer_store_call};
+use crate::role::STORE_TIMEOUT;
+use crate::store_calls::log_store_calls;
 
 /// A running relay. Dropping it stops it; it has no state to save.
 pub struct RelayRole {
@@ -36,10 +36,10 @@
         );
         let options = ObjectOptions::builder()
             .address(settings.object_api)
-            .call_limit(STORE_LIMIT)
+            .call_limit(STORE_TIMEOUT)
             .dialect(dialect);
         let store = ObjectClient::new(options.build());
-        let place = OwnPlace::builder()
+        let local = LocalMember::builder()
             .instance(settings.instance)
             .region(settings.region)
             .centre(settings.centre)
@@ -48,14 +48,14 @@
             .maybe_advertise(settings.advertise)
             .peers(settings.peers)
             .build();
-        let fleet = Arc::new(FleetBoard::new(place, run));
+        let fleet = Arc::new(FleetClient::new(local, run));
         let handler = handler(fleet.clone(), store.clone());
-        let telling = smol::spawn(tell_calls(store.clone()));
+        let telling = smol::spawn(log_store_calls(store.clone()));
         Self { _tasks: [smol::spawn(fleet.run(store, handler, |_| {})), telling] }
     }
 }
 
-fn handler(fleet: Arc<FleetBoard>, store: ObjectClient) -> PeerHandler {
+fn handler(fleet: Arc<FleetClient>, store: ObjectClient) -> PeerHandler {
     Arc::new(move |call: PeerCall| {
         let (fleet, store) = (fleet.clone(), store.clone());
         Box::pin(async move {
--- a/crates/sagespool-gateway/src/request_body.rs
+++ b/crates/sagespool-gateway/src/request_body.rs
@@ -9,11 +9,11 @@
 use sagespool_link::within;
 use sagespool_types::ByteCount;
 
-use crate::intake::RequestPass;
+use crate::intake::RequestPermit;
 use crate::refusal::Refusal;
 
 /// How long the remaining body of a refused request is read.
-const DISCARD_LIMIT: Duration = Duration::from_secs(1);
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Reads and discards the remaining body of a refused request. Closing a connection with unread
 /// data resets it, and the caller could lose the refusal.
@@ -22,7 +22,7 @@
         return;
     }
     let rest = async move { while let Some(Ok(_)) = body.frame().await {} };
-    smol::spawn(within(DISCARD_LIMIT, rest)).detach();
+    smol::spawn(within(DISCARD_TIMEOUT, rest)).detach();
 }
 
 /// The declared length of a request's body; 0 for a chunked body, which is accounted for as it
@@ -35,17 +35,17 @@
 pub(crate) async fn read_body(
     index: &PlanIndex,
     body: Incoming,
-    pass: &mut RequestPass,
+    permit: &mut RequestPermit,
     limit: Duration,
 ) -> Result<Bytes, Refusal> {
     let most = usize::try_from(index.plan().limits.body_bytes.0).unwrap_or(usize::MAX);
-    let collected = within(limit, collect_body(body, pass, most)).await;
+    let collected = within(limit, collect_body(body, permit, most)).await;
     collected.unwrap_or(Err(Refusal::BodyTooSlow))
 }
 
 async fn collect_body(
     mut body: Incoming,
-    pass: &mut RequestPass,
+    permit: &mut RequestPermit,
     most: usize,
 ) -> Result<Bytes, Refusal> {
     let declared = body.size_hint().exact();
@@ -63,7 +63,7 @@
             return Err(Refusal::BodyTooLarge);
         }
         if declared.is_none() {
-            pass.count_body(bytes.len())?;
+            permit.count_body(bytes.len())?;
         }
         whole.extend_from_slice(&bytes);
     }
--- a/crates/sagespool-gateway/src/role.rs
+++ b/crates/sagespool-gateway/src/role.rs
@@ -14,27 +14,27 @@
 use smol::{Task, Timer};
 
 use crate::callers::accept;
-use crate::calls::tell_calls;
 use crate::dialect::WireDialect;
 use crate::evacuations::follow_evacuations;
 use crate::follow::{follow_plan, follow_upstreams, sweep};
-use crate::limits::follow_limits;
+use crate::limits::query_limits;
 use crate::peers::run_peers;
 use crate::state::GatewayState;
 use crate::status::serve_status;
+use crate::store_calls::log_store_calls;
 
 /// Timeout of a call of the store. A call usually takes 4 ms, and 250 ms with a slow store.
-pub(crate) const STORE_LIMIT: Duration = Duration::from_millis(500);
+pub(crate) const STORE_TIMEOUT: Duration = Duration::from_millis(500);
 /// The load balancer checks once a second and removes an instance after two failed checks. Until
 /// then new callers arrive and are served.
 const ROTATION_TIME: Duration = Duration::from_millis(2600);
 /// Part of a graceful stop's time limit reserved for closing grants and the last writes to the
 /// store.
-const CLOSING_TIME: Duration = Duration::from_millis(1200);
+const GRANT_CLOSE_TIME: Duration = Duration::from_millis(1200);
 /// Timeout of another instance's confirmation of returned loans.
-const RETURN_TIME: Duration = Duration::from_millis(300);
+const LOAN_RETURN_TIMEOUT: Duration = Duration::from_millis(300);
 /// Backlog of the callers' listener: connections that wait to be accepted.
-const ACCEPT_QUEUE: i32 = 1024;
+const ACCEPT_BACKLOG: i32 = 1024;
 const STOP_POLL: Duration = Duration::from_millis(25);
 /// Time for connections to write their responses after the last request has ended.
 const FLUSH_TIME: Duration = Duration::from_millis(300);
@@ -91,7 +91,7 @@
         let run = IncarnationId::random();
         let options = ObjectOptions::builder()
             .address(settings.object_api)
-            .call_limit(STORE_LIMIT)
+            .call_limit(STORE_TIMEOUT)
             .dialect(dialect.store);
         let store = ObjectClient::new(options.build());
         log_event!(
@@ -119,14 +119,14 @@
             smol::spawn(follow_plan(state.clone())),
             smol::spawn(follow_upstreams(state.clone())),
             smol::spawn(sweep(state.clone())),
-            smol::spawn(tell_calls(state.store.clone())),
+            smol::spawn(log_store_calls(state.store.clone())),
         ];
         if state.follows_evacuations() {
             tasks.push(smol::spawn(follow_evacuations(state.clone())));
         }
         if state.settings.link.is_some() {
             tasks.push(smol::spawn(run_peers(state.clone())));
-            tasks.push(smol::spawn(follow_limits(state.clone())));
+            tasks.push(smol::spawn(query_limits(state.clone())));
         }
         Ok(Self { state, accepting, _tasks: tasks })
     }
@@ -144,21 +144,21 @@
     pub async fn stop(self, limit: Duration) -> StopReport {
         let Self { state, accepting, _tasks } = self;
         let began = ClockTime::now();
-        let last = began.after(limit.saturating_sub(CLOSING_TIME));
+        let last = began.after(limit.saturating_sub(GRANT_CLOSE_TIME));
         state.stopping.store(true, Ordering::Relaxed);
         state.fleet.members.update_own(|own| own.leaving = true);
         Timer::after(ROTATION_TIME.min(limit / 2)).await;
-        state.close_by(last);
+        state.start_closing(last);
         let requests = || state.requests.load(Ordering::Relaxed);
         wait_until(|| requests() == 0, last).await;
         let cut = requests();
-        state.over.give();
+        state.abort.set();
         // Later connections are refused by the kernel, which shows callers that nothing has run.
         drop(accepting);
         let open = || state.intake.connections();
         wait_until(|| open() == 0, ClockTime::now().after(FLUSH_TIME)).await;
-        state.desk.return_rests(&state.fleet, RETURN_TIME).await;
-        state.desk.close_all(CLOSING_TIME / 2).await;
+        state.desk.return_loans(&state.fleet, LOAN_RETURN_TIMEOUT).await;
+        state.desk.close_all(GRANT_CLOSE_TIME / 2).await;
         let took = ClockTime::now().since(began);
         log_event!(info, "gateway-stopped", cut = cut, took_ms = took.as_millis());
         StopReport { cut }
@@ -175,7 +175,7 @@
     let listener = TcpListener::bind(address).change_context(GatewayError::Listen(address))?;
     // The standard library's backlog is 128, which a burst of callers fills between two runs of the
     // accept task; connections that don't fit are retried by TCP only after seconds.
-    let longer = rustix::net::listen(&listener, ACCEPT_QUEUE);
+    let longer = rustix::net::listen(&listener, ACCEPT_BACKLOG);
     longer.change_context(GatewayError::Listen(address))?;
     Ok(listener)
 }
--- a/crates/sagespool-gateway/src/state.rs
+++ b/crates/sagespool-gateway/src/state.rs
@@ -18,27 +18,27 @@
     UpstreamName,
 };
 
-use crate::crashes::CrashDesk;
-use crate::desk::BudgetDesk;
+use crate::crashes::CrashTracker;
+use crate::desk::BudgetPool;
 use crate::dialect::WireDialect;
-use crate::feeds::FeedDesk;
-use crate::fleet::{FleetBoard, OwnPlace};
-use crate::intake::CallerIntake;
+use crate::feeds::FeedRegistry;
+use crate::fleet::{FleetClient, LocalMember};
+use crate::intake::ResourceLimiter;
 use crate::metrics::GatewayMetrics;
 use crate::pool::UpstreamPool;
 use crate::signal::OnceSignal;
 
 /// Minimum interval between log lines about malformed response headers: a faulty upstream sends
 /// one with every response.
-const UNREADABLE_PAUSE: Duration = Duration::from_secs(1);
+const UNREADABLE_LOG_PERIOD: Duration = Duration::from_secs(1);
 
 pub(crate) struct GatewayState {
     pub(crate) settings: GatewaySettings,
     pub(crate) dialect: WireDialect,
     pub(crate) store: ObjectClient,
     pub(crate) pool: UpstreamPool,
-    pub(crate) desk: Arc<BudgetDesk>,
-    pub(crate) crashes: CrashDesk,
+    pub(crate) desk: Arc<BudgetPool>,
+    pub(crate) crashes: CrashTracker,
     pub(crate) metrics: GatewayMetrics,
     /// Set when a graceful stop begins.
     pub(crate) stopping: AtomicBool,
@@ -47,13 +47,13 @@
     /// Set when callers' connections are to close after their current request.
     pub(crate) closing: OnceSignal,
     /// Set when the time limit of a graceful stop has passed: requests in flight are aborted.
-    pub(crate) over: OnceSignal,
+    pub(crate) abort: OnceSignal,
     /// Number of requests in flight.
     pub(crate) requests: AtomicUsize,
-    pub(crate) intake: Arc<CallerIntake>,
-    pub(crate) feeds: FeedDesk,
-    pub(crate) fleet: Arc<FleetBoard>,
-    plan: RwLock<Option<KnownPlan>>,
+    pub(crate) intake: Arc<ResourceLimiter>,
+    pub(crate) feeds: FeedRegistry,
+    pub(crate) fleet: Arc<FleetClient>,
+    plan: RwLock<Option<LoadedPlan>>,
     roster: Mutex<UpstreamRegistry>,
     board: Mutex<LoadBalancer>,
     retries: Mutex<RetryBudget>,
@@ -64,7 +64,7 @@
 }
 
 /// A configuration with its text as stored, which other gateways may request.
-struct KnownPlan {
+struct LoadedPlan {
     index: Arc<PlanIndex>,
     document: Arc<str>,
 }
@@ -78,8 +78,8 @@
     ) -> Self {
         let GrantSettings { ahead, share, idle } = settings.grants;
         let grants = GrantPolicy { ahead, share, idle, instances: 1 };
-        let desk = BudgetDesk::new(store.clone(), run, settings.instance.clone(), grants);
-        let place = OwnPlace::builder()
+        let desk = BudgetPool::new(store.clone(), run, settings.instance.clone(), grants);
+        let local = LocalMember::builder()
             .instance(settings.instance.clone())
             .region(settings.region.clone())
             .centre(settings.centre.clone())
@@ -88,7 +88,7 @@
             .maybe_advertise(settings.advertise)
             .peers(settings.peers.clone())
             .build();
-        let fleet = Arc::new(FleetBoard::new(place, run));
+        let fleet = Arc::new(FleetClient::new(local, run));
         store.set_detour(fleet.detour());
         let terms = RetryPolicy {
             ratio: settings.retries.ratio,
@@ -102,8 +102,8 @@
             Some(_) => SenderSelector::new(settings.instance.clone()),
             None => SenderSelector::alone(settings.instance.clone()),
         };
-        let feeds = FeedDesk::new(settings.in_force);
-        let intake = Arc::new(CallerIntake::new(settings.limits));
+        let feeds = FeedRegistry::new(settings.in_force);
+        let intake = Arc::new(ResourceLimiter::new(settings.limits));
         Self {
             intake,
             settings,
@@ -111,13 +111,13 @@
             store,
             pool: UpstreamPool::default(),
             desk: Arc::new(desk),
-            crashes: CrashDesk::new(),
+            crashes: CrashTracker::new(),
             metrics: GatewayMetrics::new(),
             stopping: AtomicBool::new(false),
             closing_by: AtomicU64::new(0),
             requests: AtomicUsize::new(0),
             closing: OnceSignal::default(),
-            over: OnceSignal::default(),
+            abort: OnceSignal::default(),
             feeds,
             fleet,
             plan: RwLock::default(),
@@ -130,29 +130,29 @@
         }
     }
 
-    fn known_plan(&self) -> RwLockReadGuard<'_, Option<KnownPlan>> {
+    fn loaded_plan(&self) -> RwLockReadGuard<'_, Option<LoadedPlan>> {
         self.plan.read().unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(crate) fn plan(&self) -> Option<Arc<PlanIndex>> {
-        self.known_plan().as_ref().map(|known| known.index.clone())
+        self.loaded_plan().as_ref().map(|known| known.index.clone())
     }
 
     /// The text of the current configuration as stored.
     pub(crate) fn plan_document(&self) -> Option<String> {
-        self.known_plan().as_ref().map(|known| known.document.to_string())
+        self.loaded_plan().as_ref().map(|known| known.document.to_string())
     }
 
     /// The version of the current configuration, 0 if there is none.
     pub(crate) fn plan_version(&self) -> ConfigVersion {
-        self.known_plan().as_ref().map_or(ConfigVersion::ZERO, |known| known.index.plan().version)
+        self.loaded_plan().as_ref().map_or(ConfigVersion::ZERO, |known| known.index.plan().version)
     }
 
     /// Applies a configuration and returns true, unless the current one is at least as new. Older
     /// versions may arrive late and must not replace newer ones.
     pub(crate) fn take_plan(&self, index: PlanIndex, document: &str) -> bool {
         let version = index.plan().version;
-        let fresh = KnownPlan { index: Arc::new(index), document: document.into() };
+        let fresh = LoadedPlan { index: Arc::new(index), document: document.into() };
         let mut plan = self.plan.write().unwrap_or_else(PoisonError::into_inner);
         if plan.as_ref().is_some_and(|known| known.index.plan().version >= version) {
             return false;
@@ -246,10 +246,10 @@
         }
     }
 
-    /// Logs a malformed header of an upstream's response, at most once per `UNREADABLE_PAUSE`.
+    /// Logs a malformed header of an upstream's response, at most once per `UNREADABLE_LOG_PERIOD`.
     pub(crate) fn note_unreadable(&self, name: &UpstreamName, mark: &str, now: ClockTime) {
         let mut noted = self.unreadable.lock().unwrap_or_else(PoisonError::into_inner);
-        if noted.is_some_and(|noted| now.since(noted) < UNREADABLE_PAUSE) {
+        if noted.is_some_and(|noted| now.since(noted) < UNREADABLE_LOG_PERIOD) {
             return;
         }
         *noted = Some(now);
@@ -298,21 +298,22 @@
     }
 
     /// Starts closing callers' connections. Requests that still arrive must end by `last`.
-    pub(crate) fn close_by(&self, last: ClockTime) {
+    pub(crate) fn start_closing(&self, last: ClockTime) {
         self.closing_by.store(last.0, Ordering::SeqCst);
-        self.closing.give();
+        self.closing.set();
     }
 
     /// Whether this process may stop before a request with this deadline has ended.
-    pub(crate) fn ends_before(&self, deadline: ClockTime) -> bool {
-        self.closing.is_given() && ClockTime(self.closing_by.load(Ordering::SeqCst)) < deadline
+    pub(crate) fn may_stop_before(&self, deadline: ClockTime) -> bool {
+        self.closing.is_set() && ClockTime(self.closing_by.load(Ordering::SeqCst)) < deadline
     }
 
     /// Whether this instance can serve requests: the configuration, the upstreams and the
     /// evacuations are loaded, and no stop has begun.
     pub(crate) fn is_ready(&self) -> bool {
         let follows = self.follows_evacuations();
-        let knows_evacuations = !follows || self.feeds.slot(FollowedKind::Evacuations).is_loaded();
+        let knows_evacuations =
+            !follows || self.feeds.replica(FollowedKind::Evacuations).is_loaded();
         !self.is_stopping()
             && self.plan().is_some()
             && self.roster().is_loaded()
--- a/crates/sagespool-gateway/src/status.rs
+++ b/crates/sagespool-gateway/src/status.rs
@@ -9,7 +9,7 @@
 use sagespool_types::ClockTime;
 use trillium::{Conn, KnownHeaderName, Status};
 
-use crate::metrics::SparedReading;
+use crate::metrics::RestrictionCounts;
 use crate::state::GatewayState;
 
 const METRICS_PATH: &str = "/metrics";
@@ -39,17 +39,17 @@
 }
 
 fn metrics_text(state: &GatewayState) -> String {
-    state.metrics.take_calls(state.store.causes());
+    state.metrics.set_store_calls(state.store.causes());
     let now = ClockTime::now();
     let intake = state.intake.reading(now);
     // Lock one at a time: the choice of an upstream locks them in another order.
     let evacuated = state.roster().evacuated().count();
     let guard = state.guard();
     let (cold, limited) = (guard.cold_count(now), guard.limited_count());
-    let resting = guard.backoff_count(now);
+    let in_backoff = guard.backoff_count(now);
     drop(guard);
-    let spared = SparedReading { evacuated, cold, limited, resting };
-    state.metrics.encode(state.fleet.count(MemberRole::Entry), intake, spared)
+    let restrictions = RestrictionCounts { evacuated, cold, limited, in_backoff };
+    state.metrics.encode(state.fleet.count(MemberRole::Entry), intake, restrictions)
 }
 
 fn respond_readiness(state: &GatewayState, conn: Conn) -> Conn {
--- a/crates/sagespool-gateway/src/calls.rs
+++ b/crates/sagespool-gateway/src/store_calls.rs
@@ -10,7 +10,7 @@
 
 /// Logs the store call counts periodically until cancelled. Calls forwarded for other processes
 /// have a kind of their own.
-pub(crate) async fn tell_calls(store: ObjectClient) {
+pub(crate) async fn log_store_calls(store: ObjectClient) {
     loop {
         Timer::after(LINE_PERIOD).await;
         for (cause, count) in store.causes() {
--- a/crates/sagespool-gateway/src/contact.rs
+++ b/crates/sagespool-gateway/src/store_health.rs
@@ -9,18 +9,18 @@
 use sagespool_types::{ClockTime, IncarnationId};
 use smol::Timer;
 
-use crate::follow::Followed;
+use crate::follow::FollowedPrefix;
 use crate::state::GatewayState;
 
 /// Initial backoff after a failed call, so that a store that recovers isn't flooded. Each further
 /// failure doubles it.
-const FAILURE_PAUSE: Duration = Duration::from_millis(120);
-const LONGEST_FAILURE_PAUSE: Duration = Duration::from_millis(900);
-const MOST_DOUBLINGS: u32 = 8;
+const INITIAL_BACKOFF: Duration = Duration::from_millis(120);
+const MAX_BACKOFF: Duration = Duration::from_millis(900);
+const MAX_DOUBLINGS: u32 = 8;
 
 /// Reachability of the store for one followed prefix.
 #[derive(Default)]
-pub(crate) struct StoreContact {
+pub(crate) struct StoreHealth {
     /// Since when the store is unreachable.
     lost: Option<ClockTime>,
     /// Number of consecutive failed calls.
@@ -29,9 +29,9 @@
     neighbour: Option<IncarnationId>,
 }
 
-impl StoreContact {
+impl StoreHealth {
     /// Records the source of changes: a neighbour, or the store if `None`.
-    pub(crate) fn go_by(&mut self, followed: &Followed, neighbour: Option<&MemberInfo>) {
+    pub(crate) fn set_source(&mut self, followed: &FollowedPrefix, neighbour: Option<&MemberInfo>) {
         let id = neighbour.map(|member| member.incarnation);
         if std::mem::replace(&mut self.neighbour, id) == id {
             return;
@@ -42,8 +42,13 @@
     }
 
     /// Records that the store is unreachable.
-    pub(crate) fn lose(&mut self, state: &GatewayState, followed: &Followed, error: &dyn Display) {
-        state.feeds.slot(followed.kind).note_store(true);
+    pub(crate) fn mark_lost(
+        &mut self,
+        state: &GatewayState,
+        followed: &FollowedPrefix,
+        error: &dyn Display,
+    ) {
+        state.feeds.replica(followed.kind).note_store(true);
         if self.lost.is_none() {
             self.lost = Some(ClockTime::now());
             log_event!(warn, "store-lost", what = followed.what, error = error);
@@ -51,9 +56,9 @@
     }
 
     /// Records that the store is reachable.
-    pub(crate) fn succeed(&mut self, state: &GatewayState, followed: &Followed) {
+    pub(crate) fn mark_reachable(&mut self, state: &GatewayState, followed: &FollowedPrefix) {
         self.failures = 0;
-        state.feeds.slot(followed.kind).note_store(false);
+        state.feeds.replica(followed.kind).note_store(false);
         if let Some(since) = self.lost.take() {
             let outage = ClockTime::now().since(since);
             let away_ms = outage.as_millis();
@@ -66,15 +71,15 @@
     ///
     /// Without it, all instances would retry many times a second while the store is down or rejects
     /// calls, and would overload it when it recovers.
-    pub(crate) async fn fail(
+    pub(crate) async fn back_off(
         &mut self,
         state: &GatewayState,
-        followed: &Followed,
+        followed: &FollowedPrefix,
         error: &StoreError,
     ) {
-        self.lose(state, followed, error);
-        let pause = FAILURE_PAUSE * 2u32.saturating_pow(self.failures.min(MOST_DOUBLINGS));
+        self.mark_lost(state, followed, error);
+        let pause = INITIAL_BACKOFF * 2u32.saturating_pow(self.failures.min(MAX_DOUBLINGS));
         self.failures += 1;
-        Timer::after(pause.min(LONGEST_FAILURE_PAUSE).mul_f64(0.5 + fastrand::f64())).await;
+        Timer::after(pause.min(MAX_BACKOFF).mul_f64(0.5 + fastrand::f64())).await;
     }
 }
--- a/crates/sagespool-gateway/src/stream.rs
+++ b/crates/sagespool-gateway/src/stream.rs
@@ -11,17 +11,17 @@
 use sagespool_link::within;
 use sagespool_types::ClockTime;
 
-use crate::attempt::{OpenAnswer, SendFailure, SendPlace, send_once};
-use crate::body::{AnswerBody, BodyPiece};
-use crate::flight::Flight;
-use crate::hop::strip_hop;
+use crate::attempt::{OpenResponse, PlacementGuard, SendFailure, send_once};
+use crate::body::{BodyChunk, ResponseBody};
+use crate::context::RequestContext;
+use crate::hop_by_hop::strip_hop_by_hop;
 use crate::metrics::Outcome;
-use crate::pipeline::{may_send_again, says_close, send_patience};
+use crate::pipeline::{attempt_timeout, closes_connection, may_retry};
 use crate::refusal::Refusal;
 
 /// Chunks buffered for the caller's connection. Beyond these, a slow caller causes backpressure on
 /// its upstream instead of using this process's memory.
-const PIECES_AHEAD: usize = 8;
+const BUFFERED_CHUNKS: usize = 8;
 
 /// How the stream of one upstream ended.
 enum StreamEnd {
@@ -41,50 +41,54 @@
 /// data, so a stream that breaks before would reach the caller as a closed connection without a
 /// response.
 pub(crate) async fn start_stream(
-    mut flight: Flight,
-    mut answer: OpenAnswer,
-) -> Response<AnswerBody> {
-    flight.may_have_run = true;
-    let mut head = answer.head.clone();
-    strip_hop(&mut head.headers);
-    answer.place.began(ClockTime::now());
-    flight.record.status = head.status.as_u16();
-    let (sender, pieces) = bounded(PIECES_AHEAD);
-    let state = flight.state.clone();
+    mut context: RequestContext,
+    mut response: OpenResponse,
+) -> Response<ResponseBody> {
+    context.may_have_run = true;
+    let mut head = response.head.clone();
+    strip_hop_by_hop(&mut head.headers);
+    response.placement.began(ClockTime::now());
+    context.log.status = head.status.as_u16();
+    let (sender, chunks) = bounded(BUFFERED_CHUNKS);
+    let state = context.state.clone();
     let relay = smol::spawn(async move {
-        or(relay_all(flight, answer, sender), state.over.wait()).await;
+        or(relay_all(context, response, sender), state.abort.wait()).await;
     });
-    match pieces.recv().await {
-        Ok(first) => Response::from_parts(head, AnswerBody::stream(first, pieces, relay)),
+    match chunks.recv().await {
+        Ok(first) => Response::from_parts(head, ResponseBody::stream(first, chunks, relay)),
         // The relay task ended without an event and has logged the cause.
         Err(_) => Refusal::Failed.response(),
     }
 }
 
 /// Forwards events until the stream is complete or aborted, resuming it at other upstreams.
-async fn relay_all(mut flight: Flight, mut answer: OpenAnswer, sender: Sender<BodyPiece>) {
+async fn relay_all(
+    mut context: RequestContext,
+    mut response: OpenResponse,
+    sender: Sender<BodyChunk>,
+) {
     loop {
-        let end = relay_one(&mut flight, answer, &sender).await;
+        let end = relay_one(&mut context, response, &sender).await;
         let failure = match end {
             StreamEnd::Whole => {
-                flight.record.conclude(Outcome::Answered, flight.record.status, "");
-                flight.clear_crashes();
+                context.log.conclude(Outcome::Answered, context.log.status, "");
+                context.clear_crashes();
                 // Settle the charge before the caller receives the end of the stream.
-                drop(flight.request.reservation.take());
-                let _ = sender.send(BodyPiece::End).await;
+                drop(context.request.reservation.take());
+                let _ = sender.send(BodyChunk::End).await;
                 return;
             }
             StreamEnd::CallerGone => return,
             StreamEnd::TimeOver => {
-                conclude_cut(&mut flight, "timed-out");
+                conclude_cut(&mut context, "timed-out");
                 return;
             }
             StreamEnd::Broken => SendFailure::Lost("stream-broken"),
         };
-        answer = match go_on(&mut flight, failure).await {
-            Some(answer) => answer,
+        response = match go_on(&mut context, failure).await {
+            Some(response) => response,
             None => {
-                conclude_cut(&mut flight, failure.as_str());
+                conclude_cut(&mut context, failure.as_str());
                 return;
             }
         };
@@ -92,23 +96,23 @@
 }
 
 /// Records an aborted stream. Before its first event the caller gets an error response instead.
-fn conclude_cut(flight: &mut Flight, detail: &str) {
-    let began = flight.record.events > 0;
-    let status = if began { flight.record.status } else { Refusal::Failed.status().as_u16() };
-    flight.record.conclude(Outcome::Cut, status, detail);
+fn conclude_cut(context: &mut RequestContext, detail: &str) {
+    let began = context.log.events > 0;
+    let status = if began { context.log.status } else { Refusal::Failed.status().as_u16() };
+    context.log.conclude(Outcome::Cut, status, detail);
 }
 
 /// Sends the request to another upstream, to resume after the last forwarded event.
-async fn go_on(flight: &mut Flight, mut failure: SendFailure) -> Option<OpenAnswer> {
-    while flight.request.route.resumable && may_send_again(flight, failure, ClockTime::now()) {
-        let timeout = send_patience(flight, ClockTime::now());
-        match send_once(flight, timeout).await {
-            Ok(mut answer) if answer.head.status.is_success() => {
-                answer.place.began(ClockTime::now());
-                return Some(answer);
+async fn go_on(context: &mut RequestContext, mut failure: SendFailure) -> Option<OpenResponse> {
+    while context.request.route.resumable && may_retry(context, failure, ClockTime::now()) {
+        let timeout = attempt_timeout(context, ClockTime::now());
+        match send_once(context, timeout).await {
+            Ok(mut response) if response.head.status.is_success() => {
+                response.placement.began(ClockTime::now());
+                return Some(response);
             }
-            Ok(answer) => {
-                answer.place.finish(SendOutcome::Failed, ClockTime::now());
+            Ok(response) => {
+                response.placement.finish(SendOutcome::Failed, ClockTime::now());
                 failure = SendFailure::Lost("failure-status");
             }
             Err(next) => failure = next,
@@ -118,39 +122,41 @@
 }
 
 async fn relay_one(
-    flight: &mut Flight,
-    answer: OpenAnswer,
-    sender: &Sender<BodyPiece>,
+    context: &mut RequestContext,
+    response: OpenResponse,
+    sender: &Sender<BodyChunk>,
 ) -> StreamEnd {
-    let OpenAnswer { head, mut body, connection, place } = answer;
-    let end = relay_body(flight, &mut body, &place, sender).await;
+    let OpenResponse { head, mut body, connection, placement } = response;
+    let end = relay_body(context, &mut body, &placement, sender).await;
     let now = ClockTime::now();
     match end {
         StreamEnd::Whole => {
-            if !says_close(&head) {
-                flight.state.pool.keep(&place.ticket().upstream.name, connection, now);
+            if !closes_connection(&head) {
+                context.state.pool.keep(&placement.ticket().upstream.name, connection, now);
             }
-            place.finish(SendOutcome::Answered, now);
+            placement.finish(SendOutcome::Answered, now);
+        }
+        StreamEnd::Broken => placement.finish(SendOutcome::Broken, now),
+        StreamEnd::TimeOver | StreamEnd::CallerGone => {
+            placement.finish(SendOutcome::Cancelled, now)
         }
-        StreamEnd::Broken => place.finish(SendOutcome::Broken, now),
-        StreamEnd::TimeOver | StreamEnd::CallerGone => place.finish(SendOutcome::Cancelled, now),
     }
     end
 }
 
 async fn relay_body(
-    flight: &mut Flight,
+    context: &mut RequestContext,
     body: &mut Incoming,
-    place: &SendPlace,
-    sender: &Sender<BodyPiece>,
+    placement: &PlacementGuard,
+    sender: &Sender<BodyChunk>,
 ) -> StreamEnd {
     let mut cutter = EventSplitter::default();
     loop {
-        let Some(frame) = in_time(flight, body.frame()).await else {
+        let Some(frame) = in_time(context, body.frame()).await else {
             return StreamEnd::TimeOver;
         };
         let bytes = match frame {
-            None => return finish_stream(flight, &mut cutter, sender).await,
+            None => return finish_stream(context, &mut cutter, sender).await,
             Some(Err(_)) => return StreamEnd::Broken,
             Some(Ok(frame)) => match frame.into_data() {
                 Ok(bytes) => bytes,
@@ -158,16 +164,16 @@
                 Err(_) => continue,
             },
         };
-        place.heard(ClockTime::now());
+        placement.heard(ClockTime::now());
         let whole = cutter.push(&bytes);
         if whole.count == 0 {
             continue;
         }
-        flight.record.first.get_or_insert_with(ClockTime::now);
-        flight.charge_events(whole.count);
-        flight.last_event = whole.last_id.or(flight.last_event);
-        let piece = BodyPiece::Data(whole.bytes.into());
-        match in_time(flight, sender.send(piece)).await {
+        context.log.first.get_or_insert_with(ClockTime::now);
+        context.charge_events(whole.count);
+        context.last_event = whole.last_id.or(context.last_event);
+        let chunk = BodyChunk::Data(whole.bytes.into());
+        match in_time(context, sender.send(chunk)).await {
             None => return StreamEnd::TimeOver,
             Some(Err(_)) => return StreamEnd::CallerGone,
             Some(Ok(())) => {}
@@ -177,16 +183,16 @@
 
 /// Forwards the data after the last complete event; the upstream ended its stream there.
 async fn finish_stream(
-    flight: &mut Flight,
+    context: &mut RequestContext,
     cutter: &mut EventSplitter,
-    sender: &Sender<BodyPiece>,
+    sender: &Sender<BodyChunk>,
 ) -> StreamEnd {
     let rest = cutter.take_remainder();
     if rest.is_empty() {
         return StreamEnd::Whole;
     }
-    flight.charge_events(1);
-    match in_time(flight, sender.send(BodyPiece::Data(Bytes::from(rest)))).await {
+    context.charge_events(1);
+    match in_time(context, sender.send(BodyChunk::Data(Bytes::from(rest)))).await {
         None => StreamEnd::TimeOver,
         Some(Err(_)) => StreamEnd::CallerGone,
         Some(Ok(())) => StreamEnd::Whole,
@@ -194,6 +200,6 @@
 }
 
 /// Awaits a step until the request's deadline; `None` after it.
-async fn in_time<T>(flight: &Flight, step: impl Future<Output = T>) -> Option<T> {
-    within(flight.time_left(ClockTime::now()), step).await
+async fn in_time<T>(context: &RequestContext, step: impl Future<Output = T>) -> Option<T> {
+    within(context.time_left(ClockTime::now()), step).await
 }
--- a/crates/sagespool-gateway/tests/cut_answers.rs
+++ b/crates/sagespool-gateway/tests/cut_answers.rs
@@ -14,7 +14,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Request, Response};
-use sagespool_gateway::{AnswerBody, BodyPiece, CountedStream, FlushCounter};
+use sagespool_gateway::{BodyChunk, FlushCounter, FlushCountingStream, ResponseBody};
 use smol::net::{TcpListener, TcpStream};
 use smol_hyper::rt::FuturesIo;
 
@@ -29,13 +29,13 @@
 }
 
 /// A response whose chunks and abort are all available before the connection polls the body.
-fn aborted_response(events: &[String]) -> AnswerBody {
-    let (sender, pieces): (_, Receiver<BodyPiece>) = bounded(events.len());
+fn aborted_response(events: &[String]) -> ResponseBody {
+    let (sender, chunks): (_, Receiver<BodyChunk>) = bounded(events.len());
     for event in &events[1..] {
-        sender.try_send(BodyPiece::Data(event.clone().into())).unwrap();
+        sender.try_send(BodyChunk::Data(event.clone().into())).unwrap();
     }
-    let first = BodyPiece::Data(events[0].clone().into());
-    AnswerBody::stream(first, pieces, smol::spawn(async {}))
+    let first = BodyChunk::Data(events[0].clone().into());
+    ResponseBody::stream(first, chunks, smol::spawn(async {}))
 }
 
 /// Returns what a caller reads until its connection closes.
@@ -46,9 +46,9 @@
         let server = smol::spawn(async move {
             let (stream, _) = listener.accept().await.unwrap();
             let flushes = Arc::new(FlushCounter::default());
-            let stream = CountedStream::new(stream, flushes.clone());
+            let stream = FlushCountingStream::new(stream, flushes.clone());
             let service = service_fn(move |_: Request<hyper::body::Incoming>| {
-                let body = aborted_response(&events).sent_over(&flushes);
+                let body = aborted_response(&events).with_flush_counter(&flushes);
                 async move { Ok::<_, Infallible>(Response::new(body)) }
             });
             let served = http1::Builder::new().serve_connection(FuturesIo::new(stream), service);
@@ -95,7 +95,7 @@
 fn abort_does_not_wait_for_a_stalled_caller() {
     let events = [event(1, 8), event(2, 8)];
     let never_flushed = Arc::new(FlushCounter::default());
-    let mut body = aborted_response(&events).sent_over(&never_flushed);
+    let mut body = aborted_response(&events).with_flush_counter(&never_flushed);
     smol::block_on(async {
         let mut frame = async || poll_fn(|context| Pin::new(&mut body).poll_frame(context)).await;
         for event in &events {
@@ -119,9 +119,10 @@
         let (stream, _) = listener.accept().await.unwrap();
         caller.write_all(REQUEST).await.unwrap();
         let flushes = Arc::new(FlushCounter::default());
-        let stream = CountedStream::new(stream, flushes.clone()).unread_for(WRITE_TIMEOUT);
+        let stream =
+            FlushCountingStream::new(stream, flushes.clone()).with_write_timeout(WRITE_TIMEOUT);
         let service = service_fn(move |_: Request<hyper::body::Incoming>| {
-            let body = aborted_response(&events).sent_over(&flushes);
+            let body = aborted_response(&events).with_flush_counter(&flushes);
             async move { Ok::<_, Infallible>(Response::new(body)) }
         });
         let served = http1::Builder::new().serve_connection(FuturesIo::new(stream), service).await;
--- a/crates/sagespool-gateway/tests/failed_rounds.rs
+++ b/crates/sagespool-gateway/tests/failed_rounds.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use sagespool_gateway::FailedRound;
+use sagespool_gateway::FailedLoanRound;
 use sagespool_types::{ClockTime, TokenCount};
 
 const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
@@ -17,7 +17,7 @@
 const MAX_WAIT: Duration = Duration::from_millis(300);
 
 /// Simulates the queue; returns the longest wait and the number of rounds.
-fn simulate(is_known: impl Fn(FailedRound, ClockTime) -> bool) -> (Duration, u32) {
+fn simulate(is_known: impl Fn(FailedLoanRound, ClockTime) -> bool) -> (Duration, u32) {
     let start = ClockTime::from_millis(1_000);
     let (mut longest, mut rounds) = (Duration::ZERO, 0);
     let (mut free_at, mut failed) = (start, None);
@@ -27,7 +27,7 @@
         if !failed.is_some_and(|failed| is_known(failed, turn)) {
             rounds += 1;
             free_at = turn.after(ROUND_TIME);
-            failed = Some(FailedRound::noted(AMOUNT, free_at));
+            failed = Some(FailedLoanRound::noted(AMOUNT, free_at));
         }
         longest = longest.max(turn.max(free_at).since(arrived));
     }
@@ -36,7 +36,7 @@
 
 #[test]
 fn waiting_requests_use_the_failed_round() {
-    let (longest, rounds) = simulate(|failed, now| failed.stands_for(AMOUNT, now));
+    let (longest, rounds) = simulate(|failed, now| failed.applies_to(AMOUNT, now));
     assert!(longest <= MAX_WAIT, "{longest:?}");
     assert!(rounds > 1, "a failed round must be repeated later");
     let (without, _) = simulate(|_, _| false);
@@ -47,8 +47,8 @@
 #[test]
 fn smaller_or_later_request_starts_a_round() {
     let now = ClockTime::from_millis(1_000);
-    let failed = FailedRound::noted(AMOUNT, now);
-    assert!(failed.stands_for(AMOUNT, now));
-    assert!(!failed.stands_for(TokenCount(100), now));
-    assert!(!failed.stands_for(AMOUNT, now.after(Duration::from_secs(1))));
+    let failed = FailedLoanRound::noted(AMOUNT, now);
+    assert!(failed.applies_to(AMOUNT, now));
+    assert!(!failed.applies_to(TokenCount(100), now));
+    assert!(!failed.applies_to(AMOUNT, now.after(Duration::from_secs(1))));
 }
--- a/crates/sagespool-gateway/tests/spent_budgets.rs
+++ b/crates/sagespool-gateway/tests/spent_budgets.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use sagespool_gateway::KnownShortage;
+use sagespool_gateway::CachedShortage;
 use sagespool_types::{ClockTime, ConfigVersion, TokenCount};
 
 const VERSION: ConfigVersion = ConfigVersion(4);
@@ -20,10 +20,10 @@
     let (mut known, mut reads, mut now) = (None, 0, start);
     while now.since(start) < SPENT_FOR {
         let is_known =
-            known.is_some_and(|known: KnownShortage| known.covers_less_than(AMOUNT, VERSION, now));
+            known.is_some_and(|known: CachedShortage| known.excludes(AMOUNT, VERSION, now));
         if !is_known {
             reads += 1;
-            known = Some(KnownShortage::noted(known, ROOM, VERSION, now));
+            known = Some(CachedShortage::noted(known, ROOM, VERSION, now));
         }
         now = now.after(REQUEST_INTERVAL);
     }
@@ -39,22 +39,22 @@
 #[test]
 fn larger_room_restarts_the_interval() {
     let now = ClockTime::from_millis(1_000);
-    let mut known = KnownShortage::noted(None, ROOM, VERSION, now);
+    let mut known = CachedShortage::noted(None, ROOM, VERSION, now);
     for _ in 0..5 {
-        known = KnownShortage::noted(Some(known), ROOM, VERSION, now);
+        known = CachedShortage::noted(Some(known), ROOM, VERSION, now);
     }
     assert!(known.is_fresh(now.after(Duration::from_secs(1))));
     // Tokens were returned, and more may follow.
-    let fuller = KnownShortage::noted(Some(known), ROOM + ROOM, VERSION, now);
+    let fuller = CachedShortage::noted(Some(known), ROOM + ROOM, VERSION, now);
     assert!(!fuller.is_fresh(now.after(Duration::from_millis(300))));
-    assert!(!fuller.covers_less_than(ROOM, VERSION, now));
+    assert!(!fuller.excludes(ROOM, VERSION, now));
 }
 
 /// A shortage under an earlier configuration must not apply after the total is raised.
 #[test]
 fn raised_total_ends_the_shortage() {
     let now = ClockTime::from_millis(1_000);
-    let known = KnownShortage::noted(None, ROOM, VERSION, now);
-    assert!(known.covers_less_than(AMOUNT, VERSION, now));
-    assert!(!known.covers_less_than(AMOUNT, ConfigVersion(5), now));
+    let known = CachedShortage::noted(None, ROOM, VERSION, now);
+    assert!(known.excludes(AMOUNT, VERSION, now));
+    assert!(!known.excludes(AMOUNT, ConfigVersion(5), now));
 }
