--- a/crates/sagespool-gateway/src/attempt.rs
+++ b/crates/sagespool-gateway/src/attempt.rs
@@ -71,11 +71,11 @@
         }
     }
 
-    /// Adds an upstream that accepts a request again after `turn`.
-    fn or_limited(self, turn: Duration) -> Self {
+    /// Adds an upstream that accepts a request again after `delay`.
+    fn or_limited(self, delay: Duration) -> Self {
         match self {
-            Self::Limited(first) => Self::Limited(first.min(turn)),
-            _ => Self::Limited(turn),
+            Self::Limited(first) => Self::Limited(first.min(delay)),
+            _ => Self::Limited(delay),
         }
     }
 }
@@ -125,23 +125,23 @@
     }
 
     /// Records the arrival of the response head or the first event.
-    pub(crate) fn began(&mut self, now: ClockTime) {
+    pub(crate) fn note_first_event(&mut self, now: ClockTime) {
         if let Some(ticket) = &mut self.ticket {
-            self.state.board().note_first_event(ticket, now);
+            self.state.balancer().note_first_event(ticket, now);
         }
     }
 
     /// Records the arrival of a further event.
-    pub(crate) fn heard(&self, now: ClockTime) {
+    pub(crate) fn note_progress(&self, now: ClockTime) {
         if let Some(ticket) = &self.ticket {
-            self.state.board().note_progress(ticket, now);
+            self.state.balancer().note_progress(ticket, now);
         }
     }
 
     /// Releases the slot with the outcome of the attempt.
     pub(crate) fn finish(mut self, outcome: SendOutcome, now: ClockTime) {
         if let Some(ticket) = self.ticket.take() {
-            self.state.board().finish(ticket, outcome, now);
+            self.state.balancer().finish(ticket, outcome, now);
         }
     }
 }
@@ -149,7 +149,7 @@
 impl Drop for PlacementGuard {
     fn drop(&mut self) {
         if let Some(ticket) = self.ticket.take() {
-            self.state.board().finish(ticket, SendOutcome::Cancelled, ClockTime::now());
+            self.state.balancer().finish(ticket, SendOutcome::Cancelled, ClockTime::now());
         }
     }
 }
@@ -224,27 +224,27 @@
     };
     let warmup = service.and_then(|service| service.warmup.as_ref());
     // Locked until the send is counted, so that no other request uses the same share.
-    let mut guard = state.guard();
-    let senders = state.senders();
-    let roster = state.roster();
-    let mut cause = match roster.is_evacuated(&context.request.service) {
+    let mut throttle = state.throttle();
+    let sender_selector = state.sender_selector();
+    let upstreams = state.upstreams();
+    let mut cause = match upstreams.is_evacuated(&context.request.service) {
         true => UnavailableCause::Evacuated,
         false => UnavailableCause::None,
     };
-    let ready = roster.ready(&context.request.service).filter(|record| {
+    let ready = upstreams.ready(&context.request.service).filter(|record| {
         if !context.may_run_in(&record.centre) {
             cause = UnavailableCause::AwayFromHome;
             return false;
         }
-        let admitted = guard.admits(&record.name, warmup, &senders, now);
+        let admitted = throttle.admits(&record.name, warmup, &sender_selector, now);
         if !admitted {
-            let turn = guard.next_send_delay(&record.name, &senders, now);
-            cause = turn.map_or(cause.or_cold(), |turn| cause.or_limited(turn));
+            let delay = throttle.next_send_delay(&record.name, &sender_selector, now);
+            cause = delay.map_or(cause.or_cold(), |delay| cause.or_limited(delay));
         }
         admitted
     });
-    let ticket = state.board().choose(ready, shape, &context.tried, now).ok_or(cause)?;
-    guard.count_placement(&ticket.upstream.name, now);
+    let ticket = state.balancer().choose(ready, shape, &context.tried, now).ok_or(cause)?;
+    throttle.count_placement(&ticket.upstream.name, now);
     Ok(PlacementGuard { state: state.clone(), ticket: Some(ticket) })
 }
 
@@ -284,11 +284,11 @@
 
 /// Records that a request is being sent; false if the upstream no longer allows it.
 fn confirm_dispatch(state: &GatewayState, ticket: &PlacedAttempt, now: ClockTime) -> bool {
-    let mut guard = state.guard();
-    if guard.blocks_dispatch(&ticket.upstream.name, ticket.chosen_at, now) {
+    let mut throttle = state.throttle();
+    if throttle.blocks_dispatch(&ticket.upstream.name, ticket.chosen_at, now) {
         return false;
     }
-    guard.note_dispatched(&ticket.upstream.name, ticket.chosen_at, now);
+    throttle.note_dispatched(&ticket.upstream.name, ticket.chosen_at, now);
     true
 }
 
@@ -357,7 +357,7 @@
             upstream = placement.ticket().upstream.name,
             status = head.status.as_u16(),
             load = metadata.load.map_or_else(String::new, |load| load.to_string()),
-            own = context.state.board().running(&placement.ticket().upstream.name),
+            own = context.state.balancer().running(&placement.ticket().upstream.name),
         );
         let name = placement.ticket().upstream.name.clone();
         placement.finish(SendOutcome::Refused, now);
@@ -383,13 +383,13 @@
 ) {
     let (state, name) = (&context.state, &ticket.upstream.name);
     if let Some(load) = metadata.load {
-        state.board().note_load(name, load, now);
+        state.balancer().note_load(name, load, now);
     }
     if let Some(left) = metadata.cold_left {
         state.note_cold(name, left, now);
     }
     state.note_rate_limit(name, metadata.rate_limit, ticket.chosen_at, now);
-    if metadata.leaving && state.roster().note_leaving(&ticket.upstream.run(), now) {
+    if metadata.leaving && state.upstreams().note_leaving(&ticket.upstream.run(), now) {
         log_event!(info, "upstream-says-leaving", upstream = name);
     }
     if let Some(rest) = metadata.backoff {
--- a/crates/sagespool-gateway/src/callers.rs
+++ b/crates/sagespool-gateway/src/callers.rs
@@ -37,7 +37,7 @@
 pub(crate) async fn accept(state: Arc<GatewayState>, listener: TcpListener) {
     loop {
         match listener.accept().await {
-            Ok((stream, peer)) => match state.intake.open_connection() {
+            Ok((stream, peer)) => match state.limiter.open_connection() {
                 Some(permit) => {
                     smol::spawn(serve_connection(state.clone(), stream, permit)).detach()
                 }
@@ -67,19 +67,19 @@
 fn log_unread(state: &GatewayState, peer: SocketAddr) {
     let now = ClockTime::now();
     state.metrics.closed_unread();
-    let Some(count) = state.intake.note_unread(now) else {
+    let Some(count) = state.limiter.note_unread(now) else {
         return;
     };
-    let reading = state.intake.reading(now);
+    let usage = state.limiter.usage(now);
     log_event!(
         warn,
         "connections-closed-unread",
         count = count,
         last_peer = peer,
-        turn_ms = reading.turn.as_millis(),
-        open = reading.connections,
-        held_bytes = reading.held,
-        held_limit = reading.limit,
+        turn_ms = usage.scheduling_delay.as_millis(),
+        open = usage.connections,
+        held_bytes = usage.held,
+        held_limit = usage.limit,
     );
 }
 
@@ -101,9 +101,9 @@
     let service = service_fn(move |request| {
         let (state, flushes) = (shared.clone(), flushes.clone());
         async move {
-            let intake = state.intake.clone();
+            let limiter = state.limiter.clone();
             let response = serve(state, request).await;
-            let is_nearly_full = intake.is_nearly_full();
+            let is_nearly_full = limiter.is_nearly_full();
             Ok::<_, Infallible>(prepare_response(response, is_nearly_full, &flushes))
         }
     });
@@ -113,7 +113,7 @@
     builder.timer(SmolTimer::new()).header_read_timeout(idle);
     builder.max_buf_size(header_bytes.max(MIN_BUFFER_BYTES));
     let mut connection = pin!(builder.serve_connection(FuturesIo::new(stream), service));
-    let asked = async {
+    let closing = async {
         state.closing.wait().await;
         true
     };
@@ -122,7 +122,7 @@
         // Connection errors are the caller's concern and aren't logged.
         Poll::Ready(_) => Poll::Ready(false),
     });
-    if or(served, asked).await {
+    if or(served, closing).await {
         connection.as_mut().graceful_shutdown();
         let _ = connection.await;
     }
--- a/crates/sagespool-gateway/src/context.rs
+++ b/crates/sagespool-gateway/src/context.rs
@@ -132,7 +132,7 @@
     pub(crate) status: u16,
     pub(crate) detail: String,
     /// Scheduling delay when it arrived: how long a ready task waited for the processor.
-    pub(crate) turn: Duration,
+    pub(crate) scheduling_delay: Duration,
 }
 
 impl RequestLog {
@@ -152,7 +152,7 @@
             outcome: None,
             status: 0,
             detail: String::new(),
-            turn: Duration::ZERO,
+            scheduling_delay: Duration::ZERO,
         }
     }
 
@@ -193,7 +193,7 @@
             charged = self.charged,
             first_ms = first.since(self.began).as_millis(),
             total_ms = now.since(self.began).as_millis(),
-            turn_ms = self.turn.as_millis(),
+            turn_ms = self.scheduling_delay.as_millis(),
             plan = self.state.plan_version(),
             detail = self.detail,
         );
--- a/crates/sagespool-gateway/src/desk.rs
+++ b/crates/sagespool-gateway/src/desk.rs
@@ -44,7 +44,7 @@
     pub(crate) prepaid: TokenCount,
     /// The maximum cost of the request.
     pub(crate) amount: TokenCount,
-    pub(crate) request: String,
+    pub(crate) request_id: String,
 }
 
 /// This instance's grants, by account.
@@ -93,40 +93,40 @@
         accounts.entry(branch.clone()).or_insert_with(fresh).clone()
     }
 
-    /// Raises this instance's grant until its free part covers an order, and requests a larger
-    /// grant early if it runs low. If the book can't cover the order either, returns how much the
+    /// Raises this instance's grant until its free part covers a request, and asks for a larger
+    /// grant early if it runs low. If the book can't cover the request either, returns how much the
     /// free part and the book cover together.
     pub(crate) async fn ensure_covered(
         self: &Arc<Self>,
-        order: &BudgetRequest,
+        budget: &BudgetRequest,
     ) -> Option<TokenCount> {
-        let account = self.account(&order.branch);
+        let account = self.account(&budget.branch);
         let now = ClockTime::now();
         let holds_enough = {
             let mut balance = lock(&account.balance);
-            balance.note_demand(order.amount, now);
-            order.amount <= balance.free()
+            balance.note_demand(budget.amount, now);
+            budget.amount <= balance.free()
         };
         if holds_enough {
-            self.top_up_in_background(&account, order, now);
+            self.top_up_in_background(&account, budget, now);
             return None;
         }
-        if let Some(room) = account.shortage_of(order, now) {
+        if let Some(room) = account.shortage_of(budget, now) {
             return Some(room);
         }
         if self.is_store_failing(now) {
             return None;
         }
-        let wanted = order.amount;
-        let asked = self.request_grant_in_time(&account, order, wanted, 1, MAX_STORE_WAIT);
-        match asked.await {
+        let wanted = budget.amount;
+        let grant = self.request_grant_in_time(&account, budget, wanted, 1, MAX_STORE_WAIT);
+        match grant.await {
             // Release the reservation, so that the amount can be lent.
             Ok(GrantOutcome::Granted) => {
                 lock(&account.balance).settle(wanted, TokenCount::ZERO);
                 None
             }
             Ok(GrantOutcome::Short(room)) => {
-                account.note_shortage(room, order.version, ClockTime::now());
+                account.note_shortage(room, budget.version, ClockTime::now());
                 Some(room)
             }
             Err(error) => {
@@ -159,68 +159,68 @@
     /// instances, or from a larger grant.
     pub(crate) async fn reserve(
         self: &Arc<Self>,
-        order: &BudgetRequest,
+        budget: &BudgetRequest,
         deadline: ClockTime,
         fleet: &Arc<FleetClient>,
     ) -> Result<Reservation, Refusal> {
-        let account = self.account(&order.branch);
+        let account = self.account(&budget.branch);
         let now = ClockTime::now();
-        if lock(&account.balance).reserve(order.amount, now) {
-            if self.runs_low(&account, order, now) && fleet.is_home(&order.branch, now) {
-                self.top_up_in_background(&account, order, now);
+        if lock(&account.balance).reserve(budget.amount, now) {
+            if self.runs_low(&account, budget, now) && fleet.is_home(&budget.branch, now) {
+                self.top_up_in_background(&account, budget, now);
             }
-            return Ok(Reservation::new(account, order.amount));
+            return Ok(Reservation::new(account, budget.amount));
         }
-        if account.shortage_of(order, now).is_some() {
-            return Err(self.refuse(&account, order, Refusal::BudgetSpent, "known-short"));
+        if account.shortage_of(budget, now).is_some() {
+            return Err(self.refuse(&account, budget, Refusal::BudgetSpent, "known-short"));
         }
-        let asked = match self.reserve_at_home(&account, order, fleet).await {
+        let grant = match self.reserve_at_home(&account, budget, fleet).await {
             Some(outcome) => Ok(outcome),
             None => {
                 // An account's home requests grants for all instances, others for this request
                 // only.
-                let is_home = fleet.is_home(&order.branch, now);
+                let is_home = fleet.is_home(&budget.branch, now);
                 let instances = if is_home { 1 } else { fleet.instances() };
-                self.ask_store(&account, order, deadline, instances).await
+                self.request_from_store(&account, budget, deadline, instances).await
             }
         };
-        if matches!(asked, Ok(GrantOutcome::Granted)) {
-            return Ok(Reservation::new(account, order.amount));
+        if matches!(grant, Ok(GrantOutcome::Granted)) {
+            return Ok(Reservation::new(account, budget.amount));
         }
         // A short book alone doesn't mean that the budget is spent: other instances may have free
         // grants, so all of them are queried.
-        let asks_all = matches!(asked, Ok(GrantOutcome::Short(_)));
+        let query_all = matches!(grant, Ok(GrantOutcome::Short(_)));
         let mut failed = account.round.lock().await;
         let now = ClockTime::now();
-        if lock(&account.balance).reserve(order.amount, now) {
+        if lock(&account.balance).reserve(budget.amount, now) {
             drop(failed);
-            return Ok(Reservation::new(account, order.amount));
+            return Ok(Reservation::new(account, budget.amount));
         }
-        if account.shortage_of(order, now).is_some() {
-            return Err(self.refuse(&account, order, Refusal::BudgetSpent, "known-short"));
+        if account.shortage_of(budget, now).is_some() {
+            return Err(self.refuse(&account, budget, Refusal::BudgetSpent, "known-short"));
         }
-        if failed.is_some_and(|failed| failed.applies_to(order.amount, now)) {
-            return Err(self.refuse(&account, order, Refusal::BudgetUnreachable, "peers-away"));
+        if failed.is_some_and(|failed| failed.applies_to(budget.amount, now)) {
+            return Err(self.refuse(&account, budget, Refusal::BudgetUnreachable, "peers-away"));
         }
-        let missing = order.amount.less(lock(&account.balance).free());
-        let lenders = if asks_all { Lenders::All } else { Lenders::Only(account.holders()) };
-        let loan = borrow(fleet, &account, order, missing, lenders).await;
-        let reserved = account.reserve_with(order, loan.lent);
-        let everybody_told = asks_all && loan.complete;
-        let in_vain = !reserved && !everybody_told;
-        *failed = in_vain.then(|| FailedLoanRound::noted(order.amount, ClockTime::now()));
+        let missing = budget.amount.less(lock(&account.balance).free());
+        let lenders = if query_all { Lenders::All } else { Lenders::Only(account.holders()) };
+        let loan = borrow(fleet, &account, budget, missing, lenders).await;
+        let reserved = account.reserve_with_loan(budget, loan.lent);
+        let all_replied = query_all && loan.complete;
+        let is_failed = !reserved && !all_replied;
+        *failed = is_failed.then(|| FailedLoanRound::new(budget.amount, ClockTime::now()));
         drop(failed);
         if reserved {
             log_event!(
                 info,
                 "budget-borrowed",
-                request = order.request,
-                branch = order.branch,
+                request = budget.request_id,
+                branch = budget.branch,
                 lent = loan.lent,
             );
-            return Ok(Reservation::new(account, order.amount));
+            return Ok(Reservation::new(account, budget.amount));
         }
-        Err(self.refuse_after(&account, order, asked, loan))
+        Err(self.refuse_after(&account, budget, grant, loan))
     }
 
     /// Reserves with a loan from the account's home. A shortage of the book that the home reports
@@ -229,26 +229,26 @@
     async fn reserve_at_home(
         &self,
         account: &Arc<AccountState>,
-        order: &BudgetRequest,
+        budget: &BudgetRequest,
         fleet: &Arc<FleetClient>,
     ) -> Option<GrantOutcome> {
         let (missing, ahead) = {
             let balance = lock(&account.balance);
             let ahead =
-                balance.loan_ahead(self.terms, order.prepaid, order.amount, ClockTime::now());
-            (order.amount.less(balance.free()), ahead)
+                balance.loan_ahead(self.terms, budget.prepaid, budget.amount, ClockTime::now());
+            (budget.amount.less(balance.free()), ahead)
         };
         let size = LoanAmount { missing, ahead };
-        let mut reply = borrow_at_home(fleet, account, order, size).await?;
-        if account.reserve_with(order, reply.lent) {
+        let mut reply = borrow_at_home(fleet, account, budget, size).await?;
+        if account.reserve_with_loan(budget, reply.lent) {
             return Some(GrantOutcome::Granted);
         }
         if ahead > TokenCount::ZERO {
             // When the budget is nearly spent, the home may be able to cover this request alone.
-            let missing = order.amount.less(lock(&account.balance).free());
+            let missing = budget.amount.less(lock(&account.balance).free());
             let size = LoanAmount { missing, ahead: TokenCount::ZERO };
-            reply = borrow_at_home(fleet, account, order, size).await?;
-            if account.reserve_with(order, reply.lent) {
+            reply = borrow_at_home(fleet, account, budget, size).await?;
+            if account.reserve_with_loan(budget, reply.lent) {
                 return Some(GrantOutcome::Granted);
             }
         }
@@ -261,27 +261,27 @@
     fn refuse_after(
         &self,
         account: &AccountState,
-        order: &BudgetRequest,
-        asked: Result<GrantOutcome, StoreError>,
+        budget: &BudgetRequest,
+        grant: Result<GrantOutcome, StoreError>,
         loan: LoanOutcome,
     ) -> Refusal {
-        match asked {
+        match grant {
             Ok(GrantOutcome::Short(room)) if loan.complete => {
-                account.note_shortage(room + loan.lent, order.version, ClockTime::now());
-                self.refuse(account, order, Refusal::BudgetSpent, "book-short")
+                account.note_shortage(room + loan.lent, budget.version, ClockTime::now());
+                self.refuse(account, budget, Refusal::BudgetSpent, "book-short")
             }
             // An instance that didn't reply may have enough.
-            Ok(_) => self.refuse(account, order, Refusal::BudgetUnreachable, "peer-away"),
+            Ok(_) => self.refuse(account, budget, Refusal::BudgetUnreachable, "peer-away"),
             Err(error) => {
-                self.refuse(account, order, Refusal::BudgetUnreachable, &error.to_string())
+                self.refuse(account, budget, Refusal::BudgetUnreachable, &error.to_string())
             }
         }
     }
 
-    async fn ask_store(
+    async fn request_from_store(
         &self,
         account: &AccountState,
-        order: &BudgetRequest,
+        budget: &BudgetRequest,
         deadline: ClockTime,
         instances: usize,
     ) -> Result<GrantOutcome, StoreError> {
@@ -290,18 +290,18 @@
             return Err(StoreError::Unavailable);
         }
         let limit = (deadline.since(now) / STORE_SHARE).min(MAX_STORE_WAIT);
-        let asked =
-            self.request_grant_in_time(account, order, order.amount, instances, limit).await;
-        if asked.is_err() {
+        let grant =
+            self.request_grant_in_time(account, budget, budget.amount, instances, limit).await;
+        if grant.is_err() {
             *lock(&self.store_failed) = Some(ClockTime::now());
         }
-        asked
+        grant
     }
 
     fn refuse(
         &self,
         account: &AccountState,
-        order: &BudgetRequest,
+        budget: &BudgetRequest,
         refusal: Refusal,
         cause: &str,
     ) -> Refusal {
@@ -309,20 +309,20 @@
         log_event!(
             info,
             "budget-refused",
-            request = order.request,
-            branch = order.branch,
-            amount = order.amount,
+            request = budget.request_id,
+            branch = budget.branch,
+            amount = budget.amount,
             free = free,
-            prepaid = order.prepaid,
-            plan = order.version,
+            prepaid = budget.prepaid,
+            plan = budget.version,
             reason = refusal.reason(),
             cause = cause,
         );
         refusal
     }
 
-    fn runs_low(&self, account: &AccountState, order: &BudgetRequest, now: ClockTime) -> bool {
-        lock(&account.balance).runs_low(self.supply_policy(), order.prepaid, now)
+    fn runs_low(&self, account: &AccountState, budget: &BudgetRequest, now: ClockTime) -> bool {
+        lock(&account.balance).runs_low(self.supply_policy(), budget.prepaid, now)
     }
 
     fn is_store_failing(&self, now: ClockTime) -> bool {
@@ -334,22 +334,22 @@
     fn top_up_in_background(
         self: &Arc<Self>,
         account: &Arc<AccountState>,
-        order: &BudgetRequest,
+        budget: &BudgetRequest,
         now: ClockTime,
     ) {
-        let runs_low = self.runs_low(account, order, now);
+        let runs_low = self.runs_low(account, budget, now);
         if !runs_low || account.is_nearly_spent(now) || self.is_store_failing(now) {
             return;
         }
         if account.topping_up.swap(true, Ordering::Relaxed) {
             return;
         }
-        let (desk, account, order) = (self.clone(), account.clone(), order.clone());
+        let (pool, account, budget) = (self.clone(), account.clone(), budget.clone());
         smol::spawn(async move {
-            let asked =
-                desk.request_grant_in_time(&account, &order, TokenCount::ZERO, 1, MAX_STORE_WAIT);
-            if let Err(error) = asked.await {
-                *lock(&desk.store_failed) = Some(ClockTime::now());
+            let grant =
+                pool.request_grant_in_time(&account, &budget, TokenCount::ZERO, 1, MAX_STORE_WAIT);
+            if let Err(error) = grant.await {
+                *lock(&pool.store_failed) = Some(ClockTime::now());
                 log_event!(warn, "top-up-failed", branch = account.branch, error = error);
             }
             account.topping_up.store(false, Ordering::Relaxed);
--- a/crates/sagespool-gateway/src/desk/account.rs
+++ b/crates/sagespool-gateway/src/desk/account.rs
@@ -53,10 +53,10 @@
 
     /// Adds a loan and reserves what a request needs; false if the free tokens still don't cover
     /// it.
-    pub(super) fn reserve_with(&self, order: &BudgetRequest, lent: TokenCount) -> bool {
+    pub(super) fn reserve_with_loan(&self, budget: &BudgetRequest, lent: TokenCount) -> bool {
         let mut balance = lock(&self.balance);
         balance.borrow(lent);
-        balance.reserve(order.amount, ClockTime::now())
+        balance.reserve(budget.amount, ClockTime::now())
     }
 
     /// Records the runs with a grant in the book.
@@ -72,13 +72,13 @@
     /// Records that the book and all instances together cover no more than `room`.
     pub(super) fn note_shortage(&self, room: TokenCount, version: ConfigVersion, now: ClockTime) {
         let mut shortage = lock(&self.shortage);
-        *shortage = Some(CachedShortage::noted(*shortage, room, version, now));
+        *shortage = Some(CachedShortage::record(*shortage, room, version, now));
     }
 
-    /// The amount that can be covered, if a recent shortage rules out this order.
-    pub(super) fn shortage_of(&self, order: &BudgetRequest, now: ClockTime) -> Option<TokenCount> {
+    /// The amount that can be covered, if a recent shortage rules out this request.
+    pub(super) fn shortage_of(&self, budget: &BudgetRequest, now: ClockTime) -> Option<TokenCount> {
         let shortage = (*lock(&self.shortage))?;
-        shortage.excludes(order.amount, order.version, now).then_some(shortage.room())
+        shortage.excludes(budget.amount, budget.version, now).then_some(shortage.room())
     }
 
     pub(super) fn is_nearly_spent(&self, now: ClockTime) -> bool {
--- a/crates/sagespool-gateway/src/desk/grants.rs
+++ b/crates/sagespool-gateway/src/desk/grants.rs
@@ -30,20 +30,20 @@
     pub(super) async fn request_grant_in_time(
         &self,
         account: &AccountState,
-        order: &BudgetRequest,
+        budget: &BudgetRequest,
         missing: TokenCount,
         instances: usize,
         limit: Duration,
     ) -> Result<GrantOutcome, StoreError> {
-        let asked = self.request_grant(account, order, missing, instances);
-        within(limit, asked).await.unwrap_or(Err(StoreError::Unavailable))
+        let grant = self.request_grant(account, budget, missing, instances);
+        within(limit, grant).await.unwrap_or(Err(StoreError::Unavailable))
     }
 
     /// Requests a grant that covers `missing` more tokens, and reserves them.
     async fn request_grant(
         &self,
         account: &AccountState,
-        order: &BudgetRequest,
+        budget: &BudgetRequest,
         missing: TokenCount,
         instances: usize,
     ) -> Result<GrantOutcome, StoreError> {
@@ -64,7 +64,7 @@
                 continue;
             };
             let mut book = read.value;
-            book.set_total(order.version, order.prepaid);
+            book.set_total(budget.version, budget.prepaid);
             book.close_earlier_runs(self.run, &self.instance);
             account.note_holders(&book);
             let present = book.granted(self.run);
@@ -139,8 +139,8 @@
     pub(crate) async fn close_all(self: &Arc<Self>, limit: Duration) {
         let accounts: Vec<Arc<AccountState>> = lock(&self.accounts).values().cloned().collect();
         let closing = accounts.into_iter().map(|account| {
-            let desk = self.clone();
-            smol::spawn(async move { desk.close(&account, limit).await })
+            let pool = self.clone();
+            smol::spawn(async move { pool.close(&account, limit).await })
         });
         let closing: Vec<Task<()>> = closing.collect();
         for task in closing {
--- a/crates/sagespool-gateway/src/desk/loans.rs
+++ b/crates/sagespool-gateway/src/desk/loans.rs
@@ -56,7 +56,7 @@
 pub(super) async fn borrow(
     fleet: &Arc<FleetClient>,
     account: &Arc<AccountState>,
-    order: &BudgetRequest,
+    budget: &BudgetRequest,
     wanted: TokenCount,
     lenders: Lenders,
 ) -> LoanOutcome {
@@ -68,12 +68,12 @@
         others.retain(|other| runs.contains(&other.incarnation));
     }
     let mut lent = TokenCount::ZERO;
-    for some in others.chunks(CONCURRENT_QUERIES) {
+    for batch in others.chunks(CONCURRENT_QUERIES) {
         let missing = LoanAmount { missing: wanted.less(lent), ahead: TokenCount::ZERO };
-        let request = lend_request(fleet, order, missing, false);
+        let request = lend_request(fleet, budget, missing, false);
         let request_grant =
             |other| request_loan(fleet, account, other, request.clone(), LOAN_TIMEOUT);
-        for answer in join_all(some.iter().map(request_grant)).await {
+        for answer in join_all(batch.iter().map(request_grant)).await {
             match answer {
                 Some(reply) => lent += reply.lent,
                 None => complete = false,
@@ -95,28 +95,28 @@
 pub(super) async fn borrow_at_home(
     fleet: &Arc<FleetClient>,
     account: &Arc<AccountState>,
-    order: &BudgetRequest,
+    budget: &BudgetRequest,
     size: LoanAmount,
 ) -> Option<LendReply> {
-    let home = fleet.members.home_of(&order.branch, ClockTime::now())?;
+    let home = fleet.members.home_of(&budget.branch, ClockTime::now())?;
     if home.incarnation == fleet.run {
         return None;
     }
-    let request = lend_request(fleet, order, size, true);
+    let request = lend_request(fleet, budget, size, true);
     request_loan(fleet, account, &home, request, HOME_LOAN_TIMEOUT).await
 }
 
 fn lend_request(
     fleet: &FleetClient,
-    order: &BudgetRequest,
+    budget: &BudgetRequest,
     size: LoanAmount,
     as_home: bool,
 ) -> PeerRequest {
     PeerRequest::Lend(LendRequest {
-        branch: order.branch.clone(),
+        branch: budget.branch.clone(),
         wanted: size.missing + size.ahead,
         ahead: size.ahead,
-        version: order.version,
+        version: budget.version,
         borrower: fleet.run,
         as_home,
     })
--- a/crates/sagespool-gateway/src/desk/shortage.rs
+++ b/crates/sagespool-gateway/src/desk/shortage.rs
@@ -21,13 +21,13 @@
     /// The amount that could have been covered.
     room: TokenCount,
     version: ConfigVersion,
-    noted: ClockTime,
+    noted_at: ClockTime,
     ttl: Duration,
 }
 
 impl CachedShortage {
     /// Records that no more than `room` can be covered. `known` is the previous finding, if any.
-    pub fn noted(
+    pub fn record(
         known: Option<Self>,
         room: TokenCount,
         version: ConfigVersion,
@@ -35,7 +35,7 @@
     ) -> Self {
         let confirmed = known.filter(|known| known.version == version && room <= known.room);
         let ttl = confirmed.map_or(INITIAL_TTL, |known| (known.ttl * 2).min(MAX_TTL));
-        Self { room, version, noted: now, ttl }
+        Self { room, version, noted_at: now, ttl }
     }
 
     /// The amount that could have been covered.
@@ -45,7 +45,7 @@
 
     /// Whether the finding is recent enough to be used.
     pub fn is_fresh(&self, now: ClockTime) -> bool {
-        now.since(self.noted) < self.ttl
+        now.since(self.noted_at) < self.ttl
     }
 
     /// Whether the finding rules out an amount. It holds for its own configuration version only.
@@ -67,17 +67,17 @@
 pub struct FailedLoanRound {
     /// The amount that the round could not cover.
     amount: TokenCount,
-    noted: ClockTime,
+    noted_at: ClockTime,
 }
 
 impl FailedLoanRound {
     /// Records a round that ended at `now`.
-    pub fn noted(amount: TokenCount, now: ClockTime) -> Self {
-        Self { amount, noted: now }
+    pub fn new(amount: TokenCount, now: ClockTime) -> Self {
+        Self { amount, noted_at: now }
     }
 
     /// Whether a request for this amount is refused without another round.
     pub fn applies_to(&self, amount: TokenCount, now: ClockTime) -> bool {
-        amount >= self.amount && now.since(self.noted) < FAILED_ROUND_TTL
+        amount >= self.amount && now.since(self.noted_at) < FAILED_ROUND_TTL
     }
 }
--- a/crates/sagespool-gateway/src/fleet.rs
+++ b/crates/sagespool-gateway/src/fleet.rs
@@ -159,13 +159,13 @@
         PeerReply::Heartbeat(self.members.handle_heartbeat(heartbeat, ClockTime::now()))
     }
 
-    /// Opens the link and sends heartbeats until cancelled. `heard` is called for each member that
-    /// replies.
+    /// Opens the link and sends heartbeats until cancelled. `on_reply` is called for each member
+    /// that replies.
     pub(crate) async fn run(
         self: Arc<Self>,
         store: ObjectClient,
         handler: PeerHandler,
-        heard: impl Fn(&MemberInfo) + Clone + Send + 'static,
+        on_reply: impl Fn(&MemberInfo) + Clone + Send + 'static,
     ) {
         let Some(endpoint) = self.open_link(&store, handler).await else {
             return;
@@ -178,7 +178,7 @@
         smol::spawn(self.clone().follow_addresses(store)).detach();
         loop {
             for (address, heartbeat) in self.members.due_heartbeats(ClockTime::now()) {
-                smol::spawn(self.clone().send_heartbeat(address, heartbeat, heard.clone()))
+                smol::spawn(self.clone().send_heartbeat(address, heartbeat, on_reply.clone()))
                     .detach();
             }
             Timer::after(HEARTBEAT_CHECK_PERIOD).await;
@@ -189,12 +189,12 @@
         self: Arc<Self>,
         address: SocketAddr,
         heartbeat: Heartbeat,
-        heard: impl Fn(&MemberInfo),
+        on_reply: impl Fn(&MemberInfo),
     ) {
         match self.call(address, &PeerRequest::Heartbeat(heartbeat), HEARTBEAT_TIMEOUT).await {
             Ok(PeerReply::Heartbeat(reply)) => {
                 self.members.handle_reply(address, &reply, ClockTime::now());
-                heard(&reply.from);
+                on_reply(&reply.from);
             }
             _ => self.members.record_call_failure(address, ClockTime::now()),
         }
@@ -203,7 +203,7 @@
     /// Opens the link. It needs the fleet's certificate authority from the store, which is read
     /// with retries until it succeeds.
     async fn open_link(&self, store: &ObjectClient, handler: PeerHandler) -> Option<LinkEndpoint> {
-        let mut told = false;
+        let mut logged = false;
         loop {
             match create_identity(store, &self.local.instance).await {
                 Ok(identity) => {
@@ -216,7 +216,7 @@
                     };
                 }
                 Err(fault) => {
-                    if !std::mem::replace(&mut told, true) {
+                    if !std::mem::replace(&mut logged, true) {
                         log_event!(warn, "identity-missing", detail = fault);
                     }
                     pause_after_failure().await;
@@ -278,10 +278,10 @@
     /// Forwards calls of the store through other members when it can't be reached directly. Relays
     /// come first: they run beside upstreams and seldom lose the store together with this process.
     pub(crate) fn detour(self: &Arc<Self>) -> StoreDetour {
-        let board = self.clone();
+        let client = self.clone();
         StoreDetour::new(move |form, limit| {
-            let board = board.clone();
-            Box::pin(async move { board.call_store(form, limit).await })
+            let client = client.clone();
+            Box::pin(async move { client.call_store(form, limit).await })
         })
     }
 
--- a/crates/sagespool-gateway/src/follow.rs
+++ b/crates/sagespool-gateway/src/follow.rs
@@ -84,7 +84,7 @@
             let records: Vec<UpstreamRecord> = records.collect();
             let now = ClockTime::now();
             records.iter().for_each(|record| state.note_cold(&record.name, record.cold_left, now));
-            let changes = state.roster().replace(records, now);
+            let changes = state.upstreams().replace(records, now);
             changes.into_iter().for_each(|change| note_change(state, change));
         },
         on_change: |state, change| {
@@ -93,9 +93,9 @@
             let noted = match &change.value {
                 Some(value) => read_upstream(state, &change.key, value).map(|record| {
                     state.note_cold(&record.name, record.cold_left, now);
-                    state.roster().put(record)
+                    state.upstreams().put(record)
                 }),
-                None => name.parse().ok().map(|name| state.roster().remove(&name, now)),
+                None => name.parse().ok().map(|name| state.upstreams().remove(&name, now)),
             };
             let matters =
                 noted.as_ref().is_some_and(|(_, change)| *change != UpstreamChange::Unchanged);
@@ -104,7 +104,7 @@
             }
             matters
         },
-        on_return: |state, outage| state.roster().store_returned(outage, ClockTime::now()),
+        on_return: |state, outage| state.upstreams().store_returned(outage, ClockTime::now()),
     };
     follow(&state, followed).await;
 }
@@ -173,13 +173,13 @@
         }
     }
     let replica = state.feeds.replica(followed.kind);
-    let told = ClockTime(unsuspended_now().0.saturating_sub(REPLY_TIMEOUT.as_micros() as u64));
+    let sent_at = ClockTime(unsuspended_now().0.saturating_sub(REPLY_TIMEOUT.as_micros() as u64));
     let valid_at =
-        ClockTime(told.0.saturating_sub(reply.age.unwrap_or(Duration::MAX).as_micros() as u64));
+        ClockTime(sent_at.0.saturating_sub(reply.age.unwrap_or(Duration::MAX).as_micros() as u64));
     let changes: Vec<RawChange> = reply.objects.into_iter().filter_map(raw_change).collect();
     if !reply.whole {
-        let news = changes.into_iter().filter_map(|change| apply(state, followed, change));
-        replica.take_changes(news.collect(), reply.revision, valid_at);
+        let relevant = changes.into_iter().filter_map(|change| apply(state, followed, change));
+        replica.take_changes(relevant.collect(), reply.revision, valid_at);
         return;
     }
     let items = changes.into_iter().filter_map(|change| {
@@ -205,7 +205,7 @@
             let read = unsuspended_now();
             health.mark_reachable(state, followed);
             let upto = changes.revision;
-            let news = changes.changes.into_iter().filter_map(|mut change| {
+            let relevant = changes.changes.into_iter().filter_map(|mut change| {
                 // An object that another writer stored in a wrong format has no revision of its
                 // own.
                 if change.version == StoreRevision::ZERO {
@@ -213,7 +213,7 @@
                 }
                 apply(state, followed, change)
             });
-            replica.take_changes(news.collect(), upto, read);
+            replica.take_changes(relevant.collect(), upto, read);
             Ok(())
         }
         Err(StoreError::HistoryGone) => {
@@ -275,7 +275,7 @@
         Ok(record) => Some(record),
         Err(detail) => {
             let name: Option<UpstreamName> = key_name(key).parse().ok();
-            let fallback = name.and_then(|name| state.roster().record_for_unreadable(&name));
+            let fallback = name.and_then(|name| state.upstreams().record_for_unreadable(&name));
             let known = fallback.is_some();
             log_event!(warn, "upstream-unreadable", key = key, known = known, detail = detail);
             fallback
@@ -289,7 +289,7 @@
 }
 
 fn note_change(state: &GatewayState, (name, change): (UpstreamName, UpstreamChange)) {
-    let word = match change {
+    let label = match change {
         UpstreamChange::Unchanged => return,
         UpstreamChange::Joined => "joined",
         UpstreamChange::Restarted => "restarted",
@@ -297,14 +297,14 @@
         UpstreamChange::Missing => "missing",
         UpstreamChange::Gone => "gone",
     };
-    log_event!(info, "upstream-changed", upstream = name, change = word);
+    log_event!(info, "upstream-changed", upstream = name, change = label);
     if matches!(change, UpstreamChange::Gone | UpstreamChange::Restarted) {
-        state.board().forget(&name);
+        state.balancer().forget(&name);
     }
     // An entry may expire and return: the limits and backoffs that its upstream requested hold
     // until its next run.
     if change == UpstreamChange::Restarted {
-        state.guard().forget(&name);
+        state.throttle().forget(&name);
     }
 }
 
@@ -315,14 +315,14 @@
     loop {
         Timer::after(SWEEP_PERIOD).await;
         let now = ClockTime::now();
-        let expired = state.roster().expire(now);
+        let expired = state.upstreams().expire(now);
         for name in expired {
             note_change(&state, (name, UpstreamChange::Gone));
         }
-        let is_listed = |name: &UpstreamName| state.roster().get(name).is_some();
+        let is_listed = |name: &UpstreamName| state.upstreams().get(name).is_some();
         state.pool.sweep(is_listed, now);
-        state.guard().sweep(is_listed, now);
+        state.throttle().sweep(is_listed, now);
         state.observe_senders(now);
-        state.desk.note_homes(state.instances());
+        state.budgets.note_homes(state.instances());
     }
 }
--- a/crates/sagespool-gateway/src/intake.rs
+++ b/crates/sagespool-gateway/src/intake.rs
@@ -54,7 +54,7 @@
 
 /// The limits of callers' resources and their current use.
 pub(crate) struct ResourceLimiter {
-    board: Mutex<AdmissionController>,
+    controller: Mutex<AdmissionController>,
     memory_limit: u64,
     connection_limit: usize,
     /// Bytes accounted for connections, requests and their responses.
@@ -67,7 +67,7 @@
 #[derive(Debug, Default)]
 struct UnreadCount {
     count: u64,
-    told: Option<ClockTime>,
+    logged_at: Option<ClockTime>,
 }
 
 impl ResourceLimiter {
@@ -77,7 +77,7 @@
         let descriptors = descriptors.map_or(usize::MAX, |count| count as usize);
         let spare = memory.saturating_sub(RESERVED_MEMORY_BYTES) as f64;
         Self {
-            board: Mutex::default(),
+            controller: Mutex::default(),
             memory_limit: (spare * CALLER_MEMORY_SHARE) as u64,
             // A request may need a connection to its upstream in addition to its caller's.
             connection_limit: descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2,
@@ -87,17 +87,17 @@
         }
     }
 
-    fn board(&self) -> MutexGuard<'_, AdmissionController> {
-        self.board.lock().unwrap_or_else(PoisonError::into_inner)
+    fn controller(&self) -> MutexGuard<'_, AdmissionController> {
+        self.controller.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// The current use of the limits.
-    pub(crate) fn reading(&self, now: ClockTime) -> ResourceUsage {
+    pub(crate) fn usage(&self, now: ClockTime) -> ResourceUsage {
         ResourceUsage {
             held: ByteCount(self.held.load(Ordering::Relaxed)),
             limit: ByteCount(self.memory_limit),
             connections: self.connections(),
-            turn: self.board().scheduling_delay(now),
+            scheduling_delay: self.controller().scheduling_delay(now),
         }
     }
 
@@ -113,7 +113,7 @@
     /// within seconds. All requests in flight would be lost. A connection that is closed unread
     /// shows its caller that nothing has run.
     pub(crate) fn open_connection(self: &Arc<Self>) -> Option<ConnectionPermit> {
-        if self.board().scheduling_delay(ClockTime::now()) > MAX_SCHEDULING_DELAY {
+        if self.controller().scheduling_delay(ClockTime::now()) > MAX_SCHEDULING_DELAY {
             return None;
         }
         let open = self.connections.load(Ordering::Relaxed);
@@ -122,12 +122,12 @@
             return None;
         }
         self.connections.fetch_add(1, Ordering::Relaxed);
-        Some(ConnectionPermit { intake: self.clone(), _memory: memory })
+        Some(ConnectionPermit { limiter: self.clone(), _memory: memory })
     }
 
     /// The scheduling delay: how long a ready task waits for the processor.
-    pub(crate) fn turn(&self, now: ClockTime) -> Duration {
-        self.board().scheduling_delay(now)
+    pub(crate) fn scheduling_delay(&self, now: ClockTime) -> Duration {
+        self.controller().scheduling_delay(now)
     }
 
     /// Counts a connection that was closed unread. Returns the count since the last log line if
@@ -135,10 +135,10 @@
     pub(crate) fn note_unread(&self, now: ClockTime) -> Option<u64> {
         let mut unread = self.unread.lock().unwrap_or_else(PoisonError::into_inner);
         unread.count += 1;
-        if unread.told.is_some_and(|told| now.since(told) < UNREAD_LOG_PERIOD) {
+        if unread.logged_at.is_some_and(|logged_at| now.since(logged_at) < UNREAD_LOG_PERIOD) {
             return None;
         }
-        unread.told = Some(now);
+        unread.logged_at = Some(now);
         Some(std::mem::take(&mut unread.count))
     }
 
@@ -157,22 +157,22 @@
         request: ArrivedRequest<'_>,
         body: ByteCount,
     ) -> Result<RequestPermit, Refusal> {
-        let asked = ClockTime::now();
+        let yielded_at = ClockTime::now();
         yield_now().await;
         let now = ClockTime::now();
-        let mut board = self.board();
-        board.note_scheduling_delay(now.since(asked), now);
-        if !board.admits(request, now) {
+        let mut controller = self.controller();
+        controller.note_scheduling_delay(now.since(yielded_at), now);
+        if !controller.admits(request, now) {
             return Err(Refusal::Overloaded(ShortResource::Processor));
         }
         let bytes = REQUEST_BYTES + body.0.saturating_mul(BODY_COPIES);
         let memory = self.reserve_memory(bytes, self.request_limit());
         let memory = memory.ok_or(Refusal::Overloaded(ShortResource::Memory))?;
         if let Some(branch) = request.branch {
-            board.begin(branch);
+            controller.begin(branch);
         }
         let branch = request.branch.cloned();
-        Ok(RequestPermit { intake: self.clone(), branch, memory })
+        Ok(RequestPermit { limiter: self.clone(), branch, memory })
     }
 
     fn request_limit(&self) -> u64 {
@@ -180,7 +180,7 @@
     }
 
     fn reserve_memory(self: &Arc<Self>, bytes: u64, limit: u64) -> Option<HeldMemory> {
-        self.try_add_held(bytes, limit).then(|| HeldMemory { intake: self.clone(), bytes })
+        self.try_add_held(bytes, limit).then(|| HeldMemory { limiter: self.clone(), bytes })
     }
 
     /// Adds to the held bytes; false if that would exceed the limit.
@@ -193,7 +193,7 @@
     /// delivered, and later admissions wait until its memory is free.
     pub(crate) fn hold(self: &Arc<Self>, bytes: ByteCount) -> HeldMemory {
         self.held.fetch_add(bytes.0, Ordering::Relaxed);
-        HeldMemory { intake: self.clone(), bytes: bytes.0 }
+        HeldMemory { limiter: self.clone(), bytes: bytes.0 }
     }
 }
 
@@ -207,12 +207,12 @@
     /// Open connections.
     pub(crate) connections: usize,
     /// The scheduling delay: how long a ready task waits for the processor.
-    pub(crate) turn: Duration,
+    pub(crate) scheduling_delay: Duration,
 }
 
 /// Bytes accounted for until this is dropped.
 pub struct HeldMemory {
-    intake: Arc<ResourceLimiter>,
+    limiter: Arc<ResourceLimiter>,
     bytes: u64,
 }
 
@@ -225,7 +225,7 @@
 impl HeldMemory {
     /// Accounts for more bytes; false if that would exceed the limit.
     fn grow(&mut self, bytes: u64, limit: u64) -> bool {
-        let taken = self.intake.try_add_held(bytes, limit);
+        let taken = self.limiter.try_add_held(bytes, limit);
         if taken {
             self.bytes += bytes;
         }
@@ -235,25 +235,25 @@
 
 impl Drop for HeldMemory {
     fn drop(&mut self) {
-        self.intake.held.fetch_sub(self.bytes, Ordering::Relaxed);
+        self.limiter.held.fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
 
 /// The permit of a caller's open connection.
 pub(crate) struct ConnectionPermit {
-    intake: Arc<ResourceLimiter>,
+    limiter: Arc<ResourceLimiter>,
     _memory: HeldMemory,
 }
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        self.intake.connections.fetch_sub(1, Ordering::Relaxed);
+        self.limiter.connections.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// The permit of an admitted request, released on drop.
 pub(crate) struct RequestPermit {
-    intake: Arc<ResourceLimiter>,
+    limiter: Arc<ResourceLimiter>,
     branch: Option<BranchName>,
     memory: HeldMemory,
 }
@@ -265,7 +265,7 @@
     /// If the memory limit is reached. The request hasn't been sent to an upstream yet.
     pub(crate) fn count_body(&mut self, bytes: usize) -> Result<(), Refusal> {
         let bytes = (bytes as u64).saturating_mul(BODY_COPIES);
-        match self.memory.grow(bytes, self.intake.request_limit()) {
+        match self.memory.grow(bytes, self.limiter.request_limit()) {
             true => Ok(()),
             false => Err(Refusal::Overloaded(ShortResource::Memory)),
         }
@@ -275,7 +275,7 @@
 impl Drop for RequestPermit {
     fn drop(&mut self) {
         if let Some(branch) = &self.branch {
-            self.intake.board().end(branch);
+            self.limiter.controller().end(branch);
         }
     }
 }
--- a/crates/sagespool-gateway/src/limits.rs
+++ b/crates/sagespool-gateway/src/limits.rs
@@ -23,16 +23,16 @@
     loop {
         Timer::after(QUERY_PERIOD.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
         let now = ClockTime::now();
-        let upstreams = state.guard().stale_rate_limits(now);
+        let upstreams = state.throttle().stale_rate_limits(now);
         if upstreams.is_empty() {
             continue;
         }
         let request = PeerRequest::AskLimits(LimitAsk { upstreams });
         for other in state.fleet.others(MemberRole::Entry, now).into_iter().take(QUERIED_GATEWAYS) {
-            let asked = ClockTime::now();
+            let queried_at = ClockTime::now();
             let reply = state.fleet.call(other.address, &request, QUERY_TIMEOUT).await;
             if let Ok(PeerReply::Limits(reply)) = reply {
-                merge_reply(&state, reply, asked, ClockTime::now());
+                merge_reply(&state, reply, queried_at, ClockTime::now());
             }
         }
     }
@@ -40,23 +40,23 @@
 
 /// Applies the limits in a reply. Their ages were measured at some time between the query and now.
 /// A limit gets the latest possible time and the end of a limit the earliest.
-fn merge_reply(state: &GatewayState, reply: LimitReply, asked: ClockTime, now: ClockTime) {
+fn merge_reply(state: &GatewayState, reply: LimitReply, queried_at: ClockTime, now: ClockTime) {
     for LimitWord { upstream, per_second, age } in reply.words {
         let notice = match per_second.map(SendRate::new) {
             Some(None) => continue,
             Some(rate) => RateLimitStatus { rate, at: now.before(age) },
-            None => RateLimitStatus { rate: None, at: asked.before(age) },
+            None => RateLimitStatus { rate: None, at: queried_at.before(age) },
         };
-        let change = state.guard().merge_rate_limit(&upstream, notice);
+        let change = state.throttle().merge_rate_limit(&upstream, notice);
         state.log_limit(&upstream, change, "gateway");
     }
 }
 
 /// The reply with this gateway's state of upstreams' limits.
 pub(crate) fn limits_reply(state: &GatewayState, ask: &LimitAsk, now: ClockTime) -> LimitReply {
-    let guard = state.guard();
+    let throttle = state.throttle();
     let known =
-        ask.upstreams.iter().filter_map(|name| Some((name, guard.rate_limit_status(name)?)));
+        ask.upstreams.iter().filter_map(|name| Some((name, throttle.rate_limit_status(name)?)));
     let words = known.map(|(name, notice)| LimitWord {
         upstream: name.clone(),
         per_second: notice.rate.map(SendRate::per_second),
--- a/crates/sagespool-gateway/src/metrics.rs
+++ b/crates/sagespool-gateway/src/metrics.rs
@@ -91,7 +91,7 @@
     held: Gauge,
     held_limit: Gauge,
     open: Gauge,
-    turn: Gauge<f64, AtomicU64>,
+    scheduling_delay: Gauge<f64, AtomicU64>,
     calls: Family<CallLabels, Gauge>,
     evacuated: Gauge,
     cold: Gauge,
@@ -140,9 +140,9 @@
         registry.register("held_limit_bytes", "The most that may be held", held_limit.clone());
         let open = Gauge::default();
         registry.register("connections", "Callers' connections that are open", open.clone());
-        let turn = Gauge::<f64, AtomicU64>::default();
+        let scheduling_delay = Gauge::<f64, AtomicU64>::default();
         let help = "How long a ready task waits for the processor";
-        registry.register("turn_seconds", help, turn.clone());
+        registry.register("turn_seconds", help, scheduling_delay.clone());
         let calls = Family::default();
         registry.register("store_calls", "Calls of the store, by cause", calls.clone());
         let evacuated = Gauge::default();
@@ -167,7 +167,7 @@
             held,
             held_limit,
             open,
-            turn,
+            scheduling_delay,
             calls,
             evacuated,
             cold,
@@ -218,7 +218,7 @@
     pub(crate) fn encode(
         &self,
         members: usize,
-        intake: ResourceUsage,
+        usage: ResourceUsage,
         restrictions: RestrictionCounts,
     ) -> String {
         self.evacuated.set(restrictions.evacuated as i64);
@@ -226,10 +226,10 @@
         self.limited.set(restrictions.limited as i64);
         self.in_backoff.set(restrictions.in_backoff as i64);
         self.members.set(members as i64);
-        self.held.set(intake.held.0 as i64);
-        self.held_limit.set(i64::try_from(intake.limit.0).unwrap_or(i64::MAX));
-        self.open.set(intake.connections as i64);
-        self.turn.set(intake.turn.as_secs_f64());
+        self.held.set(usage.held.0 as i64);
+        self.held_limit.set(i64::try_from(usage.limit.0).unwrap_or(i64::MAX));
+        self.open.set(usage.connections as i64);
+        self.scheduling_delay.set(usage.scheduling_delay.as_secs_f64());
         let mut text = String::new();
         encode(&mut text, &self.registry).expect("writing to a String is infallible");
         text
--- a/crates/sagespool-gateway/src/peers.rs
+++ b/crates/sagespool-gateway/src/peers.rs
@@ -22,12 +22,12 @@
 
 /// Serves other processes and sends heartbeats until cancelled.
 pub(crate) async fn run_peers(state: Arc<GatewayState>) {
-    let heard = {
+    let on_reply = {
         let state = state.clone();
         move |from: &MemberInfo| fetch_newer_plan(&state, from)
     };
     let (fleet, store) = (state.fleet.clone(), state.store.clone());
-    fleet.run(store, handler(state), heard).await;
+    fleet.run(store, handler(state), on_reply).await;
 }
 
 fn handler(state: Arc<GatewayState>) -> PeerHandler {
@@ -59,7 +59,7 @@
             PeerReply::Done
         }
         PeerRequest::ReturnRest(rest) => {
-            state.desk.accept_returned_loan(&rest);
+            state.budgets.accept_returned_loan(&rest);
             PeerReply::Done
         }
         PeerRequest::Follow(ask) => PeerReply::Follow(state.feeds.answer(ask).await),
@@ -79,16 +79,16 @@
     let mut wanted = request.wanted;
     if request.as_home {
         let gone = responder.asker_gone();
-        if let Some(order) = budget_for_loan(state, request) {
-            wanted = order.amount;
-            shortage = state.desk.ensure_covered(&order).await;
-            shortage = shortage.filter(|_| order.version >= request.version);
+        if let Some(budget) = budget_for_loan(state, request) {
+            wanted = budget.amount;
+            shortage = state.budgets.ensure_covered(&budget).await;
+            shortage = shortage.filter(|_| budget.version >= request.version);
         }
         if poll_once(gone).await.is_some() {
             return;
         }
     }
-    let lent = state.desk.lend(&request.branch, wanted);
+    let lent = state.budgets.lend(&request.branch, wanted);
     let room = shortage.map(|room| room.less(lent));
     if lent > TokenCount::ZERO {
         log_event!(
@@ -112,13 +112,13 @@
     let prepaid = branch.and_then(|branch| branch.prepaid)?;
     let missing = request.wanted.less(request.ahead);
     let ahead =
-        state.desk.allowed_loan_ahead(&request.branch, prepaid, request.ahead, ClockTime::now());
+        state.budgets.allowed_loan_ahead(&request.branch, prepaid, request.ahead, ClockTime::now());
     Some(BudgetRequest {
         branch: request.branch.clone(),
         version: index.plan().version,
         prepaid,
         amount: missing + ahead,
-        request: String::new(),
+        request_id: String::new(),
     })
 }
 
--- a/crates/sagespool-gateway/src/pipeline.rs
+++ b/crates/sagespool-gateway/src/pipeline.rs
@@ -114,8 +114,8 @@
         latency_target: route.latency_target,
         time_left: deadline.since(began),
     };
-    let taken = state.intake.admit(arrived, declared_length(&body)).await;
-    log.turn = state.intake.turn(ClockTime::now());
+    let taken = state.limiter.admit(arrived, declared_length(&body)).await;
+    log.scheduling_delay = state.limiter.scheduling_delay(ClockTime::now());
     let mut permit = match taken {
         Ok(permit) => permit,
         Err(refusal) => {
@@ -184,14 +184,14 @@
     let (Some(prepaid), Some(tokens)) = (branch.prepaid, demand.tokens) else {
         return Ok(None);
     };
-    let order = BudgetRequest {
+    let budget = BudgetRequest {
         branch: branch.name.clone(),
         version: index.plan().version,
         prepaid,
         amount: tokens.most(),
-        request: demand.request.clone(),
+        request_id: demand.request.clone(),
     };
-    state.desk.reserve(&order, deadline, &state.fleet).await.map(Some)
+    state.budgets.reserve(&budget, deadline, &state.fleet).await.map(Some)
 }
 
 /// An upstream's response with its complete body.
@@ -279,7 +279,7 @@
         _ if context.may_have_run => Refusal::Failed,
         SendFailure::Rejected => Refusal::UpstreamsBusy,
         SendFailure::NoUpstream(UnavailableCause::Evacuated) => Refusal::Evacuated,
-        SendFailure::NoUpstream(UnavailableCause::Limited(turn)) => Refusal::Limited(turn),
+        SendFailure::NoUpstream(UnavailableCause::Limited(delay)) => Refusal::Limited(delay),
         _ => Refusal::NoUpstream,
     };
     refuse(context.log, refusal, failure.as_str())
@@ -292,7 +292,7 @@
 ) -> Result<CompleteResponse, SendFailure> {
     context.may_have_run = true;
     let OpenResponse { head, body, connection, mut placement } = response;
-    placement.began(ClockTime::now());
+    placement.note_first_event(ClockTime::now());
     let left = context.time_left(ClockTime::now());
     let collected = async {
         let collected = Limited::new(body, MAX_BUFFERED_BYTES).collect().await;
@@ -330,6 +330,6 @@
     context.clear_crashes();
     context.log.first = Some(ClockTime::now());
     context.log.conclude(outcome, head.status.as_u16(), "");
-    let held = context.state.intake.hold(ByteCount(response.bytes.len() as u64));
+    let held = context.state.limiter.hold(ByteCount(response.bytes.len() as u64));
     Response::from_parts(head, ResponseBody::counted(response.bytes, held))
 }
--- a/crates/sagespool-gateway/src/pool.rs
+++ b/crates/sagespool-gateway/src/pool.rs
@@ -43,9 +43,9 @@
 
 impl UpstreamConnection {
     /// Applies the idle timeout that the upstream names, if any.
-    pub(crate) fn note_idle_limit(&mut self, told: Option<Duration>) {
-        if let Some(told) = told {
-            self.idle_limit = told.mul_f64(IDLE_SHARE);
+    pub(crate) fn note_idle_limit(&mut self, timeout: Option<Duration>) {
+        if let Some(timeout) = timeout {
+            self.idle_limit = timeout.mul_f64(IDLE_SHARE);
         }
     }
 }
--- a/crates/sagespool-gateway/src/refusal.rs
+++ b/crates/sagespool-gateway/src/refusal.rs
@@ -113,10 +113,10 @@
     /// The value of `Retry-After`; `None` where a retry wouldn't help. Has jitter, so that callers
     /// refused at the same time don't retry at the same time.
     fn retry_after(self) -> Option<Duration> {
-        let least_ms = match self {
+        let base_ms = match self {
             // Many requests are refused for each that an upstream accepts, so the jitter grows with
             // the wait.
-            Self::Limited(turn) => return Some(with_jitter(turn, MIN_JITTER.max(turn / 2))),
+            Self::Limited(delay) => return Some(with_jitter(delay, MIN_JITTER.max(delay / 2))),
             // A starting instance loads its configuration within 500 ms.
             Self::NoPlan => 300,
             // The time of some store calls, or of an upstream's restart.
@@ -129,7 +129,7 @@
             Self::Overloaded(_) | Self::Stopping | Self::TooLate | Self::BodyTooSlow => 0,
             _ => return None,
         };
-        Some(with_jitter(Duration::from_millis(least_ms), MIN_JITTER))
+        Some(with_jitter(Duration::from_millis(base_ms), MIN_JITTER))
     }
 
     /// The response to the caller.
@@ -149,9 +149,9 @@
     }
 }
 
-/// Adds random jitter of at most `most`.
-fn with_jitter(least: Duration, most: Duration) -> Duration {
-    least + most.mul_f64(fastrand::f64())
+/// Adds random jitter of at most `jitter`.
+fn with_jitter(base: Duration, jitter: Duration) -> Duration {
+    base + jitter.mul_f64(fastrand::f64())
 }
 
 impl fmt::Display for Refusal {
--- a/crates/sagespool-gateway/src/request_body.rs
+++ b/crates/sagespool-gateway/src/request_body.rs
@@ -38,18 +38,18 @@
     permit: &mut RequestPermit,
     limit: Duration,
 ) -> Result<Bytes, Refusal> {
-    let most = usize::try_from(index.plan().limits.body_bytes.0).unwrap_or(usize::MAX);
-    let collected = within(limit, collect_body(body, permit, most)).await;
+    let max_bytes = usize::try_from(index.plan().limits.body_bytes.0).unwrap_or(usize::MAX);
+    let collected = within(limit, collect_body(body, permit, max_bytes)).await;
     collected.unwrap_or(Err(Refusal::BodyTooSlow))
 }
 
 async fn collect_body(
     mut body: Incoming,
     permit: &mut RequestPermit,
-    most: usize,
+    max_bytes: usize,
 ) -> Result<Bytes, Refusal> {
     let declared = body.size_hint().exact();
-    if declared.is_some_and(|length| length > most as u64) {
+    if declared.is_some_and(|length| length > max_bytes as u64) {
         return Err(Refusal::BodyTooLarge);
     }
     let mut whole = BytesMut::with_capacity(declared.unwrap_or(0) as usize);
@@ -59,7 +59,7 @@
         let Ok(bytes) = frame.into_data() else {
             continue;
         };
-        if whole.len() + bytes.len() > most {
+        if whole.len() + bytes.len() > max_bytes {
             return Err(Refusal::BodyTooLarge);
         }
         if declared.is_none() {
--- a/crates/sagespool-gateway/src/role.rs
+++ b/crates/sagespool-gateway/src/role.rs
@@ -155,10 +155,10 @@
         state.abort.set();
         // Later connections are refused by the kernel, which shows callers that nothing has run.
         drop(accepting);
-        let open = || state.intake.connections();
+        let open = || state.limiter.connections();
         wait_until(|| open() == 0, ClockTime::now().after(FLUSH_TIME)).await;
-        state.desk.return_loans(&state.fleet, LOAN_RETURN_TIMEOUT).await;
-        state.desk.close_all(GRANT_CLOSE_TIME / 2).await;
+        state.budgets.return_loans(&state.fleet, LOAN_RETURN_TIMEOUT).await;
+        state.budgets.close_all(GRANT_CLOSE_TIME / 2).await;
         let took = ClockTime::now().since(began);
         log_event!(info, "gateway-stopped", cut = cut, took_ms = took.as_millis());
         StopReport { cut }
--- a/crates/sagespool-gateway/src/state.rs
+++ b/crates/sagespool-gateway/src/state.rs
@@ -37,7 +37,7 @@
     pub(crate) dialect: WireDialect,
     pub(crate) store: ObjectClient,
     pub(crate) pool: UpstreamPool,
-    pub(crate) desk: Arc<BudgetPool>,
+    pub(crate) budgets: Arc<BudgetPool>,
     pub(crate) crashes: CrashTracker,
     pub(crate) metrics: GatewayMetrics,
     /// Set when a graceful stop begins.
@@ -50,15 +50,15 @@
     pub(crate) abort: OnceSignal,
     /// Number of requests in flight.
     pub(crate) requests: AtomicUsize,
-    pub(crate) intake: Arc<ResourceLimiter>,
+    pub(crate) limiter: Arc<ResourceLimiter>,
     pub(crate) feeds: FeedRegistry,
     pub(crate) fleet: Arc<FleetClient>,
     plan: RwLock<Option<LoadedPlan>>,
-    roster: Mutex<UpstreamRegistry>,
-    board: Mutex<LoadBalancer>,
+    upstreams: Mutex<UpstreamRegistry>,
+    balancer: Mutex<LoadBalancer>,
     retries: Mutex<RetryBudget>,
-    guard: Mutex<UpstreamThrottle>,
-    senders: Mutex<SenderSelector>,
+    throttle: Mutex<UpstreamThrottle>,
+    sender_selector: Mutex<SenderSelector>,
     /// When a malformed response header was last logged.
     unreadable: Mutex<Option<ClockTime>>,
 }
@@ -78,7 +78,7 @@
     ) -> Self {
         let GrantSettings { ahead, share, idle } = settings.grants;
         let grants = GrantPolicy { ahead, share, idle, instances: 1 };
-        let desk = BudgetPool::new(store.clone(), run, settings.instance.clone(), grants);
+        let budgets = BudgetPool::new(store.clone(), run, settings.instance.clone(), grants);
         let local = LocalMember::builder()
             .instance(settings.instance.clone())
             .region(settings.region.clone())
@@ -98,19 +98,19 @@
         let warmup_terms =
             WarmupPolicy { overage: settings.warmup.overage, slack: settings.warmup.slack };
         // Without a link there are no other instances to share sends with.
-        let senders = match settings.link {
+        let sender_selector = match settings.link {
             Some(_) => SenderSelector::new(settings.instance.clone()),
             None => SenderSelector::alone(settings.instance.clone()),
         };
         let feeds = FeedRegistry::new(settings.in_force);
-        let intake = Arc::new(ResourceLimiter::new(settings.limits));
+        let limiter = Arc::new(ResourceLimiter::new(settings.limits));
         Self {
-            intake,
+            limiter,
             settings,
             dialect,
             store,
             pool: UpstreamPool::default(),
-            desk: Arc::new(desk),
+            budgets: Arc::new(budgets),
             crashes: CrashTracker::new(),
             metrics: GatewayMetrics::new(),
             stopping: AtomicBool::new(false),
@@ -121,11 +121,11 @@
             feeds,
             fleet,
             plan: RwLock::default(),
-            roster: Mutex::default(),
-            board: Mutex::new(LoadBalancer::new(PlacementPolicy::default())),
+            upstreams: Mutex::default(),
+            balancer: Mutex::new(LoadBalancer::new(PlacementPolicy::default())),
             retries: Mutex::new(RetryBudget::new(terms)),
-            guard: Mutex::new(UpstreamThrottle::new(warmup_terms)),
-            senders: Mutex::new(senders),
+            throttle: Mutex::new(UpstreamThrottle::new(warmup_terms)),
+            sender_selector: Mutex::new(sender_selector),
             unreadable: Mutex::default(),
         }
     }
@@ -135,17 +135,19 @@
     }
 
     pub(crate) fn plan(&self) -> Option<Arc<PlanIndex>> {
-        self.loaded_plan().as_ref().map(|known| known.index.clone())
+        self.loaded_plan().as_ref().map(|loaded| loaded.index.clone())
     }
 
     /// The text of the current configuration as stored.
     pub(crate) fn plan_document(&self) -> Option<String> {
-        self.loaded_plan().as_ref().map(|known| known.document.to_string())
+        self.loaded_plan().as_ref().map(|loaded| loaded.document.to_string())
     }
 
     /// The version of the current configuration, 0 if there is none.
     pub(crate) fn plan_version(&self) -> ConfigVersion {
-        self.loaded_plan().as_ref().map_or(ConfigVersion::ZERO, |known| known.index.plan().version)
+        self.loaded_plan()
+            .as_ref()
+            .map_or(ConfigVersion::ZERO, |loaded| loaded.index.plan().version)
     }
 
     /// Applies a configuration and returns true, unless the current one is at least as new. Older
@@ -154,7 +156,7 @@
         let version = index.plan().version;
         let fresh = LoadedPlan { index: Arc::new(index), document: document.into() };
         let mut plan = self.plan.write().unwrap_or_else(PoisonError::into_inner);
-        if plan.as_ref().is_some_and(|known| known.index.plan().version >= version) {
+        if plan.as_ref().is_some_and(|loaded| loaded.index.plan().version >= version) {
             return false;
         }
         *plan = Some(fresh);
@@ -163,49 +165,49 @@
         true
     }
 
-    pub(crate) fn roster(&self) -> MutexGuard<'_, UpstreamRegistry> {
-        self.roster.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn upstreams(&self) -> MutexGuard<'_, UpstreamRegistry> {
+        self.upstreams.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Removes an upstream whose address belongs to another one now. An upstream's name stands for
     /// one run; that run has ended, but the store may list it for some seconds more.
     pub(crate) fn forget_upstream(&self, name: &UpstreamName) {
-        self.roster().mark_replaced(name);
-        self.board().forget(name);
-        self.guard().forget(name);
+        self.upstreams().mark_replaced(name);
+        self.balancer().forget(name);
+        self.throttle().forget(name);
         log_event!(info, "upstream-changed", upstream = name, change = "replaced");
     }
 
-    pub(crate) fn board(&self) -> MutexGuard<'_, LoadBalancer> {
-        self.board.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn balancer(&self) -> MutexGuard<'_, LoadBalancer> {
+        self.balancer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(crate) fn retries(&self) -> MutexGuard<'_, RetryBudget> {
         self.retries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn guard(&self) -> MutexGuard<'_, UpstreamThrottle> {
-        self.guard.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn throttle(&self) -> MutexGuard<'_, UpstreamThrottle> {
+        self.throttle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn senders(&self) -> MutexGuard<'_, SenderSelector> {
-        self.senders.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn sender_selector(&self) -> MutexGuard<'_, SenderSelector> {
+        self.sender_selector.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Updates the set of instances that may send to cold upstreams.
     pub(crate) fn observe_senders(&self, now: ClockTime) {
         let members = self.fleet.members.members().into_iter();
         let gateways = members.filter(|member| member.role == MemberRole::Entry);
-        let heard = gateways.map(|member| member.instance);
+        let known = gateways.map(|member| member.instance);
         match self.fleet.listed_gateways() {
-            Some(listed) => self.senders().observe_listed(heard.chain(listed), now),
-            None => self.senders().observe(heard, now),
+            Some(listed) => self.sender_selector().observe_listed(known.chain(listed), now),
+            None => self.sender_selector().observe(known, now),
         }
     }
 
     /// Records how much longer an upstream is cold. Zero changes nothing.
     pub(crate) fn note_cold(&self, name: &UpstreamName, left: Duration, now: ClockTime) {
-        if !left.is_zero() && self.guard().note_cold(name, left, now) {
+        if !left.is_zero() && self.throttle().note_cold(name, left, now) {
             log_event!(info, "upstream-cold", upstream = name, left_ms = left.as_millis());
         }
     }
@@ -218,7 +220,7 @@
         chosen: ClockTime,
         now: ClockTime,
     ) {
-        let change = self.guard().note_rate_limit(name, named, chosen, now);
+        let change = self.throttle().note_rate_limit(name, named, chosen, now);
         self.log_limit(name, change, "answer");
     }
 
@@ -241,7 +243,7 @@
 
     /// Records an upstream's backoff for this instance.
     pub(crate) fn note_backoff(&self, name: &UpstreamName, rest: Duration, now: ClockTime) {
-        if self.guard().note_backoff(name, rest, now) {
+        if self.throttle().note_backoff(name, rest, now) {
             log_event!(info, "upstream-rests", upstream = name, rest_ms = rest.as_millis());
         }
     }
@@ -263,7 +265,7 @@
 
     /// Stops sending new requests to the upstreams of a data centre.
     pub(crate) fn evacuate(&self, centre: CentreName) {
-        if self.roster().evacuate(centre.clone()) {
+        if self.upstreams().evacuate(centre.clone()) {
             log_event!(info, "centre-evacuated", centre = centre);
         }
     }
@@ -271,7 +273,7 @@
     /// Allows requests to the upstreams of a data centre again. They are treated as cold at first:
     /// they may have become cold in the meantime, and their entries may show it only later.
     pub(crate) fn readmit(&self, centre: &CentreName, now: ClockTime) {
-        let Some(records) = self.roster().readmit(centre) else {
+        let Some(records) = self.upstreams().readmit(centre) else {
             return;
         };
         log_event!(info, "centre-readmitted", centre = centre, upstreams = records.len());
@@ -316,7 +318,7 @@
             !follows || self.feeds.replica(FollowedKind::Evacuations).is_loaded();
         !self.is_stopping()
             && self.plan().is_some()
-            && self.roster().is_loaded()
+            && self.upstreams().is_loaded()
             && knows_evacuations
     }
 
--- a/crates/sagespool-gateway/src/status.rs
+++ b/crates/sagespool-gateway/src/status.rs
@@ -41,15 +41,15 @@
 fn metrics_text(state: &GatewayState) -> String {
     state.metrics.set_store_calls(state.store.causes());
     let now = ClockTime::now();
-    let intake = state.intake.reading(now);
+    let usage = state.limiter.usage(now);
     // Lock one at a time: the choice of an upstream locks them in another order.
-    let evacuated = state.roster().evacuated().count();
-    let guard = state.guard();
-    let (cold, limited) = (guard.cold_count(now), guard.limited_count());
-    let in_backoff = guard.backoff_count(now);
-    drop(guard);
+    let evacuated = state.upstreams().evacuated().count();
+    let throttle = state.throttle();
+    let (cold, limited) = (throttle.cold_count(now), throttle.limited_count());
+    let in_backoff = throttle.backoff_count(now);
+    drop(throttle);
     let restrictions = RestrictionCounts { evacuated, cold, limited, in_backoff };
-    state.metrics.encode(state.fleet.count(MemberRole::Entry), intake, restrictions)
+    state.metrics.encode(state.fleet.count(MemberRole::Entry), usage, restrictions)
 }
 
 fn respond_readiness(state: &GatewayState, conn: Conn) -> Conn {
--- a/crates/sagespool-gateway/src/stream.rs
+++ b/crates/sagespool-gateway/src/stream.rs
@@ -47,7 +47,7 @@
     context.may_have_run = true;
     let mut head = response.head.clone();
     strip_hop_by_hop(&mut head.headers);
-    response.placement.began(ClockTime::now());
+    response.placement.note_first_event(ClockTime::now());
     context.log.status = head.status.as_u16();
     let (sender, chunks) = bounded(BUFFERED_CHUNKS);
     let state = context.state.clone();
@@ -108,7 +108,7 @@
         let timeout = attempt_timeout(context, ClockTime::now());
         match send_once(context, timeout).await {
             Ok(mut response) if response.head.status.is_success() => {
-                response.placement.began(ClockTime::now());
+                response.placement.note_first_event(ClockTime::now());
                 return Some(response);
             }
             Ok(response) => {
@@ -164,7 +164,7 @@
                 Err(_) => continue,
             },
         };
-        placement.heard(ClockTime::now());
+        placement.note_progress(ClockTime::now());
         let whole = cutter.push(&bytes);
         if whole.count == 0 {
             continue;
--- a/crates/sagespool-gateway/tests/failed_rounds.rs
+++ b/crates/sagespool-gateway/tests/failed_rounds.rs
@@ -27,7 +27,7 @@
         if !failed.is_some_and(|failed| is_known(failed, turn)) {
             rounds += 1;
             free_at = turn.after(ROUND_TIME);
-            failed = Some(FailedLoanRound::noted(AMOUNT, free_at));
+            failed = Some(FailedLoanRound::new(AMOUNT, free_at));
         }
         longest = longest.max(turn.max(free_at).since(arrived));
     }
@@ -47,7 +47,7 @@
 #[test]
 fn smaller_or_later_request_starts_a_round() {
     let now = ClockTime::from_millis(1_000);
-    let failed = FailedLoanRound::noted(AMOUNT, now);
+    let failed = FailedLoanRound::new(AMOUNT, now);
     assert!(failed.applies_to(AMOUNT, now));
     assert!(!failed.applies_to(TokenCount(100), now));
     assert!(!failed.applies_to(AMOUNT, now.after(Duration::from_secs(1))));
--- a/crates/sagespool-gateway/tests/spent_budgets.rs
+++ b/crates/sagespool-gateway/tests/spent_budgets.rs
@@ -23,7 +23,7 @@
             known.is_some_and(|known: CachedShortage| known.excludes(AMOUNT, VERSION, now));
         if !is_known {
             reads += 1;
-            known = Some(CachedShortage::noted(known, ROOM, VERSION, now));
+            known = Some(CachedShortage::record(known, ROOM, VERSION, now));
         }
         now = now.after(REQUEST_INTERVAL);
     }
@@ -39,13 +39,13 @@
 #[test]
 fn larger_room_restarts_the_interval() {
     let now = ClockTime::from_millis(1_000);
-    let mut known = CachedShortage::noted(None, ROOM, VERSION, now);
+    let mut known = CachedShortage::record(None, ROOM, VERSION, now);
     for _ in 0..5 {
-        known = CachedShortage::noted(Some(known), ROOM, VERSION, now);
+        known = CachedShortage::record(Some(known), ROOM, VERSION, now);
     }
     assert!(known.is_fresh(now.after(Duration::from_secs(1))));
     // Tokens were returned, and more may follow.
-    let fuller = CachedShortage::noted(Some(known), ROOM + ROOM, VERSION, now);
+    let fuller = CachedShortage::record(Some(known), ROOM + ROOM, VERSION, now);
     assert!(!fuller.is_fresh(now.after(Duration::from_millis(300))));
     assert!(!fuller.excludes(ROOM, VERSION, now));
 }
@@ -54,7 +54,7 @@
 #[test]
 fn raised_total_ends_the_shortage() {
     let now = ClockTime::from_millis(1_000);
-    let known = CachedShortage::noted(None, ROOM, VERSION, now);
+    let known = CachedShortage::record(None, ROOM, VERSION, now);
     assert!(known.excludes(AMOUNT, VERSION, now));
     assert!(!known.excludes(AMOUNT, ConfigVersion(5), now));
 }
