--- a/crates/sagespool-gateway/src/attempt.rs
+++ b/crates/sagespool-gateway/src/attempt.rs
@@ -395,8 +395,8 @@
     if let Some(rest) = metadata.backoff {
         state.note_backoff(name, rest, now);
     }
-    if let Some(mark) = metadata.unreadable {
-        state.note_unreadable(name, mark, now);
+    if let Some(header) = metadata.unreadable {
+        state.log_malformed_header(name, header, now);
     }
 }
 
--- a/crates/sagespool-gateway/src/context.rs
+++ b/crates/sagespool-gateway/src/context.rs
@@ -25,7 +25,7 @@
     pub(crate) service: ServiceName,
     pub(crate) branch: Option<BranchName>,
     /// The regions where its account allows it to run.
-    pub(crate) branch_homes: AllowedRegions,
+    pub(crate) branch_regions: AllowedRegions,
     pub(crate) priority: u8,
     pub(crate) demand: RequestAttributes,
     pub(crate) body: Bytes,
@@ -71,7 +71,7 @@
     /// Whether both its route and its account allow it to run in a data centre.
     pub(crate) fn may_run_in(&self, centre: &CentreName) -> bool {
         let region = self.state.region_of(centre);
-        self.request.route.homes.allow(region) && self.request.branch_homes.allow(region)
+        self.request.route.homes.allow(region) && self.request.branch_regions.allow(region)
     }
 
     fn note_charge(&mut self) {
--- a/crates/sagespool-gateway/src/evacuations.rs
+++ b/crates/sagespool-gateway/src/evacuations.rs
@@ -13,7 +13,7 @@
 /// Follows the evacuations until cancelled.
 pub(crate) async fn follow_evacuations(state: Arc<GatewayState>) {
     let followed = FollowedPrefix {
-        what: "evacuations",
+        name: "evacuations",
         kind: FollowedKind::Evacuations,
         prefix: state.dialect.evacuation_prefix,
         pause: |_| Duration::ZERO,
@@ -36,7 +36,7 @@
             }
             true
         },
-        on_return: |_, _| {},
+        on_recovery: |_, _| {},
     };
     follow(&state, followed).await;
 }
--- a/crates/sagespool-gateway/src/feeds.rs
+++ b/crates/sagespool-gateway/src/feeds.rs
@@ -23,7 +23,7 @@
 const NANOS_IN_MICRO: u64 = 1_000;
 
 /// The time of a clock that includes the time in which the machine is suspended.
-pub(crate) fn unsuspended_now() -> ClockTime {
+pub(crate) fn boot_time_now() -> ClockTime {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
     let micros = u64::try_from(time.tv_nsec).unwrap_or(0) / NANOS_IN_MICRO;
@@ -60,20 +60,20 @@
     }
 
     /// Applies relevant changes. The copy is then complete up to `revision` as of `valid_at`.
-    pub(crate) fn take_changes(
+    pub(crate) fn apply_changes(
         &self,
         changes: Vec<FeedObject>,
         revision: StoreRevision,
         valid_at: ClockTime,
     ) {
-        let is_news = !changes.is_empty();
+        let has_changes = !changes.is_empty();
         let mut state = self.state();
         for change in changes {
             state.feed.apply_change(change);
         }
         state.feed.advance(revision, valid_at);
         drop(state);
-        if is_news {
+        if has_changes {
             self.changed.notify(usize::MAX);
         }
     }
@@ -93,22 +93,22 @@
     }
 
     fn age(&self) -> Option<Duration> {
-        self.state().feed.age(unsuspended_now())
+        self.state().feed.age(boot_time_now())
     }
 
     /// Replies to a neighbour's long poll as soon as there are changes after its revision, or when
     /// its wait time is over.
-    async fn answer(&self, ask: FollowAsk) -> FollowReply {
+    async fn handle_query(&self, query: FollowAsk) -> FollowReply {
         let changed = self.changed.listen();
-        let has_news = self.state().feed.has_changes_after(ask.after);
-        if !has_news {
-            within(ask.wait, changed).await;
+        let has_changes = self.state().feed.has_changes_after(query.after);
+        if !has_changes {
+            within(query.wait, changed).await;
         }
         let state = self.state();
-        let FeedPage { revision, whole, objects } = state.feed.page(ask.after);
+        let FeedPage { revision, whole, objects } = state.feed.page(query.after);
         FollowReply {
             revision,
-            age: state.feed.age(unsuspended_now()),
+            age: state.feed.age(boot_time_now()),
             store_lost: state.store_lost,
             whole,
             objects: objects.into_iter().map(wire_object).collect(),
@@ -223,9 +223,9 @@
     }
 
     /// Replies to a neighbour's long poll.
-    pub(crate) async fn answer(&self, ask: FollowAsk) -> FollowReply {
-        let longest = self.terms(ask.kind).map_or(REPLY_TIMEOUT, |terms| terms.poll_wait);
-        let ask = FollowAsk { wait: ask.wait.min(longest), ..ask };
-        self.replica(ask.kind).answer(ask).await
+    pub(crate) async fn handle_query(&self, query: FollowAsk) -> FollowReply {
+        let longest = self.terms(query.kind).map_or(REPLY_TIMEOUT, |terms| terms.poll_wait);
+        let query = FollowAsk { wait: query.wait.min(longest), ..query };
+        self.replica(query.kind).handle_query(query).await
     }
 }
--- a/crates/sagespool-gateway/src/fleet.rs
+++ b/crates/sagespool-gateway/src/fleet.rs
@@ -155,7 +155,7 @@
         }
     }
 
-    pub(crate) fn answer_heartbeat(&self, heartbeat: &Heartbeat) -> PeerReply {
+    pub(crate) fn handle_heartbeat(&self, heartbeat: &Heartbeat) -> PeerReply {
         PeerReply::Heartbeat(self.members.handle_heartbeat(heartbeat, ClockTime::now()))
     }
 
@@ -215,9 +215,9 @@
                         }
                     };
                 }
-                Err(fault) => {
+                Err(error) => {
                     if !std::mem::replace(&mut logged, true) {
-                        log_event!(warn, "identity-missing", detail = fault);
+                        log_event!(warn, "identity-missing", detail = error);
                     }
                     pause_after_failure().await;
                 }
@@ -337,7 +337,7 @@
 }
 
 /// Calls the store on behalf of another process.
-pub(crate) async fn answer_store_call(store: &ObjectClient, call: StoreCall) -> PeerReply {
+pub(crate) async fn handle_store_call(store: &ObjectClient, call: StoreCall) -> PeerReply {
     let method = match call.method {
         StoreMethod::Get => CallMethod::Get,
         StoreMethod::Post => CallMethod::Post,
--- a/crates/sagespool-gateway/src/follow.rs
+++ b/crates/sagespool-gateway/src/follow.rs
@@ -11,7 +11,7 @@
 use serde_json::value::RawValue;
 use smol::Timer;
 
-use crate::feeds::unsuspended_now;
+use crate::feeds::boot_time_now;
 use crate::state::GatewayState;
 use crate::store_health::StoreHealth;
 
@@ -36,7 +36,7 @@
 
 /// A store prefix that is followed, with the functions that apply its contents.
 pub(crate) struct FollowedPrefix {
-    pub(crate) what: &'static str,
+    pub(crate) name: &'static str,
     pub(crate) kind: FollowedKind,
     pub(crate) prefix: &'static str,
     pub(crate) pause: fn(&GatewayState) -> Duration,
@@ -44,28 +44,28 @@
     /// Applies a change; false if it is irrelevant to neighbours.
     pub(crate) on_change: fn(&GatewayState, RawChange) -> bool,
     /// Called with the duration of an outage when the store is reachable again.
-    pub(crate) on_return: fn(&GatewayState, Duration),
+    pub(crate) on_recovery: fn(&GatewayState, Duration),
 }
 
 /// Follows the configuration until cancelled.
 pub(crate) async fn follow_plan(state: Arc<GatewayState>) {
     let followed = FollowedPrefix {
-        what: "configuration",
+        name: "configuration",
         kind: FollowedKind::Configuration,
         prefix: state.dialect.plan_prefix,
         pause: |_| Duration::ZERO,
         on_listing: |state, listing| {
             for (key, object) in listing.items {
-                take_plan(state, &key, &object.value);
+                apply_plan_object(state, &key, &object.value);
             }
         },
         on_change: |state, change| {
             if let Some(value) = change.value {
-                take_plan(state, &change.key, &value);
+                apply_plan_object(state, &change.key, &value);
             }
             true
         },
-        on_return: |_, _| {},
+        on_recovery: |_, _| {},
     };
     follow(&state, followed).await;
 }
@@ -73,7 +73,7 @@
 /// Follows the registered upstreams until cancelled.
 pub(crate) async fn follow_upstreams(state: Arc<GatewayState>) {
     let followed = FollowedPrefix {
-        what: "upstreams",
+        name: "upstreams",
         kind: FollowedKind::Upstreams,
         prefix: state.dialect.upstream_prefix,
         pause: upstream_pause,
@@ -97,14 +97,14 @@
                 }),
                 None => name.parse().ok().map(|name| state.upstreams().remove(&name, now)),
             };
-            let matters =
+            let is_relevant =
                 noted.as_ref().is_some_and(|(_, change)| *change != UpstreamChange::Unchanged);
             if let Some(noted) = noted {
                 note_change(state, noted);
             }
-            matters
+            is_relevant
         },
-        on_return: |state, outage| state.upstreams().store_returned(outage, ClockTime::now()),
+        on_recovery: |state, outage| state.upstreams().store_returned(outage, ClockTime::now()),
     };
     follow(&state, followed).await;
 }
@@ -123,12 +123,12 @@
                 continue;
             }
         };
-        let read = unsuspended_now();
+        let read = boot_time_now();
         health.mark_reachable(state, &followed);
         log_event!(
             info,
             "list-read",
-            what = followed.what,
+            what = followed.name,
             entries = listing.items.len(),
             revision = listing.revision,
         );
@@ -173,13 +173,13 @@
         }
     }
     let replica = state.feeds.replica(followed.kind);
-    let sent_at = ClockTime(unsuspended_now().0.saturating_sub(REPLY_TIMEOUT.as_micros() as u64));
+    let sent_at = ClockTime(boot_time_now().0.saturating_sub(REPLY_TIMEOUT.as_micros() as u64));
     let valid_at =
         ClockTime(sent_at.0.saturating_sub(reply.age.unwrap_or(Duration::MAX).as_micros() as u64));
     let changes: Vec<RawChange> = reply.objects.into_iter().filter_map(raw_change).collect();
     if !reply.whole {
         let relevant = changes.into_iter().filter_map(|change| apply(state, followed, change));
-        replica.take_changes(relevant.collect(), reply.revision, valid_at);
+        replica.apply_changes(relevant.collect(), reply.revision, valid_at);
         return;
     }
     let items = changes.into_iter().filter_map(|change| {
@@ -202,22 +202,22 @@
     let wait = state.feeds.terms(followed.kind).map_or(WATCH_WAIT, |terms| terms.watch_wait);
     match state.store.watch(followed.prefix, revision, wait).await {
         Ok(changes) => {
-            let read = unsuspended_now();
+            let read = boot_time_now();
             health.mark_reachable(state, followed);
-            let upto = changes.revision;
+            let latest = changes.revision;
             let relevant = changes.changes.into_iter().filter_map(|mut change| {
                 // An object that another writer stored in a wrong format has no revision of its
                 // own.
                 if change.version == StoreRevision::ZERO {
-                    change.version = upto;
+                    change.version = latest;
                 }
                 apply(state, followed, change)
             });
-            replica.take_changes(relevant.collect(), upto, read);
+            replica.apply_changes(relevant.collect(), latest, read);
             Ok(())
         }
         Err(StoreError::HistoryGone) => {
-            log_event!(info, "history-gone", what = followed.what, revision = revision);
+            log_event!(info, "history-gone", what = followed.name, revision = revision);
             Err(HistoryGone)
         }
         Err(error) => {
@@ -246,7 +246,7 @@
     Some(RawChange { key: object.key, version: object.revision, value })
 }
 
-fn take_plan(state: &GatewayState, key: &str, value: &RawValue) {
+fn apply_plan_object(state: &GatewayState, key: &str, value: &RawValue) {
     if key != state.dialect.plan_key {
         return;
     }
@@ -254,7 +254,7 @@
         Ok(plan) => {
             let (version, routes) = (plan.version, plan.routes.len());
             let branches = plan.branches.len();
-            let taken = state.take_plan(PlanIndex::new(plan), value.get());
+            let taken = state.apply_plan(PlanIndex::new(plan), value.get());
             log_event!(
                 info,
                 "configuration-read",
--- a/crates/sagespool-gateway/src/limits.rs
+++ b/crates/sagespool-gateway/src/limits.rs
@@ -53,10 +53,10 @@
 }
 
 /// The reply with this gateway's state of upstreams' limits.
-pub(crate) fn limits_reply(state: &GatewayState, ask: &LimitAsk, now: ClockTime) -> LimitReply {
+pub(crate) fn limits_reply(state: &GatewayState, query: &LimitAsk, now: ClockTime) -> LimitReply {
     let throttle = state.throttle();
     let known =
-        ask.upstreams.iter().filter_map(|name| Some((name, throttle.rate_limit_status(name)?)));
+        query.upstreams.iter().filter_map(|name| Some((name, throttle.rate_limit_status(name)?)));
     let words = known.map(|(name, notice)| LimitWord {
         upstream: name.clone(),
         per_second: notice.rate.map(SendRate::per_second),
--- a/crates/sagespool-gateway/src/peers.rs
+++ b/crates/sagespool-gateway/src/peers.rs
@@ -14,7 +14,7 @@
 use serde_json::value::RawValue;
 
 use crate::desk::BudgetRequest;
-use crate::fleet::answer_store_call;
+use crate::fleet::handle_store_call;
 use crate::limits::limits_reply;
 use crate::state::GatewayState;
 
@@ -38,20 +38,20 @@
                 lend(&state, &request, call.responder).await;
                 return;
             }
-            let reply = answer(&state, call.request).await;
+            let reply = handle_request(&state, call.request).await;
             call.responder.reply(reply).await;
         })
     })
 }
 
-async fn answer(state: &Arc<GatewayState>, request: PeerRequest) -> PeerReply {
+async fn handle_request(state: &Arc<GatewayState>, request: PeerRequest) -> PeerReply {
     match request {
         PeerRequest::Heartbeat(beat) => {
             fetch_newer_plan(state, &beat.from);
-            state.fleet.answer_heartbeat(&beat)
+            state.fleet.handle_heartbeat(&beat)
         }
-        PeerRequest::AskPlan(ask) => {
-            let document = (state.plan_version() > ask.have).then(|| state.plan_document());
+        PeerRequest::AskPlan(query) => {
+            let document = (state.plan_version() > query.have).then(|| state.plan_document());
             PeerReply::Plan(PlanReply { document: document.flatten() })
         }
         PeerRequest::ReportCrash(report) => {
@@ -62,11 +62,11 @@
             state.budgets.accept_returned_loan(&rest);
             PeerReply::Done
         }
-        PeerRequest::Follow(ask) => PeerReply::Follow(state.feeds.answer(ask).await),
-        PeerRequest::AskLimits(ask) => {
-            PeerReply::Limits(limits_reply(state, &ask, ClockTime::now()))
+        PeerRequest::Follow(query) => PeerReply::Follow(state.feeds.handle_query(query).await),
+        PeerRequest::AskLimits(query) => {
+            PeerReply::Limits(limits_reply(state, &query, ClockTime::now()))
         }
-        PeerRequest::CallStore(call) => answer_store_call(&state.store, call).await,
+        PeerRequest::CallStore(call) => handle_store_call(&state.store, call).await,
         _ => PeerReply::Unsupported("this process is a gateway".to_owned()),
     }
 }
@@ -145,7 +145,7 @@
     match (state.dialect.read_plan)(&value) {
         Ok(plan) => {
             let version = plan.version;
-            let taken = state.take_plan(PlanIndex::new(plan), value.get());
+            let taken = state.apply_plan(PlanIndex::new(plan), value.get());
             log_event!(
                 info,
                 "configuration-relayed",
--- a/crates/sagespool-gateway/src/pipeline.rs
+++ b/crates/sagespool-gateway/src/pipeline.rs
@@ -134,12 +134,12 @@
         Some(branch) => reserve(state, &index, branch, &demand, deadline).await?,
         None => None,
     };
-    let branch_homes = branch.map(|branch| branch.homes.clone()).unwrap_or_default();
+    let branch_regions = branch.map(|branch| branch.homes.clone()).unwrap_or_default();
     let branch = branch.map(|branch| branch.name.clone());
     Ok(AdmittedRequest {
         priority: rank.min(LOWEST_PRIORITY),
         branch,
-        branch_homes,
+        branch_regions,
         route,
         service,
         demand,
--- a/crates/sagespool-gateway/src/relay_role.rs
+++ b/crates/sagespool-gateway/src/relay_role.rs
@@ -13,7 +13,7 @@
 use sagespool_types::IncarnationId;
 use smol::Task;
 
-use crate::fleet::{FleetClient, LocalMember, answer_store_call};
+use crate::fleet::{FleetClient, LocalMember, handle_store_call};
 use crate::role::STORE_TIMEOUT;
 use crate::store_calls::log_store_calls;
 
@@ -60,8 +60,8 @@
         let (fleet, store) = (fleet.clone(), store.clone());
         Box::pin(async move {
             let reply = match call.request {
-                PeerRequest::Heartbeat(beat) => fleet.answer_heartbeat(&beat),
-                PeerRequest::CallStore(call) => answer_store_call(&store, call).await,
+                PeerRequest::Heartbeat(beat) => fleet.handle_heartbeat(&beat),
+                PeerRequest::CallStore(call) => handle_store_call(&store, call).await,
                 _ => PeerReply::Unsupported("this process is a relay".to_owned()),
             };
             call.responder.reply(reply).await;
--- a/crates/sagespool-gateway/src/state.rs
+++ b/crates/sagespool-gateway/src/state.rs
@@ -30,7 +30,7 @@
 
 /// Minimum interval between log lines about malformed response headers: a faulty upstream sends
 /// one with every response.
-const UNREADABLE_LOG_PERIOD: Duration = Duration::from_secs(1);
+const MALFORMED_LOG_PERIOD: Duration = Duration::from_secs(1);
 
 pub(crate) struct GatewayState {
     pub(crate) settings: GatewaySettings,
@@ -60,7 +60,7 @@
     throttle: Mutex<UpstreamThrottle>,
     sender_selector: Mutex<SenderSelector>,
     /// When a malformed response header was last logged.
-    unreadable: Mutex<Option<ClockTime>>,
+    malformed_logged_at: Mutex<Option<ClockTime>>,
 }
 
 /// A configuration with its text as stored, which other gateways may request.
@@ -126,7 +126,7 @@
             retries: Mutex::new(RetryBudget::new(terms)),
             throttle: Mutex::new(UpstreamThrottle::new(warmup_terms)),
             sender_selector: Mutex::new(sender_selector),
-            unreadable: Mutex::default(),
+            malformed_logged_at: Mutex::default(),
         }
     }
 
@@ -152,7 +152,7 @@
 
     /// Applies a configuration and returns true, unless the current one is at least as new. Older
     /// versions may arrive late and must not replace newer ones.
-    pub(crate) fn take_plan(&self, index: PlanIndex, document: &str) -> bool {
+    pub(crate) fn apply_plan(&self, index: PlanIndex, document: &str) -> bool {
         let version = index.plan().version;
         let fresh = LoadedPlan { index: Arc::new(index), document: document.into() };
         let mut plan = self.plan.write().unwrap_or_else(PoisonError::into_inner);
@@ -248,14 +248,14 @@
         }
     }
 
-    /// Logs a malformed header of an upstream's response, at most once per `UNREADABLE_LOG_PERIOD`.
-    pub(crate) fn note_unreadable(&self, name: &UpstreamName, mark: &str, now: ClockTime) {
-        let mut noted = self.unreadable.lock().unwrap_or_else(PoisonError::into_inner);
-        if noted.is_some_and(|noted| now.since(noted) < UNREADABLE_LOG_PERIOD) {
+    /// Logs a malformed header of an upstream's response, at most once per `MALFORMED_LOG_PERIOD`.
+    pub(crate) fn log_malformed_header(&self, name: &UpstreamName, header: &str, now: ClockTime) {
+        let mut logged_at = self.malformed_logged_at.lock().unwrap_or_else(PoisonError::into_inner);
+        if logged_at.is_some_and(|at| now.since(at) < MALFORMED_LOG_PERIOD) {
             return;
         }
-        *noted = Some(now);
-        log_event!(warn, "upstream-mark-unreadable", upstream = name, mark = mark);
+        *logged_at = Some(now);
+        log_event!(warn, "upstream-mark-unreadable", upstream = name, mark = header);
     }
 
     /// The warm-up settings of a service; `None` if its upstreams need no warm-up.
--- a/crates/sagespool-gateway/src/store_health.rs
+++ b/crates/sagespool-gateway/src/store_health.rs
@@ -38,7 +38,7 @@
         }
         let from =
             neighbour.map_or_else(|| "store".to_owned(), |member| member.instance.to_string());
-        log_event!(info, "followed-by-way-of", what = followed.what, from = from);
+        log_event!(info, "followed-by-way-of", what = followed.name, from = from);
     }
 
     /// Records that the store is unreachable.
@@ -51,7 +51,7 @@
         state.feeds.replica(followed.kind).note_store(true);
         if self.lost.is_none() {
             self.lost = Some(ClockTime::now());
-            log_event!(warn, "store-lost", what = followed.what, error = error);
+            log_event!(warn, "store-lost", what = followed.name, error = error);
         }
     }
 
@@ -62,8 +62,8 @@
         if let Some(since) = self.lost.take() {
             let outage = ClockTime::now().since(since);
             let away_ms = outage.as_millis();
-            log_event!(info, "store-regained", what = followed.what, away_ms = away_ms);
-            (followed.on_return)(state, outage);
+            log_event!(info, "store-regained", what = followed.name, away_ms = away_ms);
+            (followed.on_recovery)(state, outage);
         }
     }
 
