--- a/crates/sagespool-gateway/src/attempt.rs
+++ b/crates/sagespool-gateway/src/attempt.rs
@@ -34,8 +34,7 @@
     NoUpstream(UnavailableCause),
     /// No byte of the request was written.
     NotSent(&'static str),
-    /// Nothing was written: the upstream started a backoff or lowered its limit after it was
-    /// chosen.
+    /// Nothing was written: the upstream named a limit or started a backoff after it was chosen.
     DispatchBlocked,
     /// The upstream rejected the request without running it.
     Rejected,
--- a/crates/sagespool-gateway/src/desk/loans.rs
+++ b/crates/sagespool-gateway/src/desk/loans.rs
@@ -61,7 +61,7 @@
     lenders: Lenders,
 ) -> LoanOutcome {
     let mut others = fleet.others(MemberRole::Entry, ClockTime::now());
-    // A suspected or leaving member isn't queried but may have a grant.
+    // A suspected or unreachable member isn't queried but may have a grant.
     let mut complete = others.len() + 1 >= fleet.count(MemberRole::Entry);
     if let Lenders::Only(runs) = lenders {
         complete = false;
--- a/crates/sagespool-gateway/src/fleet.rs
+++ b/crates/sagespool-gateway/src/fleet.rs
@@ -136,7 +136,7 @@
         home.is_none_or(|home| home.incarnation == self.run)
     }
 
-    /// The live members of a role without this process, in random order.
+    /// The reachable members of a role without this process, in random order. Includes leaving ones.
     pub(crate) fn others(&self, role: MemberRole, now: ClockTime) -> Vec<MemberInfo> {
         let mut others = self.members.live(role, now);
         fastrand::shuffle(&mut others);
