--- a/crates/sagespool-gateway/src/attempt.rs
+++ b/crates/sagespool-gateway/src/attempt.rs
@@ -115,40 +115,40 @@
 /// during an attempt.
 pub(crate) struct PlacementGuard {
     state: Arc<GatewayState>,
-    ticket: Option<PlacedAttempt>,
+    attempt: Option<PlacedAttempt>,
 }
 
 impl PlacementGuard {
-    pub(crate) fn ticket(&self) -> &PlacedAttempt {
-        self.ticket.as_ref().expect("the ticket is present until the placement is finished")
+    pub(crate) fn attempt(&self) -> &PlacedAttempt {
+        self.attempt.as_ref().expect("the attempt is present until the placement is finished")
     }
 
     /// Records the arrival of the response head or the first event.
     pub(crate) fn note_first_event(&mut self, now: ClockTime) {
-        if let Some(ticket) = &mut self.ticket {
-            self.state.balancer().note_first_event(ticket, now);
+        if let Some(attempt) = &mut self.attempt {
+            self.state.balancer().note_first_event(attempt, now);
         }
     }
 
     /// Records the arrival of a further event.
     pub(crate) fn note_progress(&self, now: ClockTime) {
-        if let Some(ticket) = &self.ticket {
-            self.state.balancer().note_progress(ticket, now);
+        if let Some(attempt) = &self.attempt {
+            self.state.balancer().note_progress(attempt, now);
         }
     }
 
     /// Releases the slot with the outcome of the attempt.
     pub(crate) fn finish(mut self, outcome: SendOutcome, now: ClockTime) {
-        if let Some(ticket) = self.ticket.take() {
-            self.state.balancer().finish(ticket, outcome, now);
+        if let Some(attempt) = self.attempt.take() {
+            self.state.balancer().finish(attempt, outcome, now);
         }
     }
 }
 
 impl Drop for PlacementGuard {
     fn drop(&mut self) {
-        if let Some(ticket) = self.ticket.take() {
-            self.state.balancer().finish(ticket, SendOutcome::Cancelled, ClockTime::now());
+        if let Some(attempt) = self.attempt.take() {
+            self.state.balancer().finish(attempt, SendOutcome::Cancelled, ClockTime::now());
         }
     }
 }
@@ -161,7 +161,7 @@
 ) -> Result<OpenResponse, SendFailure> {
     let now = ClockTime::now();
     let placement = choose_upstream(context, now).map_err(SendFailure::NoUpstream)?;
-    let upstream = placement.ticket().upstream.clone();
+    let upstream = placement.attempt().upstream.clone();
     context.tried.push(upstream.run());
     context.log.upstream = Some(upstream.name.clone());
     let result = exchange(context, &placement, timeout).await;
@@ -197,7 +197,7 @@
     log_event!(
         warn,
         "send-failed",
-        request = context.request.demand.request,
+        request = context.request.attributes.request,
         upstream = upstream.name,
         address = upstream.address,
         cause = failure.as_str(),
@@ -215,8 +215,8 @@
 ) -> Result<PlacementGuard, UnavailableCause> {
     let state = &context.state;
     let service = context.request.index.service(&context.request.service);
-    let shape = RequestProfile {
-        parts: &context.request.demand.parts,
+    let profile = RequestProfile {
+        parts: &context.request.attributes.parts,
         engine: service.and_then(|service| service.engine.as_ref()),
         centre: &state.settings.centre,
         repeatable: context.may_repeat(),
@@ -242,9 +242,9 @@
         }
         admitted
     });
-    let ticket = state.balancer().choose(ready, shape, &context.tried, now).ok_or(cause)?;
-    throttle.count_placement(&ticket.upstream.name, now);
-    Ok(PlacementGuard { state: state.clone(), ticket: Some(ticket) })
+    let attempt = state.balancer().choose(ready, profile, &context.tried, now).ok_or(cause)?;
+    throttle.count_placement(&attempt.upstream.name, now);
+    Ok(PlacementGuard { state: state.clone(), attempt: Some(attempt) })
 }
 
 async fn exchange(
@@ -252,7 +252,7 @@
     placement: &PlacementGuard,
     timeout: Duration,
 ) -> Result<(Response<Incoming>, UpstreamConnection), SendFailure> {
-    let upstream = &placement.ticket().upstream;
+    let upstream = &placement.attempt().upstream;
     let kept = context.state.pool.take(upstream, ClockTime::now());
     let mut connection = match kept {
         Some(connection) => connection,
@@ -262,7 +262,7 @@
         },
     };
     let now = ClockTime::now();
-    if !confirm_dispatch(&context.state, placement.ticket(), now) {
+    if !confirm_dispatch(&context.state, placement.attempt(), now) {
         context.state.pool.keep(&upstream.name, connection, now);
         return Err(SendFailure::DispatchBlocked);
     }
@@ -282,12 +282,12 @@
 }
 
 /// Records that a request is being sent; false if the upstream no longer allows it.
-fn confirm_dispatch(state: &GatewayState, ticket: &PlacedAttempt, now: ClockTime) -> bool {
+fn confirm_dispatch(state: &GatewayState, attempt: &PlacedAttempt, now: ClockTime) -> bool {
     let mut throttle = state.throttle();
-    if throttle.blocks_dispatch(&ticket.upstream.name, ticket.chosen_at, now) {
+    if throttle.blocks_dispatch(&attempt.upstream.name, attempt.chosen_at, now) {
         return false;
     }
-    throttle.note_dispatched(&ticket.upstream.name, ticket.chosen_at, now);
+    throttle.note_dispatched(&attempt.upstream.name, attempt.chosen_at, now);
     true
 }
 
@@ -312,11 +312,11 @@
     let mut headers = context.head.headers.clone();
     strip_hop_by_hop(&mut headers);
     let terms = UpstreamRequestTerms {
-        upstream: &placement.ticket().upstream.name,
+        upstream: &placement.attempt().upstream.name,
         branch: context.request.branch.as_ref(),
         time_left: context.time_left(now),
         priority: Some(context.request.priority),
-        resume_after: context.last_event.or(context.request.demand.resume_after),
+        resume_after: context.last_event.or(context.request.attributes.resume_after),
     };
     (context.state.dialect.write_upstream_headers)(&mut headers, &terms);
     let mut request = Request::new(Full::new(context.request.body.clone()));
@@ -339,26 +339,28 @@
     let metadata = (context.state.dialect.read_response_metadata)(head.status, &mut head.headers);
     // An upstream may send a second response to an earlier request on this connection. The current
     // request may be running, but its response can no longer be identified.
-    let crossed =
-        metadata.request.as_ref().is_some_and(|request| *request != context.request.demand.request);
+    let crossed = metadata
+        .request
+        .as_ref()
+        .is_some_and(|request| *request != context.request.attributes.request);
     if crossed {
         placement.finish(SendOutcome::Broken, now);
         return Err(SendFailure::Lost("crossed"));
     }
     if !metadata.misdirected {
-        apply_metadata(context, placement.ticket(), &metadata, now);
+        apply_metadata(context, placement.attempt(), &metadata, now);
     }
     if metadata.not_run {
         log_event!(
             info,
             "turned-away",
-            request = context.request.demand.request,
-            upstream = placement.ticket().upstream.name,
+            request = context.request.attributes.request,
+            upstream = placement.attempt().upstream.name,
             status = head.status.as_u16(),
             load = metadata.load.map_or_else(String::new, |load| load.to_string()),
-            own = context.state.balancer().running(&placement.ticket().upstream.name),
+            own = context.state.balancer().running(&placement.attempt().upstream.name),
         );
-        let name = placement.ticket().upstream.name.clone();
+        let name = placement.attempt().upstream.name.clone();
         placement.finish(SendOutcome::Refused, now);
         if metadata.misdirected {
             context.state.forget_upstream(&name);
@@ -376,23 +378,23 @@
 /// Applies the state that an upstream reports about itself in its response headers.
 fn apply_metadata(
     context: &RequestContext,
-    ticket: &PlacedAttempt,
+    attempt: &PlacedAttempt,
     metadata: &ResponseMetadata,
     now: ClockTime,
 ) {
-    let (state, name) = (&context.state, &ticket.upstream.name);
+    let (state, name) = (&context.state, &attempt.upstream.name);
     if let Some(load) = metadata.load {
         state.balancer().note_load(name, load, now);
     }
     if let Some(left) = metadata.cold_left {
         state.note_cold(name, left, now);
     }
-    state.note_rate_limit(name, metadata.rate_limit, ticket.chosen_at, now);
-    if metadata.leaving && state.upstreams().note_leaving(&ticket.upstream.run(), now) {
+    state.note_rate_limit(name, metadata.rate_limit, attempt.chosen_at, now);
+    if metadata.leaving && state.upstreams().note_leaving(&attempt.upstream.run(), now) {
         log_event!(info, "upstream-says-leaving", upstream = name);
     }
-    if let Some(rest) = metadata.backoff {
-        state.note_backoff(name, rest, now);
+    if let Some(backoff) = metadata.backoff {
+        state.note_backoff(name, backoff, now);
     }
     if let Some(header) = metadata.unreadable {
         state.log_malformed_header(name, header, now);
--- a/crates/sagespool-gateway/src/body.rs
+++ b/crates/sagespool-gateway/src/body.rs
@@ -12,8 +12,8 @@
 use hyper::body::{Body, Bytes, Frame, SizeHint};
 use smol::{Task, Timer};
 
+use crate::admission::HeldMemory;
 use crate::flush::FlushCounter;
-use crate::intake::HeldMemory;
 
 /// How long an aborted response waits for the caller's connection to write the data before the
 /// abort. A caller that reads needs some milliseconds; one that doesn't must not keep the
--- a/crates/sagespool-gateway/src/desk.rs
+++ b/crates/sagespool-gateway/src/budget.rs
@@ -1,4 +1,6 @@
 //! Client accounts' budgets: reservations of requests and the grants that cover them.
+//!
+//! Each account has a record in the store (`PrepaidRecord`) with its total and all grants.
 
 mod account;
 mod grants;
@@ -52,7 +54,7 @@
     store: ObjectClient,
     run: IncarnationId,
     instance: InstanceName,
-    terms: GrantPolicy,
+    policy: GrantPolicy,
     /// The number of instances that accounts' homes are spread over, including this one.
     homes: AtomicUsize,
     accounts: Mutex<HashMap<BranchName, Arc<AccountState>>>,
@@ -65,13 +67,13 @@
         store: ObjectClient,
         run: IncarnationId,
         instance: InstanceName,
-        terms: GrantPolicy,
+        policy: GrantPolicy,
     ) -> Self {
         Self {
             store,
             run,
             instance,
-            terms,
+            policy,
             homes: AtomicUsize::new(1),
             accounts: Mutex::default(),
             store_failed: Mutex::default(),
@@ -82,9 +84,9 @@
         self.homes.store(homes, Ordering::Relaxed);
     }
 
-    /// The grant terms for the current number of instances.
+    /// The grant policy for the current number of instances.
     fn supply_policy(&self) -> GrantPolicy {
-        self.terms.scaled_to_homes(self.homes.load(Ordering::Relaxed))
+        self.policy.scaled_to_homes(self.homes.load(Ordering::Relaxed))
     }
 
     fn account(&self, branch: &BranchName) -> Arc<AccountState> {
@@ -93,9 +95,9 @@
         accounts.entry(branch.clone()).or_insert_with(fresh).clone()
     }
 
-    /// Raises this instance's grant until its free part covers a request, and asks for a larger
-    /// grant early if it runs low. If the book can't cover the request either, returns how much the
-    /// free part and the book cover together.
+    /// Raises this instance's grant until its free part covers a request, and tops it up early if it
+    /// runs low. If the record can't cover the request either, returns how much the free part and
+    /// the record cover together.
     pub(crate) async fn ensure_covered(
         self: &Arc<Self>,
         budget: &BudgetRequest,
@@ -152,7 +154,7 @@
         now: ClockTime,
     ) -> TokenCount {
         let account = self.account(branch);
-        lock(&account.balance).allowed_loan_ahead(self.terms, prepaid, ahead, now)
+        lock(&account.balance).allowed_loan_ahead(self.policy, prepaid, ahead, now)
     }
 
     /// Reserves the maximum cost of a request from the grant of this instance, from loans of other
@@ -187,8 +189,8 @@
         if matches!(grant, Ok(GrantOutcome::Granted)) {
             return Ok(Reservation::new(account, budget.amount));
         }
-        // A short book alone doesn't mean that the budget is spent: other instances may have free
-        // grants, so all of them are queried.
+        // Too few free tokens in the record don't mean that the budget is spent: other instances
+        // may have free grants, so all of them are queried.
         let query_all = matches!(grant, Ok(GrantOutcome::Short(_)));
         let mut failed = account.round.lock().await;
         let now = ClockTime::now();
@@ -223,8 +225,8 @@
         Err(self.refuse_after(&account, budget, grant, loan))
     }
 
-    /// Reserves with a loan from the account's home. A shortage of the book that the home reports
-    /// counts like one read from the book. `None` if there is no other home, it doesn't reply, or
+    /// Reserves with a loan from the account's home. A shortage that the home reports counts like
+    /// one read from the record. `None` if there is no other home, it doesn't reply, or
     /// it lends too little without reporting a shortage.
     async fn reserve_at_home(
         &self,
@@ -235,7 +237,7 @@
         let (missing, ahead) = {
             let balance = lock(&account.balance);
             let ahead =
-                balance.loan_ahead(self.terms, budget.prepaid, budget.amount, ClockTime::now());
+                balance.loan_ahead(self.policy, budget.prepaid, budget.amount, ClockTime::now());
             (budget.amount.less(balance.free()), ahead)
         };
         let size = LoanAmount { missing, ahead };
@@ -256,8 +258,8 @@
         reply.room.map(|room| GrantOutcome::Short(room + own))
     }
 
-    /// The refusal of a request that no grant or loan covers. It is `BudgetSpent` only if the book
-    /// and every other gateway reported too little.
+    /// The refusal of a request that no grant or loan covers. It is `BudgetSpent` only if the
+    /// record and every other gateway reported too little.
     fn refuse_after(
         &self,
         account: &AccountState,
--- a/crates/sagespool-gateway/src/desk/account.rs
+++ b/crates/sagespool-gateway/src/budget/account.rs
@@ -1,4 +1,4 @@
-//! The state of one account at this instance: free tokens, the cached book, and reservations.
+//! The state of one account at this instance: free tokens, the cached record, and reservations.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,11 +16,11 @@
 pub(crate) struct AccountState {
     pub(super) branch: BranchName,
     pub(super) balance: Mutex<PrepaidBalance>,
-    /// The book as last read or written; `None` if it must be read again. The lock is held during
+    /// The record as last read or written; `None` if it must be read again. The lock is held during
     /// writes.
-    pub(super) book: TurnLock<Option<KnownBook>>,
+    pub(super) record: TurnLock<Option<CachedRecord>>,
     shortage: Mutex<Option<CachedShortage>>,
-    /// The runs with a grant in the book when it was last read.
+    /// The runs with a grant in the record when it was last read.
     holders: Mutex<Vec<IncarnationId>>,
     /// Held while other instances are queried for loans: requests of one account wait for the round
     /// in progress, whose loans may cover them too. Holds the last round if it failed.
@@ -29,7 +29,7 @@
 }
 
 #[derive(Clone)]
-pub(super) struct KnownBook {
+pub(super) struct CachedRecord {
     pub(super) version: StoreRevision,
     pub(super) value: PrepaidRecord,
 }
@@ -43,7 +43,7 @@
         Self {
             branch: branch.clone(),
             balance: Mutex::default(),
-            book: TurnLock::new(None),
+            record: TurnLock::new(None),
             shortage: Mutex::default(),
             holders: Mutex::default(),
             round: TurnLock::new(None),
@@ -59,9 +59,9 @@
         balance.reserve(budget.amount, ClockTime::now())
     }
 
-    /// Records the runs with a grant in the book.
-    pub(super) fn note_holders(&self, book: &PrepaidRecord) {
-        *lock(&self.holders) = book.holders.keys().copied().collect();
+    /// Updates the holders from the account's record.
+    pub(super) fn note_holders(&self, record: &PrepaidRecord) {
+        *lock(&self.holders) = record.holders.keys().copied().collect();
     }
 
     /// The runs that may have a grant of this account.
@@ -69,10 +69,10 @@
         lock(&self.holders).clone()
     }
 
-    /// Records that the book and all instances together cover no more than `room`.
+    /// Stores the finding that the record and all instances together cover no more than `room`.
     pub(super) fn note_shortage(&self, room: TokenCount, version: ConfigVersion, now: ClockTime) {
         let mut shortage = lock(&self.shortage);
-        *shortage = Some(CachedShortage::record(*shortage, room, version, now));
+        *shortage = Some(CachedShortage::updated(*shortage, room, version, now));
     }
 
     /// The amount that can be covered, if a recent shortage rules out this request.
--- a/crates/sagespool-gateway/src/desk/grants.rs
+++ b/crates/sagespool-gateway/src/budget/grants.rs
@@ -10,10 +10,10 @@
 use sagespool_types::{ClockTime, StoreRevision, TokenCount};
 use smol::{Task, Timer};
 
-use super::account::{AccountState, KnownBook, lock};
+use super::account::{AccountState, CachedRecord, lock};
 use super::{BudgetPool, BudgetRequest};
 
-/// Attempts to write one book before a request is refused. Writes of other instances conflict.
+/// Attempts to write one record before a request is refused. Writes of other instances conflict.
 const MAX_TRIES: u32 = 8;
 /// Pause between two tries, times the number of tries so far: a write takes about 4 ms.
 const RETRY_PAUSE: Duration = Duration::from_millis(3);
@@ -21,7 +21,7 @@
 /// The result of requesting a larger grant.
 pub(super) enum GrantOutcome {
     Granted,
-    /// The book covers this amount at most.
+    /// The amount that the record and the unspent part of this run's grant cover.
     Short(TokenCount),
 }
 
@@ -48,7 +48,7 @@
         instances: usize,
     ) -> Result<GrantOutcome, StoreError> {
         // One writer per account: the grant that it gets may cover the waiting requests too.
-        let mut known = account.book.lock().await;
+        let mut cached = account.record.lock().await;
         let key = prepaid_key(&account.branch);
         for tries in 0..MAX_TRIES {
             if missing > TokenCount::ZERO
@@ -56,43 +56,43 @@
             {
                 return Ok(GrantOutcome::Granted);
             }
-            let fresh = known.is_none();
-            if fresh {
-                *known = Some(self.read_book(&key).await?);
+            let is_fresh = cached.is_none();
+            if is_fresh {
+                *cached = Some(self.read_record(&key).await?);
             }
-            let Some(read) = known.clone() else {
+            let Some(read) = cached.clone() else {
                 continue;
             };
-            let mut book = read.value;
-            book.set_total(budget.version, budget.prepaid);
-            book.close_earlier_runs(self.run, &self.instance);
-            account.note_holders(&book);
-            let present = book.granted(self.run);
+            let mut record = read.value;
+            record.set_total(budget.version, budget.prepaid);
+            record.close_earlier_runs(self.run, &self.instance);
+            account.note_holders(&record);
+            let present = record.granted(self.run);
             let now = ClockTime::now();
-            let terms = self.supply_policy().per_instance(instances);
+            let policy = self.supply_policy().per_instance(instances);
             let wanted = {
                 let mut balance = lock(&account.balance);
-                balance.observe_record(&book);
-                balance.grant_to_request(&book, present, missing, terms, now)
+                balance.observe_record(&record);
+                balance.grant_to_request(&record, present, missing, policy, now)
             };
             let Some(wanted) = wanted else {
-                if fresh {
-                    let needed = lock(&account.balance).min_grant();
-                    return Ok(GrantOutcome::Short((book.free() + present).less(needed)));
+                if is_fresh {
+                    let min_grant = lock(&account.balance).min_grant();
+                    return Ok(GrantOutcome::Short((record.free() + present).less(min_grant)));
                 }
-                // The cached book may be stale: other instances may have returned tokens.
-                *known = None;
+                // The cached record may be stale: other instances may have returned tokens.
+                *cached = None;
                 continue;
             };
-            book.set_granted(self.run, &self.instance, wanted);
+            record.set_granted(self.run, &self.instance, wanted);
             let supply = lock(&account.balance).supply_in_grant(wanted, missing);
-            book.set_supply(self.run, supply);
-            *known = None;
-            match self.store.put(&key, read.version, &book).await {
+            record.set_supply(self.run, supply);
+            *cached = None;
+            match self.store.put(&key, read.version, &record).await {
                 Ok(version) => {
                     lock(&account.balance).set_acknowledged(wanted);
-                    self.log_grant(account, &book, wanted, version);
-                    *known = Some(KnownBook { version, value: book });
+                    self.log_grant(account, &record, wanted, version);
+                    *cached = Some(CachedRecord { version, value: record });
                     if missing == TokenCount::ZERO {
                         return Ok(GrantOutcome::Granted);
                     }
@@ -106,18 +106,18 @@
         Err(StoreError::Unavailable)
     }
 
-    async fn read_book(&self, key: &str) -> Result<KnownBook, StoreError> {
+    async fn read_record(&self, key: &str) -> Result<CachedRecord, StoreError> {
         let found = self.store.get::<PrepaidRecord>(key).await?;
         Ok(match found {
-            Some(object) => KnownBook { version: object.version, value: object.value },
-            None => KnownBook { version: StoreRevision::ZERO, value: PrepaidRecord::default() },
+            Some(object) => CachedRecord { version: object.version, value: object.value },
+            None => CachedRecord { version: StoreRevision::ZERO, value: PrepaidRecord::default() },
         })
     }
 
     fn log_grant(
         &self,
         account: &AccountState,
-        book: &PrepaidRecord,
+        record: &PrepaidRecord,
         granted: TokenCount,
         version: StoreRevision,
     ) {
@@ -126,16 +126,16 @@
             "grant-acknowledged",
             branch = account.branch,
             granted = granted,
-            book_free = book.free(),
-            prepaid = book.prepaid,
-            closed = book.closed,
-            given_up = book.given_up,
-            holders = book.holders.len(),
+            book_free = record.free(),
+            prepaid = record.prepaid,
+            closed = record.closed,
+            given_up = record.given_up,
+            holders = record.holders.len(),
             revision = version,
         );
     }
 
-    /// Closes this run's grants in the books with the amounts spent. For a graceful stop.
+    /// Closes this run's grants in the records with the amounts spent. For a graceful stop.
     pub(crate) async fn close_all(self: &Arc<Self>, limit: Duration) {
         let accounts: Vec<Arc<AccountState>> = lock(&self.accounts).values().cloned().collect();
         let closing = accounts.into_iter().map(|account| {
@@ -152,11 +152,11 @@
         let spent = lock(&account.balance).min_grant();
         lock(&account.balance).lower_grant_to(spent);
         let key = prepaid_key(&account.branch);
-        let close = |book: &mut PrepaidRecord| {
-            if !book.holders.contains_key(&self.run) {
+        let close = |record: &mut PrepaidRecord| {
+            if !record.holders.contains_key(&self.run) {
                 return UpdateChoice::Keep;
             }
-            book.close(self.run, spent);
+            record.close(self.run, spent);
             UpdateChoice::Write
         };
         match update_object(&self.store, &key, limit, close).await {
--- a/crates/sagespool-gateway/src/desk/loan_returns.rs
+++ b/crates/sagespool-gateway/src/budget/loan_returns.rs
@@ -14,7 +14,7 @@
 
 impl BudgetPool {
     /// Returns the unspent part of loans to the accounts' homes. For a graceful stop: loans aren't
-    /// recorded in the books, so what isn't returned is lost to the accounts.
+    /// part of the accounts' records, so what isn't returned is lost.
     pub(crate) async fn return_loans(self: &Arc<Self>, fleet: &Arc<FleetClient>, limit: Duration) {
         let accounts: Vec<Arc<AccountState>> = lock(&self.accounts).values().cloned().collect();
         let returning = accounts.into_iter().filter_map(|account| {
@@ -22,9 +22,9 @@
             if amount == TokenCount::ZERO {
                 return None;
             }
-            let rest = BudgetRest { branch: account.branch.clone(), amount };
+            let unspent = BudgetRest { branch: account.branch.clone(), amount };
             let fleet = fleet.clone();
-            Some(smol::spawn(async move { return_loan(&fleet, rest, limit).await }))
+            Some(smol::spawn(async move { return_loan(&fleet, unspent, limit).await }))
         });
         let returning: Vec<Task<()>> = returning.collect();
         for task in returning {
@@ -33,21 +33,21 @@
     }
 
     /// Accepts the unspent part of a loan from an instance that stops.
-    pub(crate) fn accept_returned_loan(&self, rest: &BudgetRest) {
-        let account = self.account(&rest.branch);
-        lock(&account.balance).borrow(rest.amount);
-        log_event!(info, "rest-taken", branch = rest.branch, amount = rest.amount);
+    pub(crate) fn accept_returned_loan(&self, unspent: &BudgetRest) {
+        let account = self.account(&unspent.branch);
+        lock(&account.balance).borrow(unspent.amount);
+        log_event!(info, "rest-taken", branch = unspent.branch, amount = unspent.amount);
     }
 }
 
-async fn return_loan(fleet: &FleetClient, rest: BudgetRest, limit: Duration) {
-    let (branch, amount) = (rest.branch.clone(), rest.amount);
+async fn return_loan(fleet: &FleetClient, unspent: BudgetRest, limit: Duration) {
+    let (branch, amount) = (unspent.branch.clone(), unspent.amount);
     let Some(recipient) = loan_recipient(fleet, &branch, ClockTime::now()) else {
         log_event!(warn, "rest-lost", branch = branch, amount = amount, cause = "no other gateway");
         return;
     };
     // Sent once: after a lost reply, a retry could credit the amount twice.
-    match fleet.call(recipient.address, &PeerRequest::ReturnRest(rest), limit).await {
+    match fleet.call(recipient.address, &PeerRequest::ReturnRest(unspent), limit).await {
         Ok(PeerReply::Done) => {
             log_event!(
                 info,
--- a/crates/sagespool-gateway/src/desk/loans.rs
+++ b/crates/sagespool-gateway/src/budget/loans.rs
@@ -44,13 +44,13 @@
 pub(super) enum Lenders {
     /// Every gateway. Required to conclude that the budget is spent.
     All,
-    /// The runs with a grant in the account's book.
+    /// The runs with a grant in the account's record.
     Only(Vec<IncarnationId>),
 }
 
 /// Borrows from other gateways until the wanted amount is reached.
 ///
-/// While the store is unreachable, only the holders in the last known book are queried. With each
+/// While the store is unreachable, only the holders in the last known record are queried. With each
 /// request querying all of 70 gateways in turn, a busy gateway spent its CPU time on these queries
 /// and its callers waited for seconds.
 pub(super) async fn borrow(
@@ -88,9 +88,9 @@
 
 /// Borrows from the account's home. `None` if this gateway is the home or the home doesn't reply.
 ///
-/// Without a home, every gateway takes small grants from the same book and their writes conflict:
+/// Without a home, every gateway takes small grants from the same record and their writes conflict:
 /// in a small deployment a request cost 1.5 writes. The home's grants serve all gateways, and a
-/// shortage that it reports saves the others from reading the book: with 31 gateways these reads
+/// shortage that it reports saves the others from reading the record: with 31 gateways these reads
 /// were a third of all calls of the store.
 pub(super) async fn borrow_at_home(
     fleet: &Arc<FleetClient>,
--- a/crates/sagespool-gateway/src/desk/shortage.rs
+++ b/crates/sagespool-gateway/src/budget/shortage.rs
@@ -5,16 +5,16 @@
 use sagespool_types::{ClockTime, ConfigVersion, TokenCount};
 
 /// How long a shortage holds when it is first found. Short, since tokens may be on their way back
-/// to the book.
+/// to the record.
 const INITIAL_TTL: Duration = Duration::from_millis(300);
 /// Maximum time that a shortage holds after repeated reads found no more. An instance that stops
 /// returns its tokens within one or two seconds; a new configuration ends the shortage immediately.
 const MAX_TTL: Duration = Duration::from_millis(1200);
 
-/// A recent finding that the book and all instances' free tokens together don't cover a request.
+/// A recent finding that the record and all instances' free tokens together don't cover a request.
 ///
-/// Callers of a spent account continue to send requests, and each check is a read of the book and a
-/// query to every other instance. Each check that finds no more doubles the time until the next
+/// Callers of a spent account continue to send requests, and each check is a read of the record and
+/// a query to every other instance. Each check that finds no more doubles the time until the next
 /// one: at 20 requests/s that makes 22 reads in 25 s, against 84 with a fixed interval of 300 ms.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CachedShortage {
@@ -26,15 +26,16 @@
 }
 
 impl CachedShortage {
-    /// Records that no more than `room` can be covered. `known` is the previous finding, if any.
-    pub fn record(
-        known: Option<Self>,
+    /// A finding that no more than `room` can be covered, after the previous one, if any.
+    pub fn updated(
+        previous: Option<Self>,
         room: TokenCount,
         version: ConfigVersion,
         now: ClockTime,
     ) -> Self {
-        let confirmed = known.filter(|known| known.version == version && room <= known.room);
-        let ttl = confirmed.map_or(INITIAL_TTL, |known| (known.ttl * 2).min(MAX_TTL));
+        let confirmed =
+            previous.filter(|previous| previous.version == version && room <= previous.room);
+        let ttl = confirmed.map_or(INITIAL_TTL, |previous| (previous.ttl * 2).min(MAX_TTL));
         Self { room, version, noted_at: now, ttl }
     }
 
@@ -71,7 +72,7 @@
 }
 
 impl FailedLoanRound {
-    /// Records a round that ended at `now`.
+    /// A round that ended at `now`.
     pub fn new(amount: TokenCount, now: ClockTime) -> Self {
         Self { amount, noted_at: now }
     }
--- a/crates/sagespool-gateway/src/callers.rs
+++ b/crates/sagespool-gateway/src/callers.rs
@@ -19,9 +19,9 @@
 use smol::net::{TcpListener, TcpStream};
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
+use crate::admission::ConnectionPermit;
 use crate::body::ResponseBody;
 use crate::flush::{FlushCounter, FlushCountingStream};
-use crate::intake::ConnectionPermit;
 use crate::pipeline::serve;
 use crate::state::GatewayState;
 
--- a/crates/sagespool-gateway/src/context.rs
+++ b/crates/sagespool-gateway/src/context.rs
@@ -12,8 +12,8 @@
 use sagespool_log::log_event;
 use sagespool_types::{BranchName, CentreName, ClockTime, ServiceName, TokenCount, UpstreamName};
 
-use crate::desk::Reservation;
-use crate::intake::RequestPermit;
+use crate::admission::RequestPermit;
+use crate::budget::Reservation;
 use crate::metrics::Outcome;
 use crate::refusal::Refusal;
 use crate::state::GatewayState;
@@ -27,7 +27,7 @@
     /// The regions where its account allows it to run.
     pub(crate) branch_regions: AllowedRegions,
     pub(crate) priority: u8,
-    pub(crate) demand: RequestAttributes,
+    pub(crate) attributes: RequestAttributes,
     pub(crate) body: Bytes,
     pub(crate) reservation: Option<Reservation>,
     /// Its share of this instance's admission limits.
@@ -82,7 +82,8 @@
     /// Charges the prompt. An upstream may have processed it as soon as the request is sent, also
     /// if the caller disconnects before the response.
     pub(crate) fn charge_prompt(&mut self) {
-        let prompt = self.request.demand.tokens.map_or(TokenCount::ZERO, |tokens| tokens.prompt);
+        let prompt =
+            self.request.attributes.tokens.map_or(TokenCount::ZERO, |tokens| tokens.prompt);
         if let Some(reservation) = &mut self.request.reservation {
             reservation.set_prompt(prompt);
         }
@@ -120,7 +121,7 @@
     pub(crate) request: String,
     pub(crate) route: String,
     pub(crate) branch: Option<BranchName>,
-    pub(crate) began: ClockTime,
+    pub(crate) started_at: ClockTime,
     pub(crate) first: Option<ClockTime>,
     pub(crate) upstream: Option<UpstreamName>,
     pub(crate) sends: u32,
@@ -136,14 +137,14 @@
 }
 
 impl RequestLog {
-    pub(crate) fn new(state: &Arc<GatewayState>, began: ClockTime) -> Self {
+    pub(crate) fn new(state: &Arc<GatewayState>, started_at: ClockTime) -> Self {
         state.requests.fetch_add(1, Ordering::Relaxed);
         Self {
             state: state.clone(),
             request: String::new(),
             route: String::new(),
             branch: None,
-            began,
+            started_at,
             first: None,
             upstream: None,
             sends: 0,
@@ -191,8 +192,8 @@
             sends = self.sends,
             events = self.events,
             charged = self.charged,
-            first_ms = first.since(self.began).as_millis(),
-            total_ms = now.since(self.began).as_millis(),
+            first_ms = first.since(self.started_at).as_millis(),
+            total_ms = now.since(self.started_at).as_millis(),
             turn_ms = self.scheduling_delay.as_millis(),
             plan = self.state.plan_version(),
             detail = self.detail,
@@ -202,8 +203,8 @@
         metrics.observe_latency(
             &self.route,
             self.branch.as_ref(),
-            first.since(self.began),
-            now.since(self.began),
+            first.since(self.started_at),
+            now.since(self.started_at),
         );
     }
 }
--- a/crates/sagespool-gateway/src/crashes.rs
+++ b/crates/sagespool-gateway/src/crashes.rs
@@ -22,13 +22,13 @@
 const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Crash reports of this gateway and of others, by request content.
-pub(crate) struct CrashTracker {
+pub(crate) struct CrashReports {
     board: CrashBoard,
     /// Number of reports. While it is zero, requests' contents aren't hashed.
     reports: AtomicUsize,
 }
 
-impl CrashTracker {
+impl CrashReports {
     pub(crate) fn new() -> Self {
         let policy = CrashPolicy::builder().stop_at(CRASHES_TO_QUARANTINE).build();
         Self { board: CrashBoard::with_policy(policy), reports: AtomicUsize::new(0) }
@@ -60,7 +60,7 @@
 impl RequestContext {
     /// Identifies equal requests across all gateways.
     pub(crate) fn content(&self) -> ContentDigest {
-        content_of(self.request.demand.key.as_deref(), &self.head, &self.request.body)
+        content_of(self.request.attributes.key.as_deref(), &self.head, &self.request.body)
     }
 
     /// Records that an upstream's connection broke before the response began, and reports it to the
--- a/crates/sagespool-gateway/src/feeds.rs
+++ b/crates/sagespool-gateway/src/feeds.rs
@@ -124,9 +124,9 @@
 /// The copies of all followed prefixes, and the choice of their sources.
 #[derive(Debug)]
 pub(crate) struct FeedRegistry {
-    terms: Option<FeedTiming>,
-    evacuation_terms: Option<FeedTiming>,
-    sources: Mutex<FeedSourceSelector>,
+    timing: Option<FeedTiming>,
+    evacuation_timing: Option<FeedTiming>,
+    source_selector: Mutex<FeedSourceSelector>,
     configuration: FeedReplica,
     upstreams: FeedReplica,
     evacuations: FeedReplica,
@@ -136,20 +136,20 @@
     pub(crate) fn new(in_force: Option<InForceSettings>) -> Self {
         let evacuations = in_force.and_then(|times| times.evacuations);
         Self {
-            terms: in_force.and_then(|times| FeedTiming::within(times.changes)),
-            evacuation_terms: evacuations.and_then(FeedTiming::within),
-            sources: Mutex::default(),
+            timing: in_force.and_then(|times| FeedTiming::within(times.changes)),
+            evacuation_timing: evacuations.and_then(FeedTiming::within),
+            source_selector: Mutex::default(),
             configuration: FeedReplica::default(),
             upstreams: FeedReplica::default(),
             evacuations: FeedReplica::default(),
         }
     }
 
-    /// The terms for following a kind by neighbours; `None` if it always follows the store.
-    pub(crate) fn terms(&self, kind: FollowedKind) -> Option<FeedTiming> {
+    /// The timing of following a kind by neighbours; `None` if it always follows the store.
+    pub(crate) fn timing(&self, kind: FollowedKind) -> Option<FeedTiming> {
         match kind {
-            FollowedKind::Configuration | FollowedKind::Upstreams => self.terms,
-            FollowedKind::Evacuations => self.evacuation_terms,
+            FollowedKind::Configuration | FollowedKind::Upstreams => self.timing,
+            FollowedKind::Evacuations => self.evacuation_timing,
         }
     }
 
@@ -161,8 +161,8 @@
         }
     }
 
-    fn sources(&self) -> MutexGuard<'_, FeedSourceSelector> {
-        self.sources.lock().unwrap_or_else(PoisonError::into_inner)
+    fn source_selector(&self) -> MutexGuard<'_, FeedSourceSelector> {
+        self.source_selector.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// The neighbour to request changes from; `None` for the store.
@@ -173,12 +173,12 @@
         kind: FollowedKind,
         now: ClockTime,
     ) -> Option<MemberInfo> {
-        let terms = self.terms(kind)?;
+        let timing = self.timing(kind)?;
         let own_age = self.replica(kind).age();
         let mut others = fleet.others(MemberRole::Entry, now);
         others.retain(|other| other.centre == *centre && !other.leaving);
         let ids: Vec<IncarnationId> = others.iter().map(|other| other.incarnation).collect();
-        match self.sources().choose(fleet.run, &ids, own_age, terms, now) {
+        match self.source_selector().choose(fleet.run, &ids, own_age, timing, now) {
             FeedSource::Store => None,
             FeedSource::Neighbour(id) => others.into_iter().find(|other| other.incarnation == id),
         }
@@ -195,10 +195,10 @@
         neighbour: &MemberInfo,
         kind: FollowedKind,
     ) -> Option<FollowReply> {
-        let terms = self.terms(kind)?;
+        let timing = self.timing(kind)?;
         let after = self.replica(kind).revision();
-        let request = PeerRequest::Follow(FollowAsk { kind, after, wait: terms.poll_wait });
-        let limit = terms.poll_wait + REPLY_TIMEOUT;
+        let request = PeerRequest::Follow(FollowAsk { kind, after, wait: timing.poll_wait });
+        let limit = timing.poll_wait + REPLY_TIMEOUT;
         let reply = match fleet.call(neighbour.address, &request, limit).await {
             Ok(PeerReply::Follow(reply)) => Some(reply),
             _ => None,
@@ -208,7 +208,7 @@
             Some(None) => "no copy".to_owned(),
             Some(Some(age)) => format!("copy is {} ms old", age.as_millis()),
         };
-        let fresh = reply.filter(|reply| reply.age.is_some_and(|age| age <= terms.max_age));
+        let fresh = reply.filter(|reply| reply.age.is_some_and(|age| age <= timing.max_age));
         if fresh.is_none() {
             log_event!(
                 info,
@@ -217,14 +217,14 @@
                 kind = kind.as_str(),
                 cause = cause,
             );
-            self.sources().avoid(neighbour.incarnation, ClockTime::now());
+            self.source_selector().avoid(neighbour.incarnation, ClockTime::now());
         }
         fresh
     }
 
     /// Replies to a neighbour's long poll.
     pub(crate) async fn handle_query(&self, query: FollowAsk) -> FollowReply {
-        let longest = self.terms(query.kind).map_or(REPLY_TIMEOUT, |terms| terms.poll_wait);
+        let longest = self.timing(query.kind).map_or(REPLY_TIMEOUT, |timing| timing.poll_wait);
         let query = FollowAsk { wait: query.wait.min(longest), ..query };
         self.replica(query.kind).handle_query(query).await
     }
--- a/crates/sagespool-gateway/src/fleet.rs
+++ b/crates/sagespool-gateway/src/fleet.rs
@@ -48,7 +48,7 @@
 const ADDRESS_PREFIX: &str = "members/";
 const NO_LINK: &str = "this process's link isn't open yet";
 /// Number of processes tried, one after the other, to forward a call of the store.
-const MAX_FORWARDERS: usize = 3;
+const MAX_FALLBACK_MEMBERS: usize = 3;
 
 /// The identity and addresses of this process in the fleet.
 #[derive(Debug, Clone, Builder)]
@@ -136,7 +136,8 @@
         home.is_none_or(|home| home.incarnation == self.run)
     }
 
-    /// The reachable members of a role without this process, in random order. Includes leaving ones.
+    /// The reachable members of a role without this process, in random order. Includes leaving
+    /// ones.
     pub(crate) fn others(&self, role: MemberRole, now: ClockTime) -> Vec<MemberInfo> {
         let mut others = self.members.live(role, now);
         fastrand::shuffle(&mut others);
@@ -291,7 +292,7 @@
             return Err(RawFailure::NotSent);
         };
         let mut failure = RawFailure::NotSent;
-        for other in self.forwarders(ClockTime::now()) {
+        for other in self.fallback_members(ClockTime::now()) {
             let reply = self.call(other.address, &request, limit).await;
             failure = match reply {
                 Ok(PeerReply::StoreCall(StoreCallReply::Answered { status, body })) => {
@@ -310,7 +311,7 @@
         Err(failure)
     }
 
-    fn forwarders(&self, now: ClockTime) -> Vec<MemberInfo> {
+    fn fallback_members(&self, now: ClockTime) -> Vec<MemberInfo> {
         // Always the same members, whose connections are open already: new ones are expensive. The
         // order differs between processes, so that the load is spread.
         let preference = |other: &MemberInfo| other.incarnation.0 ^ self.run.0;
@@ -319,7 +320,7 @@
         let mut entries = self.members.live(MemberRole::Entry, now);
         entries.sort_by_key(preference);
         others.extend(entries);
-        others.truncate(MAX_FORWARDERS);
+        others.truncate(MAX_FALLBACK_MEMBERS);
         others
     }
 }
--- a/crates/sagespool-gateway/src/follow.rs
+++ b/crates/sagespool-gateway/src/follow.rs
@@ -199,7 +199,7 @@
     Timer::after((followed.pause)(state)).await;
     let replica = state.feeds.replica(followed.kind);
     let revision = replica.revision();
-    let wait = state.feeds.terms(followed.kind).map_or(WATCH_WAIT, |terms| terms.watch_wait);
+    let wait = state.feeds.timing(followed.kind).map_or(WATCH_WAIT, |timing| timing.watch_wait);
     match state.store.watch(followed.prefix, revision, wait).await {
         Ok(changes) => {
             let read = boot_time_now();
--- a/crates/sagespool-gateway/src/lib.rs
+++ b/crates/sagespool-gateway/src/lib.rs
@@ -5,12 +5,13 @@
 //! does the I/O. The wire formats of callers, upstreams and the store are supplied as a
 //! [`WireDialect`].
 
+mod admission;
 mod attempt;
 mod body;
+mod budget;
 mod callers;
 mod context;
 mod crashes;
-mod desk;
 mod dialect;
 mod evacuations;
 mod feeds;
@@ -19,7 +20,6 @@
 mod follow;
 mod hop_by_hop;
 mod identity;
-mod intake;
 mod limits;
 mod metrics;
 mod peers;
@@ -37,7 +37,7 @@
 mod stream;
 
 pub use body::{BodyChunk, ResponseAborted, ResponseBody, StreamedBody};
-pub use desk::{CachedShortage, FailedLoanRound};
+pub use budget::{CachedShortage, FailedLoanRound};
 pub use dialect::{CallerHeaderError, ResponseMetadata, UpstreamRequestTerms, WireDialect};
 pub use flush::{FlushCounter, FlushCountingStream};
 pub use relay_role::RelayRole;
--- a/crates/sagespool-gateway/src/limits.rs
+++ b/crates/sagespool-gateway/src/limits.rs
@@ -42,12 +42,12 @@
 /// A limit gets the latest possible time and the end of a limit the earliest.
 fn merge_reply(state: &GatewayState, reply: LimitReply, queried_at: ClockTime, now: ClockTime) {
     for LimitWord { upstream, per_second, age } in reply.words {
-        let notice = match per_second.map(SendRate::new) {
+        let status = match per_second.map(SendRate::new) {
             Some(None) => continue,
             Some(rate) => RateLimitStatus { rate, at: now.before(age) },
             None => RateLimitStatus { rate: None, at: queried_at.before(age) },
         };
-        let change = state.throttle().merge_rate_limit(&upstream, notice);
+        let change = state.throttle().merge_rate_limit(&upstream, status);
         state.log_limit(&upstream, change, "gateway");
     }
 }
@@ -57,10 +57,10 @@
     let throttle = state.throttle();
     let known =
         query.upstreams.iter().filter_map(|name| Some((name, throttle.rate_limit_status(name)?)));
-    let words = known.map(|(name, notice)| LimitWord {
+    let statuses = known.map(|(name, status)| LimitWord {
         upstream: name.clone(),
-        per_second: notice.rate.map(SendRate::per_second),
-        age: now.since(notice.at),
+        per_second: status.rate.map(SendRate::per_second),
+        age: now.since(status.at),
     });
-    LimitReply { words: words.collect() }
+    LimitReply { words: statuses.collect() }
 }
--- a/crates/sagespool-gateway/src/metrics.rs
+++ b/crates/sagespool-gateway/src/metrics.rs
@@ -14,7 +14,7 @@
 use sagespool_platform::CallCause;
 use sagespool_types::BranchName;
 
-use crate::intake::ResourceUsage;
+use crate::admission::ResourceUsage;
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
--- a/crates/sagespool-gateway/src/peers.rs
+++ b/crates/sagespool-gateway/src/peers.rs
@@ -13,7 +13,7 @@
 use sagespool_types::{ClockTime, TokenCount};
 use serde_json::value::RawValue;
 
-use crate::desk::BudgetRequest;
+use crate::budget::BudgetRequest;
 use crate::fleet::handle_store_call;
 use crate::limits::limits_reply;
 use crate::state::GatewayState;
@@ -58,8 +58,8 @@
             state.crashes.record(&report, ClockTime::now());
             PeerReply::Done
         }
-        PeerRequest::ReturnRest(rest) => {
-            state.budgets.accept_returned_loan(&rest);
+        PeerRequest::ReturnRest(unspent) => {
+            state.budgets.accept_returned_loan(&unspent);
             PeerReply::Done
         }
         PeerRequest::Follow(query) => PeerReply::Follow(state.feeds.handle_query(query).await),
--- a/crates/sagespool-gateway/src/pipeline.rs
+++ b/crates/sagespool-gateway/src/pipeline.rs
@@ -16,9 +16,9 @@
 
 use crate::attempt::{OpenResponse, SendFailure, UnavailableCause, send_once};
 use crate::body::ResponseBody;
+use crate::budget::{BudgetRequest, Reservation};
 use crate::context::{AdmittedRequest, RequestContext, RequestLog};
 use crate::crashes::content_of;
-use crate::desk::{BudgetRequest, Reservation};
 use crate::hop_by_hop::strip_hop_by_hop;
 use crate::metrics::Outcome;
 use crate::refusal::Refusal;
@@ -46,10 +46,10 @@
     state: Arc<GatewayState>,
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
-    let began = ClockTime::now();
+    let started_at = ClockTime::now();
     let (head, body) = request.into_parts();
-    let mut log = RequestLog::new(&state, began);
-    let request = match admit(&state, &head, body, began, &mut log).await {
+    let mut log = RequestLog::new(&state, started_at);
+    let request = match admit(&state, &head, body, started_at, &mut log).await {
         Ok(request) => request,
         Err(refusal) => return refuse(log, refusal, refusal.reason()),
     };
@@ -89,21 +89,22 @@
     state: &Arc<GatewayState>,
     head: &RequestParts,
     body: Incoming,
-    began: ClockTime,
+    started_at: ClockTime,
     log: &mut RequestLog,
 ) -> Result<AdmittedRequest, Refusal> {
     let index = state.plan().ok_or(Refusal::NoPlan)?;
-    let demand = (state.dialect.read_caller_headers)(&head.headers).map_err(Refusal::BadHeader)?;
-    log.request.clone_from(&demand.request);
+    let attributes =
+        (state.dialect.read_caller_headers)(&head.headers).map_err(Refusal::BadHeader)?;
+    log.request.clone_from(&attributes.request);
     let host = host_of(head).ok_or(Refusal::NoHost)?;
-    let found = index.route(&host, head.uri.path(), &demand.request);
+    let found = index.route(&host, head.uri.path(), &attributes.request);
     let found = found.ok_or(Refusal::UnknownRoute)?;
     log.route.clone_from(&found.route.name);
     let (route, service) = (found.route.clone(), found.service.clone());
-    let branch = find_branch(&index, &demand, route.open)?;
+    let branch = find_branch(&index, &attributes, route.open)?;
     log.branch = branch.map(|branch| branch.name.clone());
-    let timeout = demand.timeout.unwrap_or(route.time_limit).min(route.time_limit);
-    let deadline = began.after(timeout.saturating_sub(RESPONSE_MARGIN));
+    let timeout = attributes.timeout.unwrap_or(route.time_limit).min(route.time_limit);
+    let deadline = started_at.after(timeout.saturating_sub(RESPONSE_MARGIN));
     if state.may_stop_before(deadline) {
         return Err(Refusal::Stopping);
     }
@@ -112,7 +113,7 @@
         branch: branch.map(|branch| &branch.name),
         rank,
         latency_target: route.latency_target,
-        time_left: deadline.since(began),
+        time_left: deadline.since(started_at),
     };
     let taken = state.limiter.admit(arrived, declared_length(&body)).await;
     log.scheduling_delay = state.limiter.scheduling_delay(ClockTime::now());
@@ -124,14 +125,14 @@
         }
     };
     let body = read_body(&index, body, &mut permit, deadline.since(ClockTime::now())).await?;
-    if state.crashes.is_quarantined(|| content_of(demand.key.as_deref(), head, &body)) {
+    if state.crashes.is_quarantined(|| content_of(attributes.key.as_deref(), head, &body)) {
         return Err(Refusal::Quarantined);
     }
     if deadline.since(ClockTime::now()) < MIN_TIME_LEFT {
         return Err(Refusal::TooLate);
     }
     let reservation = match branch {
-        Some(branch) => reserve(state, &index, branch, &demand, deadline).await?,
+        Some(branch) => reserve(state, &index, branch, &attributes, deadline).await?,
         None => None,
     };
     let branch_regions = branch.map(|branch| branch.homes.clone()).unwrap_or_default();
@@ -142,7 +143,7 @@
         branch_regions,
         route,
         service,
-        demand,
+        attributes,
         body,
         reservation,
         _permit: permit,
@@ -162,10 +163,10 @@
 /// configuration has no accounts.
 fn find_branch<'a>(
     index: &'a PlanIndex,
-    demand: &RequestAttributes,
+    attributes: &RequestAttributes,
     open: bool,
 ) -> Result<Option<&'a BranchPlan>, Refusal> {
-    let branch = demand.key.as_deref().and_then(|key| index.branch(key));
+    let branch = attributes.key.as_deref().and_then(|key| index.branch(key));
     if branch.is_none() && !open && index.has_branches() {
         return Err(Refusal::UnknownKey);
     }
@@ -178,10 +179,10 @@
     state: &GatewayState,
     index: &PlanIndex,
     branch: &BranchPlan,
-    demand: &RequestAttributes,
+    attributes: &RequestAttributes,
     deadline: ClockTime,
 ) -> Result<Option<Reservation>, Refusal> {
-    let (Some(prepaid), Some(tokens)) = (branch.prepaid, demand.tokens) else {
+    let (Some(prepaid), Some(tokens)) = (branch.prepaid, attributes.tokens) else {
         return Ok(None);
     };
     let budget = BudgetRequest {
@@ -189,7 +190,7 @@
         version: index.plan().version,
         prepaid,
         amount: tokens.most(),
-        request_id: demand.request.clone(),
+        request_id: attributes.request.clone(),
     };
     state.budgets.reserve(&budget, deadline, &state.fleet).await.map(Some)
 }
@@ -308,7 +309,7 @@
         }
     };
     if !closes_connection(&head) {
-        context.state.pool.keep(&placement.ticket().upstream.name, connection, now);
+        context.state.pool.keep(&placement.attempt().upstream.name, connection, now);
     }
     let response = CompleteResponse { head, bytes };
     let outcome = if response.is_failure() { SendOutcome::Failed } else { SendOutcome::Answered };
--- a/crates/sagespool-gateway/src/refusal.rs
+++ b/crates/sagespool-gateway/src/refusal.rs
@@ -6,9 +6,9 @@
 use hyper::header::{CONNECTION, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
+use crate::admission::ShortResource;
 use crate::body::ResponseBody;
 use crate::dialect::CallerHeaderError;
-use crate::intake::ShortResource;
 
 /// Minimum range of the jitter in `Retry-After`.
 const MIN_JITTER: Duration = Duration::from_millis(200);
--- a/crates/sagespool-gateway/src/request_body.rs
+++ b/crates/sagespool-gateway/src/request_body.rs
@@ -9,7 +9,7 @@
 use sagespool_link::within;
 use sagespool_types::ByteCount;
 
-use crate::intake::RequestPermit;
+use crate::admission::RequestPermit;
 use crate::refusal::Refusal;
 
 /// How long the remaining body of a refused request is read.
@@ -21,8 +21,8 @@
     if body.is_end_stream() {
         return;
     }
-    let rest = async move { while let Some(Ok(_)) = body.frame().await {} };
-    smol::spawn(within(DISCARD_TIMEOUT, rest)).detach();
+    let remaining = async move { while let Some(Ok(_)) = body.frame().await {} };
+    smol::spawn(within(DISCARD_TIMEOUT, remaining)).detach();
 }
 
 /// The declared length of a request's body; 0 for a chunked body, which is accounted for as it
--- a/crates/sagespool-gateway/src/state.rs
+++ b/crates/sagespool-gateway/src/state.rs
@@ -18,12 +18,12 @@
     UpstreamName,
 };
 
-use crate::crashes::CrashTracker;
-use crate::desk::BudgetPool;
+use crate::admission::ResourceLimiter;
+use crate::budget::BudgetPool;
+use crate::crashes::CrashReports;
 use crate::dialect::WireDialect;
 use crate::feeds::FeedRegistry;
 use crate::fleet::{FleetClient, LocalMember};
-use crate::intake::ResourceLimiter;
 use crate::metrics::GatewayMetrics;
 use crate::pool::UpstreamPool;
 use crate::signal::OnceSignal;
@@ -38,7 +38,7 @@
     pub(crate) store: ObjectClient,
     pub(crate) pool: UpstreamPool,
     pub(crate) budgets: Arc<BudgetPool>,
-    pub(crate) crashes: CrashTracker,
+    pub(crate) crashes: CrashReports,
     pub(crate) metrics: GatewayMetrics,
     /// Set when a graceful stop begins.
     pub(crate) stopping: AtomicBool,
@@ -77,8 +77,8 @@
         store: ObjectClient,
     ) -> Self {
         let GrantSettings { ahead, share, idle } = settings.grants;
-        let grants = GrantPolicy { ahead, share, idle, instances: 1 };
-        let budgets = BudgetPool::new(store.clone(), run, settings.instance.clone(), grants);
+        let grant_policy = GrantPolicy { ahead, share, idle, instances: 1 };
+        let budgets = BudgetPool::new(store.clone(), run, settings.instance.clone(), grant_policy);
         let local = LocalMember::builder()
             .instance(settings.instance.clone())
             .region(settings.region.clone())
@@ -90,12 +90,12 @@
             .build();
         let fleet = Arc::new(FleetClient::new(local, run));
         store.set_detour(fleet.detour());
-        let terms = RetryPolicy {
+        let retry_policy = RetryPolicy {
             ratio: settings.retries.ratio,
             slack: settings.retries.slack,
             window: settings.retries.window,
         };
-        let warmup_terms =
+        let warmup_policy =
             WarmupPolicy { overage: settings.warmup.overage, slack: settings.warmup.slack };
         // Without a link there are no other instances to share sends with.
         let sender_selector = match settings.link {
@@ -111,7 +111,7 @@
             store,
             pool: UpstreamPool::default(),
             budgets: Arc::new(budgets),
-            crashes: CrashTracker::new(),
+            crashes: CrashReports::new(),
             metrics: GatewayMetrics::new(),
             stopping: AtomicBool::new(false),
             closing_by: AtomicU64::new(0),
@@ -123,8 +123,8 @@
             plan: RwLock::default(),
             upstreams: Mutex::default(),
             balancer: Mutex::new(LoadBalancer::new(PlacementPolicy::default())),
-            retries: Mutex::new(RetryBudget::new(terms)),
-            throttle: Mutex::new(UpstreamThrottle::new(warmup_terms)),
+            retries: Mutex::new(RetryBudget::new(retry_policy)),
+            throttle: Mutex::new(UpstreamThrottle::new(warmup_policy)),
             sender_selector: Mutex::new(sender_selector),
             malformed_logged_at: Mutex::default(),
         }
@@ -242,9 +242,9 @@
     }
 
     /// Records an upstream's backoff for this instance.
-    pub(crate) fn note_backoff(&self, name: &UpstreamName, rest: Duration, now: ClockTime) {
-        if self.throttle().note_backoff(name, rest, now) {
-            log_event!(info, "upstream-rests", upstream = name, rest_ms = rest.as_millis());
+    pub(crate) fn note_backoff(&self, name: &UpstreamName, backoff: Duration, now: ClockTime) {
+        if self.throttle().note_backoff(name, backoff, now) {
+            log_event!(info, "upstream-rests", upstream = name, rest_ms = backoff.as_millis());
         }
     }
 
@@ -259,7 +259,7 @@
     }
 
     /// The warm-up settings of a service; `None` if its upstreams need no warm-up.
-    fn warmup_traits(&self, service: &ServiceName) -> Option<WarmupProfile> {
+    fn warmup_profile(&self, service: &ServiceName) -> Option<WarmupProfile> {
         self.plan()?.service(service)?.warmup.clone()
     }
 
@@ -278,8 +278,8 @@
         };
         log_event!(info, "centre-readmitted", centre = centre, upstreams = records.len());
         for record in records {
-            if let Some(traits) = self.warmup_traits(&record.service) {
-                self.note_cold(&record.name, traits.span, now);
+            if let Some(profile) = self.warmup_profile(&record.service) {
+                self.note_cold(&record.name, profile.span, now);
             }
         }
     }
--- a/crates/sagespool-gateway/src/store_calls.rs
+++ b/crates/sagespool-gateway/src/store_calls.rs
@@ -1,4 +1,4 @@
-//! Logging of the number of store calls by cause.
+//! Logging of the number of store calls by category.
 
 use std::time::Duration;
 
@@ -6,19 +6,19 @@
 use sagespool_platform::ObjectClient;
 use smol::Timer;
 
-const LINE_PERIOD: Duration = Duration::from_secs(10);
+const LOG_PERIOD: Duration = Duration::from_secs(10);
 
 /// Logs the store call counts periodically until cancelled. Calls forwarded for other processes
 /// have a kind of their own.
 pub(crate) async fn log_store_calls(store: ObjectClient) {
     loop {
-        Timer::after(LINE_PERIOD).await;
-        for (cause, count) in store.causes() {
+        Timer::after(LOG_PERIOD).await;
+        for (category, count) in store.causes() {
             log_event!(
                 info,
                 "store-calls",
-                kind = cause.kind.as_str(),
-                subject = cause.subject,
+                kind = category.kind.as_str(),
+                subject = category.subject,
                 count = count,
             );
         }
--- a/crates/sagespool-gateway/src/stream.rs
+++ b/crates/sagespool-gateway/src/stream.rs
@@ -132,7 +132,7 @@
     match end {
         StreamEnd::Whole => {
             if !closes_connection(&head) {
-                context.state.pool.keep(&placement.ticket().upstream.name, connection, now);
+                context.state.pool.keep(&placement.attempt().upstream.name, connection, now);
             }
             placement.finish(SendOutcome::Answered, now);
         }
@@ -150,13 +150,13 @@
     placement: &PlacementGuard,
     sender: &Sender<BodyChunk>,
 ) -> StreamEnd {
-    let mut cutter = EventSplitter::default();
+    let mut splitter = EventSplitter::default();
     loop {
         let Some(frame) = in_time(context, body.frame()).await else {
             return StreamEnd::TimeOver;
         };
         let bytes = match frame {
-            None => return finish_stream(context, &mut cutter, sender).await,
+            None => return finish_stream(context, &mut splitter, sender).await,
             Some(Err(_)) => return StreamEnd::Broken,
             Some(Ok(frame)) => match frame.into_data() {
                 Ok(bytes) => bytes,
@@ -165,7 +165,7 @@
             },
         };
         placement.note_progress(ClockTime::now());
-        let whole = cutter.push(&bytes);
+        let whole = splitter.push(&bytes);
         if whole.count == 0 {
             continue;
         }
@@ -184,15 +184,15 @@
 /// Forwards the data after the last complete event; the upstream ended its stream there.
 async fn finish_stream(
     context: &mut RequestContext,
-    cutter: &mut EventSplitter,
+    splitter: &mut EventSplitter,
     sender: &Sender<BodyChunk>,
 ) -> StreamEnd {
-    let rest = cutter.take_remainder();
-    if rest.is_empty() {
+    let remainder = splitter.take_remainder();
+    if remainder.is_empty() {
         return StreamEnd::Whole;
     }
     context.charge_events(1);
-    match in_time(context, sender.send(BodyChunk::Data(Bytes::from(rest)))).await {
+    match in_time(context, sender.send(BodyChunk::Data(Bytes::from(remainder)))).await {
         None => StreamEnd::TimeOver,
         Some(Err(_)) => StreamEnd::CallerGone,
         Some(Ok(())) => StreamEnd::Whole,
--- a/crates/sagespool-gateway/tests/spent_budgets.rs
+++ b/crates/sagespool-gateway/tests/spent_budgets.rs
@@ -1,4 +1,4 @@
-//! Requests against a spent budget must not read its book too often.
+//! Requests against a spent budget must not read its record too often.
 //!
 //! Load of a large deployment: accounts that are spent in the middle of the day, while their
 //! callers continue to send 20 requests/s to every instance until its end.
@@ -14,7 +14,7 @@
 const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 const SPENT_FOR: Duration = Duration::from_secs(25);
 
-/// Counts the reads of an unchanged book while requests arrive.
+/// Counts the reads of an unchanged record while requests arrive.
 fn count_reads() -> usize {
     let start = ClockTime::from_millis(1_000);
     let (mut known, mut reads, mut now) = (None, 0, start);
@@ -23,14 +23,14 @@
             known.is_some_and(|known: CachedShortage| known.excludes(AMOUNT, VERSION, now));
         if !is_known {
             reads += 1;
-            known = Some(CachedShortage::record(known, ROOM, VERSION, now));
+            known = Some(CachedShortage::updated(known, ROOM, VERSION, now));
         }
         now = now.after(REQUEST_INTERVAL);
     }
     reads
 }
 
-/// With a fixed interval of 300 ms, one instance reads a spent book 84 times in 25 s.
+/// With a fixed interval of 300 ms, one instance reads a spent record 84 times in 25 s.
 #[test]
 fn repeated_shortage_is_read_seldom() {
     assert!(count_reads() <= 25, "{} reads", count_reads());
@@ -39,13 +39,13 @@
 #[test]
 fn larger_room_restarts_the_interval() {
     let now = ClockTime::from_millis(1_000);
-    let mut known = CachedShortage::record(None, ROOM, VERSION, now);
+    let mut known = CachedShortage::updated(None, ROOM, VERSION, now);
     for _ in 0..5 {
-        known = CachedShortage::record(Some(known), ROOM, VERSION, now);
+        known = CachedShortage::updated(Some(known), ROOM, VERSION, now);
     }
     assert!(known.is_fresh(now.after(Duration::from_secs(1))));
     // Tokens were returned, and more may follow.
-    let fuller = CachedShortage::record(Some(known), ROOM + ROOM, VERSION, now);
+    let fuller = CachedShortage::updated(Some(known), ROOM + ROOM, VERSION, now);
     assert!(!fuller.is_fresh(now.after(Duration::from_millis(300))));
     assert!(!fuller.excludes(ROOM, VERSION, now));
 }
@@ -54,7 +54,7 @@
 #[test]
 fn raised_total_ends_the_shortage() {
     let now = ClockTime::from_millis(1_000);
-    let known = CachedShortage::record(None, ROOM, VERSION, now);
+    let known = CachedShortage::updated(None, ROOM, VERSION, now);
     assert!(known.excludes(AMOUNT, VERSION, now));
     assert!(!known.excludes(AMOUNT, ConfigVersion(5), now));
 }
