--- a/crates/sagespool-gateway/src/evacuations.rs
+++ b/crates/sagespool-gateway/src/evacuations.rs
@@ -20,8 +20,8 @@
         on_listing: |state, listing| {
             let listed: Vec<CentreName> =
                 listing.items.iter().filter_map(|(key, _)| read_centre(key)).collect();
-            let ended: Vec<CentreName> = state.upstreams().evacuated().cloned().collect();
-            for centre in ended.iter().filter(|centre| !listed.contains(centre)) {
+            let previous: Vec<CentreName> = state.upstreams().evacuated().cloned().collect();
+            for centre in previous.iter().filter(|centre| !listed.contains(centre)) {
                 state.readmit(centre, ClockTime::now());
             }
             listed.into_iter().for_each(|centre| state.evacuate(centre));
