--- a/crates/sagespool-gateway/src/body.rs
+++ b/crates/sagespool-gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers.
+//! Bodies of responses to callers.
 
 use std::fmt;
 use std::future::Future;
@@ -12,95 +12,96 @@
 use hyper::body::{Body, Bytes, Frame, SizeHint};
 use smol::{Task, Timer};
 
+use crate::admission::HeldMemory;
 use crate::flush::FlushCounter;
-use crate::intake::HeldMemory;
 
-/// How long an answer that broke off waits until the caller's connection has taken what came before.
-/// A caller that reads takes some milliseconds; one that doesn't must not hold the connection open.
-const LONGEST_FLUSH: Duration = Duration::from_secs(1);
+/// How long an aborted response waits for the caller's connection to write the data before the
+/// abort. A caller that reads needs some milliseconds; one that doesn't must not keep the
+/// connection open.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A piece of a streamed answer.
+/// A chunk of a streamed response.
 #[derive(Debug)]
-pub enum BodyPiece {
-    /// Bytes to pass on.
+pub enum BodyChunk {
+    /// Bytes to forward.
     Data(Bytes),
-    /// The answer is complete.
+    /// The response is complete.
     End,
 }
 
-/// The answer broke off. Its connection is closed without the mark of a complete answer, so that
-/// the caller can't take it for whole.
+/// The error of an aborted response. The connection is closed without the final chunk, so that the
+/// caller can't mistake the response for a complete one.
 #[derive(Debug)]
-pub struct AnswerCut;
+pub struct ResponseAborted;
 
-impl fmt::Display for AnswerCut {
+impl fmt::Display for ResponseAborted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the answer broke off")
+        f.write_str("response aborted before its end")
     }
 }
 
-impl std::error::Error for AnswerCut {}
+impl std::error::Error for ResponseAborted {}
 
-/// The body of an answer: known as a whole, or passed on as it arrives.
+/// The body of a response to a caller.
 #[derive(Debug)]
-pub enum AnswerBody {
-    /// Known as a whole.
+pub enum ResponseBody {
+    /// Complete before the head is sent.
     Whole(WholeBody),
-    /// Passed on as it arrives.
+    /// Forwarded as it arrives.
     Stream(StreamedBody),
 }
 
-/// An answer that is known as a whole.
+/// A body that is complete before the head is sent.
 #[derive(Debug)]
 pub struct WholeBody {
-    /// Its bytes, until the caller's connection takes them.
+    /// `None` once the connection has taken them.
     bytes: Option<Bytes>,
-    /// Counts them among what callers use.
+    /// Counts the bytes towards the memory limit.
     _held: Option<HeldMemory>,
 }
 
-/// An answer that is passed on as it arrives.
+/// A body that is forwarded as it arrives.
 #[derive(Debug)]
 pub struct StreamedBody {
-    /// What came before the answer's head was passed on.
-    first: Option<BodyPiece>,
-    pieces: Pin<Box<Receiver<BodyPiece>>>,
-    /// Passes the answer on. It ends when the caller goes, because the body is dropped then.
+    /// The chunk that arrived before the head was forwarded.
+    first: Option<BodyChunk>,
+    chunks: Pin<Box<Receiver<BodyChunk>>>,
+    /// Forwards the chunks. Cancelled when the caller disconnects, since the body is dropped then.
     _relay: Task<()>,
-    /// The flushes of the caller's connection.
+    /// The flush counter of the caller's connection.
     flushes: Option<Arc<FlushCounter>>,
-    /// Set once the answer has broken off.
-    cut: Option<PendingCut>,
+    /// Set once the response is aborted.
+    abort: Option<PendingAbort>,
 }
 
-/// An answer that has broken off, and whose connection hasn't been broken off yet.
+/// An abort that waits for the connection's next flush.
 #[derive(Debug)]
-struct PendingCut {
-    /// Flushes of the connection when the break was seen.
+struct PendingAbort {
+    /// The flush count when the abort was noticed.
     flushes: u64,
     limit: Timer,
 }
 
-impl AnswerBody {
+impl ResponseBody {
     pub(crate) fn whole(bytes: Bytes) -> Self {
         Self::Whole(WholeBody { bytes: (!bytes.is_empty()).then_some(bytes), _held: None })
     }
 
-    /// A whole answer whose bytes are counted among what callers use.
+    /// A complete body whose bytes count towards the memory limit.
     pub(crate) fn counted(bytes: Bytes, held: HeldMemory) -> Self {
         Self::Whole(WholeBody { bytes: (!bytes.is_empty()).then_some(bytes), _held: Some(held) })
     }
 
-    /// An answer of several pieces. `relay` passes them on, and ends with this body.
-    pub fn stream(first: BodyPiece, pieces: Receiver<BodyPiece>, relay: Task<()>) -> Self {
-        let pieces = Box::pin(pieces);
+    /// A streamed body. `relay` sends the chunks after `first` and is cancelled with this body.
+    pub fn stream(first: BodyChunk, chunks: Receiver<BodyChunk>, relay: Task<()>) -> Self {
+        let chunks = Box::pin(chunks);
         let body =
-            StreamedBody { first: Some(first), pieces, _relay: relay, flushes: None, cut: None };
+            StreamedBody { first: Some(first), chunks, _relay: relay, flushes: None, abort: None };
         Self::Stream(body)
     }
 
-    /// Names the connection that the answer goes to, by its flushes.
-    pub fn sent_over(mut self, flushes: &Arc<FlushCounter>) -> Self {
+    /// Sets the flush counter of the connection that the response is sent over.
+    pub fn with_flush_counter(mut self, flushes: &Arc<FlushCounter>) -> Self {
         if let Self::Stream(body) = &mut self {
             body.flushes = Some(flushes.clone());
         }
@@ -109,59 +110,59 @@
 }
 
 impl StreamedBody {
-    fn poll_piece(&mut self, context: &mut Context<'_>) -> Poll<Option<BodyPiece>> {
+    fn poll_chunk(&mut self, context: &mut Context<'_>) -> Poll<Option<BodyChunk>> {
         match self.first.take() {
-            Some(piece) => Poll::Ready(Some(piece)),
-            None => self.pieces.as_mut().poll_next(context),
+            Some(chunk) => Poll::Ready(Some(chunk)),
+            None => self.chunks.as_mut().poll_next(context),
         }
     }
 
-    /// Waits until the connection has written all that came before the break.
+    /// Waits until the connection has written everything before the abort.
     ///
-    /// Guards against an answer that loses its end: when a body fails, the library drops the
-    /// connection at once, with whatever it holds unwritten. Where the last events and the break
-    /// are there together, the caller would get none of them, and a stream that breaks off early
-    /// would reach it as a connection closed without a word. The connection counts a flush only
-    /// when nothing is left to write, so the first one after the break covers all pieces before it.
-    fn poll_cut(&mut self, context: &mut Context<'_>) -> Poll<()> {
+    /// When a body fails, hyper drops the connection at once with all unwritten data. If the last
+    /// events and the abort arrive together, the caller would get none of these events, and a
+    /// stream aborted early would look like a connection closed without a response. A flush is
+    /// counted only when nothing is left to write, so the first flush after the abort covers all
+    /// earlier chunks.
+    fn poll_abort(&mut self, context: &mut Context<'_>) -> Poll<()> {
         let Some(flushes) = &self.flushes else {
             return Poll::Ready(());
         };
-        let cut = self.cut.get_or_insert_with(|| PendingCut {
+        let abort = self.abort.get_or_insert_with(|| PendingAbort {
             flushes: flushes.count(),
-            limit: Timer::after(LONGEST_FLUSH),
+            limit: Timer::after(FLUSH_TIMEOUT),
         });
-        if flushes.poll_past(cut.flushes, context).is_ready() {
+        if flushes.poll_after(abort.flushes, context).is_ready() {
             return Poll::Ready(());
         }
-        Pin::new(&mut cut.limit).poll(context).map(|_| ())
+        Pin::new(&mut abort.limit).poll(context).map(|_| ())
     }
 
     fn poll_stream(
         &mut self,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerCut>>> {
-        if self.cut.is_none() {
-            match ready!(self.poll_piece(context)) {
-                Some(BodyPiece::Data(bytes)) => return Poll::Ready(Some(Ok(Frame::data(bytes)))),
-                Some(BodyPiece::End) => return Poll::Ready(None),
-                // The relay ended without saying that the answer is complete.
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseAborted>>> {
+        if self.abort.is_none() {
+            match ready!(self.poll_chunk(context)) {
+                Some(BodyChunk::Data(bytes)) => return Poll::Ready(Some(Ok(Frame::data(bytes)))),
+                Some(BodyChunk::End) => return Poll::Ready(None),
+                // The relay task ended without `End`.
                 None => {}
             }
         }
-        ready!(self.poll_cut(context));
-        Poll::Ready(Some(Err(AnswerCut)))
+        ready!(self.poll_abort(context));
+        Poll::Ready(Some(Err(ResponseAborted)))
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = AnswerCut;
+    type Error = ResponseAborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerCut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseAborted>>> {
         match &mut *self {
             Self::Whole(whole) => {
                 Poll::Ready(whole.bytes.take().map(|bytes| Ok(Frame::data(bytes))))
--- /dev/null
+++ b/crates/sagespool-gateway/src/budget.rs
@@ -0,0 +1,361 @@
+//! Client accounts' budgets: reservations of requests and the grants that cover them.
+//!
+//! Each account has a record in the store (`PrepaidRecord`) with its total and all grants.
+
+mod account;
+mod grants;
+mod loan_returns;
+mod loans;
+mod shortage;
+
+pub(crate) use self::account::Reservation;
+pub use self::shortage::{CachedShortage, FailedLoanRound};
+
+use std::collections::HashMap;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use sagespool_ledger::GrantPolicy;
+use sagespool_log::log_event;
+use sagespool_platform::{ObjectClient, StoreError};
+use sagespool_types::{
+    BranchName, ClockTime, ConfigVersion, IncarnationId, InstanceName, TokenCount,
+};
+
+use self::account::{AccountState, lock};
+use self::grants::GrantOutcome;
+use self::loans::{Lenders, LoanAmount, LoanOutcome, borrow, borrow_at_home};
+use crate::fleet::FleetClient;
+use crate::refusal::Refusal;
+
+/// A request waits for the store for at most its time left divided by this.
+const STORE_SHARE: u32 = 4;
+const MAX_STORE_WAIT: Duration = Duration::from_millis(800);
+/// After a failed call, requests that need the store are refused immediately for this time. Waiting
+/// for a call that fails uses up time in which another instance could serve the request.
+const STORE_BACKOFF: Duration = Duration::from_millis(250);
+
+/// The tokens that a request needs from its account.
+#[derive(Debug, Clone)]
+pub(crate) struct BudgetRequest {
+    pub(crate) branch: BranchName,
+    /// The version of the configuration that `prepaid` comes from.
+    pub(crate) version: ConfigVersion,
+    /// The account's total budget.
+    pub(crate) prepaid: TokenCount,
+    /// The maximum cost of the request.
+    pub(crate) amount: TokenCount,
+    pub(crate) request_id: String,
+}
+
+/// This instance's grants, by account.
+pub(crate) struct BudgetPool {
+    store: ObjectClient,
+    run: IncarnationId,
+    instance: InstanceName,
+    policy: GrantPolicy,
+    /// The number of instances that accounts' homes are spread over, including this one.
+    homes: AtomicUsize,
+    accounts: Mutex<HashMap<BranchName, Arc<AccountState>>>,
+    /// When a call of the store last failed.
+    store_failed: Mutex<Option<ClockTime>>,
+}
+
+impl BudgetPool {
+    pub(crate) fn new(
+        store: ObjectClient,
+        run: IncarnationId,
+        instance: InstanceName,
+        policy: GrantPolicy,
+    ) -> Self {
+        Self {
+            store,
+            run,
+            instance,
+            policy,
+            homes: AtomicUsize::new(1),
+            accounts: Mutex::default(),
+            store_failed: Mutex::default(),
+        }
+    }
+
+    pub(crate) fn note_homes(&self, homes: usize) {
+        self.homes.store(homes, Ordering::Relaxed);
+    }
+
+    /// The grant policy for the current number of instances.
+    fn supply_policy(&self) -> GrantPolicy {
+        self.policy.scaled_to_homes(self.homes.load(Ordering::Relaxed))
+    }
+
+    fn account(&self, branch: &BranchName) -> Arc<AccountState> {
+        let mut accounts = lock(&self.accounts);
+        let fresh = || Arc::new(AccountState::new(branch));
+        accounts.entry(branch.clone()).or_insert_with(fresh).clone()
+    }
+
+    /// Raises this instance's grant until its free part covers a request, and tops it up early if it
+    /// runs low. If the record can't cover the request either, returns how much the free part and
+    /// the record cover together.
+    pub(crate) async fn ensure_covered(
+        self: &Arc<Self>,
+        budget: &BudgetRequest,
+    ) -> Option<TokenCount> {
+        let account = self.account(&budget.branch);
+        let now = ClockTime::now();
+        let holds_enough = {
+            let mut balance = lock(&account.balance);
+            balance.note_demand(budget.amount, now);
+            budget.amount <= balance.free()
+        };
+        if holds_enough {
+            self.top_up_in_background(&account, budget, now);
+            return None;
+        }
+        if let Some(room) = account.shortage_of(budget, now) {
+            return Some(room);
+        }
+        if self.is_store_failing(now) {
+            return None;
+        }
+        let wanted = budget.amount;
+        let grant = self.request_grant_in_time(&account, budget, wanted, 1, MAX_STORE_WAIT);
+        match grant.await {
+            // Release the reservation, so that the amount can be lent.
+            Ok(GrantOutcome::Granted) => {
+                lock(&account.balance).settle(wanted, TokenCount::ZERO);
+                None
+            }
+            Ok(GrantOutcome::Short(room)) => {
+                account.note_shortage(room, budget.version, ClockTime::now());
+                Some(room)
+            }
+            Err(error) => {
+                *lock(&self.store_failed) = Some(ClockTime::now());
+                log_event!(warn, "top-up-failed", branch = account.branch, error = error);
+                None
+            }
+        }
+    }
+
+    /// Lends a part of this instance's grant to another instance; returns the amount lent.
+    pub(crate) fn lend(&self, branch: &BranchName, wanted: TokenCount) -> TokenCount {
+        let account = self.account(branch);
+        lock(&account.balance).lend(wanted)
+    }
+
+    /// How much this instance, as the account's home, lends a borrower for future requests.
+    pub(crate) fn allowed_loan_ahead(
+        &self,
+        branch: &BranchName,
+        prepaid: TokenCount,
+        ahead: TokenCount,
+        now: ClockTime,
+    ) -> TokenCount {
+        let account = self.account(branch);
+        lock(&account.balance).allowed_loan_ahead(self.policy, prepaid, ahead, now)
+    }
+
+    /// Reserves the maximum cost of a request from the grant of this instance, from loans of other
+    /// instances, or from a larger grant.
+    pub(crate) async fn reserve(
+        self: &Arc<Self>,
+        budget: &BudgetRequest,
+        deadline: ClockTime,
+        fleet: &Arc<FleetClient>,
+    ) -> Result<Reservation, Refusal> {
+        let account = self.account(&budget.branch);
+        let now = ClockTime::now();
+        if lock(&account.balance).reserve(budget.amount, now) {
+            if self.runs_low(&account, budget, now) && fleet.is_home(&budget.branch, now) {
+                self.top_up_in_background(&account, budget, now);
+            }
+            return Ok(Reservation::new(account, budget.amount));
+        }
+        if account.shortage_of(budget, now).is_some() {
+            return Err(self.refuse(&account, budget, Refusal::BudgetSpent, "known-short"));
+        }
+        let grant = match self.reserve_at_home(&account, budget, fleet).await {
+            Some(outcome) => Ok(outcome),
+            None => {
+                // An account's home requests grants for all instances, others for this request
+                // only.
+                let is_home = fleet.is_home(&budget.branch, now);
+                let instances = if is_home { 1 } else { fleet.instances() };
+                self.request_from_store(&account, budget, deadline, instances).await
+            }
+        };
+        if matches!(grant, Ok(GrantOutcome::Granted)) {
+            return Ok(Reservation::new(account, budget.amount));
+        }
+        // Too few free tokens in the record don't mean that the budget is spent: other instances
+        // may have free grants, so all of them are queried.
+        let query_all = matches!(grant, Ok(GrantOutcome::Short(_)));
+        let mut failed = account.round.lock().await;
+        let now = ClockTime::now();
+        if lock(&account.balance).reserve(budget.amount, now) {
+            drop(failed);
+            return Ok(Reservation::new(account, budget.amount));
+        }
+        if account.shortage_of(budget, now).is_some() {
+            return Err(self.refuse(&account, budget, Refusal::BudgetSpent, "known-short"));
+        }
+        if failed.is_some_and(|failed| failed.applies_to(budget.amount, now)) {
+            return Err(self.refuse(&account, budget, Refusal::BudgetUnreachable, "peers-away"));
+        }
+        let missing = budget.amount.less(lock(&account.balance).free());
+        let lenders = if query_all { Lenders::All } else { Lenders::Only(account.holders()) };
+        let loan = borrow(fleet, &account, budget, missing, lenders).await;
+        let reserved = account.reserve_with_loan(budget, loan.lent);
+        let all_replied = query_all && loan.complete;
+        let is_failed = !reserved && !all_replied;
+        *failed = is_failed.then(|| FailedLoanRound::new(budget.amount, ClockTime::now()));
+        drop(failed);
+        if reserved {
+            log_event!(
+                info,
+                "budget-borrowed",
+                request = budget.request_id,
+                branch = budget.branch,
+                lent = loan.lent,
+            );
+            return Ok(Reservation::new(account, budget.amount));
+        }
+        Err(self.refuse_after(&account, budget, grant, loan))
+    }
+
+    /// Reserves with a loan from the account's home. A shortage that the home reports counts like
+    /// one read from the record. `None` if there is no other home, it doesn't reply, or
+    /// it lends too little without reporting a shortage.
+    async fn reserve_at_home(
+        &self,
+        account: &Arc<AccountState>,
+        budget: &BudgetRequest,
+        fleet: &Arc<FleetClient>,
+    ) -> Option<GrantOutcome> {
+        let (missing, ahead) = {
+            let balance = lock(&account.balance);
+            let ahead =
+                balance.loan_ahead(self.policy, budget.prepaid, budget.amount, ClockTime::now());
+            (budget.amount.less(balance.free()), ahead)
+        };
+        let size = LoanAmount { missing, ahead };
+        let mut reply = borrow_at_home(fleet, account, budget, size).await?;
+        if account.reserve_with_loan(budget, reply.lent) {
+            return Some(GrantOutcome::Granted);
+        }
+        if ahead > TokenCount::ZERO {
+            // When the budget is nearly spent, the home may be able to cover this request alone.
+            let missing = budget.amount.less(lock(&account.balance).free());
+            let size = LoanAmount { missing, ahead: TokenCount::ZERO };
+            reply = borrow_at_home(fleet, account, budget, size).await?;
+            if account.reserve_with_loan(budget, reply.lent) {
+                return Some(GrantOutcome::Granted);
+            }
+        }
+        let own = lock(&account.balance).free();
+        reply.room.map(|room| GrantOutcome::Short(room + own))
+    }
+
+    /// The refusal of a request that no grant or loan covers. It is `BudgetSpent` only if the
+    /// record and every other gateway reported too little.
+    fn refuse_after(
+        &self,
+        account: &AccountState,
+        budget: &BudgetRequest,
+        grant: Result<GrantOutcome, StoreError>,
+        loan: LoanOutcome,
+    ) -> Refusal {
+        match grant {
+            Ok(GrantOutcome::Short(room)) if loan.complete => {
+                account.note_shortage(room + loan.lent, budget.version, ClockTime::now());
+                self.refuse(account, budget, Refusal::BudgetSpent, "book-short")
+            }
+            // An instance that didn't reply may have enough.
+            Ok(_) => self.refuse(account, budget, Refusal::BudgetUnreachable, "peer-away"),
+            Err(error) => {
+                self.refuse(account, budget, Refusal::BudgetUnreachable, &error.to_string())
+            }
+        }
+    }
+
+    async fn request_from_store(
+        &self,
+        account: &AccountState,
+        budget: &BudgetRequest,
+        deadline: ClockTime,
+        instances: usize,
+    ) -> Result<GrantOutcome, StoreError> {
+        let now = ClockTime::now();
+        if self.is_store_failing(now) {
+            return Err(StoreError::Unavailable);
+        }
+        let limit = (deadline.since(now) / STORE_SHARE).min(MAX_STORE_WAIT);
+        let grant =
+            self.request_grant_in_time(account, budget, budget.amount, instances, limit).await;
+        if grant.is_err() {
+            *lock(&self.store_failed) = Some(ClockTime::now());
+        }
+        grant
+    }
+
+    fn refuse(
+        &self,
+        account: &AccountState,
+        budget: &BudgetRequest,
+        refusal: Refusal,
+        cause: &str,
+    ) -> Refusal {
+        let free = lock(&account.balance).free();
+        log_event!(
+            info,
+            "budget-refused",
+            request = budget.request_id,
+            branch = budget.branch,
+            amount = budget.amount,
+            free = free,
+            prepaid = budget.prepaid,
+            plan = budget.version,
+            reason = refusal.reason(),
+            cause = cause,
+        );
+        refusal
+    }
+
+    fn runs_low(&self, account: &AccountState, budget: &BudgetRequest, now: ClockTime) -> bool {
+        lock(&account.balance).runs_low(self.supply_policy(), budget.prepaid, now)
+    }
+
+    fn is_store_failing(&self, now: ClockTime) -> bool {
+        lock(&self.store_failed).is_some_and(|failed| now.since(failed) < STORE_BACKOFF)
+    }
+
+    /// Requests a larger grant in the background before the current one is used up, so that
+    /// requests seldom wait for the store.
+    fn top_up_in_background(
+        self: &Arc<Self>,
+        account: &Arc<AccountState>,
+        budget: &BudgetRequest,
+        now: ClockTime,
+    ) {
+        let runs_low = self.runs_low(account, budget, now);
+        if !runs_low || account.is_nearly_spent(now) || self.is_store_failing(now) {
+            return;
+        }
+        if account.topping_up.swap(true, Ordering::Relaxed) {
+            return;
+        }
+        let (pool, account, budget) = (self.clone(), account.clone(), budget.clone());
+        smol::spawn(async move {
+            let grant =
+                pool.request_grant_in_time(&account, &budget, TokenCount::ZERO, 1, MAX_STORE_WAIT);
+            if let Err(error) = grant.await {
+                *lock(&pool.store_failed) = Some(ClockTime::now());
+                log_event!(warn, "top-up-failed", branch = account.branch, error = error);
+            }
+            account.topping_up.store(false, Ordering::Relaxed);
+        })
+        .detach();
+    }
+}
--- a/crates/sagespool-gateway/src/callers.rs
+++ b/crates/sagespool-gateway/src/callers.rs
@@ -19,29 +19,32 @@
 use smol::net::{TcpListener, TcpStream};
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
-use crate::body::AnswerBody;
-use crate::flush::{CountedStream, FlushCounter};
-use crate::intake::ConnectionPass;
+use crate::admission::ConnectionPermit;
+use crate::body::ResponseBody;
+use crate::flush::{FlushCounter, FlushCountingStream};
 use crate::pipeline::serve;
 use crate::state::GatewayState;
 
-/// Before there is a configuration: what the users' configuration says.
-const DEFAULT_IDLE: Duration = Duration::from_secs(15);
+/// Idle timeout until a configuration is loaded; the usual configured value.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Header limit until a configuration is loaded; the usual configured value.
 const DEFAULT_HEADER_BYTES: usize = 16 << 10;
-/// The library's least.
-const LEAST_BUFFER: usize = 8 << 10;
+/// The smallest buffer that hyper accepts.
+const MIN_BUFFER_BYTES: usize = 8 << 10;
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Takes callers' connections for ever.
+/// Accepts callers' connections until cancelled.
 pub(crate) async fn accept(state: Arc<GatewayState>, listener: TcpListener) {
     loop {
         match listener.accept().await {
-            Ok((stream, peer)) => match state.intake.open_connection() {
-                Some(pass) => smol::spawn(carry(state.clone(), stream, pass)).detach(),
-                None => note_unread(&state, peer),
+            Ok((stream, peer)) => match state.limiter.open_connection() {
+                Some(permit) => {
+                    smol::spawn(serve_connection(state.clone(), stream, permit)).detach()
+                }
+                None => log_unread(&state, peer),
             },
             Err(error) => {
-                // Out of descriptors, most likely: existing connections go on meanwhile.
+                // Most likely out of file descriptors. Open connections are still served.
                 log_event!(warn, "accept-failed", error = error);
                 Timer::after(ACCEPT_PAUSE).await;
             }
@@ -49,77 +52,77 @@
     }
 }
 
-/// The answer as it goes over the caller's connection, which ends with it where room is short.
-fn passed_on(
-    mut response: Response<AnswerBody>,
-    is_tight: bool,
+/// Prepares a response for the caller's connection, which closes after it if resources are short.
+fn prepare_response(
+    mut response: Response<ResponseBody>,
+    is_nearly_full: bool,
     flushes: &Arc<FlushCounter>,
-) -> Response<AnswerBody> {
-    if is_tight {
+) -> Response<ResponseBody> {
+    if is_nearly_full {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    response.map(|body| body.sent_over(flushes))
+    response.map(|body| body.with_flush_counter(flushes))
 }
 
-fn note_unread(state: &GatewayState, peer: SocketAddr) {
+fn log_unread(state: &GatewayState, peer: SocketAddr) {
     let now = ClockTime::now();
     state.metrics.closed_unread();
-    let Some(count) = state.intake.note_unread(now) else {
+    let Some(count) = state.limiter.note_unread(now) else {
         return;
     };
-    let reading = state.intake.reading(now);
+    let usage = state.limiter.usage(now);
     log_event!(
         warn,
         "connections-closed-unread",
         count = count,
         last_peer = peer,
-        turn_ms = reading.turn.as_millis(),
-        open = reading.connections,
-        held_bytes = reading.held,
-        held_limit = reading.limit,
+        turn_ms = usage.scheduling_delay.as_millis(),
+        open = usage.connections,
+        held_bytes = usage.held,
+        held_limit = usage.limit,
     );
 }
 
-/// Serves the requests of one connection. When the caller closes it, the library drops the request
-/// under way, and all that hangs on it with it: nothing goes on for nobody.
-async fn carry(state: Arc<GatewayState>, stream: TcpStream, pass: ConnectionPass) {
-    let _open = pass;
+/// Serves the requests of one connection. When the caller closes it, hyper drops the request in
+/// flight, which cancels its attempt too.
+async fn serve_connection(state: Arc<GatewayState>, stream: TcpStream, permit: ConnectionPermit) {
+    let _open = permit;
     if stream.set_nodelay(true).is_err() {
-        // The connection has ended already.
+        // The connection is closed already.
         return;
     }
     let plan = state.plan();
     let limits = plan.as_ref().map(|index| &index.plan().limits);
-    let idle = limits.map_or(DEFAULT_IDLE, |limits| limits.idle_time);
+    let idle = limits.map_or(DEFAULT_IDLE_TIMEOUT, |limits| limits.idle_time);
     let header_bytes = limits.map_or(DEFAULT_HEADER_BYTES, |limits| limits.header_bytes.0 as usize);
     let flushes = Arc::new(FlushCounter::default());
-    let stream = CountedStream::new(stream, flushes.clone()).unread_for(idle);
+    let stream = FlushCountingStream::new(stream, flushes.clone()).with_write_timeout(idle);
     let shared = state.clone();
     let service = service_fn(move |request| {
         let (state, flushes) = (shared.clone(), flushes.clone());
         async move {
-            let intake = state.intake.clone();
+            let limiter = state.limiter.clone();
             let response = serve(state, request).await;
-            let is_tight = intake.is_tight();
-            Ok::<_, Infallible>(passed_on(response, is_tight, &flushes))
+            let is_nearly_full = limiter.is_nearly_full();
+            Ok::<_, Infallible>(prepare_response(response, is_nearly_full, &flushes))
         }
     });
     let mut builder = http1::Builder::new();
-    // The library's limit for a header runs from the end of the request before, so it has to allow
-    // for the longest idle time.
+    // hyper's header timeout starts at the end of the previous request, so it has to include the
+    // idle timeout.
     builder.timer(SmolTimer::new()).header_read_timeout(idle);
-    builder.max_buf_size(header_bytes.max(LEAST_BUFFER));
+    builder.max_buf_size(header_bytes.max(MIN_BUFFER_BYTES));
     let mut connection = pin!(builder.serve_connection(FuturesIo::new(stream), service));
-    let asked = async {
+    let closing = async {
         state.closing.wait().await;
         true
     };
     let served = poll_fn(|context| match connection.as_mut().poll(context) {
         Poll::Pending => Poll::Pending,
-        // Why a caller's connection broke concerns the caller alone.
+        // Connection errors are the caller's concern and aren't logged.
         Poll::Ready(_) => Poll::Ready(false),
     });
-    if or(served, asked).await {
+    if or(served, closing).await {
         connection.as_mut().graceful_shutdown();
         let _ = connection.await;
     }
--- a/crates/sagespool-gateway/src/flight.rs
+++ b/crates/sagespool-gateway/src/context.rs
@@ -1,4 +1,4 @@
-//! One request on its way.
+//! The state of one request in the pipeline.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -12,84 +12,85 @@
 use sagespool_log::log_event;
 use sagespool_types::{BranchName, CentreName, ClockTime, ServiceName, TokenCount, UpstreamName};
 
-use crate::desk::Reservation;
-use crate::intake::RequestPass;
+use crate::admission::RequestPermit;
+use crate::budget::Reservation;
 use crate::metrics::Outcome;
 use crate::refusal::Refusal;
 use crate::state::GatewayState;
 
-/// A request that may be sent: its route is known, its account pays for it.
+/// A request that passed admission: its route is known and its tokens are reserved.
 pub(crate) struct AdmittedRequest {
     pub(crate) index: Arc<PlanIndex>,
     pub(crate) route: ForwardRoute,
     pub(crate) service: ServiceName,
     pub(crate) branch: Option<BranchName>,
-    /// Where its account lets it run.
-    pub(crate) branch_homes: AllowedRegions,
+    /// The regions where its account allows it to run.
+    pub(crate) branch_regions: AllowedRegions,
     pub(crate) priority: u8,
-    pub(crate) demand: RequestAttributes,
+    pub(crate) attributes: RequestAttributes,
     pub(crate) body: Bytes,
     pub(crate) reservation: Option<Reservation>,
-    /// Its part of what this instance takes in.
-    pub(crate) _pass: RequestPass,
-    /// When its answer must be complete.
+    /// Its share of this instance's admission limits.
+    pub(crate) _permit: RequestPermit,
+    /// When the response must be complete.
     pub(crate) deadline: ClockTime,
 }
 
-/// All that the pipeline knows of a request on its way.
-pub(crate) struct Flight {
+/// The pipeline's state of a request after admission.
+pub(crate) struct RequestContext {
     pub(crate) state: Arc<GatewayState>,
     pub(crate) request: AdmittedRequest,
     pub(crate) head: Parts,
-    /// Upstreams that it was sent to.
+    /// Attempts that wrote the request to an upstream.
     pub(crate) sends: u32,
-    /// Upstreams that it was sent to or that couldn't be reached.
+    /// Upstreams that were tried, including unreachable ones.
     pub(crate) tried: Vec<UpstreamRun>,
     /// True once an upstream may have run it.
     pub(crate) may_have_run: bool,
-    /// The last event that was passed on to the caller.
+    /// The ID of the last event forwarded to the caller.
     pub(crate) last_event: Option<u64>,
-    pub(crate) record: FlightRecord,
+    pub(crate) log: RequestLog,
 }
 
-impl Flight {
-    /// What is left until the answer must be complete.
+impl RequestContext {
+    /// The time until the deadline.
     pub(crate) fn time_left(&self, now: ClockTime) -> Duration {
         self.request.deadline.since(now)
     }
 
-    /// Whether it may reach a second upstream after one that may have run it.
+    /// Whether it may be sent to another upstream after one that may have run it.
     pub(crate) fn is_idempotent(&self) -> bool {
         self.request.route.repeat == RepeatRule::Idempotent
     }
 
-    /// Whether it may go to one more upstream if the next one fails.
+    /// Whether another attempt is allowed if the next one fails.
     pub(crate) fn may_repeat(&self) -> bool {
         self.is_idempotent() && self.sends + 1 < self.request.route.attempts
     }
 
-    /// Whether both its route and its account let it run in a data centre.
+    /// Whether both its route and its account allow it to run in a data centre.
     pub(crate) fn may_run_in(&self, centre: &CentreName) -> bool {
         let region = self.state.region_of(centre);
-        self.request.route.homes.allow(region) && self.request.branch_homes.allow(region)
+        self.request.route.homes.allow(region) && self.request.branch_regions.allow(region)
     }
 
     fn note_charge(&mut self) {
         let reservation = self.request.reservation.as_ref();
-        self.record.charged = reservation.map_or(TokenCount::ZERO, Reservation::charged);
+        self.log.charged = reservation.map_or(TokenCount::ZERO, Reservation::charged);
     }
 
-    /// Charges the prompt: from the moment of sending an upstream may have read it, also if the
-    /// caller goes away before anything comes back.
+    /// Charges the prompt. An upstream may have processed it as soon as the request is sent, also
+    /// if the caller disconnects before the response.
     pub(crate) fn charge_prompt(&mut self) {
-        let prompt = self.request.demand.tokens.map_or(TokenCount::ZERO, |tokens| tokens.prompt);
+        let prompt =
+            self.request.attributes.tokens.map_or(TokenCount::ZERO, |tokens| tokens.prompt);
         if let Some(reservation) = &mut self.request.reservation {
             reservation.set_prompt(prompt);
         }
         self.note_charge();
     }
 
-    /// Takes the charge of the prompt back, unless an upstream may have read it.
+    /// Reverses the charge of the prompt, unless an upstream may have processed it.
     pub(crate) fn uncharge_prompt(&mut self) {
         if self.may_have_run {
             return;
@@ -100,10 +101,10 @@
         self.note_charge();
     }
 
-    /// Charges events that are passed on to the caller. An event may hold fewer tokens than most
-    /// do; a request is never charged more than it reserved.
+    /// Charges the configured number of tokens for each event forwarded to the caller. An event may
+    /// hold fewer tokens than that; the total charge never exceeds the reservation.
     pub(crate) fn charge_events(&mut self, count: u64) {
-        self.record.events += count;
+        self.log.events += count;
         let service = self.request.index.service(&self.request.service);
         let engine = service.and_then(|service| service.engine.as_ref());
         let each = engine.map_or(0, |engine| engine.event_tokens.0);
@@ -114,37 +115,36 @@
     }
 }
 
-/// What logs and metrics tell of a request. Written when it ends, also when its caller goes away
-/// and everything else of it is dropped.
-pub(crate) struct FlightRecord {
+/// The log and metrics data of a request. Written on drop, so also when its caller disconnects.
+pub(crate) struct RequestLog {
     pub(crate) state: Arc<GatewayState>,
     pub(crate) request: String,
     pub(crate) route: String,
     pub(crate) branch: Option<BranchName>,
-    pub(crate) began: ClockTime,
+    pub(crate) started_at: ClockTime,
     pub(crate) first: Option<ClockTime>,
     pub(crate) upstream: Option<UpstreamName>,
     pub(crate) sends: u32,
     pub(crate) events: u64,
-    /// Tokens that its account pays for.
+    /// Tokens charged to its account.
     pub(crate) charged: TokenCount,
-    /// What became of it.
+    /// `None` until the request is concluded.
     pub(crate) outcome: Option<Outcome>,
     pub(crate) status: u16,
     pub(crate) detail: String,
-    /// How long a ready task waited for the processor when it came.
-    pub(crate) turn: Duration,
+    /// Scheduling delay when it arrived: how long a ready task waited for the processor.
+    pub(crate) scheduling_delay: Duration,
 }
 
-impl FlightRecord {
-    pub(crate) fn new(state: &Arc<GatewayState>, began: ClockTime) -> Self {
+impl RequestLog {
+    pub(crate) fn new(state: &Arc<GatewayState>, started_at: ClockTime) -> Self {
         state.requests.fetch_add(1, Ordering::Relaxed);
         Self {
             state: state.clone(),
             request: String::new(),
             route: String::new(),
             branch: None,
-            began,
+            started_at,
             first: None,
             upstream: None,
             sends: 0,
@@ -153,11 +153,11 @@
             outcome: None,
             status: 0,
             detail: String::new(),
-            turn: Duration::ZERO,
+            scheduling_delay: Duration::ZERO,
         }
     }
 
-    /// Notes how the request ends.
+    /// Records the outcome; `detail` is its cause in the log, empty if there is none.
     pub(crate) fn conclude(&mut self, outcome: Outcome, status: u16, detail: &str) {
         self.outcome = Some(outcome);
         self.status = status;
@@ -165,14 +165,14 @@
     }
 }
 
-impl Drop for FlightRecord {
+impl Drop for RequestLog {
     fn drop(&mut self) {
         self.state.requests.fetch_sub(1, Ordering::Relaxed);
-        if self.outcome.is_none() && self.state.over.is_given() {
-            // A stream that has begun keeps the status that its caller saw.
+        if self.outcome.is_none() && self.state.abort.is_set() {
+            // A stream that has begun keeps the status already sent to its caller.
             let status =
-                if self.status == 0 { Refusal::Ended.status().as_u16() } else { self.status };
-            self.conclude(Outcome::Cut, status, Refusal::Ended.reason());
+                if self.status == 0 { Refusal::Aborted.status().as_u16() } else { self.status };
+            self.conclude(Outcome::Cut, status, Refusal::Aborted.reason());
         }
         let now = ClockTime::now();
         let outcome = self.outcome.unwrap_or(Outcome::CallerGone);
@@ -192,19 +192,19 @@
             sends = self.sends,
             events = self.events,
             charged = self.charged,
-            first_ms = first.since(self.began).as_millis(),
-            total_ms = now.since(self.began).as_millis(),
-            turn_ms = self.turn.as_millis(),
+            first_ms = first.since(self.started_at).as_millis(),
+            total_ms = now.since(self.started_at).as_millis(),
+            turn_ms = self.scheduling_delay.as_millis(),
             plan = self.state.plan_version(),
             detail = self.detail,
         );
         let metrics = &self.state.metrics;
-        metrics.ended(outcome, &self.route);
-        metrics.observe(
+        metrics.count_outcome(outcome, &self.route);
+        metrics.observe_latency(
             &self.route,
             self.branch.as_ref(),
-            first.since(self.began),
-            now.since(self.began),
+            first.since(self.started_at),
+            now.since(self.started_at),
         );
     }
 }
--- a/crates/sagespool-gateway/src/crashes.rs
+++ b/crates/sagespool-gateway/src/crashes.rs
@@ -1,8 +1,8 @@
-//! Requests that take down the upstreams that run them.
+//! Quarantine of requests that crash upstreams.
 //!
-//! A request may crash each upstream that begins to run it, and its caller sends it again, to any
-//! gateway. Each gateway tells the others of connections that broke before an answer began; a
-//! content that did so at several upstreams is refused everywhere.
+//! A request may crash every upstream that runs it, and its caller may retry it at any gateway.
+//! Each gateway reports connections that broke before the response began to the others; a content
+//! that did so at several upstreams is refused by all gateways.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -13,24 +13,24 @@
 use sagespool_messages::{CrashReport, MemberRole, PeerRequest};
 use sagespool_types::{AttemptNumber, ClockTime, ContentDigest, RequestId, UpstreamName};
 
-use crate::flight::Flight;
+use crate::context::RequestContext;
 use crate::state::GatewayState;
 
-/// A lost answer looks like a crash, and a caller's second try may lose its answer too: two say
-/// nothing yet.
-const CRASHES_TO_STOP: usize = 3;
-const REPORT_LIMIT: Duration = Duration::from_millis(300);
+/// Crashes until a content is refused. A lost response looks like a crash, and the caller's retry
+/// may lose its response too, so two aren't sufficient evidence.
+const CRASHES_TO_QUARANTINE: usize = 3;
+const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What is known of crashes.
-pub(crate) struct CrashDesk {
+/// Crash reports of this gateway and of others, by request content.
+pub(crate) struct CrashReports {
     board: CrashBoard,
-    /// Reports so far: without any, no request's content has to be looked at.
+    /// Number of reports. While it is zero, requests' contents aren't hashed.
     reports: AtomicUsize,
 }
 
-impl CrashDesk {
+impl CrashReports {
     pub(crate) fn new() -> Self {
-        let policy = CrashPolicy::builder().stop_at(CRASHES_TO_STOP).build();
+        let policy = CrashPolicy::builder().stop_at(CRASHES_TO_QUARANTINE).build();
         Self { board: CrashBoard::with_policy(policy), reports: AtomicUsize::new(0) }
     }
 
@@ -38,12 +38,12 @@
         self.reports.load(Ordering::Relaxed) > 0
     }
 
-    /// Whether a content must not run anywhere.
-    pub(crate) fn stops(&self, content: impl FnOnce() -> ContentDigest) -> bool {
+    /// Whether a content is refused.
+    pub(crate) fn is_quarantined(&self, content: impl FnOnce() -> ContentDigest) -> bool {
         self.has_reports() && self.board.stopped(content())
     }
 
-    /// Takes a report, a gateway's own or another's.
+    /// Records a report of this gateway or another one.
     pub(crate) fn record(&self, report: &CrashReport, now: ClockTime) {
         self.reports.fetch_add(1, Ordering::Relaxed);
         let verdict = self.board.record(report, now);
@@ -57,13 +57,14 @@
     }
 }
 
-impl Flight {
-    /// What makes two requests the same, whoever takes them in.
+impl RequestContext {
+    /// Identifies equal requests across all gateways.
     pub(crate) fn content(&self) -> ContentDigest {
-        content_of(self.request.demand.key.as_deref(), &self.head, &self.request.body)
+        content_of(self.request.attributes.key.as_deref(), &self.head, &self.request.body)
     }
 
-    /// Notes that an upstream's connection broke before its answer began, here and at the others.
+    /// Records that an upstream's connection broke before the response began, and reports it to the
+    /// other gateways.
     pub(crate) fn report_crash(&self, upstream: &UpstreamName) {
         let report = CrashReport {
             content: self.content(),
@@ -72,10 +73,10 @@
             attempt: AttemptNumber(self.sends),
         };
         self.state.crashes.record(&report, ClockTime::now());
-        smol::spawn(spread(self.state.clone(), report)).detach();
+        smol::spawn(broadcast(self.state.clone(), report)).detach();
     }
 
-    /// Notes that it came through whole: it takes no upstream down.
+    /// Clears earlier crashes of this content after a complete response.
     pub(crate) fn clear_crashes(&self) {
         if self.state.crashes.has_reports() {
             self.state.crashes.board.completed(self.content());
@@ -83,7 +84,7 @@
     }
 }
 
-/// The content of a request: its caller, its target and its body.
+/// The digest of a request's caller key, method, target and body.
 pub(crate) fn content_of(
     key: Option<&str>,
     head: &hyper::http::request::Parts,
@@ -93,10 +94,10 @@
     ContentDigest::of(&target, body)
 }
 
-async fn spread(state: Arc<GatewayState>, report: CrashReport) {
+async fn broadcast(state: Arc<GatewayState>, report: CrashReport) {
     for other in state.fleet.others(MemberRole::Entry, ClockTime::now()) {
         let request = PeerRequest::ReportCrash(report.clone());
-        if let Err(error) = state.fleet.ask(other.address, &request, REPORT_LIMIT).await {
+        if let Err(error) = state.fleet.call(other.address, &request, REPORT_TIMEOUT).await {
             log_event!(warn, "crash-untold", to = other.instance, error = error);
         }
     }
--- a/crates/sagespool-gateway/src/evacuations.rs
+++ b/crates/sagespool-gateway/src/evacuations.rs
@@ -1,4 +1,4 @@
-//! Following which data centres operators keep free of work.
+//! Following the list of evacuated data centres in the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,21 +7,21 @@
 use sagespool_messages::FollowedKind;
 use sagespool_types::{CentreName, ClockTime};
 
-use crate::follow::{Followed, follow, key_name};
+use crate::follow::{FollowedPrefix, follow, key_name};
 use crate::state::GatewayState;
 
-/// Follows the evacuations of data centres for ever.
+/// Follows the evacuations until cancelled.
 pub(crate) async fn follow_evacuations(state: Arc<GatewayState>) {
-    let followed = Followed {
-        what: "evacuations",
+    let followed = FollowedPrefix {
+        name: "evacuations",
         kind: FollowedKind::Evacuations,
         prefix: state.dialect.evacuation_prefix,
         pause: |_| Duration::ZERO,
         on_listing: |state, listing| {
             let listed: Vec<CentreName> =
                 listing.items.iter().filter_map(|(key, _)| read_centre(key)).collect();
-            let ended: Vec<CentreName> = state.roster().evacuated().cloned().collect();
-            for centre in ended.iter().filter(|centre| !listed.contains(centre)) {
+            let previous: Vec<CentreName> = state.upstreams().evacuated().cloned().collect();
+            for centre in previous.iter().filter(|centre| !listed.contains(centre)) {
                 state.readmit(centre, ClockTime::now());
             }
             listed.into_iter().for_each(|centre| state.evacuate(centre));
@@ -36,12 +36,12 @@
             }
             true
         },
-        on_return: |_, _| {},
+        on_recovery: |_, _| {},
     };
     follow(&state, followed).await;
 }
 
-/// The data centre that an evacuation's key names.
+/// The data centre in the key of an evacuation; `None` and a log line if it is no valid name.
 fn read_centre(key: &str) -> Option<CentreName> {
     let centre = key_name(key).parse().ok();
     if centre.is_none() {
--- a/crates/sagespool-gateway/src/feeds.rs
+++ b/crates/sagespool-gateway/src/feeds.rs
@@ -1,4 +1,4 @@
-//! Telling neighbours what the store holds, and asking them.
+//! Replication of store contents between neighbours, the gateways of one data centre.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -17,38 +17,38 @@
 use sagespool_settings::InForceSettings;
 use sagespool_types::{CentreName, ClockTime, IncarnationId, StoreRevision};
 
-use crate::fleet::FleetBoard;
+use crate::fleet::FleetClient;
 
 const MICROS_IN_SECOND: u64 = 1_000_000;
 const NANOS_IN_MICRO: u64 = 1_000;
 
-/// The time by a clock that runs on while the machine is suspended.
-pub(crate) fn unsuspended_now() -> ClockTime {
+/// The time of a clock that includes the time in which the machine is suspended.
+pub(crate) fn boot_time_now() -> ClockTime {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
     let micros = u64::try_from(time.tv_nsec).unwrap_or(0) / NANOS_IN_MICRO;
     ClockTime(seconds * MICROS_IN_SECOND + micros)
 }
 
-/// One thing that is followed: the copy of it, and who waits for news.
+/// A local copy of one followed prefix, and the neighbours' requests that wait for its changes.
 #[derive(Debug, Default)]
-pub(crate) struct FeedSlot {
-    state: Mutex<SlotState>,
+pub(crate) struct FeedReplica {
+    state: Mutex<ReplicaState>,
     changed: Event,
 }
 
 #[derive(Debug, Default)]
-struct SlotState {
+struct ReplicaState {
     feed: ChangeFeed,
     store_lost: bool,
 }
 
-impl FeedSlot {
-    fn state(&self) -> MutexGuard<'_, SlotState> {
+impl FeedReplica {
+    fn state(&self) -> MutexGuard<'_, ReplicaState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a whole listing of the store.
+    /// Replaces the copy by a full listing of the store that was current at `valid_at`.
     pub(crate) fn apply_listing(
         &self,
         revision: StoreRevision,
@@ -59,31 +59,31 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Takes the changes that matter, and notes up to which revision and when they were all.
-    pub(crate) fn take_changes(
+    /// Applies relevant changes. The copy is then complete up to `revision` as of `valid_at`.
+    pub(crate) fn apply_changes(
         &self,
         changes: Vec<FeedObject>,
         revision: StoreRevision,
         valid_at: ClockTime,
     ) {
-        let is_news = !changes.is_empty();
+        let has_changes = !changes.is_empty();
         let mut state = self.state();
         for change in changes {
             state.feed.apply_change(change);
         }
         state.feed.advance(revision, valid_at);
         drop(state);
-        if is_news {
+        if has_changes {
             self.changed.notify(usize::MAX);
         }
     }
 
-    /// Whether there is a copy at all.
+    /// Whether a listing has been received.
     pub(crate) fn is_loaded(&self) -> bool {
         self.age().is_some()
     }
 
-    /// Notes whether the store answers.
+    /// Records whether the store is unreachable.
     pub(crate) fn note_store(&self, lost: bool) {
         self.state().store_lost = lost;
     }
@@ -93,66 +93,67 @@
     }
 
     fn age(&self) -> Option<Duration> {
-        self.state().feed.age(unsuspended_now())
+        self.state().feed.age(boot_time_now())
     }
 
-    /// Answers a neighbour, as soon as there is something that it doesn't know.
-    async fn answer(&self, ask: FollowAsk) -> FollowReply {
+    /// Replies to a neighbour's long poll as soon as there are changes after its revision, or when
+    /// its wait time is over.
+    async fn handle_query(&self, query: FollowAsk) -> FollowReply {
         let changed = self.changed.listen();
-        let has_news = self.state().feed.has_changes_after(ask.after);
-        if !has_news {
-            within(ask.wait, changed).await;
+        let has_changes = self.state().feed.has_changes_after(query.after);
+        if !has_changes {
+            within(query.wait, changed).await;
         }
         let state = self.state();
-        let FeedPage { revision, whole, objects } = state.feed.page(ask.after);
+        let FeedPage { revision, whole, objects } = state.feed.page(query.after);
         FollowReply {
             revision,
-            age: state.feed.age(unsuspended_now()),
+            age: state.feed.age(boot_time_now()),
             store_lost: state.store_lost,
             whole,
-            objects: objects.into_iter().map(told_object).collect(),
+            objects: objects.into_iter().map(wire_object).collect(),
         }
     }
 }
 
-fn told_object(object: FeedObject) -> FollowedObject {
+fn wire_object(object: FeedObject) -> FollowedObject {
     let value = object.value.map(|value| value.to_string());
     FollowedObject { key: object.key, revision: object.revision, value }
 }
 
-/// All that is followed, and from whom.
+/// The copies of all followed prefixes, and the choice of their sources.
 #[derive(Debug)]
-pub(crate) struct FeedDesk {
-    terms: Option<FeedTiming>,
-    evacuation_terms: Option<FeedTiming>,
-    sources: Mutex<FeedSourceSelector>,
-    configuration: FeedSlot,
-    upstreams: FeedSlot,
-    evacuations: FeedSlot,
+pub(crate) struct FeedRegistry {
+    timing: Option<FeedTiming>,
+    evacuation_timing: Option<FeedTiming>,
+    source_selector: Mutex<FeedSourceSelector>,
+    configuration: FeedReplica,
+    upstreams: FeedReplica,
+    evacuations: FeedReplica,
 }
 
-impl FeedDesk {
+impl FeedRegistry {
     pub(crate) fn new(in_force: Option<InForceSettings>) -> Self {
         let evacuations = in_force.and_then(|times| times.evacuations);
         Self {
-            terms: in_force.and_then(|times| FeedTiming::within(times.changes)),
-            evacuation_terms: evacuations.and_then(FeedTiming::within),
-            sources: Mutex::default(),
-            configuration: FeedSlot::default(),
-            upstreams: FeedSlot::default(),
-            evacuations: FeedSlot::default(),
+            timing: in_force.and_then(|times| FeedTiming::within(times.changes)),
+            evacuation_timing: evacuations.and_then(FeedTiming::within),
+            source_selector: Mutex::default(),
+            configuration: FeedReplica::default(),
+            upstreams: FeedReplica::default(),
+            evacuations: FeedReplica::default(),
         }
     }
 
-    /// The terms under which a kind is learnt from neighbours; nothing if the store is always asked.
-    pub(crate) fn terms(&self, kind: FollowedKind) -> Option<FeedTiming> {
+    /// The timing of following a kind by neighbours; `None` if it always follows the store.
+    pub(crate) fn timing(&self, kind: FollowedKind) -> Option<FeedTiming> {
         match kind {
-            FollowedKind::Configuration | FollowedKind::Upstreams => self.terms,
-            FollowedKind::Evacuations => self.evacuation_terms,
+            FollowedKind::Configuration | FollowedKind::Upstreams => self.timing,
+            FollowedKind::Evacuations => self.evacuation_timing,
         }
     }
 
-    pub(crate) fn slot(&self, kind: FollowedKind) -> &FeedSlot {
+    pub(crate) fn replica(&self, kind: FollowedKind) -> &FeedReplica {
         match kind {
             FollowedKind::Configuration => &self.configuration,
             FollowedKind::Upstreams => &self.upstreams,
@@ -160,54 +161,54 @@
         }
     }
 
-    fn sources(&self) -> MutexGuard<'_, FeedSourceSelector> {
-        self.sources.lock().unwrap_or_else(PoisonError::into_inner)
+    fn source_selector(&self) -> MutexGuard<'_, FeedSourceSelector> {
+        self.source_selector.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The neighbour to ask for changes; nothing if the store is to be asked.
+    /// The neighbour to request changes from; `None` for the store.
     pub(crate) fn neighbour(
         &self,
-        fleet: &FleetBoard,
+        fleet: &FleetClient,
         centre: &CentreName,
         kind: FollowedKind,
         now: ClockTime,
     ) -> Option<MemberInfo> {
-        let terms = self.terms(kind)?;
-        let own_age = self.slot(kind).age();
+        let timing = self.timing(kind)?;
+        let own_age = self.replica(kind).age();
         let mut others = fleet.others(MemberRole::Entry, now);
         others.retain(|other| other.centre == *centre && !other.leaving);
         let ids: Vec<IncarnationId> = others.iter().map(|other| other.incarnation).collect();
-        match self.sources().choose(fleet.run, &ids, own_age, terms, now) {
+        match self.source_selector().choose(fleet.run, &ids, own_age, timing, now) {
             FeedSource::Store => None,
             FeedSource::Neighbour(id) => others.into_iter().find(|other| other.incarnation == id),
         }
     }
 
-    /// Asks a neighbour for changes. Nothing if it can't be relied on: it didn't answer, or its word
-    /// is older than may be taken. It isn't asked again for a while then.
+    /// Requests changes from a neighbour. `None` if it didn't reply or its copy is too old; it is
+    /// then avoided for a while.
     ///
-    /// Guards against a neighbour that is cut off, frozen or slow: it goes on answering with what it
-    /// knew, and changes that the store has accepted wouldn't come into force here.
-    pub(crate) async fn ask(
+    /// Guards against a neighbour that is partitioned, frozen or slow: its copy is stale, and
+    /// changes that the store has accepted wouldn't take effect here.
+    pub(crate) async fn query(
         &self,
-        fleet: &FleetBoard,
+        fleet: &FleetClient,
         neighbour: &MemberInfo,
         kind: FollowedKind,
     ) -> Option<FollowReply> {
-        let terms = self.terms(kind)?;
-        let after = self.slot(kind).revision();
-        let request = PeerRequest::Follow(FollowAsk { kind, after, wait: terms.poll_wait });
-        let limit = terms.poll_wait + REPLY_TIMEOUT;
-        let reply = match fleet.ask(neighbour.address, &request, limit).await {
+        let timing = self.timing(kind)?;
+        let after = self.replica(kind).revision();
+        let request = PeerRequest::Follow(FollowAsk { kind, after, wait: timing.poll_wait });
+        let limit = timing.poll_wait + REPLY_TIMEOUT;
+        let reply = match fleet.call(neighbour.address, &request, limit).await {
             Ok(PeerReply::Follow(reply)) => Some(reply),
             _ => None,
         };
         let cause = match reply.as_ref().map(|reply| reply.age) {
-            None => "no answer".to_owned(),
-            Some(None) => "no word".to_owned(),
-            Some(Some(age)) => format!("word of {} ms ago", age.as_millis()),
+            None => "no reply".to_owned(),
+            Some(None) => "no copy".to_owned(),
+            Some(Some(age)) => format!("copy is {} ms old", age.as_millis()),
         };
-        let fresh = reply.filter(|reply| reply.age.is_some_and(|age| age <= terms.max_age));
+        let fresh = reply.filter(|reply| reply.age.is_some_and(|age| age <= timing.max_age));
         if fresh.is_none() {
             log_event!(
                 info,
@@ -216,15 +217,15 @@
                 kind = kind.as_str(),
                 cause = cause,
             );
-            self.sources().avoid(neighbour.incarnation, ClockTime::now());
+            self.source_selector().avoid(neighbour.incarnation, ClockTime::now());
         }
         fresh
     }
 
-    /// Answers a neighbour.
-    pub(crate) async fn answer(&self, ask: FollowAsk) -> FollowReply {
-        let longest = self.terms(ask.kind).map_or(REPLY_TIMEOUT, |terms| terms.poll_wait);
-        let ask = FollowAsk { wait: ask.wait.min(longest), ..ask };
-        self.slot(ask.kind).answer(ask).await
+    /// Replies to a neighbour's long poll.
+    pub(crate) async fn handle_query(&self, query: FollowAsk) -> FollowReply {
+        let longest = self.timing(query.kind).map_or(REPLY_TIMEOUT, |timing| timing.poll_wait);
+        let query = FollowAsk { wait: query.wait.min(longest), ..query };
+        self.replica(query.kind).handle_query(query).await
     }
 }
--- a/crates/sagespool-gateway/src/fleet.rs
+++ b/crates/sagespool-gateway/src/fleet.rs
@@ -1,4 +1,5 @@
-//! The other processes: finding them, staying in touch, calling the store by way of them.
+//! Communication with the other processes: discovery, heartbeats, requests, and calls of the store
+//! through them.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
@@ -23,85 +24,86 @@
 };
 use smol::Timer;
 
-use crate::identity::make_identity;
+use crate::identity::create_identity;
 
-/// The membership is asked this often what is due.
-const ROUND: Duration = Duration::from_millis(200);
-/// The largest fleet in which everyone hears from everyone. A connection to a peer takes up to a
-/// megabyte on each side, and the machines are small.
+/// Interval of the checks which heartbeats are due.
+const HEARTBEAT_CHECK_PERIOD: Duration = Duration::from_millis(200);
+/// The largest fleet with a full mesh of heartbeats. A connection to a peer takes up to 1 MB on
+/// each side, and the machines are small.
 const MESH_LIMIT: usize = 8;
-/// Time between two rounds in a larger fleet.
+/// Heartbeat interval in larger fleets, which use gossip.
 const GOSSIP_PERIOD: Duration = Duration::from_millis(1500);
-/// How often members of a small fleet hear from each other. The configuration's version travels
-/// with it, and must reach a gateway that the store turns away within seconds.
+/// Heartbeat interval in a full mesh. Heartbeats carry the configuration's version, which must
+/// reach a gateway that the store rejects within seconds.
 const MESH_PERIOD: Duration = Duration::from_millis(1000);
-/// Without word for so long a member is taken to be away, which only means that it isn't asked.
+/// Without a heartbeat for this time a member is suspected. Suspicion only means that no requests
+/// are sent to it.
 const SUSPECT_AFTER: Duration = Duration::from_millis(3000);
-const BEAT_LIMIT: Duration = Duration::from_millis(700);
-/// Between two readings of the members' addresses in the store; heartbeats tell of new ones.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(700);
+/// Interval of reading the members' addresses from the store. Heartbeats carry new ones sooner.
 const LISTING_PERIOD: Duration = Duration::from_secs(30);
-const FAILURE_PAUSE: Duration = Duration::from_millis(400);
-const WRITE_LIMIT: Duration = Duration::from_secs(2);
-/// Where processes write their addresses.
+const RETRY_BACKOFF: Duration = Duration::from_millis(400);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The store prefix of processes' addresses.
 const ADDRESS_PREFIX: &str = "members/";
-const NO_LINK: &str = "the own link isn't open yet";
-/// Processes that are asked to make a call of the store, one after the other.
-const MOST_DETOURS: usize = 3;
+const NO_LINK: &str = "this process's link isn't open yet";
+/// Number of processes tried, one after the other, to forward a call of the store.
+const MAX_FALLBACK_MEMBERS: usize = 3;
 
-/// Who a process is in the fleet.
+/// The identity and addresses of this process in the fleet.
 #[derive(Debug, Clone, Builder)]
-pub(crate) struct OwnPlace {
+pub(crate) struct LocalMember {
     pub(crate) instance: InstanceName,
     pub(crate) region: RegionName,
     pub(crate) centre: CentreName,
     pub(crate) role: MemberRole,
-    /// Where its link listens.
+    /// The listen address of its link.
     pub(crate) link: SocketAddr,
-    /// Where others are told to reach it, if that differs.
+    /// The address that others connect to, if it differs.
     pub(crate) advertise: Option<SocketAddr>,
-    /// Links of others to begin with.
+    /// Link addresses of seed peers.
     pub(crate) peers: Vec<SocketAddr>,
 }
 
-impl OwnPlace {
-    /// Where others reach this process.
-    fn reached_at(&self) -> SocketAddr {
+impl LocalMember {
+    /// The address that others connect to.
+    fn public_address(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.link)
     }
 }
 
 derives! { record;
-    /// Where a process's link is reached.
+    /// The stored link address of a process.
     #[derive(Default)]
     struct AddressRecord {
         address: Option<SocketAddr>,
         run: Option<IncarnationId>,
-        /// What the process is; nothing in records of earlier versions.
+        /// `None` in records of earlier versions.
         #[serde(default)]
         role: Option<MemberRole>,
     }
 }
 
-/// The other processes, as far as they are known.
-pub(crate) struct FleetBoard {
-    place: OwnPlace,
+/// The known members of the fleet, and the link to them.
+pub(crate) struct FleetClient {
+    local: LocalMember,
     pub(crate) run: IncarnationId,
     pub(crate) members: MemberTable,
     link: OnceLock<LinkEndpoint>,
-    /// The gateways whose addresses stood in the store when they were read last.
+    /// The gateways in the last listing of addresses, until it is taken.
     listed: Mutex<Option<Vec<InstanceName>>>,
 }
 
-impl FleetBoard {
-    pub(crate) fn new(place: OwnPlace, run: IncarnationId) -> Self {
+impl FleetClient {
+    pub(crate) fn new(local: LocalMember, run: IncarnationId) -> Self {
         let own = MemberInfo {
-            instance: place.instance.clone(),
+            instance: local.instance.clone(),
             incarnation: run,
             number: initial_heartbeat_number(WallTime::now()),
-            role: place.role,
-            region: place.region.clone(),
-            centre: place.centre.clone(),
-            address: place.reached_at(),
+            role: local.role,
+            region: local.region.clone(),
+            centre: local.centre.clone(),
+            address: local.public_address(),
             leaving: false,
             config: ConfigVersion::ZERO,
             started_at: None,
@@ -114,34 +116,35 @@
             .suspect_after(SUSPECT_AFTER)
             .build();
         let members = MemberTable::new(own, policy, run.0);
-        members.add_seeds(&place.peers, ClockTime::now());
-        Self { place, run, members, link: OnceLock::new(), listed: Mutex::default() }
+        members.add_seeds(&local.peers, ClockTime::now());
+        Self { local, run, members, link: OnceLock::new(), listed: Mutex::default() }
     }
 
-    /// How many members of a role there are, this process among them.
+    /// The number of members of a role, including this process.
     pub(crate) fn count(&self, role: MemberRole) -> usize {
         self.members.members().iter().filter(|member| member.role == role).count()
     }
 
-    /// How many gateways share what is shared, this one among them.
+    /// The number of gateways that shared limits are divided by, including this one.
     pub(crate) fn instances(&self) -> usize {
         self.count(MemberRole::Entry).max(MIN_INSTANCES)
     }
 
-    /// Whether this process is an account's home.
+    /// Whether this process is an account's home. True too if no home is known.
     pub(crate) fn is_home(&self, branch: &BranchName, now: ClockTime) -> bool {
         let home = self.members.home_of(branch, now);
         home.is_none_or(|home| home.incarnation == self.run)
     }
 
-    /// Members of a role that are fit to be asked, in random order.
+    /// The reachable members of a role without this process, in random order. Includes leaving
+    /// ones.
     pub(crate) fn others(&self, role: MemberRole, now: ClockTime) -> Vec<MemberInfo> {
         let mut others = self.members.live(role, now);
         fastrand::shuffle(&mut others);
         others
     }
 
-    pub(crate) async fn ask(
+    pub(crate) async fn call(
         &self,
         address: SocketAddr,
         request: &PeerRequest,
@@ -153,57 +156,59 @@
         }
     }
 
-    /// The reply to a heartbeat.
-    pub(crate) fn answer_heartbeat(&self, beat: &Heartbeat) -> PeerReply {
-        PeerReply::Heartbeat(self.members.handle_heartbeat(beat, ClockTime::now()))
+    pub(crate) fn handle_heartbeat(&self, heartbeat: &Heartbeat) -> PeerReply {
+        PeerReply::Heartbeat(self.members.handle_heartbeat(heartbeat, ClockTime::now()))
     }
 
-    /// Opens the link and stays in touch for ever. `heard` is told of each member that answers.
+    /// Opens the link and sends heartbeats until cancelled. `on_reply` is called for each member
+    /// that replies.
     pub(crate) async fn run(
         self: Arc<Self>,
         store: ObjectClient,
         handler: PeerHandler,
-        heard: impl Fn(&MemberInfo) + Clone + Send + 'static,
+        on_reply: impl Fn(&MemberInfo) + Clone + Send + 'static,
     ) {
         let Some(endpoint) = self.open_link(&store, handler).await else {
             return;
         };
         log_event!(info, "link-open", address = endpoint.local_address());
         if self.link.set(endpoint).is_err() {
-            log_event!(error, "link-opened-twice", address = self.place.link);
+            log_event!(error, "link-opened-twice", address = self.local.link);
             return;
         }
         smol::spawn(self.clone().follow_addresses(store)).detach();
         loop {
-            for (address, beat) in self.members.due_heartbeats(ClockTime::now()) {
-                smol::spawn(self.clone().beat(address, beat, heard.clone())).detach();
+            for (address, heartbeat) in self.members.due_heartbeats(ClockTime::now()) {
+                smol::spawn(self.clone().send_heartbeat(address, heartbeat, on_reply.clone()))
+                    .detach();
             }
-            Timer::after(ROUND).await;
+            Timer::after(HEARTBEAT_CHECK_PERIOD).await;
         }
     }
 
-    async fn beat(
+    async fn send_heartbeat(
         self: Arc<Self>,
         address: SocketAddr,
-        beat: Heartbeat,
-        heard: impl Fn(&MemberInfo),
+        heartbeat: Heartbeat,
+        on_reply: impl Fn(&MemberInfo),
     ) {
-        match self.ask(address, &PeerRequest::Heartbeat(beat), BEAT_LIMIT).await {
+        match self.call(address, &PeerRequest::Heartbeat(heartbeat), HEARTBEAT_TIMEOUT).await {
             Ok(PeerReply::Heartbeat(reply)) => {
                 self.members.handle_reply(address, &reply, ClockTime::now());
-                heard(&reply.from);
+                on_reply(&reply.from);
             }
             _ => self.members.record_call_failure(address, ClockTime::now()),
         }
     }
 
-    /// The link needs the fleet's authority, which is in the store: tries until it has it.
+    /// Opens the link. It needs the fleet's certificate authority from the store, which is read
+    /// with retries until it succeeds.
     async fn open_link(&self, store: &ObjectClient, handler: PeerHandler) -> Option<LinkEndpoint> {
-        let mut told = false;
+        let mut logged = false;
         loop {
-            match make_identity(store, &self.place.instance).await {
+            match create_identity(store, &self.local.instance).await {
                 Ok(identity) => {
-                    return match LinkEndpoint::start(self.place.link, identity, handler) {
+                    return match LinkEndpoint::start(self.local.link, identity, handler) {
                         Ok(endpoint) => Some(endpoint),
                         Err(report) => {
                             log_event!(error, "link-closed", detail = format!("{report:?}"));
@@ -211,9 +216,9 @@
                         }
                     };
                 }
-                Err(fault) => {
-                    if !std::mem::replace(&mut told, true) {
-                        log_event!(warn, "identity-missing", detail = fault);
+                Err(error) => {
+                    if !std::mem::replace(&mut logged, true) {
+                        log_event!(warn, "identity-missing", detail = error);
                     }
                     pause_after_failure().await;
                 }
@@ -221,17 +226,17 @@
         }
     }
 
-    /// Writes this process's address to the store, and reads the others'.
+    /// Writes this process's address to the store, and reads the other addresses periodically.
     async fn follow_addresses(self: Arc<Self>, store: ObjectClient) {
-        let own = self.place.reached_at();
-        let key = format!("{ADDRESS_PREFIX}{}", self.place.instance);
-        let role = Some(self.place.role);
+        let own = self.local.public_address();
+        let key = format!("{ADDRESS_PREFIX}{}", self.local.instance);
+        let role = Some(self.local.role);
         let record = AddressRecord { address: Some(own), run: Some(self.run), role };
         let mut written = false;
         loop {
             written = written || write_address(&store, &key, &record).await;
-            // Gateways look for others; a relay is found.
-            if written && self.place.role == MemberRole::Sidecar {
+            // Relays needn't discover others: gateways connect to them.
+            if written && self.local.role == MemberRole::Sidecar {
                 return;
             }
             match store.list::<AddressRecord>(ADDRESS_PREFIX).await {
@@ -265,18 +270,19 @@
         self.listed.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The gateways that the store listed since this was asked last; nothing if it didn't.
+    /// Takes the gateways in the store's listing; `None` if there was no listing since the last
+    /// call.
     pub(crate) fn listed_gateways(&self) -> Option<Vec<InstanceName>> {
         self.listed().take()
     }
 
-    /// The way to the store by other members: those that stand beside upstreams first, which are
-    /// seldom cut off together with this process.
+    /// Forwards calls of the store through other members when it can't be reached directly. Relays
+    /// come first: they run beside upstreams and seldom lose the store together with this process.
     pub(crate) fn detour(self: &Arc<Self>) -> StoreDetour {
-        let board = self.clone();
+        let client = self.clone();
         StoreDetour::new(move |form, limit| {
-            let board = board.clone();
-            Box::pin(async move { board.call_store(form, limit).await })
+            let client = client.clone();
+            Box::pin(async move { client.call_store(form, limit).await })
         })
     }
 
@@ -286,8 +292,8 @@
             return Err(RawFailure::NotSent);
         };
         let mut failure = RawFailure::NotSent;
-        for other in self.detours(ClockTime::now()) {
-            let reply = self.ask(other.address, &request, limit).await;
+        for other in self.fallback_members(ClockTime::now()) {
+            let reply = self.call(other.address, &request, limit).await;
             failure = match reply {
                 Ok(PeerReply::StoreCall(StoreCallReply::Answered { status, body })) => {
                     return Ok(RawAnswer { status, body });
@@ -305,16 +311,16 @@
         Err(failure)
     }
 
-    fn detours(&self, now: ClockTime) -> Vec<MemberInfo> {
-        // The same few each time: their connections are open already, and a new one is dear. Each
-        // process has others, so that none is everybody's.
+    fn fallback_members(&self, now: ClockTime) -> Vec<MemberInfo> {
+        // Always the same members, whose connections are open already: new ones are expensive. The
+        // order differs between processes, so that the load is spread.
         let preference = |other: &MemberInfo| other.incarnation.0 ^ self.run.0;
         let mut others = self.members.live(MemberRole::Sidecar, now);
-        others.sort_by_key(|other| (other.centre != self.place.centre, preference(other)));
+        others.sort_by_key(|other| (other.centre != self.local.centre, preference(other)));
         let mut entries = self.members.live(MemberRole::Entry, now);
         entries.sort_by_key(preference);
         others.extend(entries);
-        others.truncate(MOST_DETOURS);
+        others.truncate(MAX_FALLBACK_MEMBERS);
         others
     }
 }
@@ -331,8 +337,8 @@
     Some(PeerRequest::CallStore(StoreCall { method, path, body, wait }))
 }
 
-/// Makes a call of the store for another process.
-pub(crate) async fn answer_store_call(store: &ObjectClient, call: StoreCall) -> PeerReply {
+/// Calls the store on behalf of another process.
+pub(crate) async fn handle_store_call(store: &ObjectClient, call: StoreCall) -> PeerReply {
     let method = match call.method {
         StoreMethod::Get => CallMethod::Get,
         StoreMethod::Post => CallMethod::Post,
@@ -348,7 +354,7 @@
 }
 
 async fn pause_after_failure() {
-    Timer::after(FAILURE_PAUSE.mul_f64(0.5 + fastrand::f64())).await;
+    Timer::after(RETRY_BACKOFF.mul_f64(0.5 + fastrand::f64())).await;
 }
 
 async fn write_address(store: &ObjectClient, key: &str, record: &AddressRecord) -> bool {
@@ -359,7 +365,7 @@
         *present = record.clone();
         UpdateChoice::Write
     };
-    match update_object(store, key, WRITE_LIMIT, apply).await {
+    match update_object(store, key, WRITE_TIMEOUT, apply).await {
         Ok(_) => true,
         Err(error) => {
             log_event!(warn, "address-unwritten", error = error);
--- a/crates/sagespool-gateway/src/flush.rs
+++ b/crates/sagespool-gateway/src/flush.rs
@@ -1,4 +1,4 @@
-//! Knowing when a connection has written everything out.
+//! Detection of when a connection has written all its data.
 
 use std::future::Future;
 use std::io;
@@ -12,7 +12,7 @@
 use smol::Timer;
 use smol::net::TcpStream;
 
-/// Counts how often a connection had nothing left to write.
+/// Counts the completed flushes of a connection.
 #[derive(Debug, Default)]
 pub struct FlushCounter {
     flushes: AtomicU64,
@@ -20,13 +20,12 @@
 }
 
 impl FlushCounter {
-    /// How many flushes there were.
     pub(crate) fn count(&self) -> u64 {
         self.flushes.load(Ordering::Acquire)
     }
 
-    /// Waits for a flush after those that were counted. One task may wait at a time.
-    pub(crate) fn poll_past(&self, counted: u64, context: &Context<'_>) -> Poll<()> {
+    /// Waits until there are more flushes than `counted`. Only one task may wait at a time.
+    pub(crate) fn poll_after(&self, counted: u64, context: &Context<'_>) -> Poll<()> {
         let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
         if self.count() > counted {
             return Poll::Ready(());
@@ -44,53 +43,52 @@
     }
 }
 
-/// A connection whose flushes are counted. Its user flushes it only when all was written to it, as
-/// the HTTP library does.
+/// A connection whose flushes are counted. It must be flushed only after all data was written to
+/// it, as hyper does.
 #[derive(Debug)]
-pub struct CountedStream {
+pub struct FlushCountingStream {
     stream: TcpStream,
     flushes: Arc<FlushCounter>,
-    /// How long the peer may take nothing of what waits to be written.
-    unread_limit: Option<Duration>,
-    /// Runs while the peer takes nothing.
-    unread: Option<Timer>,
+    /// Timeout of a blocked write; `None` for no timeout.
+    write_timeout: Option<Duration>,
+    /// Runs while a write is blocked.
+    write_timer: Option<Timer>,
 }
 
-impl CountedStream {
-    /// Counts a connection's flushes from now on.
+impl FlushCountingStream {
+    /// Wraps a connection without a write timeout.
     pub fn new(stream: TcpStream, flushes: Arc<FlushCounter>) -> Self {
-        Self { stream, flushes, unread_limit: None, unread: None }
+        Self { stream, flushes, write_timeout: None, write_timer: None }
     }
 
-    /// Fails a connection whose peer takes nothing for so long.
+    /// Sets the timeout after which a blocked write fails.
     ///
-    /// Guards against callers whose machine went dark in the middle of an answer: without a word
-    /// from them the system keeps the connection for a quarter of an hour, with its descriptor and
-    /// all that the answer holds. One that still reads, however slowly, starts the time anew with
-    /// each write.
-    pub fn unread_for(mut self, limit: Duration) -> Self {
-        self.unread_limit = Some(limit);
+    /// Guards against callers whose machine fails during a response: the operating system keeps
+    /// such a connection for 15 minutes, with its descriptor and the buffered response. Each
+    /// successful write restarts the timeout, so slow readers aren't affected.
+    pub fn with_write_timeout(mut self, limit: Duration) -> Self {
+        self.write_timeout = Some(limit);
         self
     }
 
-    /// Fails a write that waits for too long; one that was taken ends the wait.
-    fn bound_write(
+    /// Applies the write timeout to the result of a write.
+    fn apply_write_timeout(
         &mut self,
         written: Poll<io::Result<usize>>,
         context: &mut Context<'_>,
     ) -> Poll<io::Result<usize>> {
         if written.is_ready() {
-            self.unread = None;
+            self.write_timer = None;
             return written;
         }
-        let Some(limit) = self.unread_limit else { return Poll::Pending };
-        let unread = self.unread.get_or_insert_with(|| Timer::after(limit));
-        ready!(Pin::new(unread).poll(context));
+        let Some(limit) = self.write_timeout else { return Poll::Pending };
+        let write_timer = self.write_timer.get_or_insert_with(|| Timer::after(limit));
+        ready!(Pin::new(write_timer).poll(context));
         Poll::Ready(Err(io::ErrorKind::TimedOut.into()))
     }
 }
 
-impl AsyncRead for CountedStream {
+impl AsyncRead for FlushCountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -100,14 +98,14 @@
     }
 }
 
-impl AsyncWrite for CountedStream {
+impl AsyncWrite for FlushCountingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.bound_write(written, context)
+        self.apply_write_timeout(written, context)
     }
 
     fn poll_write_vectored(
@@ -116,7 +114,7 @@
         parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(context, parts);
-        self.bound_write(written, context)
+        self.apply_write_timeout(written, context)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/sagespool-gateway/src/follow.rs
+++ b/crates/sagespool-gateway/src/follow.rs
@@ -1,4 +1,4 @@
-//! Following the configuration and the list of upstreams in the store.
+//! Following the configuration and the registered upstreams in the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,68 +11,69 @@
 use serde_json::value::RawValue;
 use smol::Timer;
 
-use crate::contact::StoreContact;
-use crate::feeds::unsuspended_now;
+use crate::feeds::boot_time_now;
 use crate::state::GatewayState;
+use crate::store_health::StoreHealth;
 
-/// How long the store may hold a watch. A connection that has fallen silent shows only when this
-/// time is over, and a configuration must be in force two seconds after the store has it.
+/// Wait time of a long poll of the store. A dead connection is noticed only after this time, and a
+/// configuration must take effect within two seconds after it is stored.
 const WATCH_WAIT: Duration = Duration::from_millis(2000);
-/// Between the answer of a watch of upstreams and the next one. They write all the time, and each
-/// answer is a call: a few changes are taken together. Leaving upstreams go on for two seconds.
+/// Pause between two polls for upstream changes. Upstreams write all the time and each poll is a
+/// call of the store, so changes are batched. Leaving upstreams still serve for two seconds.
 const UPSTREAM_PAUSE: Duration = Duration::from_millis(400);
 /// With more gateways than this, the pause grows with their number: all read the same changes, and
-/// the store's rates grow more slowly than fleets do.
-const PAUSE_INSTANCES: usize = 8;
-const LONGEST_UPSTREAM_PAUSE: Duration = Duration::from_millis(1100);
+/// the store's rate limits grow more slowly than the number of gateways.
+const UNSCALED_INSTANCES: usize = 8;
+const MAX_UPSTREAM_PAUSE: Duration = Duration::from_millis(1100);
 
 fn upstream_pause(state: &GatewayState) -> Duration {
-    let factor = state.instances() as f64 / PAUSE_INSTANCES as f64;
-    UPSTREAM_PAUSE.mul_f64(factor.max(1.0)).min(LONGEST_UPSTREAM_PAUSE)
+    let factor = state.instances() as f64 / UNSCALED_INSTANCES as f64;
+    UPSTREAM_PAUSE.mul_f64(factor.max(1.0)).min(MAX_UPSTREAM_PAUSE)
 }
 
 pub(crate) type RawListing = ObjectListing<Box<RawValue>>;
 pub(crate) type RawChange = ObjectChange<Box<RawValue>>;
 
-/// One thing that is followed.
-pub(crate) struct Followed {
-    pub(crate) what: &'static str,
+/// A store prefix that is followed, with the functions that apply its contents.
+pub(crate) struct FollowedPrefix {
+    pub(crate) name: &'static str,
     pub(crate) kind: FollowedKind,
     pub(crate) prefix: &'static str,
     pub(crate) pause: fn(&GatewayState) -> Duration,
     pub(crate) on_listing: fn(&GatewayState, RawListing),
-    /// Tells whether the change matters.
+    /// Applies a change; false if it is irrelevant to neighbours.
     pub(crate) on_change: fn(&GatewayState, RawChange) -> bool,
-    pub(crate) on_return: fn(&GatewayState, Duration),
+    /// Called with the duration of an outage when the store is reachable again.
+    pub(crate) on_recovery: fn(&GatewayState, Duration),
 }
 
-/// Follows the configuration for ever.
+/// Follows the configuration until cancelled.
 pub(crate) async fn follow_plan(state: Arc<GatewayState>) {
-    let followed = Followed {
-        what: "configuration",
+    let followed = FollowedPrefix {
+        name: "configuration",
         kind: FollowedKind::Configuration,
         prefix: state.dialect.plan_prefix,
         pause: |_| Duration::ZERO,
         on_listing: |state, listing| {
             for (key, object) in listing.items {
-                take_plan(state, &key, &object.value);
+                apply_plan_object(state, &key, &object.value);
             }
         },
         on_change: |state, change| {
             if let Some(value) = change.value {
-                take_plan(state, &change.key, &value);
+                apply_plan_object(state, &change.key, &value);
             }
             true
         },
-        on_return: |_, _| {},
+        on_recovery: |_, _| {},
     };
     follow(&state, followed).await;
 }
 
-/// Follows the list of upstreams for ever.
+/// Follows the registered upstreams until cancelled.
 pub(crate) async fn follow_upstreams(state: Arc<GatewayState>) {
-    let followed = Followed {
-        what: "upstreams",
+    let followed = FollowedPrefix {
+        name: "upstreams",
         kind: FollowedKind::Upstreams,
         prefix: state.dialect.upstream_prefix,
         pause: upstream_pause,
@@ -83,7 +84,7 @@
             let records: Vec<UpstreamRecord> = records.collect();
             let now = ClockTime::now();
             records.iter().for_each(|record| state.note_cold(&record.name, record.cold_left, now));
-            let changes = state.roster().replace(records, now);
+            let changes = state.upstreams().replace(records, now);
             changes.into_iter().for_each(|change| note_change(state, change));
         },
         on_change: |state, change| {
@@ -92,93 +93,93 @@
             let noted = match &change.value {
                 Some(value) => read_upstream(state, &change.key, value).map(|record| {
                     state.note_cold(&record.name, record.cold_left, now);
-                    state.roster().put(record)
+                    state.upstreams().put(record)
                 }),
-                None => name.parse().ok().map(|name| state.roster().remove(&name, now)),
+                None => name.parse().ok().map(|name| state.upstreams().remove(&name, now)),
             };
-            let matters =
+            let is_relevant =
                 noted.as_ref().is_some_and(|(_, change)| *change != UpstreamChange::Unchanged);
             if let Some(noted) = noted {
                 note_change(state, noted);
             }
-            matters
+            is_relevant
         },
-        on_return: |state, outage| state.roster().store_returned(outage, ClockTime::now()),
+        on_recovery: |state, outage| state.upstreams().store_returned(outage, ClockTime::now()),
     };
     follow(&state, followed).await;
 }
 
-/// Why following has to begin anew with a listing.
+/// The store no longer has the changes since our revision; a new listing is needed.
 struct HistoryGone;
 
-/// Follows one thing for ever.
-pub(crate) async fn follow(state: &GatewayState, followed: Followed) {
-    let mut contact = StoreContact::default();
+/// Follows one prefix until cancelled.
+pub(crate) async fn follow(state: &GatewayState, followed: FollowedPrefix) {
+    let mut health = StoreHealth::default();
     loop {
         let listing = match state.store.list::<Box<RawValue>>(followed.prefix).await {
             Ok(listing) => listing,
             Err(error) => {
-                contact.fail(state, &followed, &error).await;
+                health.back_off(state, &followed, &error).await;
                 continue;
             }
         };
-        let read = unsuspended_now();
-        contact.succeed(state, &followed);
+        let read = boot_time_now();
+        health.mark_reachable(state, &followed);
         log_event!(
             info,
             "list-read",
-            what = followed.what,
+            what = followed.name,
             entries = listing.items.len(),
             revision = listing.revision,
         );
         let objects = listing.items.iter().map(listed_object);
-        state.feeds.slot(followed.kind).apply_listing(listing.revision, objects.collect(), read);
+        state.feeds.replica(followed.kind).apply_listing(listing.revision, objects.collect(), read);
         (followed.on_listing)(state, listing);
-        while follow_changes(state, &followed, &mut contact).await.is_ok() {}
+        while follow_changes(state, &followed, &mut health).await.is_ok() {}
     }
 }
 
-/// Learns of the next changes, from a neighbour that follows the store or from the store itself.
+/// Receives the next changes, from a neighbour that follows the store or from the store itself.
 async fn follow_changes(
     state: &GatewayState,
-    followed: &Followed,
-    contact: &mut StoreContact,
+    followed: &FollowedPrefix,
+    health: &mut StoreHealth,
 ) -> Result<(), HistoryGone> {
     let centre = &state.settings.centre;
     let now = ClockTime::now();
     if let Some(neighbour) = state.feeds.neighbour(&state.fleet, centre, followed.kind, now) {
-        contact.go_by(followed, Some(&neighbour));
-        if let Some(reply) = state.feeds.ask(&state.fleet, &neighbour, followed.kind).await {
-            take_reply(state, followed, contact, reply);
+        health.set_source(followed, Some(&neighbour));
+        if let Some(reply) = state.feeds.query(&state.fleet, &neighbour, followed.kind).await {
+            apply_reply(state, followed, health, reply);
             return Ok(());
         }
     }
-    contact.go_by(followed, None);
-    watch_store(state, followed, contact).await
+    health.set_source(followed, None);
+    watch_store(state, followed, health).await
 }
 
-/// Takes what a neighbour told.
-fn take_reply(
+/// Applies a neighbour's reply.
+fn apply_reply(
     state: &GatewayState,
-    followed: &Followed,
-    contact: &mut StoreContact,
+    followed: &FollowedPrefix,
+    health: &mut StoreHealth,
     reply: FollowReply,
 ) {
     match reply.store_lost {
-        true => contact.lose(state, followed, &"a neighbour can't reach it"),
+        true => health.mark_lost(state, followed, &"unreachable from the neighbour"),
         false => {
-            contact.succeed(state, followed);
+            health.mark_reachable(state, followed);
             state.store.heard_of();
         }
     }
-    let slot = state.feeds.slot(followed.kind);
-    let told = ClockTime(unsuspended_now().0.saturating_sub(REPLY_TIMEOUT.as_micros() as u64));
+    let replica = state.feeds.replica(followed.kind);
+    let sent_at = ClockTime(boot_time_now().0.saturating_sub(REPLY_TIMEOUT.as_micros() as u64));
     let valid_at =
-        ClockTime(told.0.saturating_sub(reply.age.unwrap_or(Duration::MAX).as_micros() as u64));
+        ClockTime(sent_at.0.saturating_sub(reply.age.unwrap_or(Duration::MAX).as_micros() as u64));
     let changes: Vec<RawChange> = reply.objects.into_iter().filter_map(raw_change).collect();
     if !reply.whole {
-        let news = changes.into_iter().filter_map(|change| apply(state, followed, change));
-        slot.take_changes(news.collect(), reply.revision, valid_at);
+        let relevant = changes.into_iter().filter_map(|change| apply(state, followed, change));
+        replica.apply_changes(relevant.collect(), reply.revision, valid_at);
         return;
     }
     let items = changes.into_iter().filter_map(|change| {
@@ -186,47 +187,48 @@
     });
     let listing = ObjectListing { revision: reply.revision, items: items.collect() };
     let objects = listing.items.iter().map(listed_object);
-    slot.apply_listing(reply.revision, objects.collect(), valid_at);
+    replica.apply_listing(reply.revision, objects.collect(), valid_at);
     (followed.on_listing)(state, listing);
 }
 
 async fn watch_store(
     state: &GatewayState,
-    followed: &Followed,
-    contact: &mut StoreContact,
+    followed: &FollowedPrefix,
+    health: &mut StoreHealth,
 ) -> Result<(), HistoryGone> {
     Timer::after((followed.pause)(state)).await;
-    let slot = state.feeds.slot(followed.kind);
-    let revision = slot.revision();
-    let wait = state.feeds.terms(followed.kind).map_or(WATCH_WAIT, |terms| terms.watch_wait);
+    let replica = state.feeds.replica(followed.kind);
+    let revision = replica.revision();
+    let wait = state.feeds.timing(followed.kind).map_or(WATCH_WAIT, |timing| timing.watch_wait);
     match state.store.watch(followed.prefix, revision, wait).await {
         Ok(changes) => {
-            let read = unsuspended_now();
-            contact.succeed(state, followed);
-            let upto = changes.revision;
-            let news = changes.changes.into_iter().filter_map(|mut change| {
-                // An object that another writer spoilt has no revision of its own.
+            let read = boot_time_now();
+            health.mark_reachable(state, followed);
+            let latest = changes.revision;
+            let relevant = changes.changes.into_iter().filter_map(|mut change| {
+                // An object that another writer stored in a wrong format has no revision of its
+                // own.
                 if change.version == StoreRevision::ZERO {
-                    change.version = upto;
+                    change.version = latest;
                 }
                 apply(state, followed, change)
             });
-            slot.take_changes(news.collect(), upto, read);
+            replica.apply_changes(relevant.collect(), latest, read);
             Ok(())
         }
         Err(StoreError::HistoryGone) => {
-            log_event!(info, "history-gone", what = followed.what, revision = revision);
+            log_event!(info, "history-gone", what = followed.name, revision = revision);
             Err(HistoryGone)
         }
         Err(error) => {
-            contact.fail(state, followed, &error).await;
+            health.back_off(state, followed, &error).await;
             Ok(())
         }
     }
 }
 
-/// Puts a change in force here. Gives what neighbours have to know of it, if it matters.
-fn apply(state: &GatewayState, followed: &Followed, change: RawChange) -> Option<FeedObject> {
+/// Applies a change. Returns the object for neighbours, if the change is relevant to them.
+fn apply(state: &GatewayState, followed: &FollowedPrefix, change: RawChange) -> Option<FeedObject> {
     let value = change.value.as_ref().map(|value| Arc::from(value.get()));
     let object = FeedObject { key: change.key.clone(), revision: change.version, value };
     (followed.on_change)(state, change).then_some(object)
@@ -237,14 +239,14 @@
     FeedObject { key: key.clone(), revision: object.version, value }
 }
 
-/// A neighbour's word in the store client's form. Text that is no JSON is left out, which a
-/// neighbour of this version doesn't send.
+/// Converts a neighbour's object to the store client's type. `None` for invalid JSON, which
+/// neighbours of this version don't send.
 fn raw_change(object: FollowedObject) -> Option<RawChange> {
     let value = object.value.map(RawValue::from_string).transpose().ok()?;
     Some(RawChange { key: object.key, version: object.revision, value })
 }
 
-fn take_plan(state: &GatewayState, key: &str, value: &RawValue) {
+fn apply_plan_object(state: &GatewayState, key: &str, value: &RawValue) {
     if key != state.dialect.plan_key {
         return;
     }
@@ -252,7 +254,7 @@
         Ok(plan) => {
             let (version, routes) = (plan.version, plan.routes.len());
             let branches = plan.branches.len();
-            let taken = state.take_plan(PlanIndex::new(plan), value.get());
+            let taken = state.apply_plan(PlanIndex::new(plan), value.get());
             log_event!(
                 info,
                 "configuration-read",
@@ -266,28 +268,28 @@
     }
 }
 
-/// Reads an upstream's entry. Other writers may spoil entries: one that can't be read takes its
-/// upstream out of use, and no other.
+/// Reads an upstream's entry. Entries come from other writers and may be malformed: a malformed one
+/// affects only its own upstream.
 fn read_upstream(state: &GatewayState, key: &str, value: &RawValue) -> Option<UpstreamRecord> {
     match (state.dialect.read_upstream)(key_name(key), value) {
         Ok(record) => Some(record),
         Err(detail) => {
             let name: Option<UpstreamName> = key_name(key).parse().ok();
-            let stands_for = name.and_then(|name| state.roster().record_for_unreadable(&name));
-            let known = stands_for.is_some();
+            let fallback = name.and_then(|name| state.upstreams().record_for_unreadable(&name));
+            let known = fallback.is_some();
             log_event!(warn, "upstream-unreadable", key = key, known = known, detail = detail);
-            stands_for
+            fallback
         }
     }
 }
 
-/// The name in a key, after its kind.
+/// The last segment of a key.
 pub(crate) fn key_name(key: &str) -> &str {
     key.rsplit_once('/').map_or(key, |(_, name)| name)
 }
 
 fn note_change(state: &GatewayState, (name, change): (UpstreamName, UpstreamChange)) {
-    let word = match change {
+    let label = match change {
         UpstreamChange::Unchanged => return,
         UpstreamChange::Joined => "joined",
         UpstreamChange::Restarted => "restarted",
@@ -295,32 +297,32 @@
         UpstreamChange::Missing => "missing",
         UpstreamChange::Gone => "gone",
     };
-    log_event!(info, "upstream-changed", upstream = name, change = word);
+    log_event!(info, "upstream-changed", upstream = name, change = label);
     if matches!(change, UpstreamChange::Gone | UpstreamChange::Restarted) {
-        state.board().forget(&name);
+        state.balancer().forget(&name);
     }
-    // An entry may lapse and come back: what its upstream asked holds until another run of it begins.
+    // An entry may expire and return: the limits and backoffs that its upstream requested hold
+    // until its next run.
     if change == UpstreamChange::Restarted {
-        state.guard().forget(&name);
+        state.throttle().forget(&name);
     }
 }
 
-/// How often idle connections and lapsed entries are looked at.
 const SWEEP_PERIOD: Duration = Duration::from_millis(500);
 
-/// Drops what is no longer of use, for ever.
+/// Removes idle connections and expired entries periodically until cancelled.
 pub(crate) async fn sweep(state: Arc<GatewayState>) {
     loop {
         Timer::after(SWEEP_PERIOD).await;
         let now = ClockTime::now();
-        let expired = state.roster().expire(now);
+        let expired = state.upstreams().expire(now);
         for name in expired {
             note_change(&state, (name, UpstreamChange::Gone));
         }
-        let is_listed = |name: &UpstreamName| state.roster().get(name).is_some();
+        let is_listed = |name: &UpstreamName| state.upstreams().get(name).is_some();
         state.pool.sweep(is_listed, now);
-        state.guard().sweep(is_listed, now);
+        state.throttle().sweep(is_listed, now);
         state.observe_senders(now);
-        state.desk.note_homes(state.instances());
+        state.budgets.note_homes(state.instances());
     }
 }
--- a/crates/sagespool-gateway/src/hop.rs
+++ b/crates/sagespool-gateway/src/hop_by_hop.rs
@@ -1,4 +1,4 @@
-//! Headers that concern one connection only.
+//! Removal of hop-by-hop headers.
 
 use hyper::header::{
     CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE,
@@ -8,9 +8,9 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 const EXPECT: HeaderName = hyper::header::EXPECT;
-/// Framing is made anew for each connection: a length that was passed on beside another framing
-/// would let a caller hide a second request in the first.
-const OF_ONE_CONNECTION: [HeaderName; 11] = [
+/// Includes `Content-Length`: framing is set for each connection, and a forwarded length beside
+/// another framing would allow request smuggling.
+const HOP_BY_HOP: [HeaderName; 11] = [
     CONNECTION,
     KEEP_ALIVE,
     PROXY_CONNECTION,
@@ -24,8 +24,8 @@
     EXPECT,
 ];
 
-/// Drops what concerns one connection only, also what the header itself names as such.
-pub(crate) fn strip_hop(headers: &mut HeaderMap) {
+/// Removes hop-by-hop headers, including those listed in `Connection`.
+pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -36,7 +36,7 @@
     for name in named {
         headers.remove(name);
     }
-    for name in &OF_ONE_CONNECTION {
+    for name in &HOP_BY_HOP {
         headers.remove(name);
     }
 }
--- a/crates/sagespool-gateway/src/identity.rs
+++ b/crates/sagespool-gateway/src/identity.rs
@@ -1,8 +1,8 @@
-//! Who this gateway is to the others.
+//! The TLS identity of this process on the link.
 //!
-//! No machine has a disk, and none is told a secret, so the fleet's authority lies in the store,
-//! where the budgets lie too: whoever may read it there may join the fleet. The first gateway
-//! writes it; each run signs a certificate of its own with it.
+//! The machines have no disks and are provisioned without secrets, so the fleet's certificate
+//! authority is kept in the store beside the budgets: whoever can read it there can join the fleet.
+//! The first gateway creates it; each run signs its own certificate with it.
 
 use std::fmt;
 
@@ -16,50 +16,51 @@
 
 const AUTHORITY_KEY: &str = "fleet/authority";
 const AUTHORITY_TITLE: &str = "sagespool fleet authority";
-/// Loans are answered within milliseconds; calls of the store by way of another process wait up to
-/// two seconds, three or four of each gateway that is cut off. With 12,000 in place of this, the
-/// first gateways of a fleet of 87 processes held 75 MB as soon as all had connected, now 16 MB.
-const MOST_QUESTIONS: u32 = 128;
-/// Peers are reached by IP numbers, so this name only has to be some name.
+/// Concurrent requests per connection. Loans take milliseconds; calls of the store through another
+/// process wait up to two seconds, three or four for each gateway without access to the store. With
+/// 12,000, the first gateways of a fleet of 87 processes used 75 MB once all had connected; with
+/// 128, 16 MB.
+const MAX_CONCURRENT_REQUESTS: u32 = 128;
+/// Peers are addressed by IP address, so any fixed name will do.
 const SERVER_NAME: &str = "sagespool";
 
 derives! { record;
-    /// The fleet's authority as the store keeps it, in PEM text.
+    /// The stored certificate authority of the fleet, in PEM format.
     struct AuthorityRecord {
         certificate: String,
         key: String,
     }
 }
 
-/// Why there is no identity yet.
+/// Why no identity could be created.
 #[derive(Debug)]
-pub(crate) enum IdentityFault {
-    /// The store can't be asked.
+pub(crate) enum IdentityError {
+    /// The call of the store failed.
     Store(StoreError),
-    /// The authority, or a certificate of it, can't be made or read.
+    /// The authority or a certificate can't be created or parsed.
     Certificate(String),
 }
 
-impl fmt::Display for IdentityFault {
+impl fmt::Display for IdentityError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Store(error) => error.fmt(f),
-            Self::Certificate(detail) => write!(f, "the certificate can't be made: {detail}"),
+            Self::Certificate(detail) => write!(f, "can't create the link certificate: {detail}"),
         }
     }
 }
 
-impl From<rcgen::Error> for IdentityFault {
+impl From<rcgen::Error> for IdentityError {
     fn from(error: rcgen::Error) -> Self {
         Self::Certificate(error.to_string())
     }
 }
 
-/// Makes an identity of the fleet's authority, which is made too if there is none.
-pub(crate) async fn make_identity(
+/// Creates an identity signed by the fleet's authority, and the authority too if there is none.
+pub(crate) async fn create_identity(
     store: &ObjectClient,
     instance: &InstanceName,
-) -> Result<LinkIdentity, IdentityFault> {
+) -> Result<LinkIdentity, IdentityError> {
     let authority = match read_authority(store).await? {
         Some(authority) => authority,
         None => create_authority(store).await?,
@@ -70,17 +71,17 @@
     let certificate = own_params(instance)?.signed_by(&own_key, &issuer)?.pem();
     let own_key = own_key.serialize_pem();
     let identity = LinkIdentity::from_pem(&certificate, &own_key, &authority.certificate)
-        .map_err(|report| IdentityFault::Certificate(report.to_string()))?;
-    Ok(identity.with_most_questions(MOST_QUESTIONS))
+        .map_err(|report| IdentityError::Certificate(report.to_string()))?;
+    Ok(identity.with_most_questions(MAX_CONCURRENT_REQUESTS))
 }
 
-async fn read_authority(store: &ObjectClient) -> Result<Option<AuthorityRecord>, IdentityFault> {
-    let found = store.get::<AuthorityRecord>(AUTHORITY_KEY).await.map_err(IdentityFault::Store)?;
+async fn read_authority(store: &ObjectClient) -> Result<Option<AuthorityRecord>, IdentityError> {
+    let found = store.get::<AuthorityRecord>(AUTHORITY_KEY).await.map_err(IdentityError::Store)?;
     Ok(found.map(|object| object.value))
 }
 
-/// Of several gateways that start at once one writes first; the others take what it wrote.
-async fn create_authority(store: &ObjectClient) -> Result<AuthorityRecord, IdentityFault> {
+/// Creates the authority. If another gateway writes one first, that one is returned.
+async fn create_authority(store: &ObjectClient) -> Result<AuthorityRecord, IdentityError> {
     let key = KeyPair::generate()?;
     let certificate = authority_params()?.self_signed(&key)?.pem();
     let record = AuthorityRecord { certificate, key: key.serialize_pem() };
@@ -88,9 +89,9 @@
         Ok(_) => Ok(record),
         Err(StoreError::Conflict { .. }) => {
             let written = read_authority(store).await?;
-            written.ok_or(IdentityFault::Store(StoreError::Unavailable))
+            written.ok_or(IdentityError::Store(StoreError::Unavailable))
         }
-        Err(error) => Err(IdentityFault::Store(error)),
+        Err(error) => Err(IdentityError::Store(error)),
     }
 }
 
--- a/crates/sagespool-gateway/src/lib.rs
+++ b/crates/sagespool-gateway/src/lib.rs
@@ -1,27 +1,25 @@
-//! The gateway: an entry that forwards opaque requests straight to upstreams.
+//! The gateway forwards opaque HTTP requests directly to upstreams.
 //!
-//! One pipeline carries each request: admit, reserve its tokens, choose an upstream, attempt,
-//! answer, settle. The decisions are `sagespool-forward`'s and `sagespool-ledger`'s; here is the
-//! I/O around them. How callers, upstreams and the store spell things is handed in as a
+//! Each request passes through one pipeline: admit, reserve tokens, choose an upstream, attempt,
+//! respond, settle. The decision logic is in `sagespool-forward` and `sagespool-ledger`; this crate
+//! does the I/O. The wire formats of callers, upstreams and the store are supplied as a
 //! [`WireDialect`].
 
+mod admission;
 mod attempt;
 mod body;
+mod budget;
 mod callers;
-mod calls;
-mod contact;
+mod context;
 mod crashes;
-mod desk;
 mod dialect;
 mod evacuations;
 mod feeds;
 mod fleet;
-mod flight;
 mod flush;
 mod follow;
-mod hop;
+mod hop_by_hop;
 mod identity;
-mod intake;
 mod limits;
 mod metrics;
 mod peers;
@@ -34,11 +32,13 @@
 mod signal;
 mod state;
 mod status;
+mod store_calls;
+mod store_health;
 mod stream;
 
-pub use body::{AnswerBody, AnswerCut, BodyPiece, StreamedBody};
-pub use desk::{FailedRound, KnownShortage};
+pub use body::{BodyChunk, ResponseAborted, ResponseBody, StreamedBody};
+pub use budget::{CachedShortage, FailedLoanRound};
 pub use dialect::{CallerHeaderError, ResponseMetadata, UpstreamRequestTerms, WireDialect};
-pub use flush::{CountedStream, FlushCounter};
+pub use flush::{FlushCounter, FlushCountingStream};
 pub use relay_role::RelayRole;
 pub use role::{GatewayError, GatewayRole, StopReport};
--- a/crates/sagespool-gateway/src/limits.rs
+++ b/crates/sagespool-gateway/src/limits.rs
@@ -1,7 +1,7 @@
-//! What gateways tell each other of the limits that upstreams name.
+//! Exchange of upstreams' rate limits between gateways.
 //!
-//! Few instances send to a limited upstream, and only its answers tell of the limit's end: the others ask.
-//! That no limit is passed doesn't rest on it.
+//! Few instances send to a rate-limited upstream, and only its responses show the end of the limit,
+//! so the other gateways query them. Keeping the limit doesn't depend on this exchange.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,54 +13,54 @@
 
 use crate::state::GatewayState;
 
-const ASK_PERIOD: Duration = Duration::from_secs(1);
-/// Gateways that are asked each time, chosen by chance: word spreads among hundreds within some seconds.
-const ASKED_GATEWAYS: usize = 2;
-const ASK_LIMIT: Duration = Duration::from_millis(500);
+const QUERY_PERIOD: Duration = Duration::from_secs(1);
+/// Random gateways queried per round; a change reaches hundreds of gateways within some seconds.
+const QUERIED_GATEWAYS: usize = 2;
+const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Asks others about limits of which nothing was heard lately, for ever.
-pub(crate) async fn follow_limits(state: Arc<GatewayState>) {
+/// Queries others about limits without a recent update, until cancelled.
+pub(crate) async fn query_limits(state: Arc<GatewayState>) {
     loop {
-        Timer::after(ASK_PERIOD.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
+        Timer::after(QUERY_PERIOD.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
         let now = ClockTime::now();
-        let upstreams = state.guard().stale_rate_limits(now);
+        let upstreams = state.throttle().stale_rate_limits(now);
         if upstreams.is_empty() {
             continue;
         }
         let request = PeerRequest::AskLimits(LimitAsk { upstreams });
-        for other in state.fleet.others(MemberRole::Entry, now).into_iter().take(ASKED_GATEWAYS) {
-            let asked = ClockTime::now();
-            let reply = state.fleet.ask(other.address, &request, ASK_LIMIT).await;
+        for other in state.fleet.others(MemberRole::Entry, now).into_iter().take(QUERIED_GATEWAYS) {
+            let queried_at = ClockTime::now();
+            let reply = state.fleet.call(other.address, &request, QUERY_TIMEOUT).await;
             if let Ok(PeerReply::Limits(reply)) = reply {
-                take_words(&state, reply, asked, ClockTime::now());
+                merge_reply(&state, reply, queried_at, ClockTime::now());
             }
         }
     }
 }
 
-/// Takes the words of a reply. Its ages are as of some moment between the question and now: a limit is
-/// taken to be as new as it may be, and its end as old.
-fn take_words(state: &GatewayState, reply: LimitReply, asked: ClockTime, now: ClockTime) {
+/// Applies the limits in a reply. Their ages were measured at some time between the query and now.
+/// A limit gets the latest possible time and the end of a limit the earliest.
+fn merge_reply(state: &GatewayState, reply: LimitReply, queried_at: ClockTime, now: ClockTime) {
     for LimitWord { upstream, per_second, age } in reply.words {
-        let notice = match per_second.map(SendRate::new) {
+        let status = match per_second.map(SendRate::new) {
             Some(None) => continue,
             Some(rate) => RateLimitStatus { rate, at: now.before(age) },
-            None => RateLimitStatus { rate: None, at: asked.before(age) },
+            None => RateLimitStatus { rate: None, at: queried_at.before(age) },
         };
-        let change = state.guard().merge_rate_limit(&upstream, notice);
+        let change = state.throttle().merge_rate_limit(&upstream, status);
         state.log_limit(&upstream, change, "gateway");
     }
 }
 
-/// What this gateway knows of upstreams' limits.
-pub(crate) fn answer_limits(state: &GatewayState, ask: &LimitAsk, now: ClockTime) -> LimitReply {
-    let guard = state.guard();
+/// The reply with this gateway's state of upstreams' limits.
+pub(crate) fn limits_reply(state: &GatewayState, query: &LimitAsk, now: ClockTime) -> LimitReply {
+    let throttle = state.throttle();
     let known =
-        ask.upstreams.iter().filter_map(|name| Some((name, guard.rate_limit_status(name)?)));
-    let words = known.map(|(name, notice)| LimitWord {
+        query.upstreams.iter().filter_map(|name| Some((name, throttle.rate_limit_status(name)?)));
+    let statuses = known.map(|(name, status)| LimitWord {
         upstream: name.clone(),
-        per_second: notice.rate.map(SendRate::per_second),
-        age: now.since(notice.at),
+        per_second: status.rate.map(SendRate::per_second),
+        age: now.since(status.at),
     });
-    LimitReply { words: words.collect() }
+    LimitReply { words: statuses.collect() }
 }
--- a/crates/sagespool-gateway/src/metrics.rs
+++ b/crates/sagespool-gateway/src/metrics.rs
@@ -14,20 +14,20 @@
 use sagespool_platform::CallCause;
 use sagespool_types::BranchName;
 
-use crate::intake::IntakeReading;
+use crate::admission::ResourceUsage;
 
-/// What became of a request.
+/// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum Outcome {
-    /// Answered whole by an upstream.
+    /// Complete response of an upstream.
     Answered,
-    /// Answered whole by an upstream that failed.
+    /// Complete 5xx response of an upstream.
     Failed,
     /// Refused by this gateway.
     Refused,
-    /// A stream that broke off.
+    /// A stream that was lost or timed out, or any request aborted by the stop of this instance.
     Cut,
-    /// Its caller went away.
+    /// The caller disconnected.
     CallerGone,
 }
 
@@ -71,14 +71,14 @@
     branch: String,
 }
 
-/// Upper bounds of the histograms in seconds: from a lookup's answer to a long stream's end.
+/// Upper bounds of the histograms' buckets in seconds: from a lookup to the end of a long stream.
 const BOUNDS: [f64; 10] = [0.01, 0.03, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 12.0];
 
 fn histogram() -> Histogram {
     Histogram::new(BOUNDS)
 }
 
-/// What a gateway counts.
+/// The metrics of a gateway.
 pub(crate) struct GatewayMetrics {
     registry: Registry,
     requests: Family<RequestLabels, Counter>,
@@ -91,25 +91,25 @@
     held: Gauge,
     held_limit: Gauge,
     open: Gauge,
-    turn: Gauge<f64, AtomicU64>,
+    scheduling_delay: Gauge<f64, AtomicU64>,
     calls: Family<CallLabels, Gauge>,
     evacuated: Gauge,
     cold: Gauge,
     limited: Gauge,
-    resting: Gauge,
+    in_backoff: Gauge,
 }
 
-/// What is kept from upstreams at the moment.
+/// The current restrictions on sending to upstreams.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct SparedReading {
-    /// Data centres that are evacuated.
+pub(crate) struct RestrictionCounts {
+    /// Evacuated data centres.
     pub(crate) evacuated: usize,
-    /// Upstreams that are taken to be cold.
+    /// Upstreams assumed to be cold.
     pub(crate) cold: usize,
-    /// Upstreams that name a limit.
+    /// Upstreams with a rate limit.
     pub(crate) limited: usize,
-    /// Upstreams that want nothing from this instance.
-    pub(crate) resting: usize,
+    /// Upstreams in backoff for this instance.
+    pub(crate) in_backoff: usize,
 }
 
 impl GatewayMetrics {
@@ -140,9 +140,9 @@
         registry.register("held_limit_bytes", "The most that may be held", held_limit.clone());
         let open = Gauge::default();
         registry.register("connections", "Callers' connections that are open", open.clone());
-        let turn = Gauge::<f64, AtomicU64>::default();
+        let scheduling_delay = Gauge::<f64, AtomicU64>::default();
         let help = "How long a ready task waits for the processor";
-        registry.register("turn_seconds", help, turn.clone());
+        registry.register("turn_seconds", help, scheduling_delay.clone());
         let calls = Family::default();
         registry.register("store_calls", "Calls of the store, by cause", calls.clone());
         let evacuated = Gauge::default();
@@ -152,9 +152,9 @@
         registry.register("cold_upstreams", "Upstreams that are taken to be cold", cold.clone());
         let limited = Gauge::default();
         registry.register("limited_upstreams", "Upstreams that name a limit", limited.clone());
-        let resting = Gauge::default();
+        let in_backoff = Gauge::default();
         let help = "Upstreams that want nothing from this instance for now";
-        registry.register("resting_upstreams", help, resting.clone());
+        registry.register("resting_upstreams", help, in_backoff.clone());
         Self {
             registry,
             requests,
@@ -167,22 +167,22 @@
             held,
             held_limit,
             open,
-            turn,
+            scheduling_delay,
             calls,
             evacuated,
             cold,
             limited,
-            resting,
+            in_backoff,
         }
     }
 
-    pub(crate) fn ended(&self, outcome: Outcome, route: &str) {
+    pub(crate) fn count_outcome(&self, outcome: Outcome, route: &str) {
         let labels = RequestLabels { route: route.to_owned(), outcome };
         self.requests.get_or_create(&labels).inc();
     }
 
-    /// Notes the times of a request: to its first event or answer, and to its end.
-    pub(crate) fn observe(
+    /// Records the latencies of a request: to its first event or response, and to its end.
+    pub(crate) fn observe_latency(
         &self,
         route: &str,
         branch: Option<&BranchName>,
@@ -195,15 +195,15 @@
         self.total.get_or_create(&BranchLabel { branch }).observe(total.as_secs_f64());
     }
 
-    pub(crate) fn sent(&self, on_new_connection: bool) {
+    pub(crate) fn record_send(&self, on_new_connection: bool) {
         self.sends.inc();
         if on_new_connection {
             self.connects.inc();
         }
     }
 
-    /// Takes how many calls of the store there were, by cause.
-    pub(crate) fn take_calls(&self, causes: Vec<(CallCause, u64)>) {
+    /// Sets the totals of store calls by cause.
+    pub(crate) fn set_store_calls(&self, causes: Vec<(CallCause, u64)>) {
         for (cause, count) in causes {
             let labels = CallLabels { kind: cause.kind.as_str(), subject: cause.subject };
             self.calls.get_or_create(&labels).set(count as i64);
@@ -214,25 +214,24 @@
         self.closed_unread.inc();
     }
 
-    /// All metrics as text, with the number of gateways, what callers use and which upstreams are spared
-    /// at the moment.
+    /// All metrics in the text format, with the given current values of the gauges.
     pub(crate) fn encode(
         &self,
         members: usize,
-        intake: IntakeReading,
-        spared: SparedReading,
+        usage: ResourceUsage,
+        restrictions: RestrictionCounts,
     ) -> String {
-        self.evacuated.set(spared.evacuated as i64);
-        self.cold.set(spared.cold as i64);
-        self.limited.set(spared.limited as i64);
-        self.resting.set(spared.resting as i64);
+        self.evacuated.set(restrictions.evacuated as i64);
+        self.cold.set(restrictions.cold as i64);
+        self.limited.set(restrictions.limited as i64);
+        self.in_backoff.set(restrictions.in_backoff as i64);
         self.members.set(members as i64);
-        self.held.set(intake.held.0 as i64);
-        self.held_limit.set(i64::try_from(intake.limit.0).unwrap_or(i64::MAX));
-        self.open.set(intake.connections as i64);
-        self.turn.set(intake.turn.as_secs_f64());
+        self.held.set(usage.held.0 as i64);
+        self.held_limit.set(i64::try_from(usage.limit.0).unwrap_or(i64::MAX));
+        self.open.set(usage.connections as i64);
+        self.scheduling_delay.set(usage.scheduling_delay.as_secs_f64());
         let mut text = String::new();
-        encode(&mut text, &self.registry).expect("writing to a string doesn't fail");
+        encode(&mut text, &self.registry).expect("writing to a String is infallible");
         text
     }
 }
--- a/crates/sagespool-gateway/src/peers.rs
+++ b/crates/sagespool-gateway/src/peers.rs
@@ -1,4 +1,4 @@
-//! What gateways do for each other: loans and the configuration.
+//! Handling of requests from other processes, and fetching newer configurations from gateways.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,21 +13,21 @@
 use sagespool_types::{ClockTime, TokenCount};
 use serde_json::value::RawValue;
 
-use crate::desk::BudgetOrder;
-use crate::fleet::answer_store_call;
-use crate::limits::answer_limits;
+use crate::budget::BudgetRequest;
+use crate::fleet::handle_store_call;
+use crate::limits::limits_reply;
 use crate::state::GatewayState;
 
-const PLAN_LIMIT: Duration = Duration::from_millis(500);
+const PLAN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Stays in touch with the others for ever.
+/// Serves other processes and sends heartbeats until cancelled.
 pub(crate) async fn run_peers(state: Arc<GatewayState>) {
-    let heard = {
+    let on_reply = {
         let state = state.clone();
-        move |from: &MemberInfo| catch_up(&state, from)
+        move |from: &MemberInfo| fetch_newer_plan(&state, from)
     };
     let (fleet, store) = (state.fleet.clone(), state.store.clone());
-    fleet.run(store, handler(state), heard).await;
+    fleet.run(store, handler(state), on_reply).await;
 }
 
 fn handler(state: Arc<GatewayState>) -> PeerHandler {
@@ -38,57 +38,57 @@
                 lend(&state, &request, call.responder).await;
                 return;
             }
-            let reply = answer(&state, call.request).await;
+            let reply = handle_request(&state, call.request).await;
             call.responder.reply(reply).await;
         })
     })
 }
 
-async fn answer(state: &Arc<GatewayState>, request: PeerRequest) -> PeerReply {
+async fn handle_request(state: &Arc<GatewayState>, request: PeerRequest) -> PeerReply {
     match request {
         PeerRequest::Heartbeat(beat) => {
-            catch_up(state, &beat.from);
-            state.fleet.answer_heartbeat(&beat)
+            fetch_newer_plan(state, &beat.from);
+            state.fleet.handle_heartbeat(&beat)
         }
-        PeerRequest::AskPlan(ask) => {
-            let document = (state.plan_version() > ask.have).then(|| state.plan_document());
+        PeerRequest::AskPlan(query) => {
+            let document = (state.plan_version() > query.have).then(|| state.plan_document());
             PeerReply::Plan(PlanReply { document: document.flatten() })
         }
         PeerRequest::ReportCrash(report) => {
             state.crashes.record(&report, ClockTime::now());
             PeerReply::Done
         }
-        PeerRequest::ReturnRest(rest) => {
-            state.desk.take_rest(&rest);
+        PeerRequest::ReturnRest(unspent) => {
+            state.budgets.accept_returned_loan(&unspent);
             PeerReply::Done
         }
-        PeerRequest::Follow(ask) => PeerReply::Follow(state.feeds.answer(ask).await),
-        PeerRequest::AskLimits(ask) => {
-            PeerReply::Limits(answer_limits(state, &ask, ClockTime::now()))
+        PeerRequest::Follow(query) => PeerReply::Follow(state.feeds.handle_query(query).await),
+        PeerRequest::AskLimits(query) => {
+            PeerReply::Limits(limits_reply(state, &query, ClockTime::now()))
         }
-        PeerRequest::CallStore(call) => answer_store_call(&state.store, call).await,
+        PeerRequest::CallStore(call) => handle_store_call(&state.store, call).await,
         _ => PeerReply::Unsupported("this process is a gateway".to_owned()),
     }
 }
 
-/// Lends what is asked for. A home may have to ask the store first; if the asker has given up
-/// meanwhile nothing is lent, for what a lost answer carries is spent by nobody: in a cut from the
-/// store such answers took 8 in 100 of a small account's total.
+/// Replies to a loan request. A home may have to call the store first. If the borrower has
+/// cancelled in the meantime, nothing is lent, since the amount in a lost reply can't be spent by
+/// anyone: during an outage of the store such replies took 8% of a small account's total.
 async fn lend(state: &GatewayState, request: &LendRequest, responder: PeerResponder) {
     let mut shortage = None;
     let mut wanted = request.wanted;
     if request.as_home {
         let gone = responder.asker_gone();
-        if let Some(order) = lending_order(state, request) {
-            wanted = order.amount;
-            shortage = state.desk.stock_up(&order).await;
-            shortage = shortage.filter(|_| order.version >= request.version);
+        if let Some(budget) = budget_for_loan(state, request) {
+            wanted = budget.amount;
+            shortage = state.budgets.ensure_covered(&budget).await;
+            shortage = shortage.filter(|_| budget.version >= request.version);
         }
         if poll_once(gone).await.is_some() {
             return;
         }
     }
-    let lent = state.desk.lend(&request.branch, wanted);
+    let lent = state.budgets.lend(&request.branch, wanted);
     let room = shortage.map(|room| room.less(lent));
     if lent > TokenCount::ZERO {
         log_event!(
@@ -104,36 +104,37 @@
     responder.reply(PeerReply::Lend(LendReply { lent, room })).await;
 }
 
-/// What a home is to hold for a borrower: what it misses, and its share of what is lent ahead.
-fn lending_order(state: &GatewayState, request: &LendRequest) -> Option<BudgetOrder> {
+/// What the home needs for a loan: the amount that the borrower lacks, plus its part for future
+/// requests. `None` if the account has no budget in the current configuration.
+fn budget_for_loan(state: &GatewayState, request: &LendRequest) -> Option<BudgetRequest> {
     let index = state.plan()?;
     let branch = index.plan().branches.iter().find(|branch| branch.name == request.branch);
     let prepaid = branch.and_then(|branch| branch.prepaid)?;
     let missing = request.wanted.less(request.ahead);
     let ahead =
-        state.desk.allowed_loan_ahead(&request.branch, prepaid, request.ahead, ClockTime::now());
-    Some(BudgetOrder {
+        state.budgets.allowed_loan_ahead(&request.branch, prepaid, request.ahead, ClockTime::now());
+    Some(BudgetRequest {
         branch: request.branch.clone(),
         version: index.plan().version,
         prepaid,
         amount: missing + ahead,
-        request: String::new(),
+        request_id: String::new(),
     })
 }
 
-/// Takes a newer configuration from a gateway that has one: the store may turn this one away while
-/// it serves the others, and operators' changes hold here all the same.
-fn catch_up(state: &Arc<GatewayState>, from: &MemberInfo) {
+/// Fetches a newer configuration from a gateway that has one. The store may reject this gateway
+/// while it serves others, and operators' changes must still take effect here.
+fn fetch_newer_plan(state: &Arc<GatewayState>, from: &MemberInfo) {
     if from.config <= state.plan_version() {
         return;
     }
     let (state, from) = (state.clone(), from.clone());
-    smol::spawn(async move { take_from(&state, &from).await }).detach();
+    smol::spawn(async move { fetch_plan(&state, &from).await }).detach();
 }
 
-async fn take_from(state: &GatewayState, from: &MemberInfo) {
+async fn fetch_plan(state: &GatewayState, from: &MemberInfo) {
     let request = PeerRequest::AskPlan(PlanAsk { have: state.plan_version() });
-    let reply = state.fleet.ask(from.address, &request, PLAN_LIMIT).await;
+    let reply = state.fleet.call(from.address, &request, PLAN_TIMEOUT).await;
     let Ok(PeerReply::Plan(PlanReply { document: Some(document) })) = reply else {
         return;
     };
@@ -144,7 +145,7 @@
     match (state.dialect.read_plan)(&value) {
         Ok(plan) => {
             let version = plan.version;
-            let taken = state.take_plan(PlanIndex::new(plan), value.get());
+            let taken = state.apply_plan(PlanIndex::new(plan), value.get());
             log_event!(
                 info,
                 "configuration-relayed",
--- a/crates/sagespool-gateway/src/pipeline.rs
+++ b/crates/sagespool-gateway/src/pipeline.rs
@@ -1,4 +1,4 @@
-//! A request's way: admit, reserve, attempt, answer, settle.
+//! The request pipeline: admit, reserve, attempt, respond, settle.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,47 +14,47 @@
 use sagespool_link::within;
 use sagespool_types::{ByteCount, ClockTime};
 
-use crate::attempt::{OpenAnswer, SendFailure, ShortCause, send_once};
-use crate::body::AnswerBody;
+use crate::attempt::{OpenResponse, SendFailure, UnavailableCause, send_once};
+use crate::body::ResponseBody;
+use crate::budget::{BudgetRequest, Reservation};
+use crate::context::{AdmittedRequest, RequestContext, RequestLog};
 use crate::crashes::content_of;
-use crate::desk::{BudgetOrder, Reservation};
-use crate::flight::{AdmittedRequest, Flight, FlightRecord};
-use crate::hop::strip_hop;
+use crate::hop_by_hop::strip_hop_by_hop;
 use crate::metrics::Outcome;
 use crate::refusal::Refusal;
 use crate::request_body::{declared_length, discard, read_body};
 use crate::state::GatewayState;
 use crate::stream::start_stream;
 
-/// Less than this isn't worth a send: the way to an upstream and back takes up to two milliseconds.
-const LEAST_TIME: Duration = Duration::from_millis(5);
-/// Kept for the answer's way to the caller, so that it arrives before the caller gives up.
-const ANSWER_WAY: Duration = Duration::from_millis(10);
-/// An answer that isn't a stream is collected whole before it is passed on, up to this length: a
-/// broken one can then be told from a whole one, and asked for again.
-const LONGEST_WHOLE: usize = 16 << 20;
-/// The share of the latency target after which an idempotent request goes to another upstream.
-const PATIENCE_SHARE: f64 = 0.6;
-/// With a stream, the first event may wait for long prompts beside it: a second reading of its own
-/// prompt costs more than a late one.
-const STREAM_PATIENCE_SHARE: f64 = 1.5;
-/// The least urgent rank that upstreams know.
-const LAST_RANK: u8 = 9;
+/// A request isn't sent with less time left: the round trip to an upstream takes up to 2 ms.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
+/// Reserved for sending the response to the caller, so that it arrives before the caller's
+/// deadline.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(10);
+/// Maximum length in bytes of a response that isn't streamed. Such a response is buffered before it
+/// is forwarded, so that a truncated one is detected and the request can be retried.
+const MAX_BUFFERED_BYTES: usize = 16 << 20;
+/// Attempt timeout of an idempotent request, as a share of the route's latency target.
+const TIMEOUT_SHARE: f64 = 0.6;
+/// The same for streams, whose first event may queue behind other requests' long prompts:
+/// processing the prompt again on another upstream costs more than a late first event.
+const STREAM_TIMEOUT_SHARE: f64 = 1.5;
+/// The lowest priority (largest number) that upstreams accept.
+const LOWEST_PRIORITY: u8 = 9;
 
-/// Serves one request.
 pub(crate) async fn serve(
     state: Arc<GatewayState>,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
-    let began = ClockTime::now();
+) -> Response<ResponseBody> {
+    let started_at = ClockTime::now();
     let (head, body) = request.into_parts();
-    let mut record = FlightRecord::new(&state, began);
-    let request = match admit(&state, &head, body, began, &mut record).await {
+    let mut log = RequestLog::new(&state, started_at);
+    let request = match admit(&state, &head, body, started_at, &mut log).await {
         Ok(request) => request,
-        Err(refusal) => return refuse(record, refusal, refusal.reason()),
+        Err(refusal) => return refuse(log, refusal, refusal.reason()),
     };
     state.retries().count_request(&request.service, ClockTime::now());
-    let flight = Flight {
+    let context = RequestContext {
         state,
         request,
         head,
@@ -62,49 +62,50 @@
         tried: Vec::new(),
         may_have_run: false,
         last_event: None,
-        record,
+        log,
     };
-    run_or_end(flight).await
+    run_until_stop(context).await
 }
 
-/// Runs a request to its end, or to the end of this instance. A request that outlasts a graceful
-/// stop would see its connection end without a word, and its caller couldn't tell that from a
-/// broken network: it is told that the request may have run, and the upstream is released.
-async fn run_or_end(flight: Flight) -> Response<AnswerBody> {
-    let state = flight.state.clone();
+/// Runs a request until it ends or until the time limit of a graceful stop. In the second case the
+/// caller gets a response that the request may have run, instead of a closed connection that looks
+/// like a network failure, and the attempt at the upstream is cancelled.
+async fn run_until_stop(context: RequestContext) -> Response<ResponseBody> {
+    let state = context.state.clone();
     let ended = async {
-        state.over.wait().await;
-        Refusal::Ended.response()
+        state.abort.wait().await;
+        Refusal::Aborted.response()
     };
-    or(run(flight), ended).await
+    or(run(context), ended).await
 }
 
-fn refuse(mut record: FlightRecord, refusal: Refusal, detail: &str) -> Response<AnswerBody> {
-    record.conclude(Outcome::Refused, refusal.status().as_u16(), detail);
+fn refuse(mut log: RequestLog, refusal: Refusal, detail: &str) -> Response<ResponseBody> {
+    log.conclude(Outcome::Refused, refusal.status().as_u16(), detail);
     refusal.response()
 }
 
-/// Everything before the first send.
+/// Performs all steps before the first attempt.
 async fn admit(
     state: &Arc<GatewayState>,
     head: &RequestParts,
     body: Incoming,
-    began: ClockTime,
-    record: &mut FlightRecord,
+    started_at: ClockTime,
+    log: &mut RequestLog,
 ) -> Result<AdmittedRequest, Refusal> {
     let index = state.plan().ok_or(Refusal::NoPlan)?;
-    let demand = (state.dialect.read_caller_headers)(&head.headers).map_err(Refusal::Demand)?;
-    record.request.clone_from(&demand.request);
+    let attributes =
+        (state.dialect.read_caller_headers)(&head.headers).map_err(Refusal::BadHeader)?;
+    log.request.clone_from(&attributes.request);
     let host = host_of(head).ok_or(Refusal::NoHost)?;
-    let found = index.route(&host, head.uri.path(), &demand.request);
+    let found = index.route(&host, head.uri.path(), &attributes.request);
     let found = found.ok_or(Refusal::UnknownRoute)?;
-    record.route.clone_from(&found.route.name);
+    log.route.clone_from(&found.route.name);
     let (route, service) = (found.route.clone(), found.service.clone());
-    let branch = find_branch(&index, &demand, route.open)?;
-    record.branch = branch.map(|branch| branch.name.clone());
-    let timeout = demand.timeout.unwrap_or(route.time_limit).min(route.time_limit);
-    let deadline = began.after(timeout.saturating_sub(ANSWER_WAY));
-    if state.ends_before(deadline) {
+    let branch = find_branch(&index, &attributes, route.open)?;
+    log.branch = branch.map(|branch| branch.name.clone());
+    let timeout = attributes.timeout.unwrap_or(route.time_limit).min(route.time_limit);
+    let deadline = started_at.after(timeout.saturating_sub(RESPONSE_MARGIN));
+    if state.may_stop_before(deadline) {
         return Err(Refusal::Stopping);
     }
     let rank = branch.and_then(|branch| branch.priority).unwrap_or(route.priority);
@@ -112,40 +113,40 @@
         branch: branch.map(|branch| &branch.name),
         rank,
         latency_target: route.latency_target,
-        time_left: deadline.since(began),
+        time_left: deadline.since(started_at),
     };
-    let taken = state.intake.admit(arrived, declared_length(&body)).await;
-    record.turn = state.intake.turn(ClockTime::now());
-    let mut pass = match taken {
-        Ok(pass) => pass,
+    let taken = state.limiter.admit(arrived, declared_length(&body)).await;
+    log.scheduling_delay = state.limiter.scheduling_delay(ClockTime::now());
+    let mut permit = match taken {
+        Ok(permit) => permit,
         Err(refusal) => {
             discard(body);
             return Err(refusal);
         }
     };
-    let body = read_body(&index, body, &mut pass, deadline.since(ClockTime::now())).await?;
-    if state.crashes.stops(|| content_of(demand.key.as_deref(), head, &body)) {
-        return Err(Refusal::Stopped);
+    let body = read_body(&index, body, &mut permit, deadline.since(ClockTime::now())).await?;
+    if state.crashes.is_quarantined(|| content_of(attributes.key.as_deref(), head, &body)) {
+        return Err(Refusal::Quarantined);
     }
-    if deadline.since(ClockTime::now()) < LEAST_TIME {
+    if deadline.since(ClockTime::now()) < MIN_TIME_LEFT {
         return Err(Refusal::TooLate);
     }
     let reservation = match branch {
-        Some(branch) => reserve(state, &index, branch, &demand, deadline).await?,
+        Some(branch) => reserve(state, &index, branch, &attributes, deadline).await?,
         None => None,
     };
-    let branch_homes = branch.map(|branch| branch.homes.clone()).unwrap_or_default();
+    let branch_regions = branch.map(|branch| branch.homes.clone()).unwrap_or_default();
     let branch = branch.map(|branch| branch.name.clone());
     Ok(AdmittedRequest {
-        priority: rank.min(LAST_RANK),
+        priority: rank.min(LOWEST_PRIORITY),
         branch,
-        branch_homes,
+        branch_regions,
         route,
         service,
-        demand,
+        attributes,
         body,
         reservation,
-        _pass: pass,
+        _permit: permit,
         deadline,
         index: index.clone(),
     })
@@ -158,171 +159,178 @@
     head.headers.get(HOST)?.to_str().ok().map(str::to_owned)
 }
 
-/// The client account whose key a request shows.
+/// Finds the client account of the request's key. `None` is allowed on open routes only, or if the
+/// configuration has no accounts.
 fn find_branch<'a>(
     index: &'a PlanIndex,
-    demand: &RequestAttributes,
+    attributes: &RequestAttributes,
     open: bool,
 ) -> Result<Option<&'a BranchPlan>, Refusal> {
-    let branch = demand.key.as_deref().and_then(|key| index.branch(key));
+    let branch = attributes.key.as_deref().and_then(|key| index.branch(key));
     if branch.is_none() && !open && index.has_branches() {
         return Err(Refusal::UnknownKey);
     }
     Ok(branch)
 }
 
-/// Sets the most that a request can cost aside.
+/// Reserves the maximum cost of a request. `None` if the account has no budget or the request names
+/// no token counts.
 async fn reserve(
     state: &GatewayState,
     index: &PlanIndex,
     branch: &BranchPlan,
-    demand: &RequestAttributes,
+    attributes: &RequestAttributes,
     deadline: ClockTime,
 ) -> Result<Option<Reservation>, Refusal> {
-    let (Some(prepaid), Some(tokens)) = (branch.prepaid, demand.tokens) else {
+    let (Some(prepaid), Some(tokens)) = (branch.prepaid, attributes.tokens) else {
         return Ok(None);
     };
-    let order = BudgetOrder {
+    let budget = BudgetRequest {
         branch: branch.name.clone(),
         version: index.plan().version,
         prepaid,
         amount: tokens.most(),
-        request: demand.request.clone(),
+        request_id: attributes.request.clone(),
     };
-    state.desk.reserve(&order, deadline, &state.fleet).await.map(Some)
+    state.budgets.reserve(&budget, deadline, &state.fleet).await.map(Some)
 }
 
-/// A whole answer of an upstream.
-struct WholeAnswer {
+/// An upstream's response with its complete body.
+struct CompleteResponse {
     head: ResponseParts,
     bytes: Bytes,
 }
 
-impl WholeAnswer {
+impl CompleteResponse {
     fn is_failure(&self) -> bool {
         self.head.status.is_server_error()
     }
 }
 
-/// Sends the request until it is answered or given up.
-async fn run(mut flight: Flight) -> Response<AnswerBody> {
-    // The failure that an upstream answered with, in case no other upstream does better.
-    let mut failed: Option<WholeAnswer> = None;
+/// Makes attempts until an upstream responds or no further attempt is allowed.
+async fn run(mut context: RequestContext) -> Response<ResponseBody> {
+    // The last 5xx response, which is forwarded if no other upstream succeeds.
+    let mut failed: Option<CompleteResponse> = None;
     loop {
-        let timeout = send_patience(&flight, ClockTime::now());
-        let result = match send_once(&mut flight, timeout).await {
-            Ok(answer) if is_stream(&flight, &answer) => return start_stream(flight, answer).await,
-            Ok(answer) => collect(&mut flight, answer).await,
+        let timeout = attempt_timeout(&context, ClockTime::now());
+        let result = match send_once(&mut context, timeout).await {
+            Ok(response) if is_stream(&context, &response) => {
+                return start_stream(context, response).await;
+            }
+            Ok(response) => read_response(&mut context, response).await,
             Err(failure) => Err(failure),
         };
         let failure = match result {
-            Ok(answer) if answer.is_failure() && flight.is_idempotent() => {
-                failed = Some(answer);
+            Ok(response) if response.is_failure() && context.is_idempotent() => {
+                failed = Some(response);
                 SendFailure::Lost("failure-status")
             }
-            Ok(answer) => return respond(flight, answer),
+            Ok(response) => return respond(context, response),
             Err(failure) => failure,
         };
-        if may_send_again(&flight, failure, ClockTime::now()) {
+        if may_retry(&context, failure, ClockTime::now()) {
             continue;
         }
         return match failed {
-            Some(answer) => respond(flight, answer),
-            None => give_up(flight, failure),
+            Some(response) => respond(context, response),
+            None => refuse_failed(context, failure),
         };
     }
 }
 
-fn is_stream(flight: &Flight, answer: &OpenAnswer) -> bool {
-    flight.request.route.streaming && answer.head.status.is_success()
+fn is_stream(context: &RequestContext, response: &OpenResponse) -> bool {
+    context.request.route.streaming && response.head.status.is_success()
 }
 
-/// How long to wait for the head of an answer.
-pub(crate) fn send_patience(flight: &Flight, now: ClockTime) -> Duration {
-    let left = flight.time_left(now);
-    let route = &flight.request.route;
-    let is_last = flight.sends + 1 >= route.attempts;
-    if !flight.is_idempotent() || is_last {
+/// The time limit of an attempt until the response head arrives.
+pub(crate) fn attempt_timeout(context: &RequestContext, now: ClockTime) -> Duration {
+    let left = context.time_left(now);
+    let route = &context.request.route;
+    let is_last = context.sends + 1 >= route.attempts;
+    if !context.is_idempotent() || is_last {
         return left;
     }
-    let share = if route.streaming { STREAM_PATIENCE_SHARE } else { PATIENCE_SHARE };
+    let share = if route.streaming { STREAM_TIMEOUT_SHARE } else { TIMEOUT_SHARE };
     left.min(route.latency_target.mul_f64(share))
 }
 
-/// Whether a request whose send failed may go to another upstream.
-pub(crate) fn may_send_again(flight: &Flight, failure: SendFailure, now: ClockTime) -> bool {
-    if matches!(failure, SendFailure::NoUpstream(_)) || flight.time_left(now) < LEAST_TIME {
+/// Whether a request whose last attempt failed may be sent to another upstream.
+pub(crate) fn may_retry(context: &RequestContext, failure: SendFailure, now: ClockTime) -> bool {
+    if matches!(failure, SendFailure::NoUpstream(_)) || context.time_left(now) < MIN_TIME_LEFT {
         return false;
     }
-    if !failure.surely_not_run() && !flight.is_idempotent() {
+    if !failure.did_not_run() && !context.is_idempotent() {
         return false;
     }
-    if flight.sends >= flight.request.route.attempts {
+    if context.sends >= context.request.route.attempts {
         return false;
     }
-    // Where nothing left this process, upstreams have nothing more to do.
-    if matches!(failure, SendFailure::NotSent(_) | SendFailure::HeldBack) {
+    // Nothing was sent, so a retry adds no load to upstreams and needs no retry budget.
+    if matches!(failure, SendFailure::NotSent(_) | SendFailure::DispatchBlocked) {
         return true;
     }
-    let instances = flight.state.instances();
-    flight.state.retries().try_retry(&flight.request.service, instances, now)
+    let instances = context.state.instances();
+    context.state.retries().try_retry(&context.request.service, instances, now)
 }
 
-fn give_up(mut flight: Flight, failure: SendFailure) -> Response<AnswerBody> {
-    flight.uncharge_prompt();
+fn refuse_failed(mut context: RequestContext, failure: SendFailure) -> Response<ResponseBody> {
+    context.uncharge_prompt();
     let refusal = match failure {
-        SendFailure::Silent => Refusal::TimedOut,
-        _ if flight.may_have_run => Refusal::Failed,
-        SendFailure::TurnedAway => Refusal::Busy,
-        SendFailure::NoUpstream(ShortCause::Evacuated) => Refusal::Evacuated,
-        SendFailure::NoUpstream(ShortCause::Limited(turn)) => Refusal::Limited(turn),
+        SendFailure::TimedOut => Refusal::TimedOut,
+        _ if context.may_have_run => Refusal::Failed,
+        SendFailure::Rejected => Refusal::UpstreamsBusy,
+        SendFailure::NoUpstream(UnavailableCause::Evacuated) => Refusal::Evacuated,
+        SendFailure::NoUpstream(UnavailableCause::Limited(delay)) => Refusal::Limited(delay),
         _ => Refusal::NoUpstream,
     };
-    refuse(flight.record, refusal, failure.as_str())
+    refuse(context.log, refusal, failure.as_str())
 }
 
-/// Takes in a whole answer.
-async fn collect(flight: &mut Flight, answer: OpenAnswer) -> Result<WholeAnswer, SendFailure> {
-    flight.may_have_run = true;
-    let OpenAnswer { head, body, connection, mut place } = answer;
-    place.began(ClockTime::now());
-    let left = flight.time_left(ClockTime::now());
+/// Reads a complete response body.
+async fn read_response(
+    context: &mut RequestContext,
+    response: OpenResponse,
+) -> Result<CompleteResponse, SendFailure> {
+    context.may_have_run = true;
+    let OpenResponse { head, body, connection, mut placement } = response;
+    placement.note_first_event(ClockTime::now());
+    let left = context.time_left(ClockTime::now());
     let collected = async {
-        let collected = Limited::new(body, LONGEST_WHOLE).collect().await;
+        let collected = Limited::new(body, MAX_BUFFERED_BYTES).collect().await;
         collected.map(|whole| whole.to_bytes()).map_err(|_| SendFailure::Lost("answer-broken"))
     };
-    let collected = within(left, collected).await.unwrap_or(Err(SendFailure::Silent));
+    let collected = within(left, collected).await.unwrap_or(Err(SendFailure::TimedOut));
     let now = ClockTime::now();
     let bytes = match collected {
         Ok(bytes) => bytes,
         Err(failure) => {
-            place.finish(SendOutcome::Broken, now);
+            placement.finish(SendOutcome::Broken, now);
             return Err(failure);
         }
     };
-    if !says_close(&head) {
-        flight.state.pool.keep(&place.ticket().upstream.name, connection, now);
+    if !closes_connection(&head) {
+        context.state.pool.keep(&placement.attempt().upstream.name, connection, now);
     }
-    let answer = WholeAnswer { head, bytes };
-    let outcome = if answer.is_failure() { SendOutcome::Failed } else { SendOutcome::Answered };
-    place.finish(outcome, now);
-    Ok(answer)
+    let response = CompleteResponse { head, bytes };
+    let outcome = if response.is_failure() { SendOutcome::Failed } else { SendOutcome::Answered };
+    placement.finish(outcome, now);
+    Ok(response)
 }
 
-/// Whether the upstream closes the connection after this answer.
-pub(crate) fn says_close(head: &ResponseParts) -> bool {
+/// Whether the upstream closes the connection after this response.
+pub(crate) fn closes_connection(head: &ResponseParts) -> bool {
     let value = head.headers.get(CONNECTION);
     value.and_then(|value| value.to_str().ok()).is_some_and(|text| text.contains("close"))
 }
 
-/// Passes a whole answer on, with the upstream's status and bytes.
-fn respond(mut flight: Flight, answer: WholeAnswer) -> Response<AnswerBody> {
-    let mut head = answer.head;
+/// Forwards a complete response with the upstream's status and body.
+fn respond(mut context: RequestContext, response: CompleteResponse) -> Response<ResponseBody> {
+    let mut head = response.head;
     let outcome = if head.status.is_server_error() { Outcome::Failed } else { Outcome::Answered };
-    strip_hop(&mut head.headers);
-    flight.clear_crashes();
-    flight.record.first = Some(ClockTime::now());
-    flight.record.conclude(outcome, head.status.as_u16(), "");
-    let held = flight.state.intake.hold(ByteCount(answer.bytes.len() as u64));
-    Response::from_parts(head, AnswerBody::counted(answer.bytes, held))
+    strip_hop_by_hop(&mut head.headers);
+    context.clear_crashes();
+    context.log.first = Some(ClockTime::now());
+    context.log.conclude(outcome, head.status.as_u16(), "");
+    let held = context.state.limiter.hold(ByteCount(response.bytes.len() as u64));
+    Response::from_parts(head, ResponseBody::counted(response.bytes, held))
 }
--- a/crates/sagespool-gateway/src/relay_role.rs
+++ b/crates/sagespool-gateway/src/relay_role.rs
@@ -1,7 +1,7 @@
-//! A relay: a small process beside an upstream that makes calls of the store for gateways.
+//! A relay: a small process beside an upstream that forwards gateways' calls of the store.
 //!
-//! Gateways are the fleet's entries and get cut off from the store, all at once at times; the
-//! machines beside upstreams usually aren't. A relay holds no state and takes no decisions.
+//! Gateways may lose the store, sometimes all at once, while the machines beside upstreams usually
+//! still reach it. A relay is stateless and makes no decisions.
 
 use std::sync::Arc;
 
@@ -13,17 +13,17 @@
 use sagespool_types::IncarnationId;
 use smol::Task;
 
-use crate::calls::tell_calls;
-use crate::fleet::{FleetBoard, OwnPlace, answer_store_call};
-use crate::role::STORE_LIMIT;
+use crate::fleet::{FleetClient, LocalMember, handle_store_call};
+use crate::role::STORE_TIMEOUT;
+use crate::store_calls::log_store_calls;
 
-/// A relay that runs. Dropping it ends it; nothing is lost then.
+/// A running relay. Dropping it stops it; it has no state to save.
 pub struct RelayRole {
     _tasks: [Task<()>; 2],
 }
 
 impl RelayRole {
-    /// Starts a relay.
+    /// Starts a relay; `dialect` is the store's API.
     pub fn start(settings: RelaySettings, dialect: StoreDialect) -> Self {
         let run = IncarnationId::random();
         log_event!(
@@ -36,10 +36,10 @@
         );
         let options = ObjectOptions::builder()
             .address(settings.object_api)
-            .call_limit(STORE_LIMIT)
+            .call_limit(STORE_TIMEOUT)
             .dialect(dialect);
         let store = ObjectClient::new(options.build());
-        let place = OwnPlace::builder()
+        let local = LocalMember::builder()
             .instance(settings.instance)
             .region(settings.region)
             .centre(settings.centre)
@@ -48,20 +48,20 @@
             .maybe_advertise(settings.advertise)
             .peers(settings.peers)
             .build();
-        let fleet = Arc::new(FleetBoard::new(place, run));
+        let fleet = Arc::new(FleetClient::new(local, run));
         let handler = handler(fleet.clone(), store.clone());
-        let telling = smol::spawn(tell_calls(store.clone()));
+        let telling = smol::spawn(log_store_calls(store.clone()));
         Self { _tasks: [smol::spawn(fleet.run(store, handler, |_| {})), telling] }
     }
 }
 
-fn handler(fleet: Arc<FleetBoard>, store: ObjectClient) -> PeerHandler {
+fn handler(fleet: Arc<FleetClient>, store: ObjectClient) -> PeerHandler {
     Arc::new(move |call: PeerCall| {
         let (fleet, store) = (fleet.clone(), store.clone());
         Box::pin(async move {
             let reply = match call.request {
-                PeerRequest::Heartbeat(beat) => fleet.answer_heartbeat(&beat),
-                PeerRequest::CallStore(call) => answer_store_call(&store, call).await,
+                PeerRequest::Heartbeat(beat) => fleet.handle_heartbeat(&beat),
+                PeerRequest::CallStore(call) => handle_store_call(&store, call).await,
                 _ => PeerReply::Unsupported("this process is a relay".to_owned()),
             };
             call.responder.reply(reply).await;
--- a/crates/sagespool-gateway/src/signal.rs
+++ b/crates/sagespool-gateway/src/signal.rs
@@ -1,32 +1,32 @@
-//! Something that happens once.
+//! A one-time notification.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use event_listener::Event;
 
-/// Something that happens once, and that tasks may wait for.
+/// A flag that is set once and that tasks can wait for.
 #[derive(Debug, Default)]
 pub(crate) struct OnceSignal {
-    given: AtomicBool,
-    told: Event,
+    is_set: AtomicBool,
+    event: Event,
 }
 
 impl OnceSignal {
-    pub(crate) fn give(&self) {
-        self.given.store(true, Ordering::SeqCst);
-        self.told.notify(usize::MAX);
+    pub(crate) fn set(&self) {
+        self.is_set.store(true, Ordering::SeqCst);
+        self.event.notify(usize::MAX);
     }
 
-    pub(crate) fn is_given(&self) -> bool {
-        self.given.load(Ordering::SeqCst)
+    pub(crate) fn is_set(&self) -> bool {
+        self.is_set.load(Ordering::SeqCst)
     }
 
-    /// Waits until it is given.
+    /// Waits until the flag is set.
     pub(crate) async fn wait(&self) {
-        // Listening comes first: it may be given between the look and the wait.
-        let told = self.told.listen();
-        if !self.is_given() {
-            told.await;
+        // Register the listener before the check, so that a concurrent notification isn't missed.
+        let event = self.event.listen();
+        if !self.is_set() {
+            event.await;
         }
     }
 }
--- a/crates/sagespool-gateway/src/state.rs
+++ b/crates/sagespool-gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a gateway share.
+//! State shared by all tasks of a gateway.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock, RwLockReadGuard};
@@ -18,55 +18,53 @@
     UpstreamName,
 };
 
-use crate::crashes::CrashDesk;
-use crate::desk::BudgetDesk;
+use crate::admission::ResourceLimiter;
+use crate::budget::BudgetPool;
+use crate::crashes::CrashReports;
 use crate::dialect::WireDialect;
-use crate::feeds::FeedDesk;
-use crate::fleet::{FleetBoard, OwnPlace};
-use crate::intake::CallerIntake;
+use crate::feeds::FeedRegistry;
+use crate::fleet::{FleetClient, LocalMember};
 use crate::metrics::GatewayMetrics;
 use crate::pool::UpstreamPool;
 use crate::signal::OnceSignal;
 
-/// The least time between two log lines on marks that can't be read: a broken upstream sends one with
-/// each answer.
-const UNREADABLE_PAUSE: Duration = Duration::from_secs(1);
+/// Minimum interval between log lines about malformed response headers: a faulty upstream sends
+/// one with every response.
+const MALFORMED_LOG_PERIOD: Duration = Duration::from_secs(1);
 
-/// The shared state.
 pub(crate) struct GatewayState {
     pub(crate) settings: GatewaySettings,
     pub(crate) dialect: WireDialect,
     pub(crate) store: ObjectClient,
     pub(crate) pool: UpstreamPool,
-    pub(crate) desk: Arc<BudgetDesk>,
-    pub(crate) crashes: CrashDesk,
+    pub(crate) budgets: Arc<BudgetPool>,
+    pub(crate) crashes: CrashReports,
     pub(crate) metrics: GatewayMetrics,
-    /// A graceful stop has begun.
+    /// Set when a graceful stop begins.
     pub(crate) stopping: AtomicBool,
-    /// By when every request must have ended, in microseconds, once `closing` is given.
+    /// Deadline of all requests in microseconds of `ClockTime`; valid once `closing` is set.
     closing_by: AtomicU64,
-    /// Callers' connections are to end after the request that they carry.
+    /// Set when callers' connections are to close after their current request.
     pub(crate) closing: OnceSignal,
-    /// The time for the stop is over: whatever is still under way ends now.
-    pub(crate) over: OnceSignal,
-    /// Requests under way.
+    /// Set when the time limit of a graceful stop has passed: requests in flight are aborted.
+    pub(crate) abort: OnceSignal,
+    /// Number of requests in flight.
     pub(crate) requests: AtomicUsize,
-    /// What is taken in from callers.
-    pub(crate) intake: Arc<CallerIntake>,
-    pub(crate) feeds: FeedDesk,
-    pub(crate) fleet: Arc<FleetBoard>,
-    plan: RwLock<Option<KnownPlan>>,
-    roster: Mutex<UpstreamRegistry>,
-    board: Mutex<LoadBalancer>,
+    pub(crate) limiter: Arc<ResourceLimiter>,
+    pub(crate) feeds: FeedRegistry,
+    pub(crate) fleet: Arc<FleetClient>,
+    plan: RwLock<Option<LoadedPlan>>,
+    upstreams: Mutex<UpstreamRegistry>,
+    balancer: Mutex<LoadBalancer>,
     retries: Mutex<RetryBudget>,
-    guard: Mutex<UpstreamThrottle>,
-    senders: Mutex<SenderSelector>,
-    /// When a mark that can't be read was last noted.
-    unreadable: Mutex<Option<ClockTime>>,
+    throttle: Mutex<UpstreamThrottle>,
+    sender_selector: Mutex<SenderSelector>,
+    /// When a malformed response header was last logged.
+    malformed_logged_at: Mutex<Option<ClockTime>>,
 }
 
-/// A configuration, and its text as the store has it, for other gateways.
-struct KnownPlan {
+/// A configuration with its text as stored, which other gateways may request.
+struct LoadedPlan {
     index: Arc<PlanIndex>,
     document: Arc<str>,
 }
@@ -79,9 +77,9 @@
         store: ObjectClient,
     ) -> Self {
         let GrantSettings { ahead, share, idle } = settings.grants;
-        let grants = GrantPolicy { ahead, share, idle, instances: 1 };
-        let desk = BudgetDesk::new(store.clone(), run, settings.instance.clone(), grants);
-        let place = OwnPlace::builder()
+        let grant_policy = GrantPolicy { ahead, share, idle, instances: 1 };
+        let budgets = BudgetPool::new(store.clone(), run, settings.instance.clone(), grant_policy);
+        let local = LocalMember::builder()
             .instance(settings.instance.clone())
             .region(settings.region.clone())
             .centre(settings.centre.clone())
@@ -90,73 +88,75 @@
             .maybe_advertise(settings.advertise)
             .peers(settings.peers.clone())
             .build();
-        let fleet = Arc::new(FleetBoard::new(place, run));
+        let fleet = Arc::new(FleetClient::new(local, run));
         store.set_detour(fleet.detour());
-        let terms = RetryPolicy {
+        let retry_policy = RetryPolicy {
             ratio: settings.retries.ratio,
             slack: settings.retries.slack,
             window: settings.retries.window,
         };
-        let warmup_terms =
+        let warmup_policy =
             WarmupPolicy { overage: settings.warmup.overage, slack: settings.warmup.slack };
-        // Without a link there are no others to divide anything with.
-        let senders = match settings.link {
+        // Without a link there are no other instances to share sends with.
+        let sender_selector = match settings.link {
             Some(_) => SenderSelector::new(settings.instance.clone()),
             None => SenderSelector::alone(settings.instance.clone()),
         };
-        let feeds = FeedDesk::new(settings.in_force);
-        let intake = Arc::new(CallerIntake::new(settings.limits));
+        let feeds = FeedRegistry::new(settings.in_force);
+        let limiter = Arc::new(ResourceLimiter::new(settings.limits));
         Self {
-            intake,
+            limiter,
             settings,
             dialect,
             store,
             pool: UpstreamPool::default(),
-            desk: Arc::new(desk),
-            crashes: CrashDesk::new(),
+            budgets: Arc::new(budgets),
+            crashes: CrashReports::new(),
             metrics: GatewayMetrics::new(),
             stopping: AtomicBool::new(false),
             closing_by: AtomicU64::new(0),
             requests: AtomicUsize::new(0),
             closing: OnceSignal::default(),
-            over: OnceSignal::default(),
+            abort: OnceSignal::default(),
             feeds,
             fleet,
             plan: RwLock::default(),
-            roster: Mutex::default(),
-            board: Mutex::new(LoadBalancer::new(PlacementPolicy::default())),
-            retries: Mutex::new(RetryBudget::new(terms)),
-            guard: Mutex::new(UpstreamThrottle::new(warmup_terms)),
-            senders: Mutex::new(senders),
-            unreadable: Mutex::default(),
+            upstreams: Mutex::default(),
+            balancer: Mutex::new(LoadBalancer::new(PlacementPolicy::default())),
+            retries: Mutex::new(RetryBudget::new(retry_policy)),
+            throttle: Mutex::new(UpstreamThrottle::new(warmup_policy)),
+            sender_selector: Mutex::new(sender_selector),
+            malformed_logged_at: Mutex::default(),
         }
     }
 
-    fn known_plan(&self) -> RwLockReadGuard<'_, Option<KnownPlan>> {
+    fn loaded_plan(&self) -> RwLockReadGuard<'_, Option<LoadedPlan>> {
         self.plan.read().unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(crate) fn plan(&self) -> Option<Arc<PlanIndex>> {
-        self.known_plan().as_ref().map(|known| known.index.clone())
+        self.loaded_plan().as_ref().map(|loaded| loaded.index.clone())
     }
 
-    /// The configuration in force as the store has it.
+    /// The text of the current configuration as stored.
     pub(crate) fn plan_document(&self) -> Option<String> {
-        self.known_plan().as_ref().map(|known| known.document.to_string())
+        self.loaded_plan().as_ref().map(|loaded| loaded.document.to_string())
     }
 
-    /// The version of the configuration in force, 0 if there is none.
+    /// The version of the current configuration, 0 if there is none.
     pub(crate) fn plan_version(&self) -> ConfigVersion {
-        self.known_plan().as_ref().map_or(ConfigVersion::ZERO, |known| known.index.plan().version)
+        self.loaded_plan()
+            .as_ref()
+            .map_or(ConfigVersion::ZERO, |loaded| loaded.index.plan().version)
     }
 
-    /// Puts a configuration in force, unless a newer one is. It never goes back: word of an older
-    /// version may arrive late.
-    pub(crate) fn take_plan(&self, index: PlanIndex, document: &str) -> bool {
+    /// Applies a configuration and returns true, unless the current one is at least as new. Older
+    /// versions may arrive late and must not replace newer ones.
+    pub(crate) fn apply_plan(&self, index: PlanIndex, document: &str) -> bool {
         let version = index.plan().version;
-        let fresh = KnownPlan { index: Arc::new(index), document: document.into() };
+        let fresh = LoadedPlan { index: Arc::new(index), document: document.into() };
         let mut plan = self.plan.write().unwrap_or_else(PoisonError::into_inner);
-        if plan.as_ref().is_some_and(|known| known.index.plan().version >= version) {
+        if plan.as_ref().is_some_and(|loaded| loaded.index.plan().version >= version) {
             return false;
         }
         *plan = Some(fresh);
@@ -165,54 +165,54 @@
         true
     }
 
-    pub(crate) fn roster(&self) -> MutexGuard<'_, UpstreamRegistry> {
-        self.roster.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn upstreams(&self) -> MutexGuard<'_, UpstreamRegistry> {
+        self.upstreams.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Drops an upstream whose address another one has: its name is one run, which has ended, though
-    /// the list may show it for some seconds more.
+    /// Removes an upstream whose address belongs to another one now. An upstream's name stands for
+    /// one run; that run has ended, but the store may list it for some seconds more.
     pub(crate) fn forget_upstream(&self, name: &UpstreamName) {
-        self.roster().mark_replaced(name);
-        self.board().forget(name);
-        self.guard().forget(name);
+        self.upstreams().mark_replaced(name);
+        self.balancer().forget(name);
+        self.throttle().forget(name);
         log_event!(info, "upstream-changed", upstream = name, change = "replaced");
     }
 
-    pub(crate) fn board(&self) -> MutexGuard<'_, LoadBalancer> {
-        self.board.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn balancer(&self) -> MutexGuard<'_, LoadBalancer> {
+        self.balancer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(crate) fn retries(&self) -> MutexGuard<'_, RetryBudget> {
         self.retries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn guard(&self) -> MutexGuard<'_, UpstreamThrottle> {
-        self.guard.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn throttle(&self) -> MutexGuard<'_, UpstreamThrottle> {
+        self.throttle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn senders(&self) -> MutexGuard<'_, SenderSelector> {
-        self.senders.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn sender_selector(&self) -> MutexGuard<'_, SenderSelector> {
+        self.sender_selector.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes which instances may be senders to cold upstreams.
+    /// Updates the set of instances that may send to cold upstreams.
     pub(crate) fn observe_senders(&self, now: ClockTime) {
         let members = self.fleet.members.members().into_iter();
         let gateways = members.filter(|member| member.role == MemberRole::Entry);
-        let heard = gateways.map(|member| member.instance);
+        let known = gateways.map(|member| member.instance);
         match self.fleet.listed_gateways() {
-            Some(listed) => self.senders().observe_listed(heard.chain(listed), now),
-            None => self.senders().observe(heard, now),
+            Some(listed) => self.sender_selector().observe_listed(known.chain(listed), now),
+            None => self.sender_selector().observe(known, now),
         }
     }
 
-    /// Notes that an upstream is cold for so long; nothing if that is zero.
+    /// Records how much longer an upstream is cold. Zero changes nothing.
     pub(crate) fn note_cold(&self, name: &UpstreamName, left: Duration, now: ClockTime) {
-        if !left.is_zero() && self.guard().note_cold(name, left, now) {
+        if !left.is_zero() && self.throttle().note_cold(name, left, now) {
             log_event!(info, "upstream-cold", upstream = name, left_ms = left.as_millis());
         }
     }
 
-    /// Takes what the answer to a request whose place was chosen then says of its upstream's limit.
+    /// Applies the rate limit, or its absence, in the response to a request placed at `chosen`.
     pub(crate) fn note_rate_limit(
         &self,
         name: &UpstreamName,
@@ -220,11 +220,11 @@
         chosen: ClockTime,
         now: ClockTime,
     ) {
-        let change = self.guard().note_rate_limit(name, named, chosen, now);
+        let change = self.throttle().note_rate_limit(name, named, chosen, now);
         self.log_limit(name, change, "answer");
     }
 
-    /// Writes what has changed of an upstream's limit, and who told it.
+    /// Logs a change of an upstream's rate limit. `told_by` is its source.
     pub(crate) fn log_limit(&self, name: &UpstreamName, change: RateLimitChange, told_by: &str) {
         match change {
             RateLimitChange::Unchanged => {}
@@ -241,56 +241,56 @@
         }
     }
 
-    /// Notes that an upstream wants nothing from this instance for so long.
-    pub(crate) fn note_backoff(&self, name: &UpstreamName, rest: Duration, now: ClockTime) {
-        if self.guard().note_backoff(name, rest, now) {
-            log_event!(info, "upstream-rests", upstream = name, rest_ms = rest.as_millis());
+    /// Records an upstream's backoff for this instance.
+    pub(crate) fn note_backoff(&self, name: &UpstreamName, backoff: Duration, now: ClockTime) {
+        if self.throttle().note_backoff(name, backoff, now) {
+            log_event!(info, "upstream-rests", upstream = name, rest_ms = backoff.as_millis());
         }
     }
 
-    /// Notes that a mark of an upstream's answer can't be read, in a line a second at most.
-    pub(crate) fn note_unreadable(&self, name: &UpstreamName, mark: &str, now: ClockTime) {
-        let mut noted = self.unreadable.lock().unwrap_or_else(PoisonError::into_inner);
-        if noted.is_some_and(|noted| now.since(noted) < UNREADABLE_PAUSE) {
+    /// Logs a malformed header of an upstream's response, at most once per `MALFORMED_LOG_PERIOD`.
+    pub(crate) fn log_malformed_header(&self, name: &UpstreamName, header: &str, now: ClockTime) {
+        let mut logged_at = self.malformed_logged_at.lock().unwrap_or_else(PoisonError::into_inner);
+        if logged_at.is_some_and(|at| now.since(at) < MALFORMED_LOG_PERIOD) {
             return;
         }
-        *noted = Some(now);
-        log_event!(warn, "upstream-mark-unreadable", upstream = name, mark = mark);
+        *logged_at = Some(now);
+        log_event!(warn, "upstream-mark-unreadable", upstream = name, mark = header);
     }
 
-    /// What cold upstreams of a service bear; nothing if it has none.
-    fn warmup_traits(&self, service: &ServiceName) -> Option<WarmupProfile> {
+    /// The warm-up settings of a service; `None` if its upstreams need no warm-up.
+    fn warmup_profile(&self, service: &ServiceName) -> Option<WarmupProfile> {
         self.plan()?.service(service)?.warmup.clone()
     }
 
-    /// Gives the upstreams of a data centre no new work.
+    /// Stops sending new requests to the upstreams of a data centre.
     pub(crate) fn evacuate(&self, centre: CentreName) {
-        if self.roster().evacuate(centre.clone()) {
+        if self.upstreams().evacuate(centre.clone()) {
             log_event!(info, "centre-evacuated", centre = centre);
         }
     }
 
-    /// Gives the upstreams of a data centre work again. They may have turned cold meanwhile, and their
-    /// entries may say so only later.
+    /// Allows requests to the upstreams of a data centre again. They are treated as cold at first:
+    /// they may have become cold in the meantime, and their entries may show it only later.
     pub(crate) fn readmit(&self, centre: &CentreName, now: ClockTime) {
-        let Some(records) = self.roster().readmit(centre) else {
+        let Some(records) = self.upstreams().readmit(centre) else {
             return;
         };
         log_event!(info, "centre-readmitted", centre = centre, upstreams = records.len());
         for record in records {
-            if let Some(traits) = self.warmup_traits(&record.service) {
-                self.note_cold(&record.name, traits.span, now);
+            if let Some(profile) = self.warmup_profile(&record.service) {
+                self.note_cold(&record.name, profile.span, now);
             }
         }
     }
 
-    /// The region of a data centre, if it is known.
+    /// The region of a data centre; `None` if the settings don't list it.
     pub(crate) fn region_of(&self, centre: &CentreName) -> Option<&RegionName> {
         let own = (*centre == self.settings.centre).then_some(&self.settings.region);
         self.settings.regions.get(centre).or(own)
     }
 
-    /// How many instances there are, this one among them.
+    /// The number of instances, including this one.
     pub(crate) fn instances(&self) -> usize {
         self.fleet.instances()
     }
@@ -299,25 +299,26 @@
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Lets callers' connections end; requests that come all the same must end by then.
-    pub(crate) fn close_by(&self, last: ClockTime) {
+    /// Starts closing callers' connections. Requests that still arrive must end by `last`.
+    pub(crate) fn start_closing(&self, last: ClockTime) {
         self.closing_by.store(last.0, Ordering::SeqCst);
-        self.closing.give();
+        self.closing.set();
     }
 
-    /// Whether a request that may take until `deadline` would be cut off by the end of this process.
-    pub(crate) fn ends_before(&self, deadline: ClockTime) -> bool {
-        self.closing.is_given() && ClockTime(self.closing_by.load(Ordering::SeqCst)) < deadline
+    /// Whether this process may stop before a request with this deadline has ended.
+    pub(crate) fn may_stop_before(&self, deadline: ClockTime) -> bool {
+        self.closing.is_set() && ClockTime(self.closing_by.load(Ordering::SeqCst)) < deadline
     }
 
-    /// Whether this instance can serve requests: it knows the configuration, the upstreams and where
-    /// nothing may be sent, and doesn't stop.
+    /// Whether this instance can serve requests: the configuration, the upstreams and the
+    /// evacuations are loaded, and no stop has begun.
     pub(crate) fn is_ready(&self) -> bool {
         let follows = self.follows_evacuations();
-        let knows_evacuations = !follows || self.feeds.slot(FollowedKind::Evacuations).is_loaded();
+        let knows_evacuations =
+            !follows || self.feeds.replica(FollowedKind::Evacuations).is_loaded();
         !self.is_stopping()
             && self.plan().is_some()
-            && self.roster().is_loaded()
+            && self.upstreams().is_loaded()
             && knows_evacuations
     }
 
--- a/crates/sagespool-gateway/src/status.rs
+++ b/crates/sagespool-gateway/src/status.rs
@@ -1,4 +1,4 @@
-//! Readiness for the balancer, and metrics.
+//! The HTTP endpoints for readiness and metrics.
 
 use std::io;
 use std::net::TcpListener;
@@ -9,13 +9,13 @@
 use sagespool_types::ClockTime;
 use trillium::{Conn, KnownHeaderName, Status};
 
-use crate::metrics::SparedReading;
+use crate::metrics::RestrictionCounts;
 use crate::state::GatewayState;
 
 const METRICS_PATH: &str = "/metrics";
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Answers on a socket whether this instance takes requests, and with its metrics.
+/// Serves the readiness check and the metrics on a listener.
 pub(crate) fn serve_status(state: Arc<GatewayState>, listener: TcpListener) -> io::Result<()> {
     let server = http_server(listener)?;
     let handler = move |conn: Conn| {
@@ -39,17 +39,17 @@
 }
 
 fn metrics_text(state: &GatewayState) -> String {
-    state.metrics.take_calls(state.store.causes());
+    state.metrics.set_store_calls(state.store.causes());
     let now = ClockTime::now();
-    let intake = state.intake.reading(now);
-    // One lock at a time: the choice of an upstream takes them in another order.
-    let evacuated = state.roster().evacuated().count();
-    let guard = state.guard();
-    let (cold, limited) = (guard.cold_count(now), guard.limited_count());
-    let resting = guard.backoff_count(now);
-    drop(guard);
-    let spared = SparedReading { evacuated, cold, limited, resting };
-    state.metrics.encode(state.fleet.count(MemberRole::Entry), intake, spared)
+    let usage = state.limiter.usage(now);
+    // Lock one at a time: the choice of an upstream locks them in another order.
+    let evacuated = state.upstreams().evacuated().count();
+    let throttle = state.throttle();
+    let (cold, limited) = (throttle.cold_count(now), throttle.limited_count());
+    let in_backoff = throttle.backoff_count(now);
+    drop(throttle);
+    let restrictions = RestrictionCounts { evacuated, cold, limited, in_backoff };
+    state.metrics.encode(state.fleet.count(MemberRole::Entry), usage, restrictions)
 }
 
 fn respond_readiness(state: &GatewayState, conn: Conn) -> Conn {
