--- a/crates/sagespool-daemon/src/process.rs
+++ b/crates/sagespool-daemon/src/process.rs
@@ -158,7 +158,7 @@
             "signal"
         },
         async {
-            told_to_leave(&role).await;
+            leave_requested(&role).await;
             "told-to-leave"
         },
     )
@@ -182,10 +182,10 @@
 }
 
 /// Resolves when the platform takes the instance away, or an operator stops the process.
-async fn told_to_leave(role: &RunningRole) {
+async fn leave_requested(role: &RunningRole) {
     match role {
-        RunningRole::Entry(entry) => entry.told_to_leave().await,
-        RunningRole::Sidecar(sidecar) => sidecar.told_to_leave().await,
+        RunningRole::Entry(entry) => entry.leave_requested().await,
+        RunningRole::Sidecar(sidecar) => sidecar.leave_requested().await,
     }
 }
 
--- a/crates/sagespool-entry/src/role.rs
+++ b/crates/sagespool-entry/src/role.rs
@@ -88,7 +88,7 @@
 
     /// Resolves when the instance list shows this instance as leaving. From then on it takes nothing
     /// new; the process is to stop.
-    pub async fn told_to_leave(&self) {
+    pub async fn leave_requested(&self) {
         loop {
             let told = self.state.leave_told.listen();
             if self.state.is_leaving() {
--- a/crates/sagespool-sidecar/src/role.rs
+++ b/crates/sagespool-sidecar/src/role.rs
@@ -126,8 +126,8 @@
 
     /// Resolves when the instance list shows this instance as leaving. From
     /// then on it takes nothing new; the process is to stop.
-    pub async fn told_to_leave(&self) {
-        self.state.told_to_leave().await;
+    pub async fn leave_requested(&self) {
+        self.state.leave_requested().await;
     }
 
     /// Stops gracefully: nothing new from now on, what runs may end within the
--- a/crates/sagespool-sidecar/src/role/state.rs
+++ b/crates/sagespool-sidecar/src/role/state.rs
@@ -99,7 +99,7 @@
     }
 
     /// Resolves when the sidecar leaves.
-    pub(super) async fn told_to_leave(&self) {
+    pub(super) async fn leave_requested(&self) {
         loop {
             let left = self.left.listen();
             if self.leaving.load(Ordering::SeqCst) {
--- a/crates/sagespool-sidecar/tests/sidecar_role.rs
+++ b/crates/sagespool-sidecar/tests/sidecar_role.rs
@@ -209,7 +209,7 @@
         let platform = PlatformStands::start();
         platform.list.mark_leaving(&INSTANCE.parse().unwrap());
         let fleet = TestFleet::start(&engine, platform).await;
-        fleet.role.told_to_leave().await;
+        fleet.role.leave_requested().await;
         assert!(fleet.role.members().own().leaving);
         let end = end_of(&mut fleet.dispatch(completion(1)).await).await;
         let reason = RefusalReason::Leaving;
