--- a/crates/sagespool-gateway/src/fleet.rs
+++ b/crates/sagespool-gateway/src/fleet.rs
@@ -15,7 +15,7 @@
     StoreMethod,
 };
 use sagespool_platform::{
-    CallForm, CallMethod, ObjectClient, ObjectListing, RawAnswer, RawFailure, StoreDetour,
+    CallMethod, ObjectClient, ObjectListing, RawFailure, RawRequest, RawResponse, StoreFallback,
     UpdateChoice, update_object,
 };
 use sagespool_types::{
@@ -278,17 +278,21 @@
 
     /// Forwards calls of the store through other members when it can't be reached directly. Relays
     /// come first: they run beside upstreams and seldom lose the store together with this process.
-    pub(crate) fn detour(self: &Arc<Self>) -> StoreDetour {
+    pub(crate) fn store_fallback(self: &Arc<Self>) -> StoreFallback {
         let client = self.clone();
-        StoreDetour::new(move |form, limit| {
+        StoreFallback::new(move |raw_request, limit| {
             let client = client.clone();
-            Box::pin(async move { client.call_store(form, limit).await })
+            Box::pin(async move { client.call_store(raw_request, limit).await })
         })
     }
 
-    async fn call_store(&self, form: CallForm, limit: Duration) -> Result<RawAnswer, RawFailure> {
-        let only_reads = form.method == CallMethod::Get;
-        let Some(request) = store_request(form, limit) else {
+    async fn call_store(
+        &self,
+        raw_request: RawRequest,
+        limit: Duration,
+    ) -> Result<RawResponse, RawFailure> {
+        let only_reads = raw_request.method == CallMethod::Get;
+        let Some(request) = store_request(raw_request, limit) else {
             return Err(RawFailure::NotSent);
         };
         let mut failure = RawFailure::NotSent;
@@ -296,7 +300,7 @@
             let reply = self.call(other.address, &request, limit).await;
             failure = match reply {
                 Ok(PeerReply::StoreCall(StoreCallReply::Answered { status, body })) => {
-                    return Ok(RawAnswer { status, body });
+                    return Ok(RawResponse { status, body });
                 }
                 Ok(PeerReply::StoreCall(StoreCallReply::NotSent))
                 | Ok(PeerReply::Unsupported(_)) => RawFailure::NotSent,
@@ -325,15 +329,15 @@
     }
 }
 
-fn store_request(form: CallForm, wait: Duration) -> Option<PeerRequest> {
-    let method = match form.method {
+fn store_request(raw_request: RawRequest, wait: Duration) -> Option<PeerRequest> {
+    let method = match raw_request.method {
         CallMethod::Get => StoreMethod::Get,
         CallMethod::Post => StoreMethod::Post,
         CallMethod::Put => StoreMethod::Put,
         CallMethod::Delete => StoreMethod::Delete,
         _ => return None,
     };
-    let CallForm { path, body, .. } = form;
+    let RawRequest { path, body, .. } = raw_request;
     Some(PeerRequest::CallStore(StoreCall { method, path, body, wait }))
 }
 
@@ -345,9 +349,9 @@
         StoreMethod::Put => CallMethod::Put,
         StoreMethod::Delete => CallMethod::Delete,
     };
-    let form = CallForm { method, path: call.path, body: call.body };
-    PeerReply::StoreCall(match store.forward(form, call.wait).await {
-        Ok(RawAnswer { status, body }) => StoreCallReply::Answered { status, body },
+    let raw_request = RawRequest { method, path: call.path, body: call.body };
+    PeerReply::StoreCall(match store.forward(raw_request, call.wait).await {
+        Ok(RawResponse { status, body }) => StoreCallReply::Answered { status, body },
         Err(RawFailure::NotSent) => StoreCallReply::NotSent,
         Err(RawFailure::Lost | RawFailure::Unanswered) => StoreCallReply::Lost,
     })
--- a/crates/sagespool-gateway/src/follow.rs
+++ b/crates/sagespool-gateway/src/follow.rs
@@ -169,7 +169,7 @@
         true => health.mark_lost(state, followed, &"unreachable from the neighbour"),
         false => {
             health.mark_reachable(state, followed);
-            state.store.heard_of();
+            state.store.note_store_reachable();
         }
     }
     let replica = state.feeds.replica(followed.kind);
--- a/crates/sagespool-gateway/src/metrics.rs
+++ b/crates/sagespool-gateway/src/metrics.rs
@@ -11,7 +11,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Registry;
-use sagespool_platform::CallCause;
+use sagespool_platform::CallCategory;
 use sagespool_types::BranchName;
 
 use crate::admission::ResourceUsage;
@@ -203,9 +203,9 @@
     }
 
     /// Sets the totals of store calls by cause.
-    pub(crate) fn set_store_calls(&self, causes: Vec<(CallCause, u64)>) {
-        for (cause, count) in causes {
-            let labels = CallLabels { kind: cause.kind.as_str(), subject: cause.subject };
+    pub(crate) fn set_store_calls(&self, call_counts: Vec<(CallCategory, u64)>) {
+        for (category, count) in call_counts {
+            let labels = CallLabels { kind: category.kind.as_str(), subject: category.subject };
             self.calls.get_or_create(&labels).set(count as i64);
         }
     }
--- a/crates/sagespool-gateway/src/relay_role.rs
+++ b/crates/sagespool-gateway/src/relay_role.rs
@@ -36,7 +36,7 @@
         );
         let options = ObjectOptions::builder()
             .address(settings.object_api)
-            .call_limit(STORE_TIMEOUT)
+            .call_timeout(STORE_TIMEOUT)
             .dialect(dialect);
         let store = ObjectClient::new(options.build());
         let local = LocalMember::builder()
--- a/crates/sagespool-gateway/src/role.rs
+++ b/crates/sagespool-gateway/src/role.rs
@@ -91,7 +91,7 @@
         let run = IncarnationId::random();
         let options = ObjectOptions::builder()
             .address(settings.object_api)
-            .call_limit(STORE_TIMEOUT)
+            .call_timeout(STORE_TIMEOUT)
             .dialect(dialect.store);
         let store = ObjectClient::new(options.build());
         log_event!(
--- a/crates/sagespool-gateway/src/state.rs
+++ b/crates/sagespool-gateway/src/state.rs
@@ -89,7 +89,7 @@
             .peers(settings.peers.clone())
             .build();
         let fleet = Arc::new(FleetClient::new(local, run));
-        store.set_detour(fleet.detour());
+        store.set_fallback(fleet.store_fallback());
         let retry_policy = RetryPolicy {
             ratio: settings.retries.ratio,
             slack: settings.retries.slack,
--- a/crates/sagespool-gateway/src/status.rs
+++ b/crates/sagespool-gateway/src/status.rs
@@ -39,7 +39,7 @@
 }
 
 fn metrics_text(state: &GatewayState) -> String {
-    state.metrics.set_store_calls(state.store.causes());
+    state.metrics.set_store_calls(state.store.call_counts());
     let now = ClockTime::now();
     let usage = state.limiter.usage(now);
     // Lock one at a time: the choice of an upstream locks them in another order.
--- a/crates/sagespool-gateway/src/store_calls.rs
+++ b/crates/sagespool-gateway/src/store_calls.rs
@@ -13,7 +13,7 @@
 pub(crate) async fn log_store_calls(store: ObjectClient) {
     loop {
         Timer::after(LOG_PERIOD).await;
-        for (category, count) in store.causes() {
+        for (category, count) in store.call_counts() {
             log_event!(
                 info,
                 "store-calls",
--- a/crates/sagespool-platform/src/caller.rs
+++ b/crates/sagespool-platform/src/caller.rs
@@ -12,9 +12,9 @@
 use trillium_client::{Client, Conn, KnownHeaderName, Version};
 
 use crate::connector::{MarkedConnector, is_connect_failure};
-use crate::counters::{CallCause, CallKind, CallMeter, StoreCounters};
-use crate::detour::{RawAnswer, RawFailure, StoreDetour, StoreWays};
-use crate::dialect::{CallForm, FormFault};
+use crate::counters::{CallCategory, CallKind, CallMeter, StoreCounters};
+use crate::detour::{RawFailure, RawResponse, StoreFallback, StoreWays};
+use crate::dialect::{DialectError, RawRequest};
 use crate::{CallMethod, StoreError};
 
 /// Of a call's limit, connecting may take this share: the rest is for the call.
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 pub(crate) struct PlatformCall<'a> {
     pub(crate) kind: CallKind,
-    pub(crate) form: CallForm,
+    pub(crate) form: RawRequest,
     /// The kind of object that it is for.
     pub(crate) subject: &'a str,
     /// How long the platform itself may wait.
@@ -62,7 +62,7 @@
 
 impl<'a> PlatformCall<'a> {
     /// A call at which the platform itself doesn't wait, for an object's key or a prefix.
-    pub(crate) fn new(kind: CallKind, form: CallForm, key: &'a str) -> Self {
+    pub(crate) fn new(kind: CallKind, form: RawRequest, key: &'a str) -> Self {
         let subject = key.split_once('/').map_or(key, |(subject, _)| subject);
         Self { kind, form, subject, wait: Duration::ZERO }
     }
@@ -82,7 +82,7 @@
 }
 
 /// Reads the version in the body of a refused write.
-pub(crate) type VersionReader = fn(&[u8]) -> Result<StoreRevision, FormFault>;
+pub(crate) type VersionReader = fn(&[u8]) -> Result<StoreRevision, DialectError>;
 
 impl PlatformCaller {
     pub(crate) fn new(
@@ -110,8 +110,8 @@
         StoreRevision(self.shared.seen_revision.load(Ordering::Relaxed))
     }
 
-    pub(crate) fn causes(&self) -> Vec<(CallCause, u64)> {
-        self.shared.meter.causes()
+    pub(crate) fn call_counts(&self) -> Vec<(CallCategory, u64)> {
+        self.shared.meter.call_counts()
     }
 
     pub(crate) fn counters(&self) -> StoreCounters {
@@ -131,7 +131,7 @@
     pub(crate) async fn call_read<T>(
         &self,
         call: PlatformCall<'_>,
-        read: impl FnOnce(&[u8]) -> Result<T, FormFault>,
+        read: impl FnOnce(&[u8]) -> Result<T, DialectError>,
     ) -> Result<Option<T>, StoreError> {
         let kind = call.kind;
         self.shared.meter.call(kind);
@@ -147,16 +147,16 @@
     }
 
     /// Sets another way to the platform, for calls that surely did nothing on the direct one.
-    pub(crate) fn set_detour(&self, detour: StoreDetour) -> bool {
-        self.shared.ways.set_detour(detour)
+    pub(crate) fn set_fallback(&self, detour: StoreFallback) -> bool {
+        self.shared.ways.set_fallback(detour)
     }
 
     /// Makes a call for another process, on the direct way only.
     pub(crate) async fn forward(
         &self,
-        form: CallForm,
+        form: RawRequest,
         wait: Duration,
-    ) -> Result<RawAnswer, RawFailure> {
+    ) -> Result<RawResponse, RawFailure> {
         let kind = match form.method {
             CallMethod::Get if wait.is_zero() => CallKind::Read,
             CallMethod::Get => CallKind::Watch,
@@ -165,7 +165,7 @@
         let subject = format!("forwarded-{}", path_subject(&form.path));
         let call = PlatformCall { kind, form, subject: &subject, wait };
         match self.send(call).await {
-            Ok(answer) => Ok(RawAnswer { status: answer.status, body: answer.body }),
+            Ok(answer) => Ok(RawResponse { status: answer.status, body: answer.body }),
             Err(CallFailure::NotSent) => Err(RawFailure::NotSent),
             Err(CallFailure::Lost) => Err(RawFailure::Lost),
         }
@@ -199,7 +199,7 @@
         // take the answer.
         let tells = !matches!(detoured, Err(RawFailure::Lost));
         let other = match detoured {
-            Ok(RawAnswer { status, body }) => {
+            Ok(RawResponse { status, body }) => {
                 Ok(PlatformAnswer { status, retry_after: None, body })
             }
             Err(RawFailure::Lost | RawFailure::Unanswered) => Err(CallFailure::Lost),
@@ -219,7 +219,7 @@
     }
 
     /// Notes word of others that the platform answers them.
-    pub(crate) fn heard_of(&self) {
+    pub(crate) fn note_store_reachable(&self) {
         self.shared.ways.some_way_works();
     }
 
@@ -318,7 +318,7 @@
 fn judge_answer<T>(
     kind: CallKind,
     answer: PlatformAnswer,
-    read: impl FnOnce(&[u8]) -> Result<T, FormFault>,
+    read: impl FnOnce(&[u8]) -> Result<T, DialectError>,
     read_version: VersionReader,
 ) -> Result<Option<T>, StoreError> {
     match answer.status {
@@ -344,7 +344,7 @@
 fn read_body<T>(
     kind: CallKind,
     body: Option<Vec<u8>>,
-    read: impl FnOnce(&[u8]) -> Result<T, FormFault>,
+    read: impl FnOnce(&[u8]) -> Result<T, DialectError>,
 ) -> Result<T, StoreError> {
     let body = body.ok_or_else(|| lost(kind))?;
     read(&body).map_err(|fault| match kind {
--- a/crates/sagespool-platform/src/counters.rs
+++ b/crates/sagespool-platform/src/counters.rs
@@ -47,7 +47,7 @@
 
 /// Calls that went out, by their cause.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct CallCause {
+pub struct CallCategory {
     /// What kind of call.
     pub kind: CallKind,
     /// The kind of object that it was for, as the store names it, after `forwarded-` for calls that are
@@ -64,18 +64,18 @@
     conflicts: AtomicU64,
     rate_limited: AtomicU64,
     failures: AtomicU64,
-    causes: Mutex<BTreeMap<CallCause, u64>>,
+    causes: Mutex<BTreeMap<CallCategory, u64>>,
 }
 
 impl CallMeter {
     /// Counts a call that goes out.
     pub(crate) fn sent(&self, kind: CallKind, subject: &str) {
-        let cause = CallCause { kind, subject: subject.to_owned() };
+        let cause = CallCategory { kind, subject: subject.to_owned() };
         let mut causes = self.causes.lock().unwrap_or_else(PoisonError::into_inner);
         *causes.entry(cause).or_default() += 1;
     }
 
-    pub(crate) fn causes(&self) -> Vec<(CallCause, u64)> {
+    pub(crate) fn call_counts(&self) -> Vec<(CallCategory, u64)> {
         let causes = self.causes.lock().unwrap_or_else(PoisonError::into_inner);
         causes.iter().map(|(cause, count)| (cause.clone(), *count)).collect()
     }
--- a/crates/sagespool-platform/src/detour.rs
+++ b/crates/sagespool-platform/src/detour.rs
@@ -1,7 +1,7 @@
 //! Calling the platform by way of another process, while the own way is closed.
 //!
 //! The platform may be out of reach for this instance alone, or turn it away, while it serves
-//! others. A [`StoreDetour`] hands a call to one of them. It is used only where the direct call
+//! others. A [`StoreFallback`] hands a call to one of them. It is used only where the direct call
 //! surely did nothing, so what a failure means stays as strict as without it.
 
 use std::future::Future;
@@ -13,7 +13,7 @@
 use sagespool_types::ClockTime;
 
 use crate::counters::CallKind;
-use crate::dialect::CallForm;
+use crate::dialect::RawRequest;
 
 /// After a failure, the direct way is tried again at the earliest after this time, and only by a
 /// watch: nobody's request waits for it.
@@ -27,7 +27,7 @@
 
 /// The platform's answer as another process got it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RawAnswer {
+pub struct RawResponse {
     /// The status.
     pub status: u16,
     /// The body; nothing if it broke off.
@@ -46,19 +46,21 @@
 }
 
 /// The answer of a call, to come.
-pub type RawFuture = Pin<Box<dyn Future<Output = Result<RawAnswer, RawFailure>> + Send>>;
+pub type RawResponseFuture = Pin<Box<dyn Future<Output = Result<RawResponse, RawFailure>> + Send>>;
 
 /// Hands a call to another process, which may take so long over it.
-pub struct StoreDetour(Box<dyn Fn(CallForm, Duration) -> RawFuture + Send + Sync>);
+pub struct StoreFallback(Box<dyn Fn(RawRequest, Duration) -> RawResponseFuture + Send + Sync>);
 
-impl StoreDetour {
+impl StoreFallback {
     /// A detour that is taken by calling `send`.
-    pub fn new(send: impl Fn(CallForm, Duration) -> RawFuture + Send + Sync + 'static) -> Self {
+    pub fn new(
+        send: impl Fn(RawRequest, Duration) -> RawResponseFuture + Send + Sync + 'static,
+    ) -> Self {
         Self(Box::new(send))
     }
 }
 
-impl std::fmt::Debug for StoreDetour {
+impl std::fmt::Debug for StoreFallback {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("StoreDetour").finish_non_exhaustive()
     }
@@ -72,7 +74,7 @@
 
 #[derive(Debug, Default)]
 struct SharedWays {
-    detour: OnceLock<StoreDetour>,
+    detour: OnceLock<StoreFallback>,
     /// When the direct way last failed, in microseconds; 0 while it is open.
     direct_failed: AtomicU64,
     /// When the direct way and the detour last failed together, in microseconds; 0 while one works.
@@ -83,7 +85,7 @@
 
 impl StoreWays {
     /// Sets the detour, once.
-    pub(crate) fn set_detour(&self, detour: StoreDetour) -> bool {
+    pub(crate) fn set_fallback(&self, detour: StoreFallback) -> bool {
         self.shared.detour.set(detour).is_ok()
     }
 
@@ -131,7 +133,7 @@
     }
 
     /// Sends a call by way of another process; nothing if there is no such way.
-    pub(crate) fn detour(&self, form: CallForm, limit: Duration) -> Option<RawFuture> {
+    pub(crate) fn detour(&self, form: RawRequest, limit: Duration) -> Option<RawResponseFuture> {
         let detour = self.shared.detour.get()?;
         Some((detour.0)(form, limit))
     }
--- a/crates/sagespool-platform/src/dialect.rs
+++ b/crates/sagespool-platform/src/dialect.rs
@@ -12,7 +12,7 @@
 
 /// A call as it is sent.
 #[derive(Debug, Clone, PartialEq)]
-pub struct CallForm {
+pub struct RawRequest {
     /// The method.
     pub method: Method,
     /// Path and query.
@@ -21,16 +21,16 @@
     pub body: Option<Vec<u8>>,
 }
 
-impl CallForm {
+impl RawRequest {
     /// A call without a body.
-    pub fn bare(method: Method, path: String) -> Self {
+    pub fn without_body(method: Method, path: String) -> Self {
         Self { method, path, body: None }
     }
 }
 
 /// One object of an answer. Its value is nothing if it was deleted.
 #[derive(Debug, Clone)]
-pub struct ObjectForm {
+pub struct RawObject {
     /// Its key.
     pub key: String,
     /// The revision of its last change.
@@ -41,41 +41,41 @@
 
 /// Objects of an answer, at one revision of the store.
 #[derive(Debug, Clone)]
-pub struct PageForm {
+pub struct ObjectPage {
     /// The store's revision; watch from here.
     pub revision: StoreRevision,
     /// The objects, or the changed ones.
-    pub items: Vec<ObjectForm>,
+    pub items: Vec<RawObject>,
     /// The key after which the listing goes on, if it isn't complete.
     pub more_after: Option<String>,
 }
 
 /// What a dialect can't read, in words.
-pub type FormFault = String;
+pub type DialectError = String;
 
 /// The spelling of each call and answer. Keys are `KIND/NAME`, prefixes end with a slash.
 #[derive(Clone, Copy)]
 pub struct StoreDialect {
     /// Reads an object.
-    pub get: fn(key: &str) -> CallForm,
+    pub get: fn(key: &str) -> RawRequest,
     /// Lists the objects under a prefix, from the start or after a key.
-    pub list: fn(prefix: &str, after: Option<&str>) -> CallForm,
+    pub list: fn(prefix: &str, after: Option<&str>) -> RawRequest,
     /// Waits for changes under a prefix after a revision.
-    pub watch: fn(prefix: &str, after: StoreRevision, wait: Duration) -> CallForm,
+    pub watch: fn(prefix: &str, after: StoreRevision, wait: Duration) -> RawRequest,
     /// Writes an object that is at a version; 0 = it must not exist.
-    pub put: fn(key: &str, expected: StoreRevision, value: &RawValue) -> CallForm,
+    pub put: fn(key: &str, expected: StoreRevision, value: &RawValue) -> RawRequest,
     /// Deletes an object that is at a version.
-    pub delete: fn(key: &str, expected: StoreRevision) -> CallForm,
+    pub delete: fn(key: &str, expected: StoreRevision) -> RawRequest,
     /// Reads the answer to a get.
-    pub read_object: fn(key: &str, body: &[u8]) -> Result<ObjectForm, FormFault>,
+    pub read_object: fn(key: &str, body: &[u8]) -> Result<RawObject, DialectError>,
     /// Reads the answer to a list.
-    pub read_page: fn(prefix: &str, body: &[u8]) -> Result<PageForm, FormFault>,
+    pub read_page: fn(prefix: &str, body: &[u8]) -> Result<ObjectPage, DialectError>,
     /// Reads the answer to a watch.
-    pub read_changes: fn(prefix: &str, body: &[u8]) -> Result<PageForm, FormFault>,
+    pub read_changes: fn(prefix: &str, body: &[u8]) -> Result<ObjectPage, DialectError>,
     /// Reads the version that a write has made, or that a refused write has found.
-    pub read_version: fn(body: &[u8]) -> Result<StoreRevision, FormFault>,
+    pub read_version: fn(body: &[u8]) -> Result<StoreRevision, DialectError>,
     /// Checks the answer to a delete.
-    pub read_deleted: fn(body: &[u8]) -> Result<(), FormFault>,
+    pub read_deleted: fn(body: &[u8]) -> Result<(), DialectError>,
 }
 
 impl std::fmt::Debug for StoreDialect {
@@ -114,7 +114,7 @@
     changes: Vec<NativeObject>,
 }
 
-impl From<NativeObject> for ObjectForm {
+impl From<NativeObject> for RawObject {
     fn from(object: NativeObject) -> Self {
         Self { key: object.key, version: object.version, value: object.value }
     }
@@ -124,15 +124,17 @@
     /// The object API as `docs/PLATFORM.md` describes it.
     pub fn native() -> Self {
         Self {
-            get: |key| CallForm::bare(Method::Get, format!("/objects/{key}")),
-            list: |prefix, _| CallForm::bare(Method::Get, format!("/objects?prefix={prefix}")),
+            get: |key| RawRequest::without_body(Method::Get, format!("/objects/{key}")),
+            list: |prefix, _| {
+                RawRequest::without_body(Method::Get, format!("/objects?prefix={prefix}"))
+            },
             watch: native_watch,
             put: native_put,
             delete: |key, expected| {
                 let path = format!("/objects/{key}?if_version={expected}");
-                CallForm::bare(Method::Delete, path)
+                RawRequest::without_body(Method::Delete, path)
             },
-            read_object: |_, body| parse::<NativeObject>(body).map(ObjectForm::from),
+            read_object: |_, body| parse::<NativeObject>(body).map(RawObject::from),
             read_page: |_, body| {
                 let list: NativeList = parse(body)?;
                 Ok(native_page(list.revision, list.items))
@@ -147,22 +149,22 @@
     }
 }
 
-fn native_watch(prefix: &str, after: StoreRevision, wait: Duration) -> CallForm {
+fn native_watch(prefix: &str, after: StoreRevision, wait: Duration) -> RawRequest {
     let wait = wait.as_millis();
     let path = format!("/watch?prefix={prefix}&after={after}&wait_ms={wait}");
-    CallForm::bare(Method::Get, path)
+    RawRequest::without_body(Method::Get, path)
 }
 
-fn native_put(key: &str, expected: StoreRevision, value: &RawValue) -> CallForm {
+fn native_put(key: &str, expected: StoreRevision, value: &RawValue) -> RawRequest {
     let path = format!("/objects/{key}?if_version={expected}");
-    CallForm { method: Method::Put, path, body: Some(value.get().as_bytes().to_vec()) }
+    RawRequest { method: Method::Put, path, body: Some(value.get().as_bytes().to_vec()) }
 }
 
-fn native_page(revision: StoreRevision, objects: Vec<NativeObject>) -> PageForm {
-    let items = objects.into_iter().map(ObjectForm::from).collect();
-    PageForm { revision, items, more_after: None }
+fn native_page(revision: StoreRevision, objects: Vec<NativeObject>) -> ObjectPage {
+    let items = objects.into_iter().map(RawObject::from).collect();
+    ObjectPage { revision, items, more_after: None }
 }
 
-fn parse<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, FormFault> {
+fn parse<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, DialectError> {
     serde_json::from_slice(body).map_err(|error| error.to_string())
 }
--- a/crates/sagespool-platform/src/instances.rs
+++ b/crates/sagespool-platform/src/instances.rs
@@ -10,7 +10,7 @@
 
 use crate::caller::{PlatformCall, PlatformCaller};
 use crate::counters::CallKind;
-use crate::dialect::{CallForm, StoreDialect};
+use crate::dialect::{RawRequest, StoreDialect};
 use crate::{StoreCounters, StoreError};
 
 /// The longest that a call may take, besides its own waiting time.
@@ -85,7 +85,7 @@
     ) -> Result<InstanceListing, StoreError> {
         let mut call = PlatformCall::new(
             CallKind::Read,
-            CallForm::bare(Method::Get, "/instances".to_owned()),
+            RawRequest::without_body(Method::Get, "/instances".to_owned()),
             "instances",
         );
         if let Some(after) = after {
--- a/crates/sagespool-platform/src/lib.rs
+++ b/crates/sagespool-platform/src/lib.rs
@@ -36,9 +36,9 @@
 mod objects;
 mod update;
 
-pub use counters::{CallCause, CallKind, StoreCounters};
-pub use detour::{RawAnswer, RawFailure, RawFuture, StoreDetour};
-pub use dialect::{CallForm, FormFault, ObjectForm, PageForm, StoreDialect};
+pub use counters::{CallCategory, CallKind, StoreCounters};
+pub use detour::{RawFailure, RawResponse, RawResponseFuture, StoreFallback};
+pub use dialect::{DialectError, ObjectPage, RawObject, RawRequest, StoreDialect};
 pub use error::StoreError;
 pub use instances::{InstanceClient, InstanceListing, ListedInstance, ListedState};
 pub use objects::{
--- a/crates/sagespool-platform/src/objects.rs
+++ b/crates/sagespool-platform/src/objects.rs
@@ -10,9 +10,9 @@
 use serde_json::value::RawValue;
 
 use crate::caller::{PlatformCall, PlatformCaller};
-use crate::counters::{CallCause, CallKind};
-use crate::detour::{RawAnswer, RawFailure, StoreDetour};
-use crate::dialect::{CallForm, StoreDialect};
+use crate::counters::{CallCategory, CallKind};
+use crate::detour::{RawFailure, RawResponse, StoreFallback};
+use crate::dialect::{RawRequest, StoreDialect};
 use crate::{StoreCounters, StoreError};
 
 /// The platform's limit for a value, 1 MB; it may mean a little less by it.
@@ -29,7 +29,7 @@
     /// The longest that a call may take, connecting included; a watch gets its
     /// own waiting time on top. 1 s unless given.
     #[builder(default = Duration::from_secs(1))]
-    pub call_limit: Duration,
+    pub call_timeout: Duration,
     /// How its calls are spelled; as `docs/PLATFORM.md` has them unless given.
     #[builder(default)]
     pub dialect: StoreDialect,
@@ -87,8 +87,8 @@
 impl ObjectClient {
     /// A client; connects when it is first used.
     pub fn new(options: ObjectOptions) -> Self {
-        let ObjectOptions { address, token, call_limit, dialect } = options;
-        let caller = PlatformCaller::new(address, token, call_limit, dialect.read_version);
+        let ObjectOptions { address, token, call_timeout, dialect } = options;
+        let caller = PlatformCaller::new(address, token, call_timeout, dialect.read_version);
         Self { caller, dialect }
     }
 
@@ -205,14 +205,14 @@
 
     /// Sets another way to the platform, for calls that surely did nothing on the direct one.
     /// False if there is one already.
-    pub fn set_detour(&self, detour: StoreDetour) -> bool {
-        self.caller.set_detour(detour)
+    pub fn set_fallback(&self, detour: StoreFallback) -> bool {
+        self.caller.set_fallback(detour)
     }
 
     /// Notes word of another process that the platform answers it: calls that were given up at once,
     /// since no way was open, are tried again.
-    pub fn heard_of(&self) {
-        self.caller.heard_of();
+    pub fn note_store_reachable(&self) {
+        self.caller.note_store_reachable();
     }
 
     /// Makes a call for another process that can't reach the platform, on the direct way only.
@@ -220,7 +220,11 @@
     /// # Errors
     ///
     /// [`RawFailure`] if there is no answer.
-    pub async fn forward(&self, form: CallForm, wait: Duration) -> Result<RawAnswer, RawFailure> {
+    pub async fn forward(
+        &self,
+        form: RawRequest,
+        wait: Duration,
+    ) -> Result<RawResponse, RawFailure> {
         self.caller.forward(form, wait).await
     }
 
@@ -230,8 +234,8 @@
     }
 
     /// Calls that went out on the direct way, by their cause.
-    pub fn causes(&self) -> Vec<(CallCause, u64)> {
-        self.caller.causes()
+    pub fn call_counts(&self) -> Vec<(CallCategory, u64)> {
+        self.caller.call_counts()
     }
 
     /// Calls so far.
--- a/crates/sagespool-platform/tests/detour_ways.rs
+++ b/crates/sagespool-platform/tests/detour_ways.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use sagespool_platform::{
-    ObjectClient, ObjectOptions, RawAnswer, RawFailure, StoreDetour, StoreError,
+    ObjectClient, ObjectOptions, RawFailure, RawResponse, StoreError, StoreFallback,
 };
 use sagespool_testkit::{ObjectStand, ObjectStandOptions, StoreFaults};
 use sagespool_types::StoreRevision;
@@ -17,15 +17,15 @@
 
 fn start() -> (ObjectStand, ObjectClient) {
     let stand = ObjectStand::start(ObjectStandOptions::builder().build()).unwrap();
-    let options = ObjectOptions::builder().address(stand.address()).call_limit(LIMIT);
+    let options = ObjectOptions::builder().address(stand.address()).call_timeout(LIMIT);
     (stand, ObjectClient::new(options.build()))
 }
 
 /// A detour that counts its calls and gives one result.
-fn detour(result: Result<RawAnswer, RawFailure>) -> (StoreDetour, Arc<AtomicUsize>) {
+fn detour(result: Result<RawResponse, RawFailure>) -> (StoreFallback, Arc<AtomicUsize>) {
     let calls = Arc::new(AtomicUsize::new(0));
     let counted = calls.clone();
-    let detour = StoreDetour::new(move |_, _| {
+    let detour = StoreFallback::new(move |_, _| {
         counted.fetch_add(1, Ordering::Relaxed);
         let result = result.clone();
         Box::pin(async move { result })
@@ -42,7 +42,7 @@
         let (stand, client) = start();
         client.put("books/1", ABSENT, &1).await.unwrap();
         let (detour, calls) = detour(Err(RawFailure::NotSent));
-        assert!(client.set_detour(detour));
+        assert!(client.set_fallback(detour));
         stand.set_faults(StoreFaults::builder().outage(true).build());
         assert_eq!(client.get::<u8>("books/1").await, Err(StoreError::Unavailable));
         assert_eq!(calls.load(Ordering::Relaxed), 1);
@@ -57,8 +57,8 @@
     smol::block_on(async {
         let (stand, client) = start();
         let body = br#"{"key":"books/1","version":4,"value":7}"#.to_vec();
-        let (detour, calls) = detour(Ok(RawAnswer { status: 200, body: Some(body) }));
-        assert!(client.set_detour(detour));
+        let (detour, calls) = detour(Ok(RawResponse { status: 200, body: Some(body) }));
+        assert!(client.set_fallback(detour));
         stand.set_faults(StoreFaults::builder().outage(true).build());
         for _ in 0..3 {
             assert_eq!(client.get::<u8>("books/1").await.unwrap().unwrap().value, 7);
@@ -74,7 +74,7 @@
     smol::block_on(async {
         let (stand, client) = start();
         let (detour, calls) = detour(Err(RawFailure::Lost));
-        assert!(client.set_detour(detour));
+        assert!(client.set_fallback(detour));
         stand.set_faults(StoreFaults::builder().outage(true).build());
         let written = client.put("books/1", ABSENT, &1).await;
         assert_eq!(written, Err(StoreError::Uncertain));
@@ -89,7 +89,7 @@
     smol::block_on(async {
         let (stand, client) = start();
         let (detour, calls) = detour(Err(RawFailure::Lost));
-        assert!(client.set_detour(detour));
+        assert!(client.set_fallback(detour));
         stand.set_faults(StoreFaults::builder().outage(true).build());
         for _ in 0..20 {
             assert_eq!(client.get::<u8>("books/1").await, Err(StoreError::Unavailable));
@@ -107,7 +107,7 @@
         let (stand, client) = start();
         client.put("books/1", ABSENT, &1).await.unwrap();
         let (detour, calls) = detour(Err(RawFailure::Unanswered));
-        assert!(client.set_detour(detour));
+        assert!(client.set_fallback(detour));
         stand.set_faults(StoreFaults::builder().outage(true).build());
         for _ in 0..200 {
             assert_eq!(client.get::<u8>("books/1").await, Err(StoreError::Unavailable));
@@ -115,7 +115,7 @@
         assert!(calls.load(Ordering::Relaxed) < 20, "{}", calls.load(Ordering::Relaxed));
         // Word of others that it is back opens the ways again.
         stand.set_faults(StoreFaults::builder().build());
-        client.heard_of();
+        client.note_store_reachable();
         let before = calls.load(Ordering::Relaxed);
         let _ = client.get::<u8>("books/1").await;
         assert_eq!(calls.load(Ordering::Relaxed), before + 1);
--- a/crates/sagespool-platform/tests/object_client.rs
+++ b/crates/sagespool-platform/tests/object_client.rs
@@ -109,7 +109,7 @@
                 _ => 20_000,
             });
             let options = ObjectOptions::builder().address(platform.address);
-            let client = ObjectClient::new(options.call_limit(limit).build());
+            let client = ObjectClient::new(options.call_timeout(limit).build());
             let read = client.get::<u8>("a").await.unwrap_err();
             assert_eq!(worded(read), worded(of_read), "reading, {step:?}");
             let written = client.put("a", V5, &1).await.unwrap_err();
--- a/crates/sagespool-platform/tests/platform_stand.rs
+++ b/crates/sagespool-platform/tests/platform_stand.rs
@@ -22,7 +22,7 @@
 fn start(history_limit: usize) -> (ObjectStand, ObjectClient) {
     let options = ObjectStandOptions::builder().history_limit(history_limit).build();
     let stand = ObjectStand::start(options).unwrap();
-    let options = ObjectOptions::builder().address(stand.address()).call_limit(PATIENCE);
+    let options = ObjectOptions::builder().address(stand.address()).call_timeout(PATIENCE);
     let client = ObjectClient::new(options.build());
     (stand, client)
 }
--- a/crates/sagespool-platform/tests/support/mod.rs
+++ b/crates/sagespool-platform/tests/support/mod.rs
@@ -75,7 +75,9 @@
 
     pub fn client(&self) -> ObjectClient {
         let limit = Duration::from_secs(20);
-        ObjectClient::new(ObjectOptions::builder().address(self.address).call_limit(limit).build())
+        ObjectClient::new(
+            ObjectOptions::builder().address(self.address).call_timeout(limit).build(),
+        )
     }
 
     pub fn requests(&self) -> Vec<SeenRequest> {
