--- a/crates/sagespool-claims/examples/claim_bench.rs
+++ b/crates/sagespool-claims/examples/claim_bench.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use sagespool_claims::{
-    BatchPolicy, CLAIM_SHARDS, ClaimBatch, ClaimWish, ClaimsRecord, DETAILS_KEPT, claim_shard,
+    BatchPolicy, CLAIM_SHARDS, ClaimBatch, ClaimIntent, ClaimsRecord, DETAILS_KEPT, claim_shard,
 };
 use sagespool_types::{
     AttemptNumber, ClockTime, ContentDigest, IncarnationId, KeyDigest, RequestId, WallTime,
@@ -29,8 +29,8 @@
     }
 }
 
-fn wish() -> ClaimWish {
-    ClaimWish {
+fn intent() -> ClaimIntent {
+    ClaimIntent {
         key: KeyDigest(fastrand::u128(..)),
         request: RequestId::random(),
         content: ContentDigest(fastrand::u128(..)),
@@ -44,15 +44,15 @@
 
 fn fill(record: &mut ClaimsRecord, count: usize, at: WallTime) {
     for _ in 0..count {
-        let wish = wish();
+        let intent = intent();
         let entry = sagespool_claims::ClaimEntry {
-            request: wish.request,
-            content: wish.content,
-            sidecar: wish.sidecar,
-            attempt: wish.attempt,
+            request: intent.request,
+            content: intent.content,
+            sidecar: intent.sidecar,
+            attempt: intent.attempt,
             at,
         };
-        record.claims.insert(wish.key, entry);
+        record.claims.insert(intent.key, entry);
     }
 }
 
@@ -60,7 +60,7 @@
     let mut record = ClaimsRecord::default();
     fill(&mut record, aged, START);
     let now = WallTime(START.0 + 2 * DETAILS_KEPT.as_millis() as u64);
-    record.claim(&wish(), now, DAY);
+    record.claim(&intent(), now, DAY);
     fill(&mut record, fresh, now);
     let timer = Instant::now();
     let bytes = serde_json::to_vec(&record).map_or(0, |bytes| bytes.len());
@@ -69,7 +69,7 @@
     let tries = 200;
     let timer = Instant::now();
     for _ in 0..tries {
-        record.claim(&wish(), now, DAY);
+        record.claim(&intent(), now, DAY);
     }
     let claim = timer.elapsed().as_micros() as f64 / f64::from(tries);
     println!(
@@ -92,18 +92,18 @@
         let now = ClockTime::from_millis(millis);
         let before = millis * rate / 1000;
         for _ in before..(millis + 1) * rate / 1000 {
-            let wish = wish();
-            let place = fastrand::usize(..homes) * shards + claim_shard(wish.key) as usize;
-            batches[place].0.add(wish, now);
+            let intent = intent();
+            let place = fastrand::usize(..homes) * shards + claim_shard(intent.key) as usize;
+            batches[place].0.add(intent, now);
             arrived[place].push(now);
         }
         for (place, (batch, ends)) in batches.iter_mut().enumerate() {
             if ends.is_some_and(|ends| ends <= now) {
                 *ends = None;
-                let answered = batch.observe(ClaimsRecord::default(), now).len();
+                let answered = batch.complete_write(ClaimsRecord::default(), now).len();
                 waited.extend(arrived[place].drain(..answered).map(|at| now.since(at)));
             }
-            if batch.due_at().is_some_and(|due| due <= now) && batch.begin(now) {
+            if batch.due_at().is_some_and(|due| due <= now) && batch.begin_write(now) {
                 writes += 1;
                 *ends = Some(now.after(STORE_TIME));
             }
--- a/crates/sagespool-claims/src/aged.rs
+++ b/crates/sagespool-claims/src/aged.rs
@@ -2,7 +2,7 @@
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
-use sagespool_types::{IncarnationId, KeyDigest, ParseFault, WallTime, derives};
+use sagespool_types::{IncarnationId, KeyDigest, ParseError, WallTime, derives};
 
 const HOUR_MILLIS: u64 = 3_600_000;
 const PRINT_BYTES: usize = 8;
@@ -48,10 +48,10 @@
 }
 
 impl TryFrom<String> for PrintSet {
-    type Error = ParseFault;
+    type Error = ParseError;
 
-    fn try_from(text: String) -> Result<Self, ParseFault> {
-        let fault = || ParseFault::new("a set of claims", &text, "base64 of 8 bytes a claim");
+    fn try_from(text: String) -> Result<Self, ParseError> {
+        let fault = || ParseError::new("a set of claims", &text, "base64 of 8 bytes a claim");
         let bytes = STANDARD_NO_PAD.decode(&text).map_err(|_| fault())?;
         let (chunks, rest) = bytes.as_chunks::<PRINT_BYTES>();
         if !rest.is_empty() {
--- a/crates/sagespool-claims/src/batch.rs
+++ b/crates/sagespool-claims/src/batch.rs
@@ -6,7 +6,7 @@
 use bon::Builder;
 use sagespool_types::{ClockTime, KeyDigest, WallTime};
 
-use crate::entry::{ClaimEntry, ClaimWish};
+use crate::entry::{ClaimEntry, ClaimIntent};
 use crate::record::{ClaimOutcome, ClaimsRecord};
 
 /// When a batch of claims is written.
@@ -39,7 +39,7 @@
     }
 }
 
-/// What became of a wish.
+/// What became of a intent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimVerdict {
     /// The claim is in the store.
@@ -50,33 +50,33 @@
     Aged,
     /// The shard has no room.
     Full,
-    /// The wish's time is up, and the store has not confirmed it. Its request
+    /// The intent's time is up, and the store has not confirmed it. Its request
     /// must not be dispatched; the claim may be found in the store later.
-    Lapsed,
+    Expired,
 }
 
-/// A wish with what became of it.
+/// A intent with what became of it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ClaimAnswer {
-    /// The wish.
-    pub wish: ClaimWish,
+pub struct ClaimResult {
+    /// The intent.
+    pub intent: ClaimIntent,
     /// What became of it.
     pub verdict: ClaimVerdict,
 }
 
 #[derive(Debug, Clone)]
 struct WaitingWish {
-    wish: ClaimWish,
+    intent: ClaimIntent,
     since: ClockTime,
     until: ClockTime,
 }
 
 /// The wishes of one home for one shard of claims.
 ///
-/// The owner waits until [`Self::due_at`], calls [`Self::begin`], then reads the
+/// The owner waits until [`Self::due_at`], calls [`Self::begin_write`], then reads the
 /// record, calls [`Self::apply`] on it and writes it on condition that it has
-/// not changed, again and again on conflicts; then [`Self::observe`] with the
-/// record as it is in the store, or [`Self::failed`]. A write whose answer was
+/// not changed, again and again on conflicts; then [`Self::complete_write`] with the
+/// record as it is in the store, or [`Self::record_failure`]. A write whose answer was
 /// lost is treated like a conflict: the record is read again, and what took
 /// effect is found in it.
 #[derive(Debug)]
@@ -105,15 +105,15 @@
         }
     }
 
-    /// Adds a wish. The same wish again, as when its asker lost the answer,
+    /// Adds a intent. The same intent again, as when its asker lost the answer,
     /// takes the place of the first.
-    pub fn add(&mut self, wish: ClaimWish, now: ClockTime) {
-        self.waiting.retain(|waiting| waiting.wish.request != wish.request);
-        let until = now.after(wish.time_left);
-        self.waiting.push_back(WaitingWish { wish, since: now, until });
+    pub fn add(&mut self, intent: ClaimIntent, now: ClockTime) {
+        self.waiting.retain(|waiting| waiting.intent.request != intent.request);
+        let until = now.after(intent.time_left);
+        self.waiting.push_back(WaitingWish { intent, since: now, until });
     }
 
-    /// When the next write should begin; nothing while one is on its way or no wish waits.
+    /// When the next write should begin; nothing while one is on its way or no intent waits.
     pub fn due_at(&self) -> Option<ClockTime> {
         if self.is_writing {
             return None;
@@ -126,7 +126,7 @@
 
     /// Begins a write of all wishes that wait. False if there are none, or a
     /// write is on its way.
-    pub fn begin(&mut self, now: ClockTime) -> bool {
+    pub fn begin_write(&mut self, now: ClockTime) -> bool {
         if self.is_writing || self.waiting.is_empty() {
             return false;
         }
@@ -142,7 +142,7 @@
     pub fn apply(&self, record: &mut ClaimsRecord, now: WallTime) -> bool {
         let mut changed = false;
         for waiting in &self.writing {
-            let outcome = record.claim(&waiting.wish, now, self.policy.retention);
+            let outcome = record.claim(&waiting.intent, now, self.policy.retention);
             changed |= outcome == ClaimOutcome::Claimed;
         }
         changed
@@ -150,17 +150,17 @@
 
     /// The record as it is in the store: the present write ended. Says what
     /// became of each of its wishes.
-    pub fn observe(&mut self, record: ClaimsRecord, now: ClockTime) -> Vec<ClaimAnswer> {
+    pub fn complete_write(&mut self, record: ClaimsRecord, now: ClockTime) -> Vec<ClaimResult> {
         self.is_writing = false;
         self.failures = 0;
         let answer = |waiting: WaitingWish| {
-            let verdict = match record.outcome_of(&waiting.wish) {
+            let verdict = match record.outcome_of(&waiting.intent) {
                 ClaimOutcome::Claimed | ClaimOutcome::AlreadyMine => ClaimVerdict::Durable,
                 ClaimOutcome::Taken(entry) => ClaimVerdict::Taken(entry),
                 ClaimOutcome::Aged => ClaimVerdict::Aged,
                 ClaimOutcome::Full => ClaimVerdict::Full,
             };
-            ClaimAnswer { wish: waiting.wish, verdict }
+            ClaimResult { intent: waiting.intent, verdict }
         };
         let answers = self.writing.drain(..).map(answer).collect();
         self.read(record, now);
@@ -181,7 +181,7 @@
 
     /// The store is out of reach, or its answer was lost: the wishes wait for
     /// the next try.
-    pub fn failed(&mut self, now: ClockTime) {
+    pub fn record_failure(&mut self, now: ClockTime) {
         self.is_writing = false;
         let wait = self.policy.first_retry * 2_u32.saturating_pow(self.failures.min(16));
         self.failures += 1;
@@ -193,16 +193,16 @@
 
     /// Removes the wishes whose time is up, also from the present write.
     ///
-    /// A claim that took effect although its wish lapsed does no harm: the
+    /// A claim that took effect although its intent lapsed does no harm: the
     /// request is never dispatched, its sidecar says so, and a later request
     /// for the key overturns it.
-    pub fn lapse(&mut self, now: ClockTime) -> Vec<ClaimAnswer> {
+    pub fn expire(&mut self, now: ClockTime) -> Vec<ClaimResult> {
         let mut lapsed = Vec::new();
         let mut is_up = |waiting: &WaitingWish| {
             let up = waiting.until <= now;
             if up {
-                let wish = waiting.wish.clone();
-                lapsed.push(ClaimAnswer { wish, verdict: ClaimVerdict::Lapsed });
+                let intent = waiting.intent.clone();
+                lapsed.push(ClaimResult { intent, verdict: ClaimVerdict::Expired });
             }
             !up
         };
@@ -211,7 +211,7 @@
         lapsed
     }
 
-    /// When the first wish lapses.
+    /// When the first intent lapses.
     pub fn next_lapse(&self) -> Option<ClockTime> {
         self.waiting.iter().chain(&self.writing).map(|waiting| waiting.until).min()
     }
--- a/crates/sagespool-claims/src/crash.rs
+++ b/crates/sagespool-claims/src/crash.rs
@@ -98,12 +98,12 @@
 ///
 /// Crashes are rare, so one lock is enough.
 #[derive(Debug, Default)]
-pub struct CrashBoard {
+pub struct CrashTracker {
     policy: CrashPolicy,
     state: Mutex<CrashState>,
 }
 
-impl CrashBoard {
+impl CrashTracker {
     /// An empty board of the default policy.
     pub fn new() -> Self {
         Self::default()
@@ -122,7 +122,7 @@
     ///
     /// Everything in flight on a crashed upstream is reported, the innocent
     /// too. Those run again, each on an upstream without another suspect (see
-    /// [`Self::rerun_rank`]), come through and are [cleared](Self::completed).
+    /// [`Self::rerun_rank`]), come through and are [cleared](Self::record_success).
     /// The guilty one takes down a second upstream, on which no other suspect
     /// of the first crash ran, and alone has two.
     pub fn record(&self, report: &CrashReport, now: ClockTime) -> CrashVerdict {
@@ -150,7 +150,7 @@
     }
 
     /// True if a content must not run anywhere.
-    pub fn stopped(&self, content: ContentDigest) -> bool {
+    pub fn is_stopped(&self, content: ContentDigest) -> bool {
         self.state().records.get(&content).is_some_and(|record| record.stopped)
     }
 
@@ -184,7 +184,7 @@
     /// True if an upstream went down a moment ago, by any report. Nothing that was in flight at a
     /// crash is to run again there: sent to an upstream that is still going down, it would be
     /// reported for that crash too, as its second.
-    pub fn went_down(&self, upstream: &UpstreamName, now: ClockTime) -> bool {
+    pub fn crashed_recently(&self, upstream: &UpstreamName, now: ClockTime) -> bool {
         let state = self.state();
         let mut crashes = state.records.values().flat_map(|record| &record.crashes);
         crashes
@@ -193,7 +193,7 @@
 
     /// A run of a content came through whole: it takes no upstream down. True
     /// if it was stopped, so that the store's verdict must be lifted too.
-    pub fn completed(&self, content: ContentDigest) -> bool {
+    pub fn record_success(&self, content: ContentDigest) -> bool {
         self.forgive(content)
     }
 
@@ -212,7 +212,7 @@
     /// The store's record, as read or watched. Returns the contents that it
     /// stops although they came through here between the crashes: they are to
     /// be [lifted](QuarantineRecord::lift) in the store.
-    pub fn adopt(&self, record: &QuarantineRecord, now: ClockTime) -> Vec<ContentDigest> {
+    pub fn apply_record(&self, record: &QuarantineRecord, now: ClockTime) -> Vec<ContentDigest> {
         let mut state = self.state();
         let mut disputed = Vec::new();
         for (content, entry) in &record.contents {
--- a/crates/sagespool-claims/src/entry.rs
+++ b/crates/sagespool-claims/src/entry.rs
@@ -1,4 +1,4 @@
-//! One claim, and the wish for one.
+//! One claim, and the intent for one.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,7 +6,7 @@
 
 use sagespool_messages::ClaimRequest;
 use sagespool_types::{
-    AttemptNumber, ContentDigest, IncarnationId, KeyDigest, ParseFault, RequestId, WallTime,
+    AttemptNumber, ContentDigest, IncarnationId, KeyDigest, ParseError, RequestId, WallTime,
     derives,
 };
 
@@ -38,12 +38,12 @@
 }
 
 impl FromStr for ClaimEntry {
-    type Err = ParseFault;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, ParseFault> {
+    fn from_str(text: &str) -> Result<Self, ParseError> {
         let parts: Vec<&str> = text.split(' ').collect();
         let &[request, content, sidecar, attempt, at] = parts.as_slice() else {
-            return Err(ParseFault::new("a claim", text, "REQUEST CONTENT SIDECAR ATTEMPT TIME"));
+            return Err(ParseError::new("a claim", text, "REQUEST CONTENT SIDECAR ATTEMPT TIME"));
         };
         Ok(Self {
             request: request.parse()?,
@@ -55,7 +55,7 @@
     }
 }
 
-sagespool_types::text_form!(ClaimEntry);
+sagespool_types::string_conversions!(ClaimEntry);
 
 derives! { value;
     /// A claim that can't be used any more: its sidecar, still the same
@@ -70,7 +70,7 @@
 
 /// A claim that a home wants to make for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ClaimWish {
+pub struct ClaimIntent {
     /// The key.
     pub key: KeyDigest,
     /// The request that is to run under it.
@@ -89,8 +89,8 @@
     pub time_left: Duration,
 }
 
-impl ClaimWish {
-    /// The wish that a home has for an entry's request.
+impl ClaimIntent {
+    /// The intent that a home has for an entry's request.
     pub fn of(request: &ClaimRequest, home: IncarnationId) -> Self {
         Self {
             key: request.key,
@@ -104,8 +104,8 @@
         }
     }
 
-    /// The same wish after the sidecar of the claim in its way fenced it.
-    pub fn overturning(self, fenced: FencedClaim) -> Self {
+    /// The same intent after the sidecar of the claim in its way fenced it.
+    pub fn replacing(self, fenced: FencedClaim) -> Self {
         Self { overturns: Some(fenced), ..self }
     }
 
@@ -119,7 +119,7 @@
         }
     }
 
-    /// True if an entry is what this wish asks for.
+    /// True if an entry is what this intent asks for.
     pub(crate) fn is_met_by(&self, entry: &ClaimEntry) -> bool {
         entry.request == self.request
             && entry.sidecar == self.sidecar
--- a/crates/sagespool-claims/src/inquiry.rs
+++ b/crates/sagespool-claims/src/inquiry.rs
@@ -7,13 +7,13 @@
 
 /// What the sidecars' answers amount to.
 #[derive(Debug, Clone, PartialEq)]
-pub enum InquiryVerdict {
+pub enum LookupOutcome {
     /// Some have not answered yet.
     Open,
     /// One knows the key.
     Found(KeyState),
     /// All were asked, none ever saw it, and all refuse the fenced request.
-    Nowhere,
+    NeverSeen,
     /// None of those who answered saw it; these can't say.
     Incomplete(Vec<IncarnationId>),
 }
@@ -21,15 +21,15 @@
 /// One question to all sidecars that may have run a key.
 ///
 /// A sidecar that went away since the key may have been used can't be asked:
-/// it is given as lost, and the verdict is never [`InquiryVerdict::Nowhere`].
+/// it is given as lost, and the verdict is never [`LookupOutcome::NeverSeen`].
 #[derive(Debug)]
-pub struct KeyInquiry {
+pub struct KeyLookup {
     open: BTreeSet<IncarnationId>,
     lost: BTreeSet<IncarnationId>,
     found: Option<KeyState>,
 }
 
-impl KeyInquiry {
+impl KeyLookup {
     /// A question to the sidecars `asked`; `lost` went away lately.
     pub fn new(
         asked: impl IntoIterator<Item = IncarnationId>,
@@ -40,9 +40,9 @@
 
     /// A process answered at the address of the sidecar `asked`. If it is
     /// another incarnation, its predecessor's memory is gone.
-    pub fn replied(&mut self, asked: IncarnationId, reply: &KeyReply) {
+    pub fn record_reply(&mut self, asked: IncarnationId, reply: &KeyReply) {
         if reply.sidecar != asked {
-            self.failed(asked);
+            self.record_failure(asked);
         }
         self.open.remove(&asked);
         if let Some(state) = &reply.known
@@ -53,21 +53,21 @@
     }
 
     /// A sidecar did not answer.
-    pub fn failed(&mut self, asked: IncarnationId) {
+    pub fn record_failure(&mut self, asked: IncarnationId) {
         if self.open.remove(&asked) {
             self.lost.insert(asked);
         }
     }
 
     /// What the answers so far amount to. A sidecar that has the answer, or
-    /// runs the request, ends the inquiry at once.
-    pub fn verdict(&self) -> InquiryVerdict {
+    /// runs the request, ends the lookup at once.
+    pub fn verdict(&self) -> LookupOutcome {
         match &self.found {
-            Some(state) if !tells_less(state) => InquiryVerdict::Found(state.clone()),
-            _ if !self.open.is_empty() => InquiryVerdict::Open,
-            Some(state) => InquiryVerdict::Found(state.clone()),
-            None if self.lost.is_empty() => InquiryVerdict::Nowhere,
-            None => InquiryVerdict::Incomplete(self.lost.iter().copied().collect()),
+            Some(state) if !tells_less(state) => LookupOutcome::Found(state.clone()),
+            _ if !self.open.is_empty() => LookupOutcome::Open,
+            Some(state) => LookupOutcome::Found(state.clone()),
+            None if self.lost.is_empty() => LookupOutcome::NeverSeen,
+            None => LookupOutcome::Incomplete(self.lost.iter().copied().collect()),
         }
     }
 }
--- a/crates/sagespool-claims/src/key_record.rs
+++ b/crates/sagespool-claims/src/key_record.rs
@@ -13,7 +13,7 @@
     #[builder(default = Duration::from_secs(900))]
     pub answer_retention: Duration,
     /// How long a request may hold a key before it runs anywhere. After that
-    /// another may take it over; [`KeyBoard::place`](crate::KeyBoard::place) tells the first.
+    /// another may take it over; [`KeyRegistry::assign_sidecar`](crate::KeyRegistry::assign_sidecar) tells the first.
     #[builder(default = Duration::from_secs(60))]
     pub pending_limit: Duration,
     /// How long a request may run without its end being reported.
--- a/crates/sagespool-claims/src/keys.rs
+++ b/crates/sagespool-claims/src/keys.rs
@@ -46,13 +46,13 @@
 /// doesn't rest on it: two processes that both think they are home each have a
 /// board, and the store's claims decide between them.
 #[derive(Debug)]
-pub struct KeyBoard {
+pub struct KeyRegistry {
     policy: KeyPolicy,
     started: ClockTime,
     shards: Vec<Mutex<KeyShard>>,
 }
 
-impl KeyBoard {
+impl KeyRegistry {
     /// A board of the default policy.
     pub fn new(started: ClockTime) -> Self {
         Self::with_policy(KeyPolicy::default(), started)
@@ -108,7 +108,7 @@
     /// A request takes a key: the sidecars were asked, and none knows it, or
     /// what ran under it is lost and may run again. False if another request
     /// holds the key meanwhile.
-    pub fn restart(
+    pub fn try_acquire(
         &self,
         key: KeyDigest,
         request: RequestId,
@@ -126,7 +126,7 @@
     }
 
     /// The sidecars were asked, and one runs the key or has its answer.
-    pub fn learn(
+    pub fn record_found(
         &self,
         key: KeyDigest,
         request: RequestId,
@@ -169,7 +169,7 @@
 
     /// A request is about to run on a sidecar. False if another request holds
     /// the key meanwhile: this one must not run.
-    pub fn place(
+    pub fn assign_sidecar(
         &self,
         key: KeyDigest,
         request: RequestId,
@@ -188,7 +188,7 @@
     }
 
     /// A request under a key ended.
-    pub fn finished(
+    pub fn record_outcome(
         &self,
         key: KeyDigest,
         request: RequestId,
--- a/crates/sagespool-claims/src/lib.rs
+++ b/crates/sagespool-claims/src/lib.rs
@@ -2,26 +2,26 @@
 //!
 //! A request that may never run twice is dispatched only after a claim on its
 //! key is in the platform's store. [`ClaimsRecord`] is the store's object, and
-//! [`ClaimBatch`] gathers many claims into one write of it. [`KeyBoard`] is a
+//! [`ClaimBatch`] gathers many claims into one write of it. [`KeyRegistry`] is a
 //! home's memory of keys, which spares the store most questions, and
-//! [`KeyInquiry`] judges what sidecars say of a key that a home doesn't know.
-//! [`CrashBoard`] and [`QuarantineRecord`] stop a request that takes down the
+//! [`KeyLookup`] judges what sidecars say of a key that a home doesn't know.
+//! [`CrashTracker`] and [`QuarantineRecord`] stop a request that takes down the
 //! upstreams that run it.
 //!
 //! Nothing here opens a socket or reads a clock.
 //!
-//! Two homes wish for the same key; the store's conditional write lets one record win, and the
+//! Two homes intent for the same key; the store's conditional write lets one record win, and the
 //! other is told whose claim stands:
 //!
 //! ```
 //! use std::time::Duration;
 //!
-//! use sagespool_claims::{ClaimOutcome, ClaimWish, ClaimsRecord};
+//! use sagespool_claims::{ClaimOutcome, ClaimIntent, ClaimsRecord};
 //! use sagespool_types::{
 //!     AttemptNumber, ContentDigest, IncarnationId, KeyDigest, RequestId, WallTime,
 //! };
 //!
-//! let wish_of = |request: u128, sidecar: u64| ClaimWish {
+//! let wish_of = |request: u128, sidecar: u64| ClaimIntent {
 //!     key: KeyDigest(7),
 //!     request: RequestId(request),
 //!     content: ContentDigest::of("POST /letters", b"the clarification"),
@@ -53,15 +53,15 @@
 mod refusal;
 
 pub use aged::{AgedClaims, PrintSet};
-pub use batch::{BatchPolicy, ClaimAnswer, ClaimBatch, ClaimVerdict};
-pub use crash::{CrashBoard, CrashPolicy, CrashVerdict, SuspectContent};
-pub use entry::{ClaimEntry, ClaimWish, FencedClaim};
-pub use inquiry::{InquiryVerdict, KeyInquiry};
+pub use batch::{BatchPolicy, ClaimBatch, ClaimResult, ClaimVerdict};
+pub use crash::{CrashPolicy, CrashTracker, CrashVerdict, SuspectContent};
+pub use entry::{ClaimEntry, ClaimIntent, FencedClaim};
+pub use inquiry::{KeyLookup, LookupOutcome};
 pub use key_record::KeyPolicy;
-pub use keys::{KeyBoard, KeyDecision, KeyOutcome};
+pub use keys::{KeyDecision, KeyOutcome, KeyRegistry};
 pub use quarantine::{CrashNote, QUARANTINE_KEY, QuarantineEntry, QuarantineRecord, StopOutcome};
 pub use record::{
     CLAIM_SHARDS, ClaimOutcome, ClaimsRecord, DETAILS_KEPT, MOST_RECORD_BYTES, claim_key,
     claim_shard,
 };
-pub use refusal::{EarlierRun, earlier_run, refuse_claim, state_of};
+pub use refusal::{EarlierRun, claim_refusal, claimed_key_state, earlier_run};
--- a/crates/sagespool-claims/src/quarantine.rs
+++ b/crates/sagespool-claims/src/quarantine.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// How a wish to stop a content went.
+/// How a intent to stop a content went.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopOutcome {
     /// Stopped now.
--- a/crates/sagespool-claims/src/record.rs
+++ b/crates/sagespool-claims/src/record.rs
@@ -6,7 +6,7 @@
 use sagespool_types::{IncarnationId, KeyDigest, WallTime, derives};
 
 use crate::aged::{AgedClaims, hour_of, hours_bytes, is_past};
-use crate::entry::{ClaimEntry, ClaimWish};
+use crate::entry::{ClaimEntry, ClaimIntent};
 
 /// Shards that the claims are spread over by their key.
 pub const CLAIM_SHARDS: u64 = 16;
@@ -46,7 +46,7 @@
     }
 }
 
-/// How a wish for a claim went in a record.
+/// How a intent for a claim went in a record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimOutcome {
     /// The record now holds the claim; it counts once the record is stored.
@@ -63,38 +63,43 @@
 }
 
 impl ClaimsRecord {
-    /// Puts a wish for a claim into the record. Idempotent by the request, the
+    /// Puts a intent for a claim into the record. Idempotent by the request, the
     /// attempt and the sidecar.
     ///
     /// A claim gives way to a later attempt of its own request, which its entry
-    /// makes only after the earlier sidecar refused it, and to a wish that
-    /// [overturns](ClaimWish::overturns) it. Both go through the store's
+    /// makes only after the earlier sidecar refused it, and to a intent that
+    /// [overturns](ClaimIntent::overturns) it. Both go through the store's
     /// conditional write, so that of two homes that overturn a claim one finds
     /// the other's.
-    pub fn claim(&mut self, wish: &ClaimWish, now: WallTime, retention: Duration) -> ClaimOutcome {
-        self.tidy(now, retention, wish.home);
-        if let Some(entry) = self.claims.get(&wish.key) {
-            if wish.is_met_by(entry) {
+    pub fn claim(
+        &mut self,
+        intent: &ClaimIntent,
+        now: WallTime,
+        retention: Duration,
+    ) -> ClaimOutcome {
+        self.tidy(now, retention, intent.home);
+        if let Some(entry) = self.claims.get(&intent.key) {
+            if intent.is_met_by(entry) {
                 return ClaimOutcome::AlreadyMine;
             }
-            if !may_replace(entry, wish) {
+            if !may_replace(entry, intent) {
                 return ClaimOutcome::Taken(entry.clone());
             }
-        } else if self.is_aged(wish.key) {
+        } else if self.is_aged(intent.key) {
             return ClaimOutcome::Aged;
         } else if self.estimated_bytes() + ENTRY_BYTES > MOST_RECORD_BYTES {
             return ClaimOutcome::Full;
         }
-        self.claims.insert(wish.key, wish.entry(self.stamp(now)));
+        self.claims.insert(intent.key, intent.entry(self.stamp(now)));
         ClaimOutcome::Claimed
     }
 
-    /// What the record says of a wish that was put into it, once it is stored.
-    pub fn outcome_of(&self, wish: &ClaimWish) -> ClaimOutcome {
-        match self.claims.get(&wish.key) {
-            Some(entry) if wish.is_met_by(entry) => ClaimOutcome::AlreadyMine,
+    /// What the record says of a intent that was put into it, once it is stored.
+    pub fn outcome_of(&self, intent: &ClaimIntent) -> ClaimOutcome {
+        match self.claims.get(&intent.key) {
+            Some(entry) if intent.is_met_by(entry) => ClaimOutcome::AlreadyMine,
             Some(entry) => ClaimOutcome::Taken(entry.clone()),
-            None if self.is_aged(wish.key) => ClaimOutcome::Aged,
+            None if self.is_aged(intent.key) => ClaimOutcome::Aged,
             None => ClaimOutcome::Full,
         }
     }
@@ -144,10 +149,10 @@
     }
 }
 
-fn may_replace(entry: &ClaimEntry, wish: &ClaimWish) -> bool {
-    if entry.request == wish.request {
-        return wish.attempt > entry.attempt;
+fn may_replace(entry: &ClaimEntry, intent: &ClaimIntent) -> bool {
+    if entry.request == intent.request {
+        return intent.attempt > entry.attempt;
     }
-    let fenced = wish.overturns;
+    let fenced = intent.overturns;
     fenced.is_some_and(|fenced| fenced.request == entry.request && fenced.sidecar == entry.sidecar)
 }
--- a/crates/sagespool-claims/src/refusal.rs
+++ b/crates/sagespool-claims/src/refusal.rs
@@ -38,7 +38,7 @@
 /// The refusal of a request whose claim isn't durable. Its own dispatch never
 /// happened; but a caller that is told `not-run` would send the letter under
 /// another key, so that is said only if no earlier request of the key ran.
-pub fn refuse_claim(
+pub fn claim_refusal(
     verdict: &ClaimVerdict,
     earlier: EarlierRun,
     retry_after: Duration,
@@ -53,7 +53,7 @@
             let message = "too many keys of non-idempotent requests are remembered already";
             (RefusalReason::ClaimUnreachable, RunState::NotRun, message)
         }
-        ClaimVerdict::Lapsed => unconfirmed(earlier),
+        ClaimVerdict::Expired => unconfirmed(earlier),
     };
     let retry_after = (reason == RefusalReason::ClaimUnreachable).then_some(retry_after);
     Some(RefusalNotice { reason, run_state, message: message.to_owned(), retry_after })
@@ -79,7 +79,7 @@
 /// What to tell a request whose key is claimed by another one, once the
 /// claim's sidecar was asked. `sidecar_knows` is what that sidecar, still the
 /// same incarnation, said of the key: nothing if it is out of reach or gone.
-pub fn state_of(
+pub fn claimed_key_state(
     entry: &ClaimEntry,
     content: ContentDigest,
     sidecar_knows: Option<KeyState>,
--- a/crates/sagespool-claims/tests/claim_batch.rs
+++ b/crates/sagespool-claims/tests/claim_batch.rs
@@ -5,7 +5,7 @@
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use sagespool_claims::{
-    BatchPolicy, ClaimAnswer, ClaimBatch, ClaimVerdict, ClaimWish, ClaimsRecord, FencedClaim,
+    BatchPolicy, ClaimBatch, ClaimIntent, ClaimResult, ClaimVerdict, ClaimsRecord, FencedClaim,
 };
 use sagespool_types::{
     AttemptNumber, ClockTime, ContentDigest, IncarnationId, KeyDigest, RequestId, WallTime,
@@ -16,8 +16,8 @@
 const STEPS: usize = 120;
 const WALL: WallTime = WallTime(1_700_000_000_000);
 
-fn wish(key: u128, request: u128, sidecar: u64) -> ClaimWish {
-    ClaimWish {
+fn intent(key: u128, request: u128, sidecar: u64) -> ClaimIntent {
+    ClaimIntent {
         key: KeyDigest(key),
         request: RequestId(request),
         content: ContentDigest(5),
@@ -34,20 +34,20 @@
     let policy = BatchPolicy::default();
     let mut batch = ClaimBatch::new(policy.clone());
     assert_eq!(batch.due_at(), None);
-    batch.add(wish(1, 10, 100), NOW);
-    batch.add(wish(2, 11, 100), NOW.after(policy.most_delay / 2));
+    batch.add(intent(1, 10, 100), NOW);
+    batch.add(intent(2, 11, 100), NOW.after(policy.most_delay / 2));
     assert_eq!(batch.due_at(), Some(NOW.after(policy.most_delay)), "the first one's delay");
     for number in 3..=policy.most_claims as u128 {
-        batch.add(wish(number, 10 + number, 100), NOW);
+        batch.add(intent(number, 10 + number, 100), NOW);
     }
     assert_eq!(batch.due_at(), Some(NOW), "a full batch doesn't wait");
-    assert!(batch.begin(NOW));
-    batch.add(wish(900, 910, 100), NOW);
+    assert!(batch.begin_write(NOW));
+    batch.add(intent(900, 910, 100), NOW);
     assert_eq!(batch.due_at(), None, "one write at a time");
-    assert!(!batch.begin(NOW));
+    assert!(!batch.begin_write(NOW));
     let mut record = ClaimsRecord::default();
     assert!(batch.apply(&mut record, WALL));
-    let answers = batch.observe(record, NOW);
+    let answers = batch.complete_write(record, NOW);
     assert_eq!(answers.len(), policy.most_claims);
     assert!(answers.iter().all(|answer| answer.verdict == ClaimVerdict::Durable));
     assert_eq!(batch.len(), 1, "the late one waits for the next write");
@@ -56,24 +56,24 @@
 
 /// The store takes a write and its answer is lost; meanwhile another home
 /// claims one of the keys. Each caller must hear what is in the store, and a
-/// wish of a write that is believed lost must not be forgotten.
+/// intent of a write that is believed lost must not be forgotten.
 #[test]
 fn lost_answer() {
     let mut batch = ClaimBatch::new(BatchPolicy::default());
-    batch.add(wish(1, 10, 100), NOW);
-    batch.add(wish(2, 11, 100), NOW);
-    batch.begin(NOW);
+    batch.add(intent(1, 10, 100), NOW);
+    batch.add(intent(2, 11, 100), NOW);
+    batch.begin_write(NOW);
     let mut stored = ClaimsRecord::default();
-    stored.claim(&wish(2, 99, 101), WALL, Duration::from_secs(3600));
+    stored.claim(&intent(2, 99, 101), WALL, Duration::from_secs(3600));
     batch.apply(&mut stored, WALL);
-    batch.failed(NOW);
+    batch.record_failure(NOW);
     assert!(batch.is_store_away());
     let retry = batch.due_at().expect("the wishes wait");
     assert!(retry > NOW, "not at once");
-    batch.begin(NOW);
+    batch.begin_write(NOW);
     let mut again = stored.clone();
     assert!(!batch.apply(&mut again, WALL), "it is there already");
-    let answers = batch.observe(again, retry);
+    let answers = batch.complete_write(again, retry);
     assert_eq!(answers[0].verdict, ClaimVerdict::Durable);
     assert!(
         matches!(&answers[1].verdict, ClaimVerdict::Taken(entry) if entry.request == RequestId(99))
@@ -86,7 +86,7 @@
 #[test]
 fn lapsed_wish() {
     let mut batch = ClaimBatch::new(BatchPolicy::default());
-    batch.add(wish(1, 10, 100), NOW);
+    batch.add(intent(1, 10, 100), NOW);
     let lapse = NOW.after(Duration::from_secs(5));
     let mut now = NOW;
     let mut tries = 0;
@@ -94,20 +94,20 @@
         if now >= lapse {
             break;
         }
-        assert!(batch.lapse(now).is_empty());
-        batch.begin(now);
-        batch.failed(now);
+        assert!(batch.expire(now).is_empty());
+        batch.begin_write(now);
+        batch.record_failure(now);
         now = batch.due_at().expect("it waits");
         tries += 1;
     }
     assert!((4..20).contains(&tries), "{tries} tries in 5 s spare a store in trouble");
     assert_eq!(batch.next_lapse(), Some(lapse));
-    batch.begin(NOW);
-    let lapsed = batch.lapse(now);
-    assert_eq!(lapsed[0].verdict, ClaimVerdict::Lapsed);
+    batch.begin_write(NOW);
+    let lapsed = batch.expire(now);
+    assert_eq!(lapsed[0].verdict, ClaimVerdict::Expired);
     let mut record = ClaimsRecord::default();
     assert!(!batch.apply(&mut record, WALL));
-    assert!(batch.observe(record, now).is_empty());
+    assert!(batch.complete_write(record, now).is_empty());
 }
 
 #[test]
@@ -115,7 +115,7 @@
     let mut batch = ClaimBatch::new(BatchPolicy::default());
     assert_eq!(batch.absent_at(KeyDigest(1)), None, "never seen");
     let mut record = ClaimsRecord::default();
-    record.claim(&wish(1, 10, 100), WALL, Duration::from_secs(3600));
+    record.claim(&intent(1, 10, 100), WALL, Duration::from_secs(3600));
     batch.read(record, NOW);
     assert_eq!(batch.absent_at(KeyDigest(1)), None);
     assert_eq!(batch.absent_at(KeyDigest(2)), Some(NOW));
@@ -176,7 +176,7 @@
     awaited: [Option<u64>; 2],
     flying: Vec<FlyingWrite>,
     sidecars: [Sidecar; 2],
-    dispatches: Vec<ClaimWish>,
+    dispatches: Vec<ClaimIntent>,
     /// What entries have dispatched: each attempt once, however often it is told durable.
     attempts: BTreeSet<(RequestId, AttemptNumber)>,
     requests: u128,
@@ -207,17 +207,17 @@
         match step {
             Step::Send { home, both, sidecar } => {
                 self.requests += 1;
-                let wish = wish(1, self.requests, self.incarnation(sidecar).0);
-                self.homes[home].add(wish.clone(), NOW);
+                let intent = intent(1, self.requests, self.incarnation(sidecar).0);
+                self.homes[home].add(intent.clone(), NOW);
                 if both {
-                    self.homes[1 - home].add(wish, NOW);
+                    self.homes[1 - home].add(intent, NOW);
                 }
             }
             Step::Write { home } => self.write(home),
             Step::Arrive { answered } => self.arrive(answered),
             Step::GiveUp { home } => {
                 if self.awaited[home].take().is_some() {
-                    self.homes[home].failed(NOW);
+                    self.homes[home].record_failure(NOW);
                 }
             }
             Step::Dispatch => self.dispatch(),
@@ -229,12 +229,12 @@
     }
 
     fn write(&mut self, home: usize) {
-        if !self.homes[home].begin(NOW) {
+        if !self.homes[home].begin_write(NOW) {
             return;
         }
         let mut record = self.stored.clone();
         if !self.homes[home].apply(&mut record, WALL) {
-            let answers = self.homes[home].observe(record, NOW);
+            let answers = self.homes[home].complete_write(record, NOW);
             return self.hear(home, answers);
         }
         let number = self.requests + self.flying.len() as u128 + u128::from(self.version) * 1000;
@@ -259,27 +259,27 @@
         self.awaited[write.home] = None;
         let home = write.home;
         if taken && answered {
-            let answers = self.homes[home].observe(self.stored.clone(), NOW);
+            let answers = self.homes[home].complete_write(self.stored.clone(), NOW);
             self.hear(home, answers);
         } else {
-            self.homes[home].failed(NOW);
+            self.homes[home].record_failure(NOW);
         }
     }
 
     /// An entry dispatches what is durable; a home overturns a claim that its
     /// sidecar fences.
-    fn hear(&mut self, home: usize, answers: Vec<ClaimAnswer>) {
-        for ClaimAnswer { wish, verdict } in answers {
+    fn hear(&mut self, home: usize, answers: Vec<ClaimResult>) {
+        for ClaimResult { intent, verdict } in answers {
             match verdict {
-                ClaimVerdict::Durable => self.dispatches.push(wish),
+                ClaimVerdict::Durable => self.dispatches.push(intent),
                 ClaimVerdict::Taken(entry) => {
                     let place = (entry.sidecar.0 % 2) as usize;
                     let same = self.incarnation(place) == entry.sidecar;
                     let sidecar = &mut self.sidecars[place];
-                    if same && !sidecar.ran.contains(&wish.key) {
+                    if same && !sidecar.ran.contains(&intent.key) {
                         sidecar.fenced.insert(entry.request);
                         let fenced = FencedClaim { request: entry.request, sidecar: entry.sidecar };
-                        self.homes[home].add(wish.overturning(fenced), NOW);
+                        self.homes[home].add(intent.replacing(fenced), NOW);
                     }
                 }
                 _ => {}
@@ -291,24 +291,24 @@
         if self.dispatches.is_empty() {
             return;
         }
-        let wish = self.dispatches.remove(0);
-        if !self.attempts.insert((wish.request, wish.attempt)) {
+        let intent = self.dispatches.remove(0);
+        if !self.attempts.insert((intent.request, intent.attempt)) {
             return;
         }
-        let place = (wish.sidecar.0 % 2) as usize;
-        let same = self.incarnation(place) == wish.sidecar;
+        let place = (intent.sidecar.0 % 2) as usize;
+        let same = self.incarnation(place) == intent.sidecar;
         let sidecar = &mut self.sidecars[place];
-        let refused = !same || sidecar.fenced.contains(&wish.request);
-        if !refused && sidecar.ran.insert(wish.key) {
+        let refused = !same || sidecar.fenced.contains(&intent.request);
+        if !refused && sidecar.ran.insert(intent.key) {
             self.runs += 1;
             return;
         }
         if refused {
             // Refused for sure: the entry may try the other sidecar.
             let sidecar = self.incarnation(1 - place);
-            let attempt = wish.attempt.next();
-            let home = (wish.request.0 % 2) as usize;
-            self.homes[home].add(ClaimWish { sidecar, attempt, overturns: None, ..wish }, NOW);
+            let attempt = intent.attempt.next();
+            let home = (intent.request.0 % 2) as usize;
+            self.homes[home].add(ClaimIntent { sidecar, attempt, overturns: None, ..intent }, NOW);
         }
     }
 }
--- a/crates/sagespool-claims/tests/claim_record.rs
+++ b/crates/sagespool-claims/tests/claim_record.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use sagespool_claims::{
-    ClaimOutcome, ClaimWish, ClaimsRecord, DETAILS_KEPT, FencedClaim, MOST_RECORD_BYTES,
+    ClaimIntent, ClaimOutcome, ClaimsRecord, DETAILS_KEPT, FencedClaim, MOST_RECORD_BYTES,
 };
 use sagespool_types::{
     AttemptNumber, ContentDigest, IncarnationId, KeyDigest, RequestId, WallTime,
@@ -18,8 +18,8 @@
     KeyDigest(number << 64 | number)
 }
 
-fn wish(number: u128, request: u128, sidecar: u64, attempt: u32) -> ClaimWish {
-    ClaimWish {
+fn intent(number: u128, request: u128, sidecar: u64, attempt: u32) -> ClaimIntent {
+    ClaimIntent {
         key: key(number),
         request: RequestId(request),
         content: ContentDigest(5),
@@ -31,9 +31,9 @@
     }
 }
 
-fn overturning(wish: ClaimWish, request: u128, sidecar: u64) -> ClaimWish {
+fn replacing(intent: ClaimIntent, request: u128, sidecar: u64) -> ClaimIntent {
     let fenced = FencedClaim { request: RequestId(request), sidecar: IncarnationId(sidecar) };
-    wish.overturning(fenced)
+    intent.replacing(fenced)
 }
 
 fn later(start: WallTime, millis: u64) -> WallTime {
@@ -47,20 +47,20 @@
 #[test]
 fn claim_outcomes() {
     let cases = [
-        ("the same again after a lost answer", wish(1, 10, 100, 1), "mine"),
-        ("another request", wish(1, 11, 100, 1), "taken"),
-        ("the same request, another sidecar", wish(1, 10, 101, 1), "taken"),
-        ("a later attempt of it", wish(1, 10, 101, 2), "claimed"),
-        ("fenced where it was claimed", overturning(wish(1, 11, 101, 1), 10, 100), "claimed"),
-        ("fenced on another sidecar", overturning(wish(1, 11, 101, 1), 10, 101), "taken"),
-        ("another request was fenced", overturning(wish(1, 11, 101, 1), 12, 100), "taken"),
-        ("another key", wish(2, 11, 100, 1), "claimed"),
+        ("the same again after a lost answer", intent(1, 10, 100, 1), "mine"),
+        ("another request", intent(1, 11, 100, 1), "taken"),
+        ("the same request, another sidecar", intent(1, 10, 101, 1), "taken"),
+        ("a later attempt of it", intent(1, 10, 101, 2), "claimed"),
+        ("fenced where it was claimed", replacing(intent(1, 11, 101, 1), 10, 100), "claimed"),
+        ("fenced on another sidecar", replacing(intent(1, 11, 101, 1), 10, 101), "taken"),
+        ("another request was fenced", replacing(intent(1, 11, 101, 1), 12, 100), "taken"),
+        ("another key", intent(2, 11, 100, 1), "claimed"),
     ];
-    for (case, wish, expected) in cases {
+    for (case, intent, expected) in cases {
         let mut record = ClaimsRecord::default();
-        let first = record.claim(&self::wish(1, 10, 100, 1), START, DAY);
+        let first = record.claim(&self::intent(1, 10, 100, 1), START, DAY);
         assert_eq!(first, ClaimOutcome::Claimed);
-        let found = match record.claim(&wish, START, DAY) {
+        let found = match record.claim(&intent, START, DAY) {
             ClaimOutcome::Claimed => "claimed",
             ClaimOutcome::AlreadyMine => "mine",
             ClaimOutcome::Taken(entry) => {
@@ -78,9 +78,9 @@
 #[test]
 fn late_attempt() {
     let mut record = ClaimsRecord::default();
-    record.claim(&wish(1, 10, 100, 1), START, DAY);
-    record.claim(&wish(1, 10, 101, 2), START, DAY);
-    let late = record.claim(&wish(1, 10, 100, 1), START, DAY);
+    record.claim(&intent(1, 10, 100, 1), START, DAY);
+    record.claim(&intent(1, 10, 101, 2), START, DAY);
+    let late = record.claim(&intent(1, 10, 100, 1), START, DAY);
     assert!(matches!(late, ClaimOutcome::Taken(entry) if entry.sidecar == IncarnationId(101)));
 }
 
@@ -90,7 +90,7 @@
 #[test]
 fn aged_claims() {
     let mut record = ClaimsRecord::default();
-    record.claim(&wish(1, 10, 100, 1), START, DAY);
+    record.claim(&intent(1, 10, 100, 1), START, DAY);
     let details = DETAILS_KEPT.as_millis() as u64;
     let cases = [
         (details - 1, false),
@@ -100,13 +100,13 @@
         (25 * HOUR, true),
     ];
     for (after, aged) in cases {
-        let outcome = record.claim(&wish(1, 11, 100, 1), later(START, after), DAY);
+        let outcome = record.claim(&intent(1, 11, 100, 1), later(START, after), DAY);
         assert_eq!(outcome == ClaimOutcome::Aged, aged, "after {after} ms");
         assert!(record.is_claimed(key(1)));
     }
     let over = later(START, 28 * HOUR);
-    record.claim(&wish(2, 12, 100, 1), over, DAY);
-    record.claim(&wish(3, 13, 100, 1), later(over, HOUR + 1), DAY);
+    record.claim(&intent(2, 12, 100, 1), over, DAY);
+    record.claim(&intent(3, 13, 100, 1), later(over, HOUR + 1), DAY);
     assert!(!record.is_claimed(key(1)), "an hour after the first home found it past");
 }
 
@@ -116,17 +116,17 @@
 #[test]
 fn wrong_clock() {
     let mut record = ClaimsRecord::default();
-    record.claim(&wish(1, 10, 100, 1), START, DAY);
+    record.claim(&intent(1, 10, 100, 1), START, DAY);
     let ahead = later(START, 7 * 24 * HOUR);
-    record.claim(&wish(2, 11, 100, 1), ahead, DAY);
-    record.claim(&wish(3, 12, 100, 1), later(ahead, 1000), DAY);
-    let other = ClaimWish { home: IncarnationId(2), ..wish(4, 13, 100, 1) };
+    record.claim(&intent(2, 11, 100, 1), ahead, DAY);
+    record.claim(&intent(3, 12, 100, 1), later(ahead, 1000), DAY);
+    let other = ClaimIntent { home: IncarnationId(2), ..intent(4, 13, 100, 1) };
     record.claim(&other, later(START, HOUR), DAY);
-    record.claim(&wish(5, 14, 100, 1), later(ahead, 2 * HOUR), DAY);
+    record.claim(&intent(5, 14, 100, 1), later(ahead, 2 * HOUR), DAY);
     assert!(record.is_claimed(key(1)));
     // A clock far behind must not stamp a claim so that it is forgotten early.
     let behind = WallTime(START.0 - 48 * HOUR);
-    record.claim(&wish(6, 15, 100, 1), behind, DAY);
+    record.claim(&intent(6, 15, 100, 1), behind, DAY);
     let found = record.find(key(6)).expect("just claimed");
     assert!(found.at >= START);
 }
@@ -148,11 +148,11 @@
     assert!((0..=claimed).all(|number| record.is_claimed(wide_wish(number).key)));
 }
 
-/// A wish whose parts are as long as they get.
-fn wide_wish(number: u128) -> ClaimWish {
-    let mut wish = wish(u128::from(u64::MAX) - number, u128::MAX - number, u64::MAX, 1_000_000);
-    wish.content = ContentDigest(u128::MAX);
-    wish
+/// A intent whose parts are as long as they get.
+fn wide_wish(number: u128) -> ClaimIntent {
+    let mut intent = intent(u128::from(u64::MAX) - number, u128::MAX - number, u64::MAX, 1_000_000);
+    intent.content = ContentDigest(u128::MAX);
+    intent
 }
 
 fn check_size(record: &ClaimsRecord) {
--- a/crates/sagespool-claims/tests/crash_board.rs
+++ b/crates/sagespool-claims/tests/crash_board.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sagespool_claims::{CrashBoard, CrashVerdict, QuarantineRecord, StopOutcome};
+use sagespool_claims::{CrashTracker, CrashVerdict, QuarantineRecord, StopOutcome};
 use sagespool_messages::CrashReport;
 use sagespool_types::{AttemptNumber, ClockTime, ContentDigest, RequestId, WallTime};
 
@@ -27,13 +27,13 @@
 /// refused. Reports come twice, and late.
 #[test]
 fn two_crashes() {
-    let board = CrashBoard::new();
+    let board = CrashTracker::new();
     let first = report(POISON, 1, 0);
     assert_eq!(board.record(&first, at(0)), CrashVerdict::Suspected);
     assert_eq!(board.record(&first, at(9)), CrashVerdict::Repeated);
-    assert!(!board.stopped(POISON));
+    assert!(!board.is_stopped(POISON));
     assert_eq!(board.record(&report(POISON, 2, 1), at(10)), CrashVerdict::Stopped);
-    assert!(board.stopped(POISON));
+    assert!(board.is_stopped(POISON));
     assert_eq!(board.record(&report(POISON, 3, 2), at(11)), CrashVerdict::AlreadyStopped);
 }
 
@@ -41,7 +41,7 @@
 /// That is one crash, not ten: the lookup must not be stopped by it.
 #[test]
 fn one_crash() {
-    let board = CrashBoard::new();
+    let board = CrashTracker::new();
     let lookup = ContentDigest(1);
     let verdicts: Vec<_> =
         (0..10).map(|request| board.record(&report(lookup, request, 0), at(0))).collect();
@@ -58,7 +58,7 @@
 #[test]
 fn innocent_neighbours() {
     let upstreams = 12;
-    let board = CrashBoard::new();
+    let board = CrashTracker::new();
     let contents: Vec<_> = (60..69).map(ContentDigest).collect();
     for content in &contents {
         board.record(&report(*content, content.0, 0), at(0));
@@ -82,7 +82,7 @@
     );
     let innocent = contents.iter().filter(|content| **content != POISON);
     for content in innocent.chain([&ContentDigest(90)]) {
-        assert!(!board.completed(*content));
+        assert!(!board.record_success(*content));
         assert!(!board.is_suspect(*content));
     }
     assert_eq!(board.record(&report(contents[0], 99, 3), at(60)), CrashVerdict::Suspected);
@@ -95,7 +95,7 @@
 /// stopped for a crash that was over before it came.
 #[test]
 fn kept_places() {
-    let board = CrashBoard::new();
+    let board = CrashTracker::new();
     let (before, after) = (ContentDigest(60), ContentDigest(68));
     for content in [before, POISON, after] {
         board.record(&report(content, content.0, 0), at(0));
@@ -107,14 +107,14 @@
     assert_eq!(board.rerun_rank(after, at(3)), Some(2));
     assert_eq!(board.rerun_rank(after, at(6)), Some(1), "its place is free later");
     let upstream = |number| report(POISON, 0, number).upstream;
-    assert!(board.went_down(&upstream(1), at(4)));
-    assert!(!board.went_down(&upstream(1), at(6)));
-    assert!(!board.went_down(&upstream(2), at(4)));
+    assert!(board.crashed_recently(&upstream(1), at(4)));
+    assert!(!board.crashed_recently(&upstream(1), at(6)));
+    assert!(!board.crashed_recently(&upstream(2), at(4)));
 }
 
 #[test]
 fn old_suspicion() {
-    let board = CrashBoard::new();
+    let board = CrashTracker::new();
     board.record(&report(POISON, 1, 0), at(0));
     let later = at(0).after(Duration::from_secs(3601));
     assert_eq!(board.record(&report(POISON, 2, 1), later), CrashVerdict::Suspected);
@@ -124,7 +124,7 @@
 /// hasn't heard of them would run the request and lose one more upstream.
 #[test]
 fn kept_verdict() {
-    let board = CrashBoard::new();
+    let board = CrashTracker::new();
     board.record(&report(POISON, 1, 0), at(0));
     board.record(&report(POISON, 2, 1), at(10));
     let (content, crashes) = board.unsaved().pop().expect("to be written");
@@ -133,9 +133,9 @@
     assert_eq!(record.stop(content, &crashes, WALL), StopOutcome::Already, "a lost answer");
     let text = serde_json::to_string(&record).expect("plain data");
     let record: QuarantineRecord = serde_json::from_str(&text).expect("the same data");
-    for board in [CrashBoard::new(), board] {
-        assert!(board.adopt(&record, at(20)).is_empty());
-        assert!(board.stopped(POISON));
+    for board in [CrashTracker::new(), board] {
+        assert!(board.apply_record(&record, at(20)).is_empty());
+        assert!(board.is_stopped(POISON));
         assert!(board.unsaved().is_empty());
     }
 }
@@ -145,7 +145,7 @@
 /// again; two new crashes must.
 #[test]
 fn lifted_verdict() {
-    let board = CrashBoard::new();
+    let board = CrashTracker::new();
     let reports = [report(POISON, 1, 0), report(POISON, 2, 1)];
     for (report, second) in reports.iter().zip([0, 10]) {
         board.record(report, at(second));
@@ -155,8 +155,8 @@
     record.stop(POISON, &crashes, WALL);
     assert!(record.lift(POISON, WALL));
     assert!(!record.lift(POISON, WALL));
-    board.adopt(&record, at(20));
-    assert!(!board.stopped(POISON));
+    board.apply_record(&record, at(20));
+    assert!(!board.is_stopped(POISON));
     assert_eq!(record.stop(POISON, &crashes, WALL), StopOutcome::Lifted);
     assert_eq!(board.record(&reports[0], at(21)), CrashVerdict::Repeated);
     assert_eq!(record.stopped().count(), 0);
@@ -172,22 +172,22 @@
 #[test]
 fn popular_lookup() {
     let lookup = ContentDigest(1);
-    let (busy, idle) = (CrashBoard::new(), CrashBoard::new());
+    let (busy, idle) = (CrashTracker::new(), CrashTracker::new());
     let reports = [report(lookup, 1, 0), report(lookup, 2, 1)];
     for board in [&busy, &idle] {
         board.record(&reports[0], at(0));
     }
-    busy.completed(lookup);
+    busy.record_success(lookup);
     for board in [&busy, &idle] {
         board.record(&reports[1], at(10));
     }
-    assert!(!busy.stopped(lookup));
+    assert!(!busy.is_stopped(lookup));
     let mut record = QuarantineRecord::default();
     let (_, crashes) = idle.unsaved().pop().expect("to be written");
     record.stop(lookup, &crashes, WALL);
-    let disputed = busy.adopt(&record, at(11));
+    let disputed = busy.apply_record(&record, at(11));
     assert_eq!(disputed, [lookup]);
     assert!(record.lift(disputed[0], WALL));
-    idle.adopt(&record, at(12));
-    assert!(!idle.stopped(lookup));
+    idle.apply_record(&record, at(12));
+    assert!(!idle.is_stopped(lookup));
 }
--- a/crates/sagespool-claims/tests/key_board.rs
+++ b/crates/sagespool-claims/tests/key_board.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use sagespool_claims::{
-    ClaimVerdict, EarlierRun, InquiryVerdict, KeyBoard, KeyDecision, KeyInquiry, KeyOutcome,
-    KeyPolicy, earlier_run, refuse_claim,
+    ClaimVerdict, EarlierRun, KeyDecision, KeyLookup, KeyOutcome, KeyPolicy, KeyRegistry,
+    LookupOutcome, claim_refusal, earlier_run,
 };
 use sagespool_messages::{KeyReply, KeyState};
 use sagespool_types::{
@@ -22,8 +22,8 @@
 }
 
 /// A board whose process is long past the retention of answers.
-fn old_board() -> (KeyBoard, ClockTime) {
-    (KeyBoard::new(ClockTime::default()), at(100_000))
+fn old_board() -> (KeyRegistry, ClockTime) {
+    (KeyRegistry::new(ClockTime::default()), at(100_000))
 }
 
 fn running_at(sidecar: IncarnationId) -> KeyDecision {
@@ -35,10 +35,11 @@
 /// the first runs, or its answer is kept.
 #[test]
 fn sent_again() {
-    type Step = fn(&KeyBoard, ClockTime);
-    let place: Step = |board, now| assert!(board.place(KEY, FIRST, SIDECAR, now));
-    let end =
-        |outcome: KeyOutcome| move |board: &KeyBoard, now| board.finished(KEY, FIRST, outcome, now);
+    type Step = fn(&KeyRegistry, ClockTime);
+    let place: Step = |board, now| assert!(board.assign_sidecar(KEY, FIRST, SIDECAR, now));
+    let end = |outcome: KeyOutcome| {
+        move |board: &KeyRegistry, now| board.record_outcome(KEY, FIRST, outcome, now)
+    };
     let unknown = KeyDecision::Attach(KeyState::Unknown { request: FIRST });
     let pending = KeyDecision::Attach(KeyState::Pending);
     let cases: [(&str, bool, Option<KeyOutcome>, KeyDecision); 6] = [
@@ -78,15 +79,15 @@
         (ClockTime::default(), KeyDecision::New),
         (started.after(Duration::from_secs(60)), KeyDecision::Unsure),
     ] {
-        let board = KeyBoard::with_policy(policy.clone(), started);
+        let board = KeyRegistry::with_policy(policy.clone(), started);
         let now = started.after(retention);
         assert_eq!(board.begin_since(KEY, FIRST, CONTENT, home_since, now), expected);
     }
-    let board = KeyBoard::with_policy(policy, started);
+    let board = KeyRegistry::with_policy(policy, started);
     assert_eq!(board.begin(KEY, SECOND, CONTENT, started), KeyDecision::Unsure);
     let second = board.begin(KEY, FIRST, CONTENT, started);
     assert_eq!(second, KeyDecision::Attach(KeyState::Pending), "one asks, the others wait");
-    board.learn(KEY, FIRST, CONTENT, SIDECAR, started);
+    board.record_found(KEY, FIRST, CONTENT, SIDECAR, started);
     assert_eq!(board.begin(KEY, SECOND, CONTENT, started), running_at(SIDECAR));
 }
 
@@ -99,10 +100,10 @@
     board.begin(KEY, FIRST, CONTENT, now);
     let late = now.after(limit);
     assert_eq!(board.begin(KEY, SECOND, CONTENT, late), KeyDecision::New);
-    assert!(!board.place(KEY, FIRST, SIDECAR, late));
+    assert!(!board.assign_sidecar(KEY, FIRST, SIDECAR, late));
     board.forget(KEY, FIRST);
-    assert!(board.place(KEY, SECOND, SIDECAR, late));
-    assert!(!board.restart(KEY, FIRST, CONTENT, late));
+    assert!(board.assign_sidecar(KEY, SECOND, SIDECAR, late));
+    assert!(!board.try_acquire(KEY, FIRST, CONTENT, late));
 }
 
 #[test]
@@ -110,9 +111,9 @@
     let (board, now) = old_board();
     let retention = KeyPolicy::default().answer_retention;
     board.begin(KEY, FIRST, CONTENT, now);
-    board.place(KEY, FIRST, SIDECAR, now);
+    board.assign_sidecar(KEY, FIRST, SIDECAR, now);
     let ended = now.after(Duration::from_secs(60));
-    board.finished(KEY, FIRST, KeyOutcome::Answered, ended);
+    board.record_outcome(KEY, FIRST, KeyOutcome::Answered, ended);
     board.expire(now.after(retention));
     assert_eq!(board.len(), 1, "counted from the end");
     assert!(board.run_ended(KEY));
@@ -141,27 +142,27 @@
         ("lost here", nothing(), Some(reply(right, Some(unknown.clone()))), vec![], "found"),
     ];
     for (case, first, second, lost, expected) in cases {
-        let mut inquiry = KeyInquiry::new([left, right], lost);
-        assert_eq!(inquiry.verdict(), InquiryVerdict::Open, "{case}");
+        let mut lookup = KeyLookup::new([left, right], lost);
+        assert_eq!(lookup.verdict(), LookupOutcome::Open, "{case}");
         for (asked, reply) in [(left, first), (right, second)] {
             match reply {
-                Some(reply) => inquiry.replied(asked, &reply),
-                None => inquiry.failed(asked),
+                Some(reply) => lookup.record_reply(asked, &reply),
+                None => lookup.record_failure(asked),
             }
         }
-        let found = match inquiry.verdict() {
-            InquiryVerdict::Open => "open",
-            InquiryVerdict::Found(_) => "found",
-            InquiryVerdict::Nowhere => "nowhere",
-            InquiryVerdict::Incomplete(_) => "incomplete",
+        let found = match lookup.verdict() {
+            LookupOutcome::Open => "open",
+            LookupOutcome::Found(_) => "found",
+            LookupOutcome::NeverSeen => "nowhere",
+            LookupOutcome::Incomplete(_) => "incomplete",
         };
         assert_eq!(found, expected, "{case}");
     }
-    let mut inquiry = KeyInquiry::new([left, right], []);
-    inquiry.replied(right, &reply(right, Some(unknown)));
-    assert_eq!(inquiry.verdict(), InquiryVerdict::Open, "another may have the answer");
-    inquiry.replied(left, &reply(left, Some(at.clone())));
-    assert_eq!(inquiry.verdict(), InquiryVerdict::Found(at));
+    let mut lookup = KeyLookup::new([left, right], []);
+    lookup.record_reply(right, &reply(right, Some(unknown)));
+    assert_eq!(lookup.verdict(), LookupOutcome::Open, "another may have the answer");
+    lookup.record_reply(left, &reply(left, Some(at.clone())));
+    assert_eq!(lookup.verdict(), LookupOutcome::Found(at));
 }
 
 /// A letter is sent, its entry dies, the store goes away, and the caller tries
@@ -178,12 +179,12 @@
     ];
     let wait = Duration::from_secs(5);
     for (case, earlier, expected) in cases {
-        let notice = refuse_claim(&ClaimVerdict::Lapsed, earlier, wait).expect("a refusal");
+        let notice = claim_refusal(&ClaimVerdict::Expired, earlier, wait).expect("a refusal");
         assert_eq!(notice.reason, RefusalReason::ClaimUnreachable, "{case}");
         assert_eq!(notice.run_state, expected, "{case}");
         assert_eq!(notice.retry_after, Some(wait), "{case}");
     }
-    let aged = refuse_claim(&ClaimVerdict::Aged, EarlierRun::Excluded, wait).expect("a refusal");
+    let aged = claim_refusal(&ClaimVerdict::Aged, EarlierRun::Excluded, wait).expect("a refusal");
     assert_eq!(aged.run_state, RunState::Unknown);
-    assert_eq!(refuse_claim(&ClaimVerdict::Durable, EarlierRun::Possible, wait), None);
+    assert_eq!(claim_refusal(&ClaimVerdict::Durable, EarlierRun::Possible, wait), None);
 }
--- a/crates/sagespool-cli/src/certificates.rs
+++ b/crates/sagespool-cli/src/certificates.rs
@@ -13,7 +13,7 @@
     BasicConstraints, CertificateParams, DnType, ExtendedKeyUsagePurpose, IsCa, Issuer, KeyPair,
     KeyUsagePurpose, SanType,
 };
-use sagespool_types::{InstanceName, ParseFault};
+use sagespool_types::{InstanceName, ParseError};
 
 use crate::arguments::{CommandUsage, read_arguments};
 use crate::error::CommandError;
@@ -82,7 +82,7 @@
             part.trim().parse().map_err(|fault| Report::new(CommandError::Argument(fault)))?;
         if name.as_str() == AUTHORITY_NAME {
             let help = "any other name: this one is the authority's own";
-            let fault = ParseFault::new("a name for a process's certificate", part, help);
+            let fault = ParseError::new("a name for a process's certificate", part, help);
             return Err(Report::new(CommandError::Argument(fault)));
         }
         if names.contains(&name) {
--- a/crates/sagespool-cli/src/error.rs
+++ b/crates/sagespool-cli/src/error.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::path::PathBuf;
 
-use sagespool_types::ParseFault;
+use sagespool_types::ParseError;
 
 /// Why a command couldn't do its work.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -26,7 +26,7 @@
         help: &'static str,
     },
     /// One of the arguments is not what it should be.
-    Argument(ParseFault),
+    Argument(ParseError),
     /// A name was given twice.
     RepeatedName(String),
     /// A file or directory can't be read.
--- a/crates/sagespool-cli/src/operate.rs
+++ b/crates/sagespool-cli/src/operate.rs
@@ -10,7 +10,7 @@
     AnswerBody, CommandState, HelpAnswer, LineFault, LineRequest, OperatorAnswer, OperatorFault,
     OperatorLine, OperatorQuery, nearest_of, new_command_id, parse_line, render_answer,
 };
-use sagespool_types::{ClockTime, CommandId, ParseFault, WallTime};
+use sagespool_types::{ClockTime, CommandId, ParseError, WallTime};
 
 use crate::arguments::{CommandUsage, read_arguments};
 use crate::error::CommandError;
@@ -131,12 +131,12 @@
     fault
 }
 
-fn parse_entry(text: &str) -> Result<SocketAddr, ParseFault> {
-    text.parse().map_err(|_| ParseFault::new("an entry", text, "IP:PORT, as 127.0.0.1:8101"))
+fn parse_entry(text: &str) -> Result<SocketAddr, ParseError> {
+    text.parse().map_err(|_| ParseError::new("an entry", text, "IP:PORT, as 127.0.0.1:8101"))
 }
 
-fn parse_wait(text: &str) -> Result<u64, ParseFault> {
-    text.parse().map_err(|_| ParseFault::new("a number of seconds", text, "a whole number"))
+fn parse_wait(text: &str) -> Result<u64, ParseError> {
+    text.parse().map_err(|_| ParseError::new("a number of seconds", text, "a whole number"))
 }
 
 fn entries(options: &OperateOptions) -> Result<Vec<SocketAddr>, Report<CommandError>> {
--- a/crates/sagespool-configuration/src/follower.rs
+++ b/crates/sagespool-configuration/src/follower.rs
@@ -8,8 +8,8 @@
 use sagespool_log::log_event;
 use sagespool_membership::{MemberTable, WatchPolicy};
 use sagespool_messages::{
-    ConfigAsk, ConfigNotice, ConfigObject, ConfigReply, ConfigScope, FLEET_OBJECT_KEY, MemberInfo,
-    MemberRole, PeerReply,
+    ConfigNotice, ConfigObject, ConfigQuery, ConfigReply, ConfigScope, FLEET_OBJECT_KEY,
+    MemberInfo, MemberRole, PeerReply,
 };
 use sagespool_platform::ObjectClient;
 use sagespool_types::{ClockTime, IncarnationId, StoreRevision};
@@ -97,7 +97,7 @@
 
     /// The reply to a neighbour's query; `Unsupported` if this process doesn't hold everything
     /// that is queried.
-    pub fn handle_query(&self, query: &ConfigAsk, now: ClockTime) -> PeerReply {
+    pub fn handle_query(&self, query: &ConfigQuery, now: ClockTime) -> PeerReply {
         let absent = "the queried configuration is not available in this process";
         let reply = self.reply(query, now).map(PeerReply::Configuration);
         reply.unwrap_or_else(|| PeerReply::Unsupported(absent.to_owned()))
@@ -105,7 +105,7 @@
 
     /// A process without a configuration in force doesn't reply, even if its replica is filled:
     /// the replica may turn out to be outdated.
-    fn reply(&self, query: &ConfigAsk, now: ClockTime) -> Option<ConfigReply> {
+    fn reply(&self, query: &ConfigQuery, now: ClockTime) -> Option<ConfigReply> {
         let state = self.state();
         if !state.in_force {
             return None;
--- a/crates/sagespool-configuration/src/state.rs
+++ b/crates/sagespool-configuration/src/state.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use sagespool_membership::ConfigReplica;
-use sagespool_messages::{ConfigScope, FLEET_OBJECT_KEY, StoreWord};
+use sagespool_messages::{ConfigScope, FLEET_OBJECT_KEY, LastStoreContact};
 use sagespool_types::{ClockTime, IncarnationId, StoreRevision};
 
 /// A member that has a newer version.
@@ -27,7 +27,7 @@
     /// When the store last answered this process.
     last_contact: Option<ClockTime>,
     /// The most recent contact of another process with the store, and when it was reported here.
-    peer_contact: Option<(StoreWord, ClockTime)>,
+    peer_contact: Option<(LastStoreContact, ClockTime)>,
     hint: Option<VersionHint>,
 }
 
@@ -71,7 +71,7 @@
     /// Records another process's contact with the store.
     pub(crate) fn record_peer_contact(
         &mut self,
-        contact: StoreWord,
+        contact: LastStoreContact,
         own: IncarnationId,
         now: ClockTime,
     ) {
@@ -91,11 +91,16 @@
     }
 
     /// The most recent known contact with the store, to be sent to neighbours.
-    pub(crate) fn newest_contact(&self, own: IncarnationId, now: ClockTime) -> Option<StoreWord> {
-        let last_contact = self.last_contact.map(|at| StoreWord { by: own, age: now.since(at) });
+    pub(crate) fn newest_contact(
+        &self,
+        own: IncarnationId,
+        now: ClockTime,
+    ) -> Option<LastStoreContact> {
+        let last_contact =
+            self.last_contact.map(|at| LastStoreContact { by: own, age: now.since(at) });
         let heard = self
             .peer_contact
-            .map(|(contact, at)| StoreWord { age: contact.age + now.since(at), ..contact });
+            .map(|(contact, at)| LastStoreContact { age: contact.age + now.since(at), ..contact });
         [last_contact, heard].into_iter().flatten().min_by_key(|contact| contact.age)
     }
 
--- a/crates/sagespool-entry/src/caller/answer.rs
+++ b/crates/sagespool-entry/src/caller/answer.rs
@@ -7,7 +7,7 @@
 
 use async_channel::Receiver;
 use futures_lite::{AsyncRead, Stream};
-use sagespool_messages::{HeaderPair, RefusalNotice, StopCause};
+use sagespool_messages::{FinishReason, HeaderPair, RefusalNotice};
 use sagespool_types::{RequestId, TokenCount};
 use serde_json::json;
 use trillium::{Body, Conn, HeaderName, KnownHeaderName, Status};
@@ -56,10 +56,10 @@
     Body::new_streaming(reader, None)
 }
 
-fn finish_reason(stop: StopCause) -> &'static str {
+fn finish_reason(stop: FinishReason) -> &'static str {
     match stop {
-        StopCause::Stop => "stop",
-        StopCause::Length => "length",
+        FinishReason::Stop => "stop",
+        FinishReason::Length => "length",
     }
 }
 
@@ -90,7 +90,7 @@
 }
 
 enum CollectedEnd {
-    Whole { billed: TokenCount, stop: StopCause },
+    Whole { billed: TokenCount, stop: FinishReason },
     Refused { notice: RefusalNotice, billed: TokenCount },
 }
 
@@ -179,7 +179,7 @@
     request: &str,
     tokens: u32,
     billed: TokenCount,
-    stop: StopCause,
+    stop: FinishReason,
 ) -> Vec<u8> {
     let mut lines = event_line(&json!({
         "id": request,
--- a/crates/sagespool-entry/src/home/claims.rs
+++ b/crates/sagespool-entry/src/home/claims.rs
@@ -6,8 +6,8 @@
 
 use async_channel::Sender;
 use sagespool_claims::{
-    BatchPolicy, ClaimBatch, ClaimEntry, ClaimVerdict, ClaimWish, ClaimsRecord, FencedClaim,
-    claim_key, claim_shard, earlier_run, refuse_claim, state_of,
+    BatchPolicy, ClaimBatch, ClaimEntry, ClaimIntent, ClaimVerdict, ClaimsRecord, FencedClaim,
+    claim_key, claim_refusal, claim_shard, claimed_key_state, earlier_run,
 };
 use sagespool_log::log_event;
 use sagespool_messages::{
@@ -41,9 +41,9 @@
         Self { batch: ClaimBatch::new(policy), askers: HashMap::new(), writing: false }
     }
 
-    fn answer(&mut self, answers: Vec<sagespool_claims::ClaimAnswer>) {
+    fn answer(&mut self, answers: Vec<sagespool_claims::ClaimResult>) {
         for answer in answers {
-            if let Some(asker) = self.askers.remove(&answer.wish.request) {
+            if let Some(asker) = self.askers.remove(&answer.intent.request) {
                 // An asker that has gone leaves its claim standing; a retry finds it.
                 let _ = asker.try_send(answer.verdict);
             }
@@ -77,7 +77,7 @@
 
 fn place(state: &EntryState, request: &ClaimRequest) -> ClaimReply {
     let now = ClockTime::now();
-    if state.keys.place(request.key, request.request, request.sidecar, now) {
+    if state.keys.assign_sidecar(request.key, request.request, request.sidecar, now) {
         return ClaimReply::Durable;
     }
     if let Some(known) = state.keys.find(request.key, now) {
@@ -85,17 +85,17 @@
     }
     // The home that reserved for the request can't be reached, and this one stands in for it.
     state.keys.begin(request.key, request.request, request.content, now);
-    state.keys.place(request.key, request.request, request.sidecar, now);
+    state.keys.assign_sidecar(request.key, request.request, request.sidecar, now);
     ClaimReply::Durable
 }
 
 async fn claim_durably(state: &Arc<EntryState>, request: &ClaimRequest) -> ClaimReply {
-    let mut wish = ClaimWish::of(request, state.incarnation);
+    let mut intent = ClaimIntent::of(request, state.incarnation);
     for _ in 0..OVERTURN_TRIES {
-        match wish_for(state, wish.clone()).await {
+        match wish_for(state, intent.clone()).await {
             ClaimVerdict::Durable => return ClaimReply::Durable,
             ClaimVerdict::Taken(entry) => match ask_claimant(state, request, &entry).await {
-                Claimant::NeverRan(fenced) => wish = wish.overturning(fenced),
+                Claimant::NeverRan(fenced) => intent = intent.replacing(fenced),
                 Claimant::Says(known) => return ClaimReply::Known(known),
             },
             verdict => return ClaimReply::Refused(refusal(state, request.key, &verdict)),
@@ -109,7 +109,7 @@
     let absent_at = shards.get(&claim_shard(key)).and_then(|shard| shard.batch.absent_at(key));
     drop(shards);
     let earlier = earlier_run(absent_at, state.members.exclusive_since(ClockTime::now()));
-    let notice = refuse_claim(verdict, earlier, RETRY_AFTER);
+    let notice = claim_refusal(verdict, earlier, RETRY_AFTER);
     notice.unwrap_or_else(|| RefusalNotice {
         reason: RefusalReason::ClaimUnreachable,
         run_state: RunState::Unknown,
@@ -127,7 +127,7 @@
 /// Asks the sidecar that a claim names. The same incarnation that never saw the key refuses the
 /// claim's request from now on, so that the claim may be replaced; without its word it may not.
 async fn ask_claimant(state: &EntryState, request: &ClaimRequest, entry: &ClaimEntry) -> Claimant {
-    let unknown = || Claimant::Says(state_of(entry, request.content, None));
+    let unknown = || Claimant::Says(claimed_key_state(entry, request.content, None));
     let Some(member) = state.members.find(entry.sidecar) else {
         return unknown();
     };
@@ -146,7 +146,7 @@
     }
     match reply.known {
         None => Claimant::NeverRan(FencedClaim { request: entry.request, sidecar: entry.sidecar }),
-        known => Claimant::Says(state_of(entry, request.content, known)),
+        known => Claimant::Says(claimed_key_state(entry, request.content, known)),
     }
 }
 
@@ -161,24 +161,24 @@
     }
 }
 
-/// Hands a wish to the shard's writer, and waits for its verdict.
-async fn wish_for(state: &Arc<EntryState>, wish: ClaimWish) -> ClaimVerdict {
+/// Hands a intent to the shard's writer, and waits for its verdict.
+async fn wish_for(state: &Arc<EntryState>, intent: ClaimIntent) -> ClaimVerdict {
     let (asker, answer) = async_channel::bounded(1);
-    let shard = claim_shard(wish.key);
+    let shard = claim_shard(intent.key);
     let start = {
         let mut shards = state.claims.shards();
         let entry = shards.entry(shard).or_insert_with(|| ClaimShard::new(state.key_retention()));
-        entry.askers.insert(wish.request, asker);
-        entry.batch.add(wish, ClockTime::now());
+        entry.askers.insert(intent.request, asker);
+        entry.batch.add(intent, ClockTime::now());
         !std::mem::replace(&mut entry.writing, true)
     };
     if start {
         smol::spawn(run_shard(Arc::clone(state), shard)).detach();
     }
-    answer.recv().await.unwrap_or(ClaimVerdict::Lapsed)
+    answer.recv().await.unwrap_or(ClaimVerdict::Expired)
 }
 
-/// Writes a shard's batches until no wish waits.
+/// Writes a shard's batches until no intent waits.
 async fn run_shard(state: Arc<EntryState>, shard: u64) {
     loop {
         let step = {
@@ -187,7 +187,7 @@
                 return;
             };
             let now = ClockTime::now();
-            let lapsed = entry.batch.lapse(now);
+            let lapsed = entry.batch.expire(now);
             entry.answer(lapsed);
             if entry.batch.is_empty() {
                 entry.writing = false;
@@ -195,7 +195,7 @@
             }
             match entry.batch.due_at() {
                 Some(due) if due <= now => {
-                    entry.batch.begin(now);
+                    entry.batch.begin_write(now);
                     None
                 }
                 Some(due) => Some(due.since(now).min(WRITER_STEP)),
@@ -221,12 +221,12 @@
     };
     match outcome {
         Ok(record) => {
-            let answers = entry.batch.observe(record, ClockTime::now());
+            let answers = entry.batch.complete_write(record, ClockTime::now());
             entry.answer(answers);
         }
         Err(error) => {
             log_event!(warn, "claims-unwritten", shard = shard, error = error);
-            entry.batch.failed(ClockTime::now());
+            entry.batch.record_failure(ClockTime::now());
         }
     }
 }
--- a/crates/sagespool-entry/src/home/crashes.rs
+++ b/crates/sagespool-entry/src/home/crashes.rs
@@ -60,7 +60,7 @@
         return;
     }
     log_event!(info, "suspect-cleared", content = content);
-    if state.crashes.completed(content) {
+    if state.crashes.record_success(content) {
         smol::spawn(lift_verdict(Arc::clone(state), content)).detach();
     }
 }
@@ -94,7 +94,7 @@
         .await;
         match kept {
             Ok(updated) => {
-                state.crashes.adopt(&updated.value, ClockTime::now());
+                state.crashes.apply_record(&updated.value, ClockTime::now());
                 return;
             }
             Err(error) => log_event!(warn, "verdict-unkept", error = error),
@@ -112,7 +112,7 @@
             continue;
         };
         for (_, stored) in &listing.items {
-            state.crashes.adopt(&stored.value, ClockTime::now());
+            state.crashes.apply_record(&stored.value, ClockTime::now());
         }
         let mut after = listing.revision;
         loop {
@@ -124,7 +124,7 @@
             };
             after = changes.revision;
             for record in changes.changes.iter().filter_map(|change| change.value.as_ref()) {
-                state.crashes.adopt(record, ClockTime::now());
+                state.crashes.apply_record(record, ClockTime::now());
             }
         }
     }
--- a/crates/sagespool-entry/src/home/finish.rs
+++ b/crates/sagespool-entry/src/home/finish.rs
@@ -24,11 +24,21 @@
 ) {
     match &report.state {
         FinishState::Ran(record) if record.whole => {
-            state.keys.finished(key, report.request, sagespool_claims::KeyOutcome::Answered, now);
+            state.keys.record_outcome(
+                key,
+                report.request,
+                sagespool_claims::KeyOutcome::Answered,
+                now,
+            );
         }
         FinishState::NotRun | FinishState::GrantUnusable => state.keys.forget(key, report.request),
         FinishState::Ran(_) | FinishState::Unknown => {
-            state.keys.finished(key, report.request, sagespool_claims::KeyOutcome::Broken, now);
+            state.keys.record_outcome(
+                key,
+                report.request,
+                sagespool_claims::KeyOutcome::Broken,
+                now,
+            );
         }
     }
 }
--- a/crates/sagespool-entry/src/home/keys.rs
+++ b/crates/sagespool-entry/src/home/keys.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use sagespool_claims::{InquiryVerdict, KeyDecision, KeyInquiry};
+use sagespool_claims::{KeyDecision, KeyLookup, LookupOutcome};
 use sagespool_messages::{
     KeyReply, KeyRequest, KeyState, MemberRole, PeerReply, PeerRequest, RefusalNotice,
     ReserveRequest,
@@ -142,14 +142,14 @@
 }
 
 /// Asks every sidecar of the service at the same time.
-async fn inquire(state: &EntryState, order: &ReserveRequest, key: KeyDigest) -> InquiryVerdict {
+async fn inquire(state: &EntryState, order: &ReserveRequest, key: KeyDigest) -> LookupOutcome {
     let sidecars = state.members.live(MemberRole::Sidecar, ClockTime::now());
     let serving = sidecars.into_iter().filter(|member| {
         member.serves.as_ref().is_some_and(|serves| serves.service == order.service)
     });
     let serving: Vec<_> = serving.collect();
     let ids: Vec<IncarnationId> = serving.iter().map(|member| member.incarnation).collect();
-    let mut inquiry = KeyInquiry::new(ids, []);
+    let mut lookup = KeyLookup::new(ids, []);
     let mut asked = Vec::new();
     for member in serving {
         let question = KeyRequest { service: order.service.clone(), key, fence: None };
@@ -163,11 +163,11 @@
     }
     for task in asked {
         match task.await {
-            (incarnation, Ok(PeerReply::Key(reply))) => inquiry.replied(incarnation, &reply),
-            (incarnation, _) => inquiry.failed(incarnation),
+            (incarnation, Ok(PeerReply::Key(reply))) => lookup.record_reply(incarnation, &reply),
+            (incarnation, _) => lookup.record_failure(incarnation),
         }
     }
-    inquiry.verdict()
+    lookup.verdict()
 }
 
 fn unasked_notice() -> RefusalNotice {
@@ -188,29 +188,29 @@
     state: &EntryState,
     order: &ReserveRequest,
     key: KeyDigest,
-    verdict: InquiryVerdict,
+    verdict: LookupOutcome,
 ) -> Option<KeyStart> {
     let now = ClockTime::now();
     let mut start = KeyStart::New;
     let silent = match verdict {
-        InquiryVerdict::Found(KeyState::Unknown { .. }) if !order.non_idempotent => {
+        LookupOutcome::Found(KeyState::Unknown { .. }) if !order.non_idempotent => {
             start = KeyStart::Again;
             Vec::new()
         }
-        InquiryVerdict::Found(known) => {
+        LookupOutcome::Found(known) => {
             if let KeyState::At { sidecar, request, content } = known {
-                state.keys.learn(key, request, content, sidecar, now);
+                state.keys.record_found(key, request, content, sidecar, now);
             }
             return Some(KeyStart::Known(known));
         }
-        InquiryVerdict::Nowhere | InquiryVerdict::Open => Vec::new(),
-        InquiryVerdict::Incomplete(silent) => silent,
+        LookupOutcome::NeverSeen | LookupOutcome::Open => Vec::new(),
+        LookupOutcome::Incomplete(silent) => silent,
     };
     let unsure = silent.iter().any(|incarnation| !state.members.is_gone(*incarnation, now));
     if unsure && !order.non_idempotent {
         return None;
     }
-    match state.keys.restart(key, order.request, order.content, now) {
+    match state.keys.try_acquire(key, order.request, order.content, now) {
         true => Some(start),
         false => Some(KeyStart::Known(KeyState::Pending)),
     }
--- a/crates/sagespool-entry/src/home/reserve.rs
+++ b/crates/sagespool-entry/src/home/reserve.rs
@@ -27,7 +27,7 @@
     if state.is_leaving() && order.entry != state.incarnation {
         return ReserveReply::NotHome;
     }
-    if state.crashes.stopped(order.content) {
+    if state.crashes.is_stopped(order.content) {
         return ReserveReply::Refused(quarantined());
     }
     let mut ran_before = false;
--- a/crates/sagespool-entry/src/operator/spend.rs
+++ b/crates/sagespool-entry/src/operator/spend.rs
@@ -156,7 +156,7 @@
     let doubted = grants.filter(|(_, record)| record.is_unaccounted());
     let doubted = doubted.map(|(grant, record)| DoubtedGrant {
         grant: *grant,
-        tokens: record.unsettled_amount().less(record.known_use()),
+        tokens: record.unsettled_amount().saturating_sub(record.known_use()),
     });
     doubted.collect()
 }
--- a/crates/sagespool-entry/src/operator/tokens.rs
+++ b/crates/sagespool-entry/src/operator/tokens.rs
@@ -174,7 +174,7 @@
     };
     let end = change(run, QUARANTINE_KEY, begun, decide).await;
     if let ChangeEnd::Written { value, .. } = &end {
-        run.state.crashes.adopt(value, ClockTime::now());
+        run.state.crashes.apply_record(value, ClockTime::now());
     }
     end_of(end)
 }
--- a/crates/sagespool-entry/src/run/attempt.rs
+++ b/crates/sagespool-entry/src/run/attempt.rs
@@ -9,7 +9,8 @@
 use sagespool_log::log_event;
 use sagespool_messages::{
     CallTarget, CancelRequest, ChargeRecord, ClaimReply, ClaimRequest, DispatchEnd, DispatchEvent,
-    DispatchRequest, KeyState, MemberRole, PeerRequest, RefusalNotice, ReservedCharge, StopCause,
+    DispatchRequest, FinishReason, KeyState, MemberRole, PeerRequest, RefusalNotice,
+    ReservedCharge,
 };
 use sagespool_metrics::DropCause;
 use sagespool_routing::{PlacementQuery, UpstreamPlacement};
@@ -38,7 +39,7 @@
         /// What is billed.
         charge: ChargeRecord,
         /// Why it ended.
-        stop: StopCause,
+        stop: FinishReason,
     },
     /// Refused; `ran` is billed.
     Refused {
@@ -180,7 +181,7 @@
         sidecars.retain(|member| {
             let serves = member.serves.as_ref();
             let may_serve = serves.is_some_and(|serves| {
-                let is_down = self.state.crashes.went_down(&serves.upstream, now);
+                let is_down = self.state.crashes.crashed_recently(&serves.upstream, now);
                 serves.service == self.order.service && serves.healthy && !is_down
             });
             may_serve && !self.tried.contains(&member.incarnation)
--- a/crates/sagespool-entry/src/run/cache_news.rs
+++ b/crates/sagespool-entry/src/run/cache_news.rs
@@ -1,6 +1,6 @@
 //! What sidecars tell of their engines' prompt caches.
 
-use sagespool_messages::CacheNews;
+use sagespool_messages::PrefixCacheUpdate;
 use sagespool_routing::{CacheEvent, CacheEventKind, UpstreamTable};
 use sagespool_types::{ClockTime, IncarnationId};
 
@@ -8,7 +8,7 @@
 pub(super) fn take_cache_news(
     upstreams: &UpstreamTable,
     sidecar: IncarnationId,
-    news: &CacheNews,
+    news: &PrefixCacheUpdate,
     now: ClockTime,
 ) {
     for (number, note) in news.numbered() {
--- a/crates/sagespool-entry/src/run/drive.rs
+++ b/crates/sagespool-entry/src/run/drive.rs
@@ -7,7 +7,8 @@
 use async_channel::Sender;
 use sagespool_log::log_event;
 use sagespool_messages::{
-    ChargeRecord, FinishReport, FinishState, RefusalNotice, ReserveReply, ReservedCharge, StopCause,
+    ChargeRecord, FinishReason, FinishReport, FinishState, RefusalNotice, ReserveReply,
+    ReservedCharge,
 };
 use sagespool_types::{ClockTime, RefusalReason, RunState, TokenCount};
 
@@ -32,7 +33,7 @@
         /// What is billed.
         billed: TokenCount,
         /// Why it ended.
-        stop: StopCause,
+        stop: FinishReason,
     },
     /// The caller is refused.
     Refused {
--- a/crates/sagespool-entry/src/run/events.rs
+++ b/crates/sagespool-entry/src/run/events.rs
@@ -1,7 +1,7 @@
 //! What a run passes on to the caller's side.
 
 use async_channel::Receiver;
-use sagespool_messages::{HeaderPair, RefusalNotice, StopCause};
+use sagespool_messages::{FinishReason, HeaderPair, RefusalNotice};
 use sagespool_types::TokenCount;
 
 /// One step of an answer, in order. The last is `Whole` or `Refused`.
@@ -26,7 +26,7 @@
         /// What is billed.
         billed: TokenCount,
         /// Why it ended.
-        stop: StopCause,
+        stop: FinishReason,
     },
     /// There is no whole answer.
     Refused {
--- a/crates/sagespool-entry/src/run/judge.rs
+++ b/crates/sagespool-entry/src/run/judge.rs
@@ -163,7 +163,7 @@
             self.report_crash(placement).await;
             smol::Timer::after(SUSPECT_PAUSE).await;
         }
-        if self.state.crashes.stopped(self.order.content) {
+        if self.state.crashes.is_stopped(self.order.content) {
             let message = "the request took its upstream down more than once and is stopped";
             return Judgement::Ended(self.give_up(RefusalReason::Quarantined, message.into()));
         }
--- a/crates/sagespool-entry/src/state.rs
+++ b/crates/sagespool-entry/src/state.rs
@@ -7,7 +7,7 @@
 
 use async_channel::Sender;
 use event_listener::Event;
-use sagespool_claims::{CrashBoard, KeyBoard};
+use sagespool_claims::{CrashTracker, KeyRegistry};
 use sagespool_configuration::ConfigFollower;
 use sagespool_ledger::{BudgetMode, HomeLedger, LedgerPolicy};
 use sagespool_link::LinkEndpoint;
@@ -119,9 +119,9 @@
     /// The budgets that this entry is home of.
     pub ledger: HomeLedger,
     /// The keys that this entry is home of.
-    pub keys: KeyBoard,
+    pub keys: KeyRegistry,
     /// Requests that took upstreams down.
-    pub crashes: CrashBoard,
+    pub crashes: CrashTracker,
     /// Metrics.
     pub metrics: FleetMetrics,
     /// Told whenever something may let a waiting reservation go on.
@@ -170,8 +170,8 @@
                 process.centre.clone(),
             ),
             ledger: HomeLedger::new(incarnation, ledger_policy(&settings)),
-            keys: KeyBoard::new(ClockTime::now()),
-            crashes: CrashBoard::new(),
+            keys: KeyRegistry::new(ClockTime::now()),
+            crashes: CrashTracker::new(),
             metrics: FleetMetrics::new(),
             budget_changed: Event::new(),
             run_done: Event::new(),
--- a/crates/sagespool-forward/src/placement.rs
+++ b/crates/sagespool-forward/src/placement.rs
@@ -176,7 +176,7 @@
         let (expected_ms, uncached_tokens) = match &load.cache {
             Some(cache) => {
                 let all: TokenCount = request.parts.iter().map(|part| part.tokens).sum();
-                let uncached_tokens = all.less(cache.cached_tokens(request.parts));
+                let uncached_tokens = all.saturating_sub(cache.cached_tokens(request.parts));
                 let shared_weight = if is_preferred && uncached_tokens > own_tokens(request.parts) {
                     policy.assumed_cached_factor
                 } else {
@@ -261,7 +261,7 @@
         let Some(load) = self.load_of_attempt(attempt) else {
             return;
         };
-        load.pending_prefill = load.pending_prefill.less(attempt.uncached_tokens);
+        load.pending_prefill = load.pending_prefill.saturating_sub(attempt.uncached_tokens);
         load.stall.note_activity(now);
         let expected = attempt.expected.as_secs_f64().max(0.001);
         let ratio = now.since(attempt.chosen_at).as_secs_f64() / expected * load.slowness;
@@ -282,7 +282,7 @@
         };
         load.running = load.running.saturating_sub(1);
         if !attempt.began {
-            load.pending_prefill = load.pending_prefill.less(attempt.uncached_tokens);
+            load.pending_prefill = load.pending_prefill.saturating_sub(attempt.uncached_tokens);
         }
         let left_unanswered = outcome == SendOutcome::Cancelled && !attempt.began;
         let outcome = match left_unanswered && load.stall.is_stalled(now) {
--- a/crates/sagespool-forward/src/prefix_cache.rs
+++ b/crates/sagespool-forward/src/prefix_cache.rs
@@ -69,7 +69,7 @@
             return;
         };
         if let Some(part) = self.parts.remove(&prefix) {
-            self.total_tokens = self.total_tokens.less(part.tokens);
+            self.total_tokens = self.total_tokens.saturating_sub(part.tokens);
         }
     }
 }
--- a/crates/sagespool-forward/src/registry.rs
+++ b/crates/sagespool-forward/src/registry.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use sagespool_types::{CentreName, ClockTime, ServiceName, UpstreamBirth, UpstreamName};
+use sagespool_types::{CentreName, ClockTime, ServiceName, UpstreamName, UpstreamStartTime};
 
 /// An upstream's entry in the store.
 #[derive(Debug, Clone, PartialEq)]
@@ -12,7 +12,7 @@
     /// Its name. A restarted upstream keeps it.
     pub name: UpstreamName,
     /// Start time of the current run, if the entry has one.
-    pub born: Option<UpstreamBirth>,
+    pub born: Option<UpstreamStartTime>,
     /// The service that it belongs to.
     pub service: ServiceName,
     /// Address for requests.
@@ -41,7 +41,7 @@
     /// The upstream's name.
     pub name: UpstreamName,
     /// Start time of the run, if known.
-    pub born: Option<UpstreamBirth>,
+    pub born: Option<UpstreamStartTime>,
 }
 
 /// Effect of a change to the list of upstreams.
@@ -90,7 +90,7 @@
     evacuated: BTreeSet<CentreName>,
     /// Runs that have reported in a response that they are leaving, and when they last did. Entries
     /// come and go, and may be older than the responses.
-    leaving_runs: BTreeMap<UpstreamName, BTreeMap<Option<UpstreamBirth>, ClockTime>>,
+    leaving_runs: BTreeMap<UpstreamName, BTreeMap<Option<UpstreamStartTime>, ClockTime>>,
     /// When the store recovered from an outage in which entries may have lapsed.
     recovered_at: Option<ClockTime>,
     loaded: bool,
@@ -355,6 +355,6 @@
 
 /// Whether an entry belongs to another run than the known one. False if either start time is
 /// unknown.
-fn is_other_run(known: Option<UpstreamBirth>, born: Option<UpstreamBirth>) -> bool {
+fn is_other_run(known: Option<UpstreamStartTime>, born: Option<UpstreamStartTime>) -> bool {
     matches!((known, born), (Some(known), Some(born)) if known != born)
 }
--- a/crates/sagespool-forward/tests/leaving_responses.rs
+++ b/crates/sagespool-forward/tests/leaving_responses.rs
@@ -8,7 +8,7 @@
 
 use quickcheck::quickcheck;
 use sagespool_forward::{UpstreamRecord, UpstreamRegistry, UpstreamRun};
-use sagespool_types::{ClockTime, ServiceName, UpstreamBirth};
+use sagespool_types::{ClockTime, ServiceName, UpstreamStartTime};
 
 const UPSTREAMS: u64 = 3;
 
@@ -19,7 +19,7 @@
 fn record(number: u64, born: u64) -> UpstreamRecord {
     UpstreamRecord {
         name: format!("i-{number}").parse().unwrap(),
-        born: Some(UpstreamBirth(born)),
+        born: Some(UpstreamStartTime(born)),
         service: service(),
         address: SocketAddr::from(([127, 0, 0, number as u8 + 1], 9000)),
         centre: "east".parse().unwrap(),
--- a/crates/sagespool-forward/tests/restarted_upstreams.rs
+++ b/crates/sagespool-forward/tests/restarted_upstreams.rs
@@ -8,7 +8,7 @@
     LoadBalancer, PlacedAttempt, PlacementPolicy, RequestProfile, SendOutcome, UpstreamChange,
     UpstreamRecord, UpstreamRegistry, UpstreamRun,
 };
-use sagespool_types::{CentreName, ClockTime, UpstreamBirth};
+use sagespool_types::{CentreName, ClockTime, UpstreamStartTime};
 
 const REQUESTS: usize = 5;
 
@@ -19,7 +19,7 @@
 fn record(born: u64) -> UpstreamRecord {
     UpstreamRecord {
         name: "i-1".parse().unwrap(),
-        born: Some(UpstreamBirth(born)),
+        born: Some(UpstreamStartTime(born)),
         service: "plain".parse().unwrap(),
         address: "127.0.0.1:9000".parse().unwrap(),
         centre: centre(),
--- a/crates/sagespool-gateway/src/budget.rs
+++ b/crates/sagespool-gateway/src/budget.rs
@@ -204,7 +204,7 @@
         if failed.is_some_and(|failed| failed.applies_to(budget.amount, now)) {
             return Err(self.refuse(&account, budget, Refusal::BudgetUnreachable, "peers-away"));
         }
-        let missing = budget.amount.less(lock(&account.balance).free());
+        let missing = budget.amount.saturating_sub(lock(&account.balance).free());
         let lenders = if query_all { Lenders::All } else { Lenders::Only(account.holders()) };
         let loan = borrow(fleet, &account, budget, missing, lenders).await;
         let reserved = account.reserve_with_loan(budget, loan.lent);
@@ -238,7 +238,7 @@
             let balance = lock(&account.balance);
             let ahead =
                 balance.loan_ahead(self.policy, budget.prepaid, budget.amount, ClockTime::now());
-            (budget.amount.less(balance.free()), ahead)
+            (budget.amount.saturating_sub(balance.free()), ahead)
         };
         let size = LoanAmount { missing, ahead };
         let mut reply = borrow_at_home(fleet, account, budget, size).await?;
@@ -247,7 +247,7 @@
         }
         if ahead > TokenCount::ZERO {
             // When the budget is nearly spent, the home may be able to cover this request alone.
-            let missing = budget.amount.less(lock(&account.balance).free());
+            let missing = budget.amount.saturating_sub(lock(&account.balance).free());
             let size = LoanAmount { missing, ahead: TokenCount::ZERO };
             reply = borrow_at_home(fleet, account, budget, size).await?;
             if account.reserve_with_loan(budget, reply.lent) {
--- a/crates/sagespool-gateway/src/budget/grants.rs
+++ b/crates/sagespool-gateway/src/budget/grants.rs
@@ -78,7 +78,9 @@
             let Some(wanted) = wanted else {
                 if is_fresh {
                     let min_grant = lock(&account.balance).min_grant();
-                    return Ok(GrantOutcome::Short((record.free() + present).less(min_grant)));
+                    return Ok(GrantOutcome::Short(
+                        (record.free() + present).saturating_sub(min_grant),
+                    ));
                 }
                 // The cached record may be stale: other instances may have returned tokens.
                 *cached = None;
--- a/crates/sagespool-gateway/src/budget/loan_returns.rs
+++ b/crates/sagespool-gateway/src/budget/loan_returns.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use sagespool_log::log_event;
-use sagespool_messages::{BudgetRest, MemberInfo, MemberRole, PeerReply, PeerRequest};
+use sagespool_messages::{MemberInfo, MemberRole, PeerReply, PeerRequest, UnspentBudget};
 use sagespool_types::{BranchName, ClockTime, TokenCount};
 use smol::Task;
 
@@ -22,7 +22,7 @@
             if amount == TokenCount::ZERO {
                 return None;
             }
-            let unspent = BudgetRest { branch: account.branch.clone(), amount };
+            let unspent = UnspentBudget { branch: account.branch.clone(), amount };
             let fleet = fleet.clone();
             Some(smol::spawn(async move { return_loan(&fleet, unspent, limit).await }))
         });
@@ -33,14 +33,14 @@
     }
 
     /// Accepts the unspent part of a loan from an instance that stops.
-    pub(crate) fn accept_returned_loan(&self, unspent: &BudgetRest) {
+    pub(crate) fn accept_returned_loan(&self, unspent: &UnspentBudget) {
         let account = self.account(&unspent.branch);
         lock(&account.balance).borrow(unspent.amount);
         log_event!(info, "rest-taken", branch = unspent.branch, amount = unspent.amount);
     }
 }
 
-async fn return_loan(fleet: &FleetClient, unspent: BudgetRest, limit: Duration) {
+async fn return_loan(fleet: &FleetClient, unspent: UnspentBudget, limit: Duration) {
     let (branch, amount) = (unspent.branch.clone(), unspent.amount);
     let Some(recipient) = loan_recipient(fleet, &branch, ClockTime::now()) else {
         log_event!(warn, "rest-lost", branch = branch, amount = amount, cause = "no other gateway");
--- a/crates/sagespool-gateway/src/budget/loans.rs
+++ b/crates/sagespool-gateway/src/budget/loans.rs
@@ -69,7 +69,7 @@
     }
     let mut lent = TokenCount::ZERO;
     for batch in others.chunks(CONCURRENT_QUERIES) {
-        let missing = LoanAmount { missing: wanted.less(lent), ahead: TokenCount::ZERO };
+        let missing = LoanAmount { missing: wanted.saturating_sub(lent), ahead: TokenCount::ZERO };
         let request = lend_request(fleet, budget, missing, false);
         let request_grant =
             |other| request_loan(fleet, account, other, request.clone(), LOAN_TIMEOUT);
--- a/crates/sagespool-gateway/src/crashes.rs
+++ b/crates/sagespool-gateway/src/crashes.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use sagespool_claims::{CrashBoard, CrashPolicy, CrashVerdict};
+use sagespool_claims::{CrashPolicy, CrashTracker, CrashVerdict};
 use sagespool_log::log_event;
 use sagespool_messages::{CrashReport, MemberRole, PeerRequest};
 use sagespool_types::{AttemptNumber, ClockTime, ContentDigest, RequestId, UpstreamName};
@@ -23,7 +23,7 @@
 
 /// Crash reports of this gateway and of others, by request content.
 pub(crate) struct CrashReports {
-    board: CrashBoard,
+    tracker: CrashTracker,
     /// Number of reports. While it is zero, requests' contents aren't hashed.
     reports: AtomicUsize,
 }
@@ -31,7 +31,7 @@
 impl CrashReports {
     pub(crate) fn new() -> Self {
         let policy = CrashPolicy::builder().stop_at(CRASHES_TO_QUARANTINE).build();
-        Self { board: CrashBoard::with_policy(policy), reports: AtomicUsize::new(0) }
+        Self { tracker: CrashTracker::with_policy(policy), reports: AtomicUsize::new(0) }
     }
 
     fn has_reports(&self) -> bool {
@@ -40,13 +40,13 @@
 
     /// Whether a content is refused.
     pub(crate) fn is_quarantined(&self, content: impl FnOnce() -> ContentDigest) -> bool {
-        self.has_reports() && self.board.stopped(content())
+        self.has_reports() && self.tracker.is_stopped(content())
     }
 
     /// Records a report of this gateway or another one.
     pub(crate) fn record(&self, report: &CrashReport, now: ClockTime) {
         self.reports.fetch_add(1, Ordering::Relaxed);
-        let verdict = self.board.record(report, now);
+        let verdict = self.tracker.record(report, now);
         log_event!(
             info,
             "crash-reported",
@@ -79,7 +79,7 @@
     /// Clears earlier crashes of this content after a complete response.
     pub(crate) fn clear_crashes(&self) {
         if self.state.crashes.has_reports() {
-            self.state.crashes.board.completed(self.content());
+            self.state.crashes.tracker.record_success(self.content());
         }
     }
 }
--- a/crates/sagespool-gateway/src/evacuations.rs
+++ b/crates/sagespool-gateway/src/evacuations.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use sagespool_log::log_event;
-use sagespool_messages::FollowedKind;
+use sagespool_messages::FeedKind;
 use sagespool_types::{CentreName, ClockTime};
 
 use crate::follow::{FollowedPrefix, follow, key_name};
@@ -14,7 +14,7 @@
 pub(crate) async fn follow_evacuations(state: Arc<GatewayState>) {
     let followed = FollowedPrefix {
         name: "evacuations",
-        kind: FollowedKind::Evacuations,
+        kind: FeedKind::Evacuations,
         prefix: state.dialect.evacuation_prefix,
         pause: |_| Duration::ZERO,
         on_listing: |state, listing| {
--- a/crates/sagespool-gateway/src/feeds.rs
+++ b/crates/sagespool-gateway/src/feeds.rs
@@ -11,8 +11,7 @@
 use sagespool_link::within;
 use sagespool_log::log_event;
 use sagespool_messages::{
-    FollowAsk, FollowReply, FollowedKind, FollowedObject, MemberInfo, MemberRole, PeerReply,
-    PeerRequest,
+    ChangedObject, FeedKind, FeedQuery, FeedReply, MemberInfo, MemberRole, PeerReply, PeerRequest,
 };
 use sagespool_settings::InForceSettings;
 use sagespool_types::{CentreName, ClockTime, IncarnationId, StoreRevision};
@@ -98,7 +97,7 @@
 
     /// Replies to a neighbour's long poll as soon as there are changes after its revision, or when
     /// its wait time is over.
-    async fn handle_query(&self, query: FollowAsk) -> FollowReply {
+    async fn handle_query(&self, query: FeedQuery) -> FeedReply {
         let changed = self.changed.listen();
         let has_changes = self.state().feed.has_changes_after(query.after);
         if !has_changes {
@@ -106,7 +105,7 @@
         }
         let state = self.state();
         let FeedPage { revision, whole, objects } = state.feed.page(query.after);
-        FollowReply {
+        FeedReply {
             revision,
             age: state.feed.age(boot_time_now()),
             store_lost: state.store_lost,
@@ -116,9 +115,9 @@
     }
 }
 
-fn wire_object(object: FeedObject) -> FollowedObject {
+fn wire_object(object: FeedObject) -> ChangedObject {
     let value = object.value.map(|value| value.to_string());
-    FollowedObject { key: object.key, revision: object.revision, value }
+    ChangedObject { key: object.key, revision: object.revision, value }
 }
 
 /// The copies of all followed prefixes, and the choice of their sources.
@@ -146,18 +145,18 @@
     }
 
     /// The timing of following a kind by neighbours; `None` if it always follows the store.
-    pub(crate) fn timing(&self, kind: FollowedKind) -> Option<FeedTiming> {
+    pub(crate) fn timing(&self, kind: FeedKind) -> Option<FeedTiming> {
         match kind {
-            FollowedKind::Configuration | FollowedKind::Upstreams => self.timing,
-            FollowedKind::Evacuations => self.evacuation_timing,
+            FeedKind::Configuration | FeedKind::Upstreams => self.timing,
+            FeedKind::Evacuations => self.evacuation_timing,
         }
     }
 
-    pub(crate) fn replica(&self, kind: FollowedKind) -> &FeedReplica {
+    pub(crate) fn replica(&self, kind: FeedKind) -> &FeedReplica {
         match kind {
-            FollowedKind::Configuration => &self.configuration,
-            FollowedKind::Upstreams => &self.upstreams,
-            FollowedKind::Evacuations => &self.evacuations,
+            FeedKind::Configuration => &self.configuration,
+            FeedKind::Upstreams => &self.upstreams,
+            FeedKind::Evacuations => &self.evacuations,
         }
     }
 
@@ -170,7 +169,7 @@
         &self,
         fleet: &FleetClient,
         centre: &CentreName,
-        kind: FollowedKind,
+        kind: FeedKind,
         now: ClockTime,
     ) -> Option<MemberInfo> {
         let timing = self.timing(kind)?;
@@ -193,11 +192,11 @@
         &self,
         fleet: &FleetClient,
         neighbour: &MemberInfo,
-        kind: FollowedKind,
-    ) -> Option<FollowReply> {
+        kind: FeedKind,
+    ) -> Option<FeedReply> {
         let timing = self.timing(kind)?;
         let after = self.replica(kind).revision();
-        let request = PeerRequest::Follow(FollowAsk { kind, after, wait: timing.poll_wait });
+        let request = PeerRequest::Follow(FeedQuery { kind, after, wait: timing.poll_wait });
         let limit = timing.poll_wait + REPLY_TIMEOUT;
         let reply = match fleet.call(neighbour.address, &request, limit).await {
             Ok(PeerReply::Follow(reply)) => Some(reply),
@@ -223,9 +222,9 @@
     }
 
     /// Replies to a neighbour's long poll.
-    pub(crate) async fn handle_query(&self, query: FollowAsk) -> FollowReply {
+    pub(crate) async fn handle_query(&self, query: FeedQuery) -> FeedReply {
         let longest = self.timing(query.kind).map_or(REPLY_TIMEOUT, |timing| timing.poll_wait);
-        let query = FollowAsk { wait: query.wait.min(longest), ..query };
+        let query = FeedQuery { wait: query.wait.min(longest), ..query };
         self.replica(query.kind).handle_query(query).await
     }
 }
--- a/crates/sagespool-gateway/src/follow.rs
+++ b/crates/sagespool-gateway/src/follow.rs
@@ -5,7 +5,7 @@
 
 use sagespool_forward::{FeedObject, PlanIndex, REPLY_TIMEOUT, UpstreamChange, UpstreamRecord};
 use sagespool_log::log_event;
-use sagespool_messages::{FollowReply, FollowedKind, FollowedObject};
+use sagespool_messages::{ChangedObject, FeedKind, FeedReply};
 use sagespool_platform::{ObjectChange, ObjectListing, StoreError, StoredObject};
 use sagespool_types::{ClockTime, StoreRevision, UpstreamName};
 use serde_json::value::RawValue;
@@ -37,7 +37,7 @@
 /// A store prefix that is followed, with the functions that apply its contents.
 pub(crate) struct FollowedPrefix {
     pub(crate) name: &'static str,
-    pub(crate) kind: FollowedKind,
+    pub(crate) kind: FeedKind,
     pub(crate) prefix: &'static str,
     pub(crate) pause: fn(&GatewayState) -> Duration,
     pub(crate) on_listing: fn(&GatewayState, RawListing),
@@ -51,7 +51,7 @@
 pub(crate) async fn follow_plan(state: Arc<GatewayState>) {
     let followed = FollowedPrefix {
         name: "configuration",
-        kind: FollowedKind::Configuration,
+        kind: FeedKind::Configuration,
         prefix: state.dialect.plan_prefix,
         pause: |_| Duration::ZERO,
         on_listing: |state, listing| {
@@ -74,7 +74,7 @@
 pub(crate) async fn follow_upstreams(state: Arc<GatewayState>) {
     let followed = FollowedPrefix {
         name: "upstreams",
-        kind: FollowedKind::Upstreams,
+        kind: FeedKind::Upstreams,
         prefix: state.dialect.upstream_prefix,
         pause: upstream_pause,
         on_listing: |state, listing| {
@@ -163,7 +163,7 @@
     state: &GatewayState,
     followed: &FollowedPrefix,
     health: &mut StoreHealth,
-    reply: FollowReply,
+    reply: FeedReply,
 ) {
     match reply.store_lost {
         true => health.mark_lost(state, followed, &"unreachable from the neighbour"),
@@ -241,7 +241,7 @@
 
 /// Converts a neighbour's object to the store client's type. `None` for invalid JSON, which
 /// neighbours of this version don't send.
-fn raw_change(object: FollowedObject) -> Option<RawChange> {
+fn raw_change(object: ChangedObject) -> Option<RawChange> {
     let value = object.value.map(RawValue::from_string).transpose().ok()?;
     Some(RawChange { key: object.key, version: object.revision, value })
 }
--- a/crates/sagespool-gateway/src/limits.rs
+++ b/crates/sagespool-gateway/src/limits.rs
@@ -7,7 +7,9 @@
 use std::time::Duration;
 
 use sagespool_forward::RateLimitStatus;
-use sagespool_messages::{LimitAsk, LimitReply, LimitWord, MemberRole, PeerReply, PeerRequest};
+use sagespool_messages::{
+    MemberRole, PeerReply, PeerRequest, RateLimitQuery, RateLimitReply, UpstreamRateLimit,
+};
 use sagespool_types::{ClockTime, SendRate};
 use smol::Timer;
 
@@ -27,7 +29,7 @@
         if upstreams.is_empty() {
             continue;
         }
-        let request = PeerRequest::AskLimits(LimitAsk { upstreams });
+        let request = PeerRequest::AskLimits(RateLimitQuery { upstreams });
         for other in state.fleet.others(MemberRole::Entry, now).into_iter().take(QUERIED_GATEWAYS) {
             let queried_at = ClockTime::now();
             let reply = state.fleet.call(other.address, &request, QUERY_TIMEOUT).await;
@@ -40,8 +42,8 @@
 
 /// Applies the limits in a reply. Their ages were measured at some time between the query and now.
 /// A limit gets the latest possible time and the end of a limit the earliest.
-fn merge_reply(state: &GatewayState, reply: LimitReply, queried_at: ClockTime, now: ClockTime) {
-    for LimitWord { upstream, per_second, age } in reply.words {
+fn merge_reply(state: &GatewayState, reply: RateLimitReply, queried_at: ClockTime, now: ClockTime) {
+    for UpstreamRateLimit { upstream, per_second, age } in reply.words {
         let status = match per_second.map(SendRate::new) {
             Some(None) => continue,
             Some(rate) => RateLimitStatus { rate, at: now.before(age) },
@@ -53,14 +55,18 @@
 }
 
 /// The reply with this gateway's state of upstreams' limits.
-pub(crate) fn limits_reply(state: &GatewayState, query: &LimitAsk, now: ClockTime) -> LimitReply {
+pub(crate) fn limits_reply(
+    state: &GatewayState,
+    query: &RateLimitQuery,
+    now: ClockTime,
+) -> RateLimitReply {
     let throttle = state.throttle();
     let known =
         query.upstreams.iter().filter_map(|name| Some((name, throttle.rate_limit_status(name)?)));
-    let statuses = known.map(|(name, status)| LimitWord {
+    let statuses = known.map(|(name, status)| UpstreamRateLimit {
         upstream: name.clone(),
         per_second: status.rate.map(SendRate::per_second),
         age: now.since(status.at),
     });
-    LimitReply { words: statuses.collect() }
+    RateLimitReply { words: statuses.collect() }
 }
--- a/crates/sagespool-gateway/src/peers.rs
+++ b/crates/sagespool-gateway/src/peers.rs
@@ -8,7 +8,7 @@
 use sagespool_link::{PeerCall, PeerHandler, PeerResponder};
 use sagespool_log::log_event;
 use sagespool_messages::{
-    LendReply, LendRequest, MemberInfo, PeerReply, PeerRequest, PlanAsk, PlanReply,
+    LendReply, LendRequest, MemberInfo, PeerReply, PeerRequest, PlanQuery, PlanReply,
 };
 use sagespool_types::{ClockTime, TokenCount};
 use serde_json::value::RawValue;
@@ -89,7 +89,7 @@
         }
     }
     let lent = state.budgets.lend(&request.branch, wanted);
-    let room = shortage.map(|room| room.less(lent));
+    let room = shortage.map(|room| room.saturating_sub(lent));
     if lent > TokenCount::ZERO {
         log_event!(
             info,
@@ -110,7 +110,7 @@
     let index = state.plan()?;
     let branch = index.plan().branches.iter().find(|branch| branch.name == request.branch);
     let prepaid = branch.and_then(|branch| branch.prepaid)?;
-    let missing = request.wanted.less(request.ahead);
+    let missing = request.wanted.saturating_sub(request.ahead);
     let ahead =
         state.budgets.allowed_loan_ahead(&request.branch, prepaid, request.ahead, ClockTime::now());
     Some(BudgetRequest {
@@ -133,7 +133,7 @@
 }
 
 async fn fetch_plan(state: &GatewayState, from: &MemberInfo) {
-    let request = PeerRequest::AskPlan(PlanAsk { have: state.plan_version() });
+    let request = PeerRequest::AskPlan(PlanQuery { have: state.plan_version() });
     let reply = state.fleet.call(from.address, &request, PLAN_TIMEOUT).await;
     let Ok(PeerReply::Plan(PlanReply { document: Some(document) })) = reply else {
         return;
--- a/crates/sagespool-gateway/src/state.rs
+++ b/crates/sagespool-gateway/src/state.rs
@@ -10,7 +10,7 @@
 };
 use sagespool_ledger::GrantPolicy;
 use sagespool_log::log_event;
-use sagespool_messages::{FollowedKind, MemberRole};
+use sagespool_messages::{FeedKind, MemberRole};
 use sagespool_platform::ObjectClient;
 use sagespool_settings::{GatewaySettings, GrantSettings};
 use sagespool_types::{
@@ -314,8 +314,7 @@
     /// evacuations are loaded, and no stop has begun.
     pub(crate) fn is_ready(&self) -> bool {
         let follows = self.follows_evacuations();
-        let knows_evacuations =
-            !follows || self.feeds.replica(FollowedKind::Evacuations).is_loaded();
+        let knows_evacuations = !follows || self.feeds.replica(FeedKind::Evacuations).is_loaded();
         !self.is_stopping()
             && self.plan().is_some()
             && self.upstreams().is_loaded()
--- a/crates/sagespool-ledger/src/account.rs
+++ b/crates/sagespool-ledger/src/account.rs
@@ -54,7 +54,7 @@
 
     /// The amount less what is settled.
     pub fn unsettled_amount(&self) -> TokenCount {
-        self.amount.less(self.settled)
+        self.amount.saturating_sub(self.settled)
     }
 
     /// Settles a charge; false if it is settled already. The settled sum is capped at the amount.
@@ -122,7 +122,7 @@
     /// Tokens that can still be granted.
     pub fn free(&self) -> TokenCount {
         let outstanding: TokenCount = self.grants.values().map(|grant| grant.amount).sum();
-        self.prepaid.less(self.settled + outstanding)
+        self.prepaid.saturating_sub(self.settled + outstanding)
     }
 
     /// Settled under closed and outstanding grants.
--- a/crates/sagespool-ledger/src/book.rs
+++ b/crates/sagespool-ledger/src/book.rs
@@ -118,7 +118,7 @@
         for grant in account.grants.values() {
             if grant.is_unaccounted() {
                 bounds.settled += grant.known_use();
-                bounds.in_doubt += grant.unsettled_amount().less(grant.known_use());
+                bounds.in_doubt += grant.unsettled_amount().saturating_sub(grant.known_use());
             } else {
                 bounds.granted += grant.unsettled_amount();
             }
@@ -255,7 +255,7 @@
             return ReleaseOutcome::NotInDoubt;
         }
         let known = record.known_use();
-        let rest = record.unsettled_amount().less(known);
+        let rest = record.unsettled_amount().saturating_sub(known);
         account.settled += known;
         account.close(grant);
         ReleaseOutcome::Released(rest)
--- a/crates/sagespool-ledger/src/branch_balance.rs
+++ b/crates/sagespool-ledger/src/branch_balance.rs
@@ -81,7 +81,7 @@
     }
 
     fn subtract_granted(&mut self, amount: TokenCount) {
-        self.sum = self.sum.less(amount);
+        self.sum = self.sum.saturating_sub(amount);
     }
 
     /// The amounts that requests wait for now, in ascending order.
@@ -159,7 +159,7 @@
     /// the store may be enough.
     pub(crate) fn missing(&self, class: &ClassName, amount: TokenCount) -> TokenCount {
         let remaining = self.snapshot.free + self.unspent();
-        (amount + self.held_back_from(class)).less(remaining)
+        (amount + self.held_back_from(class)).saturating_sub(remaining)
     }
 
     /// Whether a single grant covers an amount now.
@@ -373,7 +373,7 @@
         let kept = |grant: &&HeldGrant| Some(grant.id) != raisable;
         let unspent: TokenCount = self.grants.iter().filter(kept).map(HeldGrant::unspent).sum();
         let lowered: TokenCount =
-            self.grants.iter().map(|grant| grant.stored_amount.less(grant.amount)).sum();
+            self.grants.iter().map(|grant| grant.stored_amount.saturating_sub(grant.amount)).sum();
         let free = self.free_for(account, policy);
         free + unspent + lowered >= least && least > TokenCount::ZERO
     }
@@ -409,7 +409,7 @@
         if policy.mode == BudgetMode::EachRequest {
             return self.waiting_demand.waiting(now).next().map(|least| (least, least));
         }
-        let lacking = self.target(policy, now).less(self.available());
+        let lacking = self.target(policy, now).saturating_sub(self.available());
         let free = account.free();
         // At most half of the free tokens is taken ahead, so that other homes find some as well.
         let half = TokenCount(free.0 / 2);
@@ -425,7 +425,7 @@
         // The end of a budget is taken whole: taking half each time would cost a write each.
         let last = policy.grant_requests > 1 && free <= wanted;
         let ahead = if last { free } else { wanted.min(half) };
-        Some((least.less(held), self.waiting_demand.sum.less(held).max(ahead)))
+        Some((least.saturating_sub(held), self.waiting_demand.sum.saturating_sub(held).max(ahead)))
     }
 
     fn free_for(&self, account: &BranchAccount, policy: &LedgerPolicy) -> TokenCount {
@@ -434,7 +434,7 @@
         };
         let share = TokenCount(account.prepaid.0 / u64::from(entries.max(1)));
         let held: TokenCount = self.grants.iter().map(|grant| grant.amount).sum();
-        account.free().min(share.less(self.spent_closed + held))
+        account.free().min(share.saturating_sub(self.spent_closed + held))
     }
 
     /// Returns the unspent part of all grants but the one to be raised, so that a request covered
@@ -455,7 +455,7 @@
             if given >= wanted {
                 break;
             }
-            given += grant.return_unspent(wanted.less(given));
+            given += grant.return_unspent(wanted.saturating_sub(given));
         }
         self.return_pending |= given > TokenCount::ZERO;
         given
@@ -554,7 +554,11 @@
         let charged = self.grants.iter().flat_map(|grant| grant.unsettled.values().copied()).sum();
         SpendStatus {
             branch: branch.clone(),
-            granted: self.grants.iter().map(|grant| grant.amount.less(grant.settled_used())).sum(),
+            granted: self
+                .grants
+                .iter()
+                .map(|grant| grant.amount.saturating_sub(grant.settled_used()))
+                .sum(),
             reserved: self.reserved(),
             charged,
             grants: self.grants.iter().map(HeldGrant::usage).collect(),
--- a/crates/sagespool-ledger/src/grant.rs
+++ b/crates/sagespool-ledger/src/grant.rs
@@ -107,12 +107,12 @@
         if self.closing {
             return TokenCount::ZERO;
         }
-        self.amount.less(self.used + self.reserved)
+        self.amount.saturating_sub(self.used + self.reserved)
     }
 
     /// Tokens neither spent nor reserved; unlike `available`, also while closing.
     pub(crate) fn unspent(&self) -> TokenCount {
-        self.amount.less(self.used + self.reserved)
+        self.amount.saturating_sub(self.used + self.reserved)
     }
 
     /// Reserves an amount; the caller has checked that it is available.
@@ -132,7 +132,7 @@
 
     /// Spent tokens that are known to be settled in the store.
     pub(crate) fn settled_used(&self) -> TokenCount {
-        self.used.less(self.unsettled.values().copied().sum())
+        self.used.saturating_sub(self.unsettled.values().copied().sum())
     }
 
     /// Ends a reservation; false if it has ended already. The use is capped at the reserved amount.
@@ -141,7 +141,7 @@
             return false;
         };
         let used = used.min(open.reserved);
-        self.reserved = self.reserved.less(open.reserved);
+        self.reserved = self.reserved.saturating_sub(open.reserved);
         self.used += used;
         self.unsettled.insert(sequence, used);
         true
@@ -171,7 +171,7 @@
     pub(crate) fn returnable(&self) -> TokenCount {
         let lost = self.open.values().filter(|open| open.usage_unknown);
         let lost: TokenCount = lost.map(|open| open.reserved).sum();
-        self.reserved.less(lost)
+        self.reserved.saturating_sub(lost)
     }
 
     /// Writes finished charges into the grant's record; true if that changed it. Charges are
@@ -183,7 +183,7 @@
         }
         // The stored amount is only ever lowered. `amount` was lowered here before this write, so
         // the returned part can't be reserved from, however late the write takes effect.
-        let amount = self.amount + record.raised.less(self.raised);
+        let amount = self.amount + record.raised.saturating_sub(self.raised);
         if amount < record.amount {
             record.amount = amount.max(record.settled);
             changed = true;
@@ -202,7 +202,7 @@
     /// Adds raises made since the record was last seen, including one whose reply was lost. If the
     /// grant is closing, they are returned unspent.
     fn observe_raise(&mut self, record: &GrantRecord) -> TokenCount {
-        let new = record.raised.less(self.raised);
+        let new = record.raised.saturating_sub(self.raised);
         self.raised += new;
         self.amount += new;
         if self.closing {
@@ -237,7 +237,7 @@
     /// amount can be lowered at any later time, also by a write whose reply is lost.
     pub(crate) fn return_unspent(&mut self, most: TokenCount) -> TokenCount {
         let given = self.unspent().min(most);
-        self.amount = self.amount.less(given);
+        self.amount = self.amount.saturating_sub(given);
         given
     }
 
--- a/crates/sagespool-ledger/src/home.rs
+++ b/crates/sagespool-ledger/src/home.rs
@@ -248,7 +248,7 @@
                             branch: branch.clone(),
                             charge,
                             request: open.request,
-                            since: open.revision.less(StoreRevision(1)),
+                            since: open.revision.saturating_sub(StoreRevision(1)),
                         });
                     }
                 }
--- a/crates/sagespool-ledger/src/lib.rs
+++ b/crates/sagespool-ledger/src/lib.rs
@@ -15,7 +15,7 @@
 //! assert_eq!(book.top_up(command, &branch, TokenCount(500)), TopUpOutcome::Applied);
 //! assert_eq!(book.top_up(command, &branch, TokenCount(500)), TopUpOutcome::AlreadyApplied);
 //! assert_eq!(book.free(&branch), TokenCount(500));
-//! # Ok::<(), sagespool_types::ParseFault>(())
+//! # Ok::<(), sagespool_types::ParseError>(())
 //! ```
 
 mod account;
--- a/crates/sagespool-ledger/src/prepaid/balance.rs
+++ b/crates/sagespool-ledger/src/prepaid/balance.rs
@@ -105,7 +105,7 @@
 impl PrepaidBalance {
     /// Tokens that can be reserved.
     pub fn free(&self) -> TokenCount {
-        (self.granted + self.borrowed).less(self.lent + self.used + self.reserved)
+        (self.granted + self.borrowed).saturating_sub(self.lent + self.used + self.reserved)
     }
 
     /// Reserves an amount for a request; false if the free part doesn't cover it.
@@ -120,7 +120,7 @@
 
     /// Ends a reservation with the part of it that was used.
     pub fn settle(&mut self, reserved: TokenCount, used: TokenCount) {
-        self.reserved = self.reserved.less(reserved);
+        self.reserved = self.reserved.saturating_sub(reserved);
         self.used += used;
     }
 
@@ -138,7 +138,7 @@
 
     /// The smallest grant that covers all that is spent, lent or reserved.
     pub fn min_grant(&self) -> TokenCount {
-        (self.lent + self.used + self.reserved).less(self.borrowed)
+        (self.lent + self.used + self.reserved).saturating_sub(self.borrowed)
     }
 
     /// Whether to request a larger grant before the free part is used up.
@@ -185,7 +185,7 @@
     /// Removes the unused part of loans from other instances, to be lent to another instance. The
     /// store's record doesn't include loans; its entry for this instance ends only with the grant.
     pub fn take_surplus(&mut self) -> TokenCount {
-        let surplus = self.borrowed.less(self.lent + self.used + self.reserved);
+        let surplus = self.borrowed.saturating_sub(self.lent + self.used + self.reserved);
         self.lend(surplus)
     }
 
@@ -208,7 +208,7 @@
 
     /// The part of a grant beyond all that is spent, lent, reserved or missing.
     pub fn supply_in_grant(&self, granted: TokenCount, missing: TokenCount) -> TokenCount {
-        granted.less(self.min_grant() + missing)
+        granted.saturating_sub(self.min_grant() + missing)
     }
 
     /// The grant to request from a record, so that `missing` more can be reserved: that amount and
@@ -233,7 +233,7 @@
         if least > room {
             return None;
         }
-        let left = room.less(least).0 as f64;
+        let left = room.saturating_sub(least).0 as f64;
         let spare = (left - record.prepaid.0 as f64 * FINAL_SHARE).max(left * FINAL_SPARE_SHARE);
         let fair = policy.instance_part(spare * policy.share);
         let ahead = self.intended_supply(policy, record.prepaid, record.given_up, now).min(fair);
--- a/crates/sagespool-ledger/src/prepaid/record.rs
+++ b/crates/sagespool-ledger/src/prepaid/record.rs
@@ -51,7 +51,7 @@
     /// The part of the total that isn't granted.
     pub fn free(&self) -> TokenCount {
         let granted: TokenCount = self.holders.values().map(|holder| holder.granted).sum();
-        self.prepaid.less(self.closed + granted)
+        self.prepaid.saturating_sub(self.closed + granted)
     }
 
     /// Sets the total, unless the record has the total of a newer configuration.
--- a/crates/sagespool-ledger/tests/busy_borrowers.rs
+++ b/crates/sagespool-ledger/tests/busy_borrowers.rs
@@ -36,7 +36,7 @@
         home.note_demand(wanted, now);
         if wanted > home.free() {
             let present = record.granted(HOME);
-            let missing = wanted.less(home.free());
+            let missing = wanted.saturating_sub(home.free());
             if let Some(granted) = home.grant_to_request(&record, present, missing, POLICY, now) {
                 record.set_granted(HOME, &instance, granted);
                 home.set_acknowledged(granted);
@@ -49,7 +49,7 @@
     while tally.served < most {
         if !balance.reserve(REQUEST, now) {
             for ahead in [balance.loan_ahead(POLICY, TOTAL, REQUEST, now), TokenCount::ZERO] {
-                let missing = REQUEST.less(balance.free());
+                let missing = REQUEST.saturating_sub(balance.free());
                 tally.loans += 1;
                 balance.borrow(lend(missing + ahead, now));
                 if balance.free() >= REQUEST {
@@ -109,7 +109,7 @@
         let is_away = now.since(START) >= Duration::from_millis(1500);
         if !is_away && (balance.free() < REQUEST || balance.runs_low(policy, TOTAL, now)) {
             let present = record.granted(HOME);
-            let missing = REQUEST.less(balance.free());
+            let missing = REQUEST.saturating_sub(balance.free());
             let granted = balance.grant_to_request(&record, present, missing, policy, now);
             let granted = granted.expect("the book covers it");
             record.set_granted(HOME, &instance, granted);
--- a/crates/sagespool-ledger/tests/unused_loans.rs
+++ b/crates/sagespool-ledger/tests/unused_loans.rs
@@ -45,7 +45,7 @@
         self.home.note_demand(wanted, now);
         if wanted > self.home.free() {
             let present = self.record.granted(HOME);
-            let missing = wanted.less(self.home.free());
+            let missing = wanted.saturating_sub(self.home.free());
             let granted = self.home.grant_to_request(&self.record, present, missing, POLICY, now);
             if let Some(granted) = granted {
                 self.record.set_granted(HOME, &self.name, granted);
@@ -61,7 +61,7 @@
         let ahead = balance.loan_ahead(POLICY, TOTAL, REQUEST, now);
         if balance.free() < REQUEST {
             for ahead in [ahead, TokenCount::ZERO] {
-                let missing = REQUEST.less(self.borrowers[borrower].free());
+                let missing = REQUEST.saturating_sub(self.borrowers[borrower].free());
                 let lent = self.lend(missing, ahead, now);
                 self.borrowers[borrower].borrow(lent);
                 if self.borrowers[borrower].free() >= REQUEST {
@@ -93,7 +93,7 @@
     while account.request(random.usize(0..INSTANCES), now) {
         now = now.after(REQUEST_INTERVAL);
         // Amounts too small for another request can't be avoided.
-        most = most.max(account.idle().less(TokenCount(REQUEST.0 * INSTANCES as u64)));
+        most = most.max(account.idle().saturating_sub(TokenCount(REQUEST.0 * INSTANCES as u64)));
     }
     assert!(most <= TokenCount(TOTAL.0 / 50), "{most} of {TOTAL} idle");
 }
@@ -116,7 +116,7 @@
             account.home.borrow(surplus);
         }
     }
-    let unused = TOTAL.less(account.used);
+    let unused = TOTAL.saturating_sub(account.used);
     let idle = account.idle() + account.home.free() + account.record.free();
     assert_eq!(unused, idle);
 }
--- a/crates/sagespool-link/examples/latency.rs
+++ b/crates/sagespool-link/examples/latency.rs
@@ -130,7 +130,7 @@
         }
     }
     let rate = histogram.len() as f64 / start.elapsed().as_secs_f64();
-    let bytes = client.counters().datagram_bytes_sent.less(before.datagram_bytes_sent);
+    let bytes = client.counters().datagram_bytes_sent.saturating_sub(before.datagram_bytes_sent);
     println!(
         "asks, {together} at once: median {} us, p99 {} us, {rate:.0} a second, {} bytes sent an ask",
         histogram.value_at_quantile(0.5),
@@ -201,7 +201,7 @@
     let rate = |bytes: u64| bytes as f64 / SILENCE.as_secs_f64();
     println!(
         "{what}: {:.0} bytes a second sent, {:.0} received",
-        rate(after.datagram_bytes_sent.less(before.datagram_bytes_sent).0),
-        rate(after.datagram_bytes_received.less(before.datagram_bytes_received).0)
+        rate(after.datagram_bytes_sent.saturating_sub(before.datagram_bytes_sent).0),
+        rate(after.datagram_bytes_received.saturating_sub(before.datagram_bytes_received).0)
     );
 }
--- a/crates/sagespool-link/tests/support/mod.rs
+++ b/crates/sagespool-link/tests/support/mod.rs
@@ -14,7 +14,7 @@
 use sagespool_link::{EventSender, LinkEndpoint, LinkIdentity, PeerCall, PeerHandler};
 use sagespool_messages::{
     AttachRequest, CallTarget, ChargeRecord, DispatchEnd, DispatchEvent, DispatchRequest,
-    PeerRequest, ReservedCharge, StatusQuery, StopCause,
+    FinishReason, PeerRequest, ReservedCharge, StatusQuery,
 };
 use sagespool_types::{
     AttemptNumber, ChargeId, ContentDigest, GrantId, IncarnationId, KeyDigest, RequestId,
@@ -162,7 +162,7 @@
             ended: true,
             whole: true,
         },
-        stop: StopCause::Stop,
+        stop: FinishReason::Stop,
     })
 }
 
--- a/crates/sagespool-log/src/level.rs
+++ b/crates/sagespool-log/src/level.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-use sagespool_types::{ParseFault, derives};
+use sagespool_types::{ParseError, derives};
 use spdlog::{Level, LevelFilter};
 
 derives! { value;
@@ -65,10 +65,10 @@
 }
 
 impl FromStr for LogLevel {
-    type Err = ParseFault;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, ParseFault> {
-        let fault = || ParseFault::new("a log level", text, "`error`, `warn`, `info` or `debug`");
+    fn from_str(text: &str) -> Result<Self, ParseError> {
+        let fault = || ParseError::new("a log level", text, "`error`, `warn`, `info` or `debug`");
         Self::ALL.into_iter().find(|level| level.as_str() == text).ok_or_else(fault)
     }
 }
--- a/crates/sagespool-membership/src/config_replica.rs
+++ b/crates/sagespool-membership/src/config_replica.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use sagespool_messages::{ConfigAsk, ConfigObject, ConfigReply, ConfigScope};
+use sagespool_messages::{ConfigObject, ConfigQuery, ConfigReply, ConfigScope};
 use sagespool_types::StoreRevision;
 
 use crate::{AppliedVersions, OfferOutcome};
@@ -139,14 +139,14 @@
     }
 
     /// The query to a neighbour for newer objects; further parts of the reply change `after`.
-    pub fn query(&self) -> ConfigAsk {
-        ConfigAsk { scope: self.scope, after: self.complete, complete: self.complete }
+    pub fn query(&self) -> ConfigQuery {
+        ConfigQuery { scope: self.scope, after: self.complete, complete: self.complete }
     }
 
     /// The reply to a neighbour, of `max_bytes` plus at most one object; `None` if this replica
     /// doesn't hold everything that is queried. Parts are ordered by version: an object that
     /// changes between two parts gets a version above both, so none is left out.
-    pub fn reply(&self, query: &ConfigAsk, max_bytes: usize) -> Option<ConfigReply> {
+    pub fn reply(&self, query: &ConfigQuery, max_bytes: usize) -> Option<ConfigReply> {
         // With an incomplete replica the receiver would take missing objects for deleted.
         if !self.is_filled || (query.scope == ConfigScope::All && self.scope == ConfigScope::Fleet)
         {
@@ -174,7 +174,7 @@
     }
 
     /// Applies a neighbour's reply, or a part of it; returns the changed objects.
-    pub fn apply_reply(&mut self, query: &ConfigAsk, reply: ConfigReply) -> Vec<ConfigObject> {
+    pub fn apply_reply(&mut self, query: &ConfigQuery, reply: ConfigReply) -> Vec<ConfigObject> {
         let ConfigReply { as_of, objects, next, present, .. } = reply;
         let mut changed = self.offer_all(objects);
         if next.is_some() {
--- a/crates/sagespool-membership/src/exchange.rs
+++ b/crates/sagespool-membership/src/exchange.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use sagespool_messages::{Heartbeat, MemberInfo, SuspectNote};
+use sagespool_messages::{Heartbeat, MemberInfo, SuspectedMember};
 use sagespool_types::ClockTime;
 
 use crate::digest::slice_of;
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct PeerCorrection {
     others: Vec<MemberInfo>,
-    suspects: Vec<SuspectNote>,
+    suspects: Vec<SuspectedMember>,
 }
 
 impl PeerCorrection {
@@ -48,7 +48,7 @@
     }
 
     /// The note to a peer that is itself suspected or dead here, so that it can refute it.
-    fn suspect_note_for(&self, address: SocketAddr) -> Option<SuspectNote> {
+    fn suspect_note_for(&self, address: SocketAddr) -> Option<SuspectedMember> {
         let dead = || self.dead.iter().filter_map(|incarnation| self.records.get(incarnation));
         let present = self.by_address.get(&address);
         let present = present.and_then(|incarnation| self.records.get(incarnation));
@@ -88,7 +88,7 @@
 
     /// All suspicions in a mesh: they go to everyone until resolved, so that a member that has
     /// heard from the suspect can contradict them.
-    fn open_suspicions(&self) -> Vec<SuspectNote> {
+    fn open_suspicions(&self) -> Vec<SuspectedMember> {
         if !self.is_mesh() {
             return Vec::new();
         }
--- a/crates/sagespool-membership/src/merge.rs
+++ b/crates/sagespool-membership/src/merge.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use sagespool_messages::{MemberInfo, SuspectNote};
+use sagespool_messages::{MemberInfo, SuspectedMember};
 use sagespool_types::{ClockTime, IncarnationId};
 
 use crate::digest::descriptions_match;
@@ -28,7 +28,7 @@
     /// It wasn't newer than the stored one, or was ignored.
     Known,
     /// It describes a dead member with a number too low to refute the death.
-    Refuted(SuspectNote),
+    Refuted(SuspectedMember),
     /// A newer run of the same instance is known.
     Superseded(Box<MemberInfo>),
 }
@@ -111,7 +111,7 @@
         let number = record.refutation_threshold();
         if info.number <= number {
             // Accepting stale gossip would bring a dead member back.
-            return MergeResult::Refuted(SuspectNote { incarnation: info.incarnation, number });
+            return MergeResult::Refuted(SuspectedMember { incarnation: info.incarnation, number });
         }
         self.schedule_check(info.incarnation, now);
         self.restore(info, now)
--- a/crates/sagespool-membership/src/record.rs
+++ b/crates/sagespool-membership/src/record.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use sagespool_messages::{MemberInfo, MemberRole, SuspectNote};
+use sagespool_messages::{MemberInfo, MemberRole, SuspectedMember};
 use sagespool_types::{ClockTime, InstanceName, derives};
 
 /// Time after a refutation in which lower numbers are stale and failed calls raise no suspicion.
@@ -102,9 +102,9 @@
     }
 
     /// The note to send to others; `None` unless suspected or dead.
-    pub(crate) fn suspect_note(&self) -> Option<SuspectNote> {
+    pub(crate) fn suspect_note(&self) -> Option<SuspectedMember> {
         match self.state {
-            MemberState::Suspect { .. } | MemberState::Dead { .. } => Some(SuspectNote {
+            MemberState::Suspect { .. } | MemberState::Dead { .. } => Some(SuspectedMember {
                 incarnation: self.info.incarnation,
                 number: self.refutation_threshold(),
             }),
--- a/crates/sagespool-membership/src/sizing.rs
+++ b/crates/sagespool-membership/src/sizing.rs
@@ -9,7 +9,7 @@
 /// Length prefix of a name.
 const LENGTH_BYTES: usize = 1;
 
-/// Maximum size of an encoded [`sagespool_messages::SuspectNote`].
+/// Maximum size of an encoded [`sagespool_messages::SuspectedMember`].
 pub(crate) const SUSPECT_NOTE_BYTES: usize = 17 + 10;
 
 /// The maximum size in bytes of a member's description encoded by `postcard`.
--- a/crates/sagespool-membership/src/suspicion.rs
+++ b/crates/sagespool-membership/src/suspicion.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use sagespool_messages::{MemberInfo, SuspectNote};
+use sagespool_messages::{MemberInfo, SuspectedMember};
 use sagespool_types::{ClockTime, IncarnationId};
 
 use crate::record::{MemberRecord, MemberState};
@@ -27,7 +27,7 @@
     /// a higher number would never end.
     pub(crate) fn handle_suspicion(
         &mut self,
-        note: &SuspectNote,
+        note: &SuspectedMember,
         now: ClockTime,
     ) -> Option<MemberInfo> {
         if note.incarnation == self.own.incarnation {
@@ -45,7 +45,7 @@
             }
             MemberState::Alive => {
                 let number = note.number.max(record.info.number);
-                self.suspect(&SuspectNote { number, ..*note }, now);
+                self.suspect(&SuspectedMember { number, ..*note }, now);
                 if is_recent {
                     self.schedule_check(note.incarnation, now);
                 }
@@ -59,7 +59,7 @@
         None
     }
 
-    pub(crate) fn suspect(&mut self, note: &SuspectNote, now: ClockTime) {
+    pub(crate) fn suspect(&mut self, note: &SuspectedMember, now: ClockTime) {
         self.mark_unfit(note.incarnation, now);
         let Some(record) = self.records.get_mut(&note.incarnation) else { return };
         record.state = MemberState::Suspect { since: now, number: note.number };
@@ -140,7 +140,7 @@
         // A recent refutation shows that only the link from here is broken: no suspicion.
         let refuted = record.recently_refuted(now) && record.last_contact < record.last_refuted;
         let alive = record.state == MemberState::Alive;
-        let note = SuspectNote { incarnation, number: record.info.number };
+        let note = SuspectedMember { incarnation, number: record.info.number };
         self.mark_unfit(incarnation, now);
         self.probes.insert(incarnation, now.after(wait));
         if silent && alive && !refuted {
@@ -165,7 +165,7 @@
             .filter_map(|incarnation| self.records.get(incarnation))
             .filter(|record| record.state == MemberState::Alive)
             .filter(|record| now.since(record.last_heard) >= self.policy.suspect_after)
-            .map(|record| SuspectNote {
+            .map(|record| SuspectedMember {
                 incarnation: record.info.incarnation,
                 number: record.info.number,
             })
--- a/crates/sagespool-membership/tests/config_replica.rs
+++ b/crates/sagespool-membership/tests/config_replica.rs
@@ -4,7 +4,7 @@
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use sagespool_membership::ConfigReplica;
-use sagespool_messages::{ConfigAsk, ConfigObject, ConfigReply, ConfigScope, FLEET_OBJECT_KEY};
+use sagespool_messages::{ConfigObject, ConfigQuery, ConfigReply, ConfigScope, FLEET_OBJECT_KEY};
 use sagespool_types::StoreRevision;
 
 const REPLICAS: usize = 3;
@@ -72,7 +72,7 @@
 }
 
 /// All parts of a reply, one object each.
-fn parts(from: &ConfigReplica, mut query: ConfigAsk) -> Vec<(ConfigAsk, ConfigReply)> {
+fn parts(from: &ConfigReplica, mut query: ConfigQuery) -> Vec<(ConfigQuery, ConfigReply)> {
     let mut parts = Vec::new();
     while let Some(reply) = from.reply(&query, 1) {
         let next = reply.next;
@@ -98,7 +98,7 @@
         }
     }
 
-    fn take(&mut self, parts: Vec<(ConfigAsk, ConfigReply)>) {
+    fn take(&mut self, parts: Vec<(ConfigQuery, ConfigReply)>) {
         for (query, reply) in parts {
             let changed = self.replica.apply_reply(&query, reply);
             self.apply(changed);
--- a/crates/sagespool-messages/src/configuration.rs
+++ b/crates/sagespool-messages/src/configuration.rs
@@ -54,7 +54,7 @@
 
 derives! { value;
     /// A question for the objects that are newer than what the asker has.
-    pub struct ConfigAsk {
+    pub struct ConfigQuery {
         /// What the asker follows.
         pub scope: ConfigScope,
         /// Only objects above this version. In the middle of a long answer this is above `complete`.
@@ -66,7 +66,7 @@
 
 derives! { value;
     /// The newest word of the store that a process knows of.
-    pub struct StoreWord {
+    pub struct LastStoreContact {
         /// Who had it from the store itself.
         pub by: IncarnationId,
         /// How long ago, at least.
@@ -75,7 +75,7 @@
 }
 
 derives! { record;
-    /// The answer to a [`ConfigAsk`], or a part of it.
+    /// The answer to a [`ConfigQuery`], or a part of it.
     pub struct ConfigReply {
         /// The answerer has every change up to here.
         pub as_of: StoreRevision,
@@ -87,7 +87,7 @@
         /// that went away since the asker's `complete`.
         pub present: Option<Vec<String>>,
         /// The newest word of the store.
-        pub word: Option<StoreWord>,
+        pub word: Option<LastStoreContact>,
     }
 }
 
--- a/crates/sagespool-messages/src/dispatch.rs
+++ b/crates/sagespool-messages/src/dispatch.rs
@@ -116,7 +116,7 @@
 derives! { value;
     /// Why an answer ended.
     #[serde(rename_all = "kebab-case")]
-    pub enum StopCause {
+    pub enum FinishReason {
         /// The upstream finished by itself.
         Stop,
         /// The most tokens asked for, or reserved, were reached.
@@ -149,7 +149,7 @@
         End(DispatchEnd),
         /// What the asker has not been told yet of the engine's prompt cache; may come anywhere
         /// before the end.
-        CacheNews(CacheNews),
+        CacheNews(PrefixCacheUpdate),
         /// How many other requests the sidecar has at its upstream at this moment, from all
         /// entries; at the start and before the end.
         Beside(u32),
@@ -177,7 +177,7 @@
 
 derives! { value;
     /// A prefix, and whether its engine has it cached.
-    pub struct CacheNote {
+    pub struct PrefixCacheEvent {
         /// The prefix.
         pub prefix: PrefixDigest,
         /// False if it was evicted.
@@ -187,18 +187,18 @@
 
 derives! { record;
     /// What happened lately in an engine's prompt cache, late and with gaps.
-    pub struct CacheNews {
+    pub struct PrefixCacheUpdate {
         /// The number of the last note, counted by the sidecar; those before it count back
         /// from there.
         pub newest: u64,
         /// The oldest first.
-        pub notes: Vec<CacheNote>,
+        pub notes: Vec<PrefixCacheEvent>,
     }
 }
 
-impl CacheNews {
+impl PrefixCacheUpdate {
     /// Each note with its number.
-    pub fn numbered(&self) -> impl Iterator<Item = (u64, CacheNote)> {
+    pub fn numbered(&self) -> impl Iterator<Item = (u64, PrefixCacheEvent)> {
         let first = (self.newest + 1).saturating_sub(self.notes.len() as u64);
         (first..).zip(self.notes.iter().copied())
     }
@@ -212,7 +212,7 @@
             /// What is billed.
             charge: ChargeRecord,
             /// Why it ended.
-            stop: StopCause,
+            stop: FinishReason,
         },
         /// Refused before anything ran.
         Refused(RefusalNotice),
--- a/crates/sagespool-messages/src/gateways.rs
+++ b/crates/sagespool-messages/src/gateways.rs
@@ -39,7 +39,7 @@
 derives! { record;
     /// What is left of an account at an instance that stops. It counts as spent there from then on, also
     /// if the message gets lost.
-    pub struct BudgetRest {
+    pub struct UnspentBudget {
         /// The account.
         pub branch: BranchName,
         /// What the receiver may spend.
@@ -49,14 +49,14 @@
 
 derives! { value;
     /// A question for the configuration that the receiver has in force.
-    pub struct PlanAsk {
+    pub struct PlanQuery {
         /// The version that the asker has.
         pub have: ConfigVersion,
     }
 }
 
 derives! { record;
-    /// The answer to a [`PlanAsk`].
+    /// The answer to a [`PlanQuery`].
     pub struct PlanReply {
         /// The configuration as the store has it; nothing if it is no newer.
         pub document: Option<String>,
@@ -110,7 +110,7 @@
 
 derives! { value;
     /// What gateways follow in the store.
-    pub enum FollowedKind {
+    pub enum FeedKind {
         /// The configuration.
         Configuration,
         /// The list of upstreams.
@@ -120,7 +120,7 @@
     }
 }
 
-impl FollowedKind {
+impl FeedKind {
     /// The word that logs use.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -133,9 +133,9 @@
 
 derives! { value;
     /// A question for what has changed in the store, to a gateway that follows it.
-    pub struct FollowAsk {
+    pub struct FeedQuery {
         /// What is asked for.
-        pub kind: FollowedKind,
+        pub kind: FeedKind,
         /// The asker knows everything up to this revision.
         pub after: StoreRevision,
         /// How long the receiver may wait for a change.
@@ -145,7 +145,7 @@
 
 derives! { record;
     /// An object of the store, or its removal.
-    pub struct FollowedObject {
+    pub struct ChangedObject {
         /// Its key.
         pub key: String,
         /// The revision of its last change that matters.
@@ -156,8 +156,8 @@
 }
 
 derives! { record;
-    /// The answer to a [`FollowAsk`].
-    pub struct FollowReply {
+    /// The answer to a [`FeedQuery`].
+    pub struct FeedReply {
         /// Everything up to this revision is in it.
         pub revision: StoreRevision,
         /// How long ago the receiver's word was the store's; nothing if it has none.
@@ -167,13 +167,13 @@
         /// True if these are all objects there are.
         pub whole: bool,
         /// What the asker doesn't know.
-        pub objects: Vec<FollowedObject>,
+        pub objects: Vec<ChangedObject>,
     }
 }
 
 derives! { record;
     /// A question for what is known of the limits that upstreams name.
-    pub struct LimitAsk {
+    pub struct RateLimitQuery {
         /// The upstreams.
         pub upstreams: Vec<UpstreamName>,
     }
@@ -181,7 +181,7 @@
 
 derives! { record;
     /// What a gateway knows of an upstream's limit, from an answer to itself or to another one.
-    pub struct LimitWord {
+    pub struct UpstreamRateLimit {
         /// The upstream.
         pub upstream: UpstreamName,
         /// Requests a second that it names; nothing if it names no limit any more.
@@ -192,9 +192,9 @@
 }
 
 derives! { record;
-    /// The answer to a [`LimitAsk`], without upstreams of whose limits nothing is known.
-    pub struct LimitReply {
+    /// The answer to a [`RateLimitQuery`], without upstreams of whose limits nothing is known.
+    pub struct RateLimitReply {
         /// One word an upstream.
-        pub words: Vec<LimitWord>,
+        pub words: Vec<UpstreamRateLimit>,
     }
 }
--- a/crates/sagespool-messages/src/lib.rs
+++ b/crates/sagespool-messages/src/lib.rs
@@ -18,19 +18,20 @@
 pub use charges::{ChargeRecord, ChargeReport, ChargesDurable, SealReply, SealRequest, SealScope};
 pub use claims::{ClaimReply, ClaimRequest, CrashReport, KeyReply, KeyRequest, KeyState};
 pub use configuration::{
-    CONFIGURATION_PREFIX, ConfigAsk, ConfigNotice, ConfigObject, ConfigReply, ConfigScope,
-    FLEET_OBJECT_KEY, StoreWord,
+    CONFIGURATION_PREFIX, ConfigNotice, ConfigObject, ConfigQuery, ConfigReply, ConfigScope,
+    FLEET_OBJECT_KEY, LastStoreContact,
 };
 pub use dispatch::{
-    AttachRequest, CacheNews, CacheNote, CallTarget, CancelRequest, DispatchEnd, DispatchEvent,
-    DispatchRequest, HeaderPair, PrefixDigest, ResumePoint, StopCause,
+    AttachRequest, CallTarget, CancelRequest, DispatchEnd, DispatchEvent, DispatchRequest,
+    FinishReason, HeaderPair, PrefixCacheEvent, PrefixCacheUpdate, PrefixDigest, ResumePoint,
 };
 pub use gateways::{
-    BudgetRest, FollowAsk, FollowReply, FollowedKind, FollowedObject, LendReply, LendRequest,
-    LimitAsk, LimitReply, LimitWord, PlanAsk, PlanReply, StoreCall, StoreCallReply, StoreMethod,
+    ChangedObject, FeedKind, FeedQuery, FeedReply, LendReply, LendRequest, PlanQuery, PlanReply,
+    RateLimitQuery, RateLimitReply, StoreCall, StoreCallReply, StoreMethod, UnspentBudget,
+    UpstreamRateLimit,
 };
 pub use members::{
-    Heartbeat, LoadReport, MemberInfo, MemberRole, ServedUpstream, SuspectNote, UpstreamKind,
+    Heartbeat, LoadReport, MemberInfo, MemberRole, ServedUpstream, SuspectedMember, UpstreamKind,
 };
 pub use operations::{
     EngineOrder, GrantUse, LeaveRequest, MemberStatus, OrderReply, OrderRequest, RunningRequest,
--- a/crates/sagespool-messages/src/members.rs
+++ b/crates/sagespool-messages/src/members.rs
@@ -114,7 +114,7 @@
         /// Digest of the sender's view, to find gaps.
         pub view_digest: u64,
         /// Members that the sender suspects or believes dead.
-        pub suspects: Vec<SuspectNote>,
+        pub suspects: Vec<SuspectedMember>,
         /// Digests of the slices of the sender's view, while a gap is being repaired.
         pub slices: Vec<u32>,
     }
@@ -122,7 +122,7 @@
 
 derives! { value;
     /// A member that doesn't answer. It refutes the note with a higher number.
-    pub struct SuspectNote {
+    pub struct SuspectedMember {
         /// The member.
         pub incarnation: IncarnationId,
         /// The newest number of it that is known.
--- a/crates/sagespool-messages/src/wire.rs
+++ b/crates/sagespool-messages/src/wire.rs
@@ -43,21 +43,21 @@
         Leave(LeaveRequest),
         /// Anyone to anyone; answered by [`PeerReply::Configuration`], or by
         /// [`PeerReply::Unsupported`] if the receiver doesn't have all that is asked for.
-        AskConfiguration(ConfigAsk),
+        AskConfiguration(ConfigQuery),
         /// Anyone to anyone; answered by [`PeerReply::Done`].
         NoticeConfiguration(ConfigNotice),
         /// Gateway to gateway; answered by [`PeerReply::Lend`].
         Lend(LendRequest),
         /// Gateway that stops to another one; answered by [`PeerReply::Done`].
-        ReturnRest(BudgetRest),
+        ReturnRest(UnspentBudget),
         /// Gateway to gateway; answered by [`PeerReply::Plan`].
-        AskPlan(PlanAsk),
+        AskPlan(PlanQuery),
         /// Gateway to gateway or relay; answered by [`PeerReply::StoreCall`].
         CallStore(StoreCall),
         /// Gateway to gateway; answered by [`PeerReply::Follow`].
-        Follow(FollowAsk),
+        Follow(FeedQuery),
         /// Gateway to gateway; answered by [`PeerReply::Limits`].
-        AskLimits(LimitAsk),
+        AskLimits(RateLimitQuery),
     }
 }
 
@@ -95,8 +95,8 @@
         /// What became of a call of the store.
         StoreCall(StoreCallReply),
         /// What has changed in the store.
-        Follow(FollowReply),
+        Follow(FeedReply),
         /// What a gateway knows of upstreams' limits.
-        Limits(LimitReply),
+        Limits(RateLimitReply),
     }
 }
--- a/crates/sagespool-metrics/src/lib.rs
+++ b/crates/sagespool-metrics/src/lib.rs
@@ -11,7 +11,7 @@
 //! metrics.admitted(&class, &branch);
 //! metrics.observe_first_token(&class, &branch, Duration::from_millis(4));
 //! assert!(metrics.encode().contains("sagespool_admitted_total{class=\"lookup\"} 1"));
-//! # Ok::<(), sagespool_types::ParseFault>(())
+//! # Ok::<(), sagespool_types::ParseError>(())
 //! ```
 
 mod fleet;
--- a/crates/sagespool-operations/src/command/item.rs
+++ b/crates/sagespool-operations/src/command/item.rs
@@ -4,7 +4,7 @@
 
 use sagespool_messages::EngineOrder;
 use sagespool_types::{
-    BranchName, CommandId, ConfigVersion, ContentDigest, GrantId, InstanceName, ParseFault,
+    BranchName, CommandId, ConfigVersion, ContentDigest, GrantId, InstanceName, ParseError,
     TokenCount, UpstreamName, derives,
 };
 
@@ -88,12 +88,12 @@
 }
 
 impl std::str::FromStr for TargetName {
-    type Err = ParseFault;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, ParseFault> {
-        let name: Result<UpstreamName, ParseFault> = text.parse();
+    fn from_str(text: &str) -> Result<Self, ParseError> {
+        let name: Result<UpstreamName, ParseError> = text.parse();
         let fault =
-            |fault| ParseFault { wanted: "the name of an upstream or an instance", ..fault };
+            |fault| ParseError { wanted: "the name of an upstream or an instance", ..fault };
         name.map(Self).map_err(fault)
     }
 }
--- a/crates/sagespool-operations/src/edit/mod.rs
+++ b/crates/sagespool-operations/src/edit/mod.rs
@@ -15,7 +15,7 @@
     BranchEntry, BranchRule, ClassHoldback, FLEET_OBJECT_KEY, LimitEntry, RouteRule,
     branch_object_key, branch_shard,
 };
-use sagespool_types::{BranchName, ClassName, ParseFault, SecretHash, ServiceName, derives};
+use sagespool_types::{BranchName, ClassName, ParseError, SecretHash, ServiceName, derives};
 
 derives! { record;
     /// One edit.
@@ -167,13 +167,13 @@
 }
 
 impl FromStr for HashStart {
-    type Err = ParseFault;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, ParseFault> {
+    fn from_str(text: &str) -> Result<Self, ParseError> {
         let is_digit = |c: char| c.is_ascii_digit() || ('a'..='f').contains(&c);
         if !(FEWEST_DIGITS..=ALL_DIGITS).contains(&text.len()) || !text.chars().all(is_digit) {
             let help = "8 to 64 lower-case hexadecimal digits";
-            return Err(ParseFault::new("a key hash or its beginning", text, help));
+            return Err(ParseError::new("a key hash or its beginning", text, help));
         }
         Ok(Self(text.to_owned()))
     }
@@ -185,7 +185,7 @@
     }
 }
 
-sagespool_types::text_form!(HashStart);
+sagespool_types::string_conversions!(HashStart);
 
 /// The edit as a line would say it.
 impl fmt::Display for ConfigEdit {
--- a/crates/sagespool-operations/src/line/reader.rs
+++ b/crates/sagespool-operations/src/line/reader.rs
@@ -4,7 +4,7 @@
 use std::ops::RangeInclusive;
 use std::str::FromStr;
 
-use sagespool_types::ParseFault;
+use sagespool_types::ParseError;
 
 use super::words::{LineWord, WordKind, split_words};
 use super::{LineFault, LineSpan, nearest_of};
@@ -126,9 +126,9 @@
     }
 
     /// A name, an id or the like.
-    pub fn value<T: FromStr<Err = ParseFault>>(&mut self, wanted: &str) -> Result<T, LineFault> {
+    pub fn value<T: FromStr<Err = ParseError>>(&mut self, wanted: &str) -> Result<T, LineFault> {
         let word = self.take(wanted)?;
-        word.text.parse().map_err(|fault: ParseFault| {
+        word.text.parse().map_err(|fault: ParseError| {
             let message = format!("`{}` is not {wanted}: {}", fault.found, fault.help);
             self.fault_at_last(message)
         })
--- a/crates/sagespool-report/src/accounts.rs
+++ b/crates/sagespool-report/src/accounts.rs
@@ -38,7 +38,7 @@
 impl AccountSpend {
     /// What is neither charged nor free: given up by runs that ended, or idle in balances.
     pub fn stranded(&self) -> TokenCount {
-        self.total.less(self.answered + self.failed + self.left + self.free)
+        self.total.saturating_sub(self.answered + self.failed + self.left + self.free)
     }
 
     fn share(&self, part: TokenCount) -> String {
--- a/crates/sagespool-routing/examples/policy_compare/model.rs
+++ b/crates/sagespool-routing/examples/policy_compare/model.rs
@@ -462,7 +462,7 @@
 }
 
 /// Parses a name that is known to be valid.
-fn name<T: std::str::FromStr<Err = sagespool_types::ParseFault>>(text: &str) -> T {
+fn name<T: std::str::FromStr<Err = sagespool_types::ParseError>>(text: &str) -> T {
     text.parse().expect("a valid name")
 }
 
--- a/crates/sagespool-routing/examples/routing_bench.rs
+++ b/crates/sagespool-routing/examples/routing_bench.rs
@@ -13,7 +13,7 @@
     PolicyKind, QueuePolicy, QueueTicket, RequestLimits, RoutingPolicy, UpstreamTable,
 };
 use sagespool_types::{
-    BranchName, ClockTime, ConfigVersion, IncarnationId, ParseFault, RequestId, ServiceName,
+    BranchName, ClockTime, ConfigVersion, IncarnationId, ParseError, RequestId, ServiceName,
     TokenCount,
 };
 
@@ -23,7 +23,7 @@
 /// Simulated time between two rounds.
 const STEP: Duration = Duration::from_micros(200);
 
-fn name<T: std::str::FromStr<Err = ParseFault>>(text: &str) -> T {
+fn name<T: std::str::FromStr<Err = ParseError>>(text: &str) -> T {
     text.parse().expect("a valid name")
 }
 
--- a/crates/sagespool-routing/src/policy.rs
+++ b/crates/sagespool-routing/src/policy.rs
@@ -4,7 +4,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use sagespool_types::{ParseFault, derives};
+use sagespool_types::{ParseError, derives};
 
 derives! { value;
     /// Algorithm that chooses an upstream.
@@ -47,12 +47,12 @@
 }
 
 impl FromStr for PolicyKind {
-    type Err = ParseFault;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, ParseFault> {
+    fn from_str(text: &str) -> Result<Self, ParseError> {
         let help = "sagespool, round-robin, least-reported-load or two-choices";
         let found = Self::ALL.into_iter().find(|kind| kind.as_str() == text);
-        found.ok_or_else(|| ParseFault::new("a routing policy", text, help))
+        found.ok_or_else(|| ParseError::new("a routing policy", text, help))
     }
 }
 
--- a/crates/sagespool-routing/tests/support/mod.rs
+++ b/crates/sagespool-routing/tests/support/mod.rs
@@ -9,11 +9,11 @@
     AttemptOutcome, AttemptResult, PlacementQuery, PolicyKind, RoutingPolicy, UpstreamPlacement,
     UpstreamTable,
 };
-use sagespool_types::{ClockTime, ConfigVersion, IncarnationId, ParseFault, TokenCount};
+use sagespool_types::{ClockTime, ConfigVersion, IncarnationId, ParseError, TokenCount};
 
 pub const CAPACITY: u32 = 8;
 
-pub fn name<T: FromStr<Err = ParseFault>>(text: &str) -> T {
+pub fn name<T: FromStr<Err = ParseError>>(text: &str) -> T {
     text.parse().expect("a valid name")
 }
 
--- a/crates/sagespool-settings/src/check/scalars.rs
+++ b/crates/sagespool-settings/src/check/scalars.rs
@@ -6,7 +6,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use sagespool_types::ParseFault;
+use sagespool_types::ParseError;
 use serde_json::Value;
 
 use crate::SecretText;
@@ -21,7 +21,7 @@
         }
     }
 
-    pub fn parse<T: FromStr<Err = ParseFault>>(self) -> Option<T> {
+    pub fn parse<T: FromStr<Err = ParseError>>(self) -> Option<T> {
         let text = self.text("a text")?;
         match text.parse() {
             Ok(value) => Some(value),
--- a/crates/sagespool-settings/src/configuration/branches.rs
+++ b/crates/sagespool-settings/src/configuration/branches.rs
@@ -114,7 +114,7 @@
     let name = match name.parse() {
         Ok(name) => Some(name),
         Err(fault) => {
-            let fault: sagespool_types::ParseFault = fault;
+            let fault: sagespool_types::ParseError = fault;
             let allowed = format!("{} ({})", fault.wanted, fault.help);
             node.fault_with(format!("{name:?}"), allowed, None)
         }
--- a/crates/sagespool-sidecar/src/attempt.rs
+++ b/crates/sagespool-sidecar/src/attempt.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use futures_lite::{FutureExt, future};
-use sagespool_messages::{CallTarget, ChargeRecord, DispatchEnd, DispatchRequest, StopCause};
+use sagespool_messages::{CallTarget, ChargeRecord, DispatchEnd, DispatchRequest, FinishReason};
 use sagespool_metrics::{FleetMetrics, RequestTimings};
 use sagespool_types::{AttemptNumber, BranchName, ChargeId, ClockTime, RequestId, TokenCount};
 use smol::Timer;
@@ -82,7 +82,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum AttemptEnd {
     /// With a whole answer.
-    Whole(StopCause),
+    Whole(FinishReason),
     /// The upstream failed.
     Broken {
         /// False if it surely did not run.
--- a/crates/sagespool-sidecar/src/cache_relay.rs
+++ b/crates/sagespool-sidecar/src/cache_relay.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::sync::Mutex;
 
-use sagespool_messages::{CacheNews, CacheNote};
+use sagespool_messages::{PrefixCacheEvent, PrefixCacheUpdate};
 
 use crate::shards::lock;
 use crate::upstream::CacheFeed;
@@ -34,14 +34,14 @@
     seen: u64,
     /// The number of the newest note.
     newest: u64,
-    notes: VecDeque<(u64, CacheNote)>,
+    notes: VecDeque<(u64, PrefixCacheEvent)>,
     told: HashMap<SocketAddr, u64>,
     /// The engine could not be asked since: it may have started again.
     has_lost_touch: bool,
 }
 
 impl RelayState {
-    fn push(&mut self, note: CacheNote) {
+    fn push(&mut self, note: PrefixCacheEvent) {
         self.notes.retain(|(_, known)| known.prefix != note.prefix);
         if self.notes.len() == MOST_NOTES {
             self.notes.pop_front();
@@ -54,8 +54,8 @@
     fn restarted(&mut self) {
         self.seen = 0;
         let stored = self.notes.iter().filter(|(_, note)| note.is_stored);
-        let lost: Vec<CacheNote> =
-            stored.map(|(_, note)| CacheNote { is_stored: false, ..*note }).collect();
+        let lost: Vec<PrefixCacheEvent> =
+            stored.map(|(_, note)| PrefixCacheEvent { is_stored: false, ..*note }).collect();
         for note in lost {
             self.push(note);
         }
@@ -92,7 +92,7 @@
     }
 
     /// What an asker has not been told yet, the newest of it if it is much.
-    pub fn news_for(&self, asker: SocketAddr) -> Option<CacheNews> {
+    pub fn news_for(&self, asker: SocketAddr) -> Option<PrefixCacheUpdate> {
         let mut state = lock(&self.state);
         let newest = state.newest;
         if state.told.len() >= MOST_ASKERS && !state.told.contains_key(&asker) {
@@ -100,8 +100,9 @@
         }
         let told = state.told.insert(asker, newest).unwrap_or(0);
         let untold = state.notes.iter().rev().take_while(|(number, _)| *number > told);
-        let mut notes: Vec<CacheNote> = untold.take(MOST_TOLD).map(|(_, note)| *note).collect();
+        let mut notes: Vec<PrefixCacheEvent> =
+            untold.take(MOST_TOLD).map(|(_, note)| *note).collect();
         notes.reverse();
-        (!notes.is_empty()).then_some(CacheNews { newest, notes })
+        (!notes.is_empty()).then_some(PrefixCacheUpdate { newest, notes })
     }
 }
--- a/crates/sagespool-sidecar/src/engine_events.rs
+++ b/crates/sagespool-sidecar/src/engine_events.rs
@@ -3,7 +3,7 @@
 use std::error::Error;
 use std::fmt;
 
-use sagespool_messages::StopCause;
+use sagespool_messages::FinishReason;
 use serde::Deserialize;
 
 /// The text of the event that closes a stream.
@@ -22,7 +22,7 @@
     /// The engine has finished.
     Finished {
         /// Why.
-        stop: StopCause,
+        stop: FinishReason,
         /// How many tokens the engine says it made, if it does.
         completion_tokens: Option<u32>,
     },
@@ -103,8 +103,8 @@
     /// cancel closes its stream in good order too, with another one.
     fn finish(reason: String, completion_tokens: Option<u32>) -> Self {
         match reason.as_str() {
-            "stop" => Self::Finished { stop: StopCause::Stop, completion_tokens },
-            "length" => Self::Finished { stop: StopCause::Length, completion_tokens },
+            "stop" => Self::Finished { stop: FinishReason::Stop, completion_tokens },
+            "length" => Self::Finished { stop: FinishReason::Length, completion_tokens },
             _ => Self::Aborted(reason),
         }
     }
--- a/crates/sagespool-sidecar/src/key_memory/shard.rs
+++ b/crates/sagespool-sidecar/src/key_memory/shard.rs
@@ -159,7 +159,7 @@
         if entry.request != request {
             return;
         }
-        self.kept_bytes = self.kept_bytes.less(bytes);
+        self.kept_bytes = self.kept_bytes.saturating_sub(bytes);
         if entry.non_idempotent {
             entry.answer = AnswerState::Lost;
             self.lost.push_back((entry.ended, key, request));
--- a/crates/sagespool-sidecar/src/run_completion.rs
+++ b/crates/sagespool-sidecar/src/run_completion.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use futures_lite::FutureExt;
-use sagespool_messages::{CallTarget, ResumePoint, StopCause};
+use sagespool_messages::{CallTarget, FinishReason, ResumePoint};
 use sagespool_metrics::{DropCause, RequestTimings};
 use sagespool_types::{ClockTime, ModelName, TokenCount};
 use smol::Timer;
@@ -92,7 +92,7 @@
     ) -> (AttemptEnd, EngineRest) {
         if meter.is_full() {
             self.note_used(attempt, meter.used());
-            return (AttemptEnd::Whole(StopCause::Length), EngineRest::Nothing);
+            return (AttemptEnd::Whole(FinishReason::Length), EngineRest::Nothing);
         }
         let call = self.upstream.name_call(attempt.request, attempt.attempt);
         let opened = self.open_completion(&call, attempt, target, &meter, stopped.as_mut()).await;
@@ -168,7 +168,7 @@
                 MeterStep::Piece(piece) => attempt.log.push(piece),
                 MeterStep::LastPiece(piece) => {
                     attempt.log.push(piece);
-                    return AttemptEnd::Whole(StopCause::Length);
+                    return AttemptEnd::Whole(FinishReason::Length);
                 }
                 MeterStep::Finished(stop) => return AttemptEnd::Whole(stop),
                 MeterStep::Nothing => {}
--- a/crates/sagespool-sidecar/src/run_service.rs
+++ b/crates/sagespool-sidecar/src/run_service.rs
@@ -2,7 +2,7 @@
 
 use std::pin::Pin;
 
-use sagespool_messages::{CallTarget, DispatchEvent, HeaderPair, StopCause};
+use sagespool_messages::{CallTarget, DispatchEvent, FinishReason, HeaderPair};
 use sagespool_types::TokenCount;
 
 use crate::CallFault;
@@ -89,7 +89,7 @@
             };
             let data = match unless_stopped(stopped.as_mut(), next).await {
                 Ok(Ok(Some(data))) => data,
-                Ok(Ok(None)) => return AttemptEnd::Whole(StopCause::Stop),
+                Ok(Ok(None)) => return AttemptEnd::Whole(FinishReason::Stop),
                 Ok(Err(fault)) => return self.end_of_fault(&fault).await,
                 Err(reason) => return AttemptEnd::Stopped { ran: true, reason },
             };
--- a/crates/sagespool-sidecar/src/token_meter.rs
+++ b/crates/sagespool-sidecar/src/token_meter.rs
@@ -1,6 +1,6 @@
 //! Counts an answer's tokens and cuts it at what was reserved.
 
-use sagespool_messages::{DispatchEvent, StopCause};
+use sagespool_messages::{DispatchEvent, FinishReason};
 use sagespool_types::TokenCount;
 
 use crate::EngineEvent;
@@ -24,7 +24,7 @@
     /// Pass a piece on, the last that fits in the reservation: the answer ends.
     LastPiece(DispatchEvent),
     /// The engine finished by itself.
-    Finished(StopCause),
+    Finished(FinishReason),
     /// Nothing to do.
     Nothing,
     /// The stream closed, or jumped: what was passed on isn't a whole answer.
@@ -44,7 +44,7 @@
         if prompt + TokenCount(resumed.into()) > reserved {
             return None;
         }
-        let left = u32::try_from(reserved.less(prompt).0).unwrap_or(u32::MAX);
+        let left = u32::try_from(reserved.saturating_sub(prompt).0).unwrap_or(u32::MAX);
         Some(Self { prompt, tokens: resumed, most: left.min(max_tokens) })
     }
 
@@ -95,7 +95,7 @@
         if self.is_full() { MeterStep::LastPiece(piece) } else { MeterStep::Piece(piece) }
     }
 
-    fn take_finish(&self, stop: StopCause, completion_tokens: Option<u32>) -> MeterStep {
+    fn take_finish(&self, stop: FinishReason, completion_tokens: Option<u32>) -> MeterStep {
         match completion_tokens.filter(|made| *made != self.tokens) {
             Some(made) => {
                 let came = self.tokens;
--- a/crates/sagespool-sidecar/src/upstream/control.rs
+++ b/crates/sagespool-sidecar/src/upstream/control.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use sagespool_link::within;
-use sagespool_messages::{CacheNote, PrefixDigest};
+use sagespool_messages::{PrefixCacheEvent, PrefixDigest};
 use sagespool_types::{AttemptNumber, FenceNumber, ModelName, RequestId};
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -49,7 +49,7 @@
     /// Counted by the engine from its start.
     pub number: u64,
     /// What changed.
-    pub note: CacheNote,
+    pub note: PrefixCacheEvent,
 }
 
 #[derive(Deserialize)]
@@ -72,7 +72,7 @@
     fn try_from(event: WireCacheEvent) -> Result<Self, ParseIntError> {
         let prefix = PrefixDigest::from(u128::from_str_radix(&event.prefix, 16)?);
         let is_stored = matches!(event.kind, WireCacheChange::Stored);
-        Ok(Self { number: event.number, note: CacheNote { prefix, is_stored } })
+        Ok(Self { number: event.number, note: PrefixCacheEvent { prefix, is_stored } })
     }
 }
 
--- a/crates/sagespool-sidecar/tests/cache_relay.rs
+++ b/crates/sagespool-sidecar/tests/cache_relay.rs
@@ -9,7 +9,7 @@
 
 use bench::fleet::{PlatformStands, TestFleet};
 use bench::{completion, engine, eventually};
-use sagespool_messages::{CacheNews, CacheNote, DispatchEvent, PrefixDigest};
+use sagespool_messages::{DispatchEvent, PrefixCacheEvent, PrefixCacheUpdate, PrefixDigest};
 use sagespool_sidecar::{CacheFeed, CacheRelay, EngineCacheEvent};
 use sagespool_testkit::prefix_digest;
 use serde_json::{Value, json};
@@ -19,8 +19,8 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn note(prefix: u128, is_stored: bool) -> CacheNote {
-    CacheNote { prefix: PrefixDigest::from(prefix), is_stored }
+fn note(prefix: u128, is_stored: bool) -> PrefixCacheEvent {
+    PrefixCacheEvent { prefix: PrefixDigest::from(prefix), is_stored }
 }
 
 fn feed(start: u64, events: &[(u64, u128, bool)]) -> CacheFeed {
@@ -31,7 +31,7 @@
     CacheFeed { start: json!(start), events: events.collect() }
 }
 
-fn told(relay: &CacheRelay, asker: SocketAddr) -> Vec<(u64, CacheNote)> {
+fn told(relay: &CacheRelay, asker: SocketAddr) -> Vec<(u64, PrefixCacheEvent)> {
     relay.news_for(asker).map_or(vec![], |news| news.numbered().collect())
 }
 
@@ -105,15 +105,15 @@
         let relay = fleet.role.dispatcher().cache();
         eventually(|| relay.ask_after() == 1).await;
         let prefix = PrefixDigest::from(prefix_digest(bench::PROMPT));
-        let stored = CacheNote { prefix, is_stored: true };
-        let news = CacheNews { newest: 1, notes: vec![stored] };
+        let stored = PrefixCacheEvent { prefix, is_stored: true };
+        let news = PrefixCacheUpdate { newest: 1, notes: vec![stored] };
         assert_eq!(news_of(&fleet, 2).await, Some(news));
         assert_eq!(news_of(&fleet, 3).await, None, "told before");
     });
 }
 
 /// The news on the stream of a dispatch that runs to its end.
-async fn news_of(fleet: &TestFleet, number: u64) -> Option<CacheNews> {
+async fn news_of(fleet: &TestFleet, number: u64) -> Option<PrefixCacheUpdate> {
     let mut stream = fleet.dispatch(completion(number)).await;
     let mut news = None;
     loop {
--- a/crates/sagespool-sidecar/tests/dispatch_faults.rs
+++ b/crates/sagespool-sidecar/tests/dispatch_faults.rs
@@ -10,8 +10,8 @@
 
 use bench::*;
 use sagespool_messages::{
-    AttachRequest, CancelRequest, DispatchEnd, DispatchRequest, SealRequest, SealScope, StopCause,
-    UpstreamKind,
+    AttachRequest, CancelRequest, DispatchEnd, DispatchRequest, FinishReason, SealRequest,
+    SealScope, UpstreamKind,
 };
 use sagespool_sidecar::{Dispatcher, UpstreamHealth, UpstreamSample};
 use sagespool_testkit::{FailureShares, RunEnd, ServiceOptions, ServiceStand, answer_text};
@@ -158,7 +158,7 @@
     let dispatcher = beside(&engine);
     let answer = block_on(run(&dispatcher, completion(1)));
     assert_eq!(answer.text(), answer_text(MODEL, PROMPT, ANSWER_TOKENS));
-    let DispatchEnd::Whole { charge, stop: StopCause::Stop } = answer.end else {
+    let DispatchEnd::Whole { charge, stop: FinishReason::Stop } = answer.end else {
         panic!("{:?}", answer.end);
     };
     assert_eq!(charge.used, TokenCount((PROMPT_TOKENS + ANSWER_TOKENS).into()));
@@ -175,7 +175,7 @@
         let mut request = resumed(completion(1), resume);
         request.reserved.amount = TokenCount(12);
         let answer = block_on(run(&dispatcher, request));
-        let DispatchEnd::Whole { charge, stop: StopCause::Length } = answer.end else {
+        let DispatchEnd::Whole { charge, stop: FinishReason::Length } = answer.end else {
             panic!("{case}: {:?}", answer.end);
         };
         assert_eq!(charge.used, TokenCount(12), "{case}");
--- a/crates/sagespool-sidecar/tests/sse_parsing.rs
+++ b/crates/sagespool-sidecar/tests/sse_parsing.rs
@@ -4,7 +4,7 @@
 
 use std::net::SocketAddr;
 
-use sagespool_messages::{DispatchEvent, StopCause};
+use sagespool_messages::{DispatchEvent, FinishReason};
 use sagespool_sidecar::{CallFault, EngineEvent, MeterStep, TokenMeter, UpstreamClient};
 use sagespool_types::{AttemptNumber, RequestId, TokenCount};
 use smol::io::{AsyncReadExt, AsyncWriteExt};
@@ -67,7 +67,7 @@
 // that takes each packet for an event loses tokens or garbles their text.
 #[test]
 fn chunk_borders() {
-    let finished = EngineEvent::Finished { stop: StopCause::Stop, completion_tokens: Some(2) };
+    let finished = EngineEvent::Finished { stop: FinishReason::Stop, completion_tokens: Some(2) };
     let wanted = [token(0, "مهلة "), token(1, "bid"), finished];
     smol::block_on(async {
         for chunk in [1, 2, 7, 64, EVENTS.len()] {
@@ -142,10 +142,10 @@
         meter.take(token(0, "a"));
         meter
     };
-    let finish = |made| EngineEvent::Finished { stop: StopCause::Stop, completion_tokens: made };
+    let finish = |made| EngineEvent::Finished { stop: FinishReason::Stop, completion_tokens: made };
     for event in [token(2, "c"), token(0, "a"), finish(Some(2)), EngineEvent::Done] {
         assert!(matches!(fresh().take(event.clone()), MeterStep::Broken(_)), "{event:?}");
     }
-    assert_eq!(fresh().take(finish(Some(1))), MeterStep::Finished(StopCause::Stop));
-    assert_eq!(fresh().take(finish(None)), MeterStep::Finished(StopCause::Stop));
+    assert_eq!(fresh().take(finish(Some(1))), MeterStep::Finished(FinishReason::Stop));
+    assert_eq!(fresh().take(finish(None)), MeterStep::Finished(FinishReason::Stop));
 }
--- a/crates/sagespool-testkit/src/load/faults/operators_race.rs
+++ b/crates/sagespool-testkit/src/load/faults/operators_race.rs
@@ -44,7 +44,7 @@
         smol::Timer::after(PAUSE).await;
     }
     store::set_lost_answers(&*stage.fleet().await, 0.0);
-    let added = prepaid(stage, &branch).await.less(before);
+    let added = prepaid(stage, &branch).await.saturating_sub(before);
     judge_top_ups(stage, &top_ups, added);
 }
 
--- a/crates/sagespool-testkit/src/load/oracle.rs
+++ b/crates/sagespool-testkit/src/load/oracle.rs
@@ -98,7 +98,7 @@
         let reserved = call.greatest_cost();
         for run in runs {
             let used = run.start.prompt_tokens + run.start.resumed_from + run.produced;
-            let excess = used.less(reserved).0;
+            let excess = used.saturating_sub(reserved).0;
             if excess > 0 {
                 verdict.overspend_tokens += excess;
                 verdict.note(format!(
@@ -179,7 +179,7 @@
     let mut worst = TokenCount::ZERO;
     for (at, billed) in &bills {
         spent += *billed;
-        worst = worst.max(spent.less(input.deposits.prepaid_at(branch, *at)));
+        worst = worst.max(spent.saturating_sub(input.deposits.prepaid_at(branch, *at)));
     }
     if worst > TokenCount::ZERO {
         verdict.overspend_tokens += worst.0;
@@ -213,11 +213,11 @@
     let unsure = calls.iter().filter(|record| record.is_bill_unknown());
     let unsure: TokenCount = unsure
         .filter(|record| runs.contains_key(&record.call.marker))
-        .map(|record| record.call.greatest_cost().less(record.billed()))
+        .map(|record| record.call.greatest_cost().saturating_sub(record.billed()))
         .sum();
     let prepaid = input.deposits.prepaid_at(branch, ClockTime(u64::MAX));
     if bounds.settled > prepaid {
-        verdict.overspend_tokens += bounds.settled.less(prepaid).0;
+        verdict.overspend_tokens += bounds.settled.saturating_sub(prepaid).0;
         verdict.note(format!("overspend: {branch} has settled {} of {prepaid}", bounds.settled));
     }
     if bounds.settled > sure + unsure {
@@ -252,7 +252,7 @@
     let mut before = TokenCount::ZERO;
     for at in input.deposits.moments(branch) {
         let prepaid = input.deposits.prepaid_at(branch, at);
-        steps.push(BalanceStep { at, change: prepaid.less(before).0 as i64 });
+        steps.push(BalanceStep { at, change: prepaid.saturating_sub(before).0 as i64 });
         before = prepaid;
     }
     for record in calls {
--- a/crates/sagespool-testkit/src/witness/marker.rs
+++ b/crates/sagespool-testkit/src/witness/marker.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-use sagespool_types::{BranchName, ParseFault};
+use sagespool_types::{BranchName, ParseError};
 
 const MARKER_PREFIX: &str = "mark:";
 const MARKER_HELP: &str = "mark:BRANCH/NUMBER, as `mark:ruwi-bids/17`";
@@ -47,10 +47,10 @@
 }
 
 impl FromStr for RunMarker {
-    type Err = ParseFault;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, ParseFault> {
-        let fault = || ParseFault::new("a marker", text, MARKER_HELP);
+    fn from_str(text: &str) -> Result<Self, ParseError> {
+        let fault = || ParseError::new("a marker", text, MARKER_HELP);
         let marker = Self::find(text).ok_or_else(fault)?;
         if marker.to_string() != text {
             return Err(fault());
--- a/crates/sagespool-types/src/clock.rs
+++ b/crates/sagespool-types/src/clock.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ParseFault;
+use crate::ParseError;
 
 /// Monotonic time of one process, in microseconds since it started.
 ///
@@ -78,10 +78,10 @@
 }
 
 impl FromStr for WallTime {
-    type Err = ParseFault;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, ParseFault> {
-        let fault = |_| ParseFault::new("a wall-clock time", text, "milliseconds since 1970");
+    fn from_str(text: &str) -> Result<Self, ParseError> {
+        let fault = |_| ParseError::new("a wall-clock time", text, "milliseconds since 1970");
         text.parse().map(Self).map_err(fault)
     }
 }
--- a/crates/sagespool-types/src/derives.rs
+++ b/crates/sagespool-types/src/derives.rs
@@ -33,15 +33,15 @@
 /// Lets a type that has `Display` and `FromStr` stand as its text in a JSON document.
 ///
 /// The type says so to serde by `#[serde(try_from = "String", into = "String")]`, as
-/// [`GrantId`](crate::GrantId) does; its `FromStr` has [`ParseFault`](crate::ParseFault) as its
+/// [`GrantId`](crate::GrantId) does; its `FromStr` has [`ParseError`](crate::ParseError) as its
 /// error.
 #[macro_export]
-macro_rules! text_form {
+macro_rules! string_conversions {
     ($name:ident) => {
         impl TryFrom<String> for $name {
-            type Error = $crate::ParseFault;
+            type Error = $crate::ParseError;
 
-            fn try_from(text: String) -> Result<Self, $crate::ParseFault> {
+            fn try_from(text: String) -> Result<Self, $crate::ParseError> {
                 text.parse()
             }
         }
@@ -72,10 +72,10 @@
         }
 
         impl std::str::FromStr for $name {
-            type Err = $crate::ParseFault;
+            type Err = $crate::ParseError;
 
-            fn from_str(text: &str) -> Result<Self, $crate::ParseFault> {
-                let fault = |_| $crate::ParseFault::new($wanted, text, "a whole number");
+            fn from_str(text: &str) -> Result<Self, $crate::ParseError> {
+                let fault = |_| $crate::ParseError::new($wanted, text, "a whole number");
                 text.parse().map(Self).map_err(fault)
             }
         }
--- a/crates/sagespool-types/src/digest.rs
+++ b/crates/sagespool-types/src/digest.rs
@@ -8,7 +8,7 @@
 use twox_hash::XxHash3_128;
 
 use crate::binary::id_serde;
-use crate::{BranchName, ParseFault};
+use crate::{BranchName, ParseError};
 
 macro_rules! digests {
     ($($(#[$doc:meta])* $name:ident, $wanted:literal;)*) => {$(
@@ -23,10 +23,10 @@
         }
 
         impl FromStr for $name {
-            type Err = ParseFault;
+            type Err = ParseError;
 
-            fn from_str(text: &str) -> Result<Self, ParseFault> {
-                let fault = |_| ParseFault::new($wanted, text, "up to 32 hexadecimal digits");
+            fn from_str(text: &str) -> Result<Self, ParseError> {
+                let fault = |_| ParseError::new($wanted, text, "up to 32 hexadecimal digits");
                 u128::from_str_radix(text, 16).map(Self).map_err(fault)
             }
         }
@@ -106,13 +106,13 @@
 }
 
 impl FromStr for SecretHash {
-    type Err = ParseFault;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, ParseFault> {
+    fn from_str(text: &str) -> Result<Self, ParseError> {
         let fits = text.len() == 64
             && text.chars().all(|c| c.is_ascii_digit() || ('a'..='f').contains(&c));
         if !fits {
-            return Err(ParseFault::new(
+            return Err(ParseError::new(
                 "a key hash",
                 text,
                 "SHA-256 as 64 lower-case hexadecimal digits",
@@ -122,4 +122,4 @@
     }
 }
 
-crate::text_form!(SecretHash);
+crate::string_conversions!(SecretHash);
--- a/crates/sagespool-types/src/fault.rs
+++ b/crates/sagespool-types/src/fault.rs
@@ -5,7 +5,7 @@
 
 /// Text that is not a value of the wanted type.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ParseFault {
+pub struct ParseError {
     /// What was wanted, for example `a branch name`.
     pub wanted: &'static str,
     /// The text as it was found, cut to a readable length.
@@ -16,7 +16,7 @@
 
 const SHOWN_CHARACTERS: usize = 64;
 
-impl ParseFault {
+impl ParseError {
     /// A fault that shows at most 64 characters of the text.
     pub fn new(wanted: &'static str, found: &str, help: &'static str) -> Self {
         let found = found.chars().take(SHOWN_CHARACTERS).collect();
@@ -24,10 +24,10 @@
     }
 }
 
-impl fmt::Display for ParseFault {
+impl fmt::Display for ParseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "`{}` is not {}: {}", self.found, self.wanted, self.help)
     }
 }
 
-impl Error for ParseFault {}
+impl Error for ParseError {}
--- a/crates/sagespool-types/src/ids.rs
+++ b/crates/sagespool-types/src/ids.rs
@@ -6,7 +6,7 @@
 use serde::de::Error;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-use crate::ParseFault;
+use crate::ParseError;
 use crate::binary::id_serde;
 use crate::derives::whole_numbers;
 
@@ -31,10 +31,10 @@
         }
 
         impl FromStr for $name {
-            type Err = ParseFault;
+            type Err = ParseError;
 
-            fn from_str(text: &str) -> Result<Self, ParseFault> {
-                let fault = || ParseFault::new($wanted, text, "hexadecimal digits");
+            fn from_str(text: &str) -> Result<Self, ParseError> {
+                let fault = || ParseError::new($wanted, text, "hexadecimal digits");
                 if text.is_empty() || text.starts_with('+') {
                     return Err(fault());
                 }
@@ -93,11 +93,11 @@
 }
 
 impl FromStr for GrantId {
-    type Err = ParseFault;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, ParseFault> {
+    fn from_str(text: &str) -> Result<Self, ParseError> {
         let fault =
-            || ParseFault::new("a grant id", text, "HOLDER-NUMBER, as `00c0ffee00c0ffee-7`");
+            || ParseError::new("a grant id", text, "HOLDER-NUMBER, as `00c0ffee00c0ffee-7`");
         let (holder, number) = text.split_once('-').ok_or_else(fault)?;
         let holder = holder.parse().map_err(|_| fault())?;
         let number = number.parse().map_err(|_| fault())?;
@@ -141,10 +141,10 @@
 }
 
 impl FromStr for ChargeId {
-    type Err = ParseFault;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, ParseFault> {
-        let fault = || ParseFault::new("a charge id", text, "GRANT/SEQUENCE");
+    fn from_str(text: &str) -> Result<Self, ParseError> {
+        let fault = || ParseError::new("a charge id", text, "GRANT/SEQUENCE");
         let (grant, sequence) = text.split_once('/').ok_or_else(fault)?;
         let grant = grant.parse().map_err(|_| fault())?;
         let sequence = sequence.parse().map_err(|_| fault())?;
--- a/crates/sagespool-types/src/lib.rs
+++ b/crates/sagespool-types/src/lib.rs
@@ -9,7 +9,7 @@
 //! let branch: BranchName = "ruwi-bids".parse()?;
 //! let budget: TokenCount = "120000".parse()?;
 //! assert_eq!(format!("{branch} has {budget}"), "ruwi-bids has 120000");
-//! # Ok::<(), sagespool_types::ParseFault>(())
+//! # Ok::<(), sagespool_types::ParseError>(())
 //! ```
 
 mod binary;
@@ -25,7 +25,7 @@
 
 pub use clock::{ClockTime, WallTime};
 pub use digest::{ContentDigest, KeyDigest, SecretHash};
-pub use fault::ParseFault;
+pub use fault::ParseError;
 pub use ids::{
     AttemptNumber, ChargeId, CommandId, FenceNumber, GrantId, IncarnationId, RequestId,
     SequenceNumber,
@@ -38,5 +38,5 @@
 pub use refusal::{RefusalReason, RunState};
 pub use sizes::{
     BookNumber, ByteCount, ConfigVersion, RequestRate, StoreRevision, TokenCount, TokenRate,
-    UpstreamBirth,
+    UpstreamStartTime,
 };
--- a/crates/sagespool-types/src/names.rs
+++ b/crates/sagespool-types/src/names.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ParseFault;
+use crate::ParseError;
 
 const LONGEST_NAME: usize = 64;
 const NAME_HELP: &str = "1 to 64 characters: lower-case letters, digits, `-`, `_`, `.`, starting with a letter or digit";
@@ -34,11 +34,11 @@
         }
 
         impl FromStr for $name {
-            type Err = ParseFault;
+            type Err = ParseError;
 
-            fn from_str(text: &str) -> Result<Self, ParseFault> {
+            fn from_str(text: &str) -> Result<Self, ParseError> {
                 if !is_name(text) {
-                    return Err(ParseFault::new($wanted, text, NAME_HELP));
+                    return Err(ParseError::new($wanted, text, NAME_HELP));
                 }
                 Ok(Self(text.into()))
             }
@@ -50,7 +50,7 @@
             }
         }
 
-        crate::text_form!($name);
+        crate::string_conversions!($name);
     )*};
 }
 
--- a/crates/sagespool-types/src/rates.rs
+++ b/crates/sagespool-types/src/rates.rs
@@ -4,7 +4,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use crate::ParseFault;
+use crate::ParseError;
 
 /// Requests a second that an upstream takes: finite and not negative.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
@@ -36,10 +36,10 @@
 }
 
 impl FromStr for SendRate {
-    type Err = ParseFault;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, ParseFault> {
+    fn from_str(text: &str) -> Result<Self, ParseError> {
         let number = text.trim().parse().ok().and_then(Self::new);
-        number.ok_or_else(|| ParseFault::new("a rate", text, "a number of requests a second"))
+        number.ok_or_else(|| ParseError::new("a rate", text, "a number of requests a second"))
     }
 }
--- a/crates/sagespool-types/src/sizes.rs
+++ b/crates/sagespool-types/src/sizes.rs
@@ -16,7 +16,7 @@
     ConfigVersion(u64), "a configuration version";
     /// When a run of an upstream began, by the upstream's own clock, in milliseconds since 1970.
     /// Two that differ are two runs; clocks step, so the larger one isn't always the later.
-    UpstreamBirth(u64), "the time of an upstream's start";
+    UpstreamStartTime(u64), "the time of an upstream's start";
     /// One of the fixed number of books that the branches are spread over.
     BookNumber(u64), "a book number";
     /// Requests a second.
@@ -32,7 +32,7 @@
             pub const ZERO: Self = Self(0);
 
             /// The difference, or zero where the other is larger.
-            pub fn less(self, other: Self) -> Self {
+            pub fn saturating_sub(self, other: Self) -> Self {
                 Self(self.0.saturating_sub(other.0))
             }
         }
