--- a/crates/sagespool-platform/src/caller.rs
+++ b/crates/sagespool-platform/src/caller.rs
@@ -1,4 +1,5 @@
-//! One call of the platform: a request, and strictly what is known of its effect.
+//! HTTP calls to the platform: sends a request and classifies its outcome by whether it may have
+//! taken effect.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,31 +12,30 @@
 use smol::Timer;
 use trillium_client::{Client, Conn, KnownHeaderName, Version};
 
-use crate::connector::{MarkedConnector, is_connect_failure};
+use crate::connector::{TimeoutConnector, is_connect_error};
 use crate::counters::{CallCategory, CallKind, CallMeter, StoreCounters};
-use crate::detour::{RawFailure, RawResponse, StoreFallback, StoreWays};
 use crate::dialect::{DialectError, RawRequest};
+use crate::fallback::{RawFailure, RawResponse, StoreAccess, StoreFallback};
 use crate::{CallMethod, StoreError};
 
-/// Of a call's limit, connecting may take this share: the rest is for the call.
-const CONNECT_SHARE: u32 = 2;
-/// The longest answer that is read: a listing of all books with room to spare.
-const ANSWER_LIMIT: u64 = 256 << 20;
-/// The library asks leave before it sends a longer body, which costs a round
-/// trip, and a second with a server that doesn't know the question. Objects are
-/// at most 1 MB, so none is asked for.
-const BODY_SENT_AT_ONCE: usize = 4 << 20;
-/// How long to stay away if the platform says "over the rate" but not how long.
+/// The connect timeout is the call timeout divided by this, so that time is left for the exchange.
+const CONNECT_TIMEOUT_DIVISOR: u32 = 2;
+/// Longer response bodies count as lost. A listing of all books is well below this.
+const MAX_RESPONSE_BYTES: u64 = 256 << 20;
+/// The HTTP library sends `Expect: 100-continue` before a longer body, which costs a round trip, and
+/// a second with a server that doesn't support it. Objects are at most 1 MB, so it is never sent.
+const MAX_BYTES_WITHOUT_EXPECT: usize = 4 << 20;
+/// The backoff after a 429 response without a `retry-after-ms` header.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(200);
 const REVISION_HEADER: &str = "x-store-revision";
 const RETRY_HEADER: &str = "retry-after-ms";
-const SHOWN_BYTES: usize = 200;
+const MAX_SHOWN_BYTES: usize = 200;
 
-/// Makes calls to one address. Clones share connections and counters.
+/// Makes calls to one address. Clones share connections, circuit breakers and counters.
 #[derive(Debug, Clone)]
 pub(crate) struct PlatformCaller {
     shared: Arc<CallerShared>,
-    limit: Duration,
+    timeout: Duration,
 }
 
 #[derive(Debug)]
@@ -46,64 +46,66 @@
     seen_revision: AtomicU64,
     read_version: VersionReader,
     meter: CallMeter,
-    ways: StoreWays,
+    access: StoreAccess,
 }
 
-/// What to ask.
+/// A call to make.
 #[derive(Debug)]
 pub(crate) struct PlatformCall<'a> {
     pub(crate) kind: CallKind,
-    pub(crate) form: RawRequest,
-    /// The kind of object that it is for.
+    pub(crate) request: RawRequest,
+    /// The kind of the requested objects, for the counters.
     pub(crate) subject: &'a str,
-    /// How long the platform itself may wait.
+    /// How long the platform may hold a watch open; added to the timeout.
     pub(crate) wait: Duration,
 }
 
 impl<'a> PlatformCall<'a> {
-    /// A call at which the platform itself doesn't wait, for an object's key or a prefix.
-    pub(crate) fn new(kind: CallKind, form: RawRequest, key: &'a str) -> Self {
+    /// A call that the platform answers at once. `key` is an object's key or a prefix.
+    pub(crate) fn new(kind: CallKind, request: RawRequest, key: &'a str) -> Self {
         let subject = key.split_once('/').map_or(key, |(subject, _)| subject);
-        Self { kind, form, subject, wait: Duration::ZERO }
+        Self { kind, request, subject, wait: Duration::ZERO }
     }
 }
 
-/// An answer. Its head came whole; its body may have broken off.
-struct PlatformAnswer {
+/// A response with a complete head. `body` is `None` if it was cut off or too long.
+struct PlatformResponse {
     status: u16,
     retry_after: Option<Duration>,
     body: Option<Vec<u8>>,
 }
 
-/// Why there is no answer.
+/// Why a call has no response.
 enum CallFailure {
+    /// Nothing was sent: the connection could not be opened, or the circuit breaker is open.
     NotSent,
+    /// The request may have been processed.
     Lost,
 }
 
-/// Reads the version in the body of a refused write.
+/// Reads the present version of an object from the body of a 409 response.
 pub(crate) type VersionReader = fn(&[u8]) -> Result<StoreRevision, DialectError>;
 
 impl PlatformCaller {
     pub(crate) fn new(
         address: SocketAddr,
         token: Option<String>,
-        limit: Duration,
+        timeout: Duration,
         read_version: VersionReader,
     ) -> Self {
-        let client = Client::new(MarkedConnector::new(limit / CONNECT_SHARE))
-            .with_max_buffered_request_body(BODY_SENT_AT_ONCE);
+        let client = Client::new(TimeoutConnector::new(timeout / CONNECT_TIMEOUT_DIVISOR))
+            .with_max_buffered_request_body(MAX_BYTES_WITHOUT_EXPECT);
         let seen_revision = AtomicU64::new(0);
         let meter = CallMeter::default();
-        let ways = StoreWays::default();
+        let access = StoreAccess::default();
         let shared =
-            CallerShared { client, address, token, seen_revision, read_version, meter, ways };
-        Self { shared: Arc::new(shared), limit }
+            CallerShared { client, address, token, seen_revision, read_version, meter, access };
+        Self { shared: Arc::new(shared), timeout }
     }
 
-    /// The same caller, with a limit that is at most this long.
-    pub(crate) fn bounded(&self, limit: Duration) -> Self {
-        Self { shared: self.shared.clone(), limit: limit.min(self.limit) }
+    /// The same caller with a timeout of at most `timeout`.
+    pub(crate) fn with_max_timeout(&self, timeout: Duration) -> Self {
+        Self { shared: self.shared.clone(), timeout: timeout.min(self.timeout) }
     }
 
     pub(crate) fn seen_revision(&self) -> StoreRevision {
@@ -118,7 +120,7 @@
         self.shared.meter.counters()
     }
 
-    /// Makes a call and reads its answer as JSON, nothing if there is no such object.
+    /// Makes a call and decodes the response body as JSON; `None` on a 404 response.
     pub(crate) async fn call<T: DeserializeOwned>(
         &self,
         call: PlatformCall<'_>,
@@ -127,149 +129,152 @@
         self.call_read(call, read).await
     }
 
-    /// Makes a call and reads its answer, nothing if there is no such object.
+    /// Makes a call and decodes the response body with `read`; `None` on a 404 response.
     pub(crate) async fn call_read<T>(
         &self,
         call: PlatformCall<'_>,
         read: impl FnOnce(&[u8]) -> Result<T, DialectError>,
     ) -> Result<Option<T>, StoreError> {
         let kind = call.kind;
-        self.shared.meter.call(kind);
-        let result = match self.reach(call).await {
-            Ok(answer) => judge_answer(kind, answer, read, self.shared.read_version),
+        self.shared.meter.count_call(kind);
+        let result = match self.send_with_fallback(call).await {
+            Ok(response) => interpret_response(kind, response, read, self.shared.read_version),
             Err(CallFailure::NotSent) => Err(StoreError::Unavailable),
-            Err(CallFailure::Lost) => Err(lost(kind)),
+            Err(CallFailure::Lost) => Err(lost_response_error(kind)),
         };
         if let Err(error) = &result {
-            self.shared.meter.error(error);
+            self.shared.meter.count_error(error);
         }
         result
     }
 
-    /// Sets another way to the platform, for calls that surely did nothing on the direct one.
-    pub(crate) fn set_fallback(&self, detour: StoreFallback) -> bool {
-        self.shared.ways.set_fallback(detour)
+    /// Sets the fallback for calls whose direct attempt is known to have had no effect. False if
+    /// there is one already.
+    pub(crate) fn set_fallback(&self, fallback: StoreFallback) -> bool {
+        self.shared.access.set_fallback(fallback)
     }
 
-    /// Makes a call for another process, on the direct way only.
+    /// Makes a call for another process, without the fallback.
     pub(crate) async fn forward(
         &self,
-        form: RawRequest,
+        request: RawRequest,
         wait: Duration,
     ) -> Result<RawResponse, RawFailure> {
-        let kind = match form.method {
+        let kind = match request.method {
             CallMethod::Get if wait.is_zero() => CallKind::Read,
             CallMethod::Get => CallKind::Watch,
             _ => CallKind::Write,
         };
-        let subject = format!("forwarded-{}", path_subject(&form.path));
-        let call = PlatformCall { kind, form, subject: &subject, wait };
+        let subject = format!("forwarded-{}", path_subject(&request.path));
+        let call = PlatformCall { kind, request, subject: &subject, wait };
         match self.send(call).await {
-            Ok(answer) => Ok(RawResponse { status: answer.status, body: answer.body }),
+            Ok(response) => Ok(RawResponse { status: response.status, body: response.body }),
             Err(CallFailure::NotSent) => Err(RawFailure::NotSent),
             Err(CallFailure::Lost) => Err(RawFailure::Lost),
         }
     }
 
-    /// Sends a call the direct way, or another one if that is closed.
-    async fn reach(&self, call: PlatformCall<'_>) -> Result<PlatformAnswer, CallFailure> {
-        let ways = &self.shared.ways;
-        let (kind, limit) = (call.kind, self.limit.saturating_add(call.wait));
-        let all_closed = ways.all_closed(ClockTime::now());
-        if all_closed && kind != CallKind::Watch {
+    /// Sends a call directly, or by the fallback if the direct attempt had no effect or isn't allowed.
+    async fn send_with_fallback(
+        &self,
+        call: PlatformCall<'_>,
+    ) -> Result<PlatformResponse, CallFailure> {
+        let access = &self.shared.access;
+        let (kind, timeout) = (call.kind, self.timeout.saturating_add(call.wait));
+        let backing_off = access.is_backing_off(ClockTime::now());
+        if backing_off && kind != CallKind::Watch {
             return Err(CallFailure::NotSent);
         }
-        let form = call.form.clone();
+        let request = call.request.clone();
         let mut call = Some(call);
         let mut direct = Err(CallFailure::NotSent);
-        if ways.is_direct(kind, ClockTime::now())
+        if access.allows_direct(kind, ClockTime::now())
             && let Some(call) = call.take()
         {
             direct = self.send_direct(call).await;
-            if !did_nothing(kind, &direct) {
+            if !had_no_effect(kind, &direct) {
                 return direct;
             }
         }
-        let detour = if all_closed { None } else { ways.detour(form, limit) };
-        let Some(detour) = detour else {
+        let fallback = if backing_off { None } else { access.call_fallback(request, timeout) };
+        let Some(fallback) = fallback else {
             return direct;
         };
-        let detoured = detour.await;
-        // What is lost between processes says nothing of the platform: this one may be too busy to
-        // take the answer.
-        let tells = !matches!(detoured, Err(RawFailure::Lost));
-        let other = match detoured {
+        let relayed = fallback.await;
+        // A reply lost between processes is no evidence about the platform: this process may be too
+        // busy to receive it.
+        let conclusive = !matches!(relayed, Err(RawFailure::Lost));
+        let other = match relayed {
             Ok(RawResponse { status, body }) => {
-                Ok(PlatformAnswer { status, retry_after: None, body })
+                Ok(PlatformResponse { status, retry_after: None, body })
             }
             Err(RawFailure::Lost | RawFailure::Unanswered) => Err(CallFailure::Lost),
-            // Nobody else can be asked either. The direct way may have opened meanwhile; without
-            // this try, processes that all start during an outage would wait for each other.
+            // No other process could take the call either. The direct connection may work again;
+            // without this attempt, processes that all start during an outage wait for each other.
             Err(RawFailure::NotSent) => match call {
                 Some(call) => self.send_direct(call).await,
                 None => direct,
             },
         };
         match &other {
-            Ok(answer) if !is_turned_away(answer) => ways.some_way_works(),
-            _ if tells => ways.all_failed(ClockTime::now()),
+            Ok(response) if !is_rejected(response) => access.note_success(),
+            _ if conclusive => access.note_failure(ClockTime::now()),
             _ => {}
         }
         other
     }
 
-    /// Notes word of others that the platform answers them.
+    /// Records a peer's report that the platform answers it, which ends the backoff.
     pub(crate) fn note_store_reachable(&self) {
-        self.shared.ways.some_way_works();
+        self.shared.access.note_success();
     }
 
-    /// Sends a call the direct way, and notes how that fares.
-    async fn send_direct(&self, call: PlatformCall<'_>) -> Result<PlatformAnswer, CallFailure> {
+    /// Sends a call directly and updates the circuit breakers.
+    async fn send_direct(&self, call: PlatformCall<'_>) -> Result<PlatformResponse, CallFailure> {
         let kind = call.kind;
         let sent = self.send(call).await;
-        let ways = &self.shared.ways;
+        let access = &self.shared.access;
         match &sent {
-            Ok(_) if !did_nothing(kind, &sent) => ways.direct_works(),
-            _ => ways.direct_failed(ClockTime::now()),
+            Ok(_) if !had_no_effect(kind, &sent) => access.note_direct_success(),
+            _ => access.note_direct_failure(ClockTime::now()),
         }
         sent
     }
 
-    async fn send(&self, call: PlatformCall<'_>) -> Result<PlatformAnswer, CallFailure> {
-        self.shared.meter.sent(call.kind, call.subject);
-        let limit = self.limit.saturating_add(call.wait);
+    async fn send(&self, call: PlatformCall<'_>) -> Result<PlatformResponse, CallFailure> {
+        self.shared.meter.count_sent(call.kind, call.subject);
+        let timeout = self.timeout.saturating_add(call.wait);
         let exchange = self.exchange(call);
         let timer = async {
-            Timer::after(limit).await;
+            Timer::after(timeout).await;
             Err(CallFailure::Lost)
         };
         or(exchange, timer).await
     }
 
-    async fn exchange(&self, call: PlatformCall<'_>) -> Result<PlatformAnswer, CallFailure> {
-        let form = call.form;
-        let url = format!("http://{}{}", self.shared.address, form.path);
-        let mut conn = self.shared.client.build_conn(form.method, url);
-        // Pinned, or concurrent calls would wait for each other's connecting.
+    async fn exchange(&self, call: PlatformCall<'_>) -> Result<PlatformResponse, CallFailure> {
+        let request = call.request;
+        let url = format!("http://{}{}", self.shared.address, request.path);
+        let mut conn = self.shared.client.build_conn(request.method, url);
+        // HTTP/1.1 is set explicitly: otherwise concurrent calls wait for each other's connect.
         conn.set_http_version(Version::Http1_1);
         if let Some(token) = &self.shared.token {
             let headers = conn.request_headers_mut();
             headers.insert(KnownHeaderName::Authorization, format!("Bearer {token}"));
         }
-        if let Some(body) = form.body {
+        if let Some(body) = request.body {
             conn.request_headers_mut().insert(KnownHeaderName::ContentType, "application/json");
             conn.set_request_body(body);
         }
-        (&mut conn).await.map_err(|error| match is_connect_failure(&error) {
+        (&mut conn).await.map_err(|error| match is_connect_error(&error) {
             true => CallFailure::NotSent,
             false => CallFailure::Lost,
         })?;
         self.note_revision(&conn);
-        read_answer(conn).await
+        read_response(conn).await
     }
 
-    /// Takes note of the store's revision. Answers overtake each other, so the
-    /// highest counts.
+    /// Keeps the highest store revision of all responses, since they can arrive out of order.
     fn note_revision(&self, conn: &Conn) {
         if let Some(revision) = header_number(conn, REVISION_HEADER) {
             self.shared.seen_revision.fetch_max(revision, Ordering::Relaxed);
@@ -277,7 +282,7 @@
     }
 }
 
-/// The kind of object that a path is about: its second part, in all dialects.
+/// The kind of object that a path is for: its second segment, in all dialects.
 fn path_subject(path: &str) -> &str {
     let bare = path.split('?').next().unwrap_or_default();
     bare.trim_start_matches('/').split('/').nth(1).unwrap_or_default()
@@ -287,69 +292,68 @@
     conn.response_headers().get_str(name)?.parse().ok()
 }
 
-async fn read_answer(mut conn: Conn) -> Result<PlatformAnswer, CallFailure> {
+async fn read_response(mut conn: Conn) -> Result<PlatformResponse, CallFailure> {
     let status = conn.status().ok_or(CallFailure::Lost)? as u16;
     let retry_after = header_number(&conn, RETRY_HEADER).map(Duration::from_millis);
-    let body = conn.response_body().with_max_len(ANSWER_LIMIT).read_bytes().await.ok();
-    Ok(PlatformAnswer { status, retry_after, body })
+    let body = conn.response_body().with_max_len(MAX_RESPONSE_BYTES).read_bytes().await.ok();
+    Ok(PlatformResponse { status, retry_after, body })
 }
 
-fn is_turned_away(answer: &PlatformAnswer) -> bool {
-    matches!(answer.status, 429 | 503)
+fn is_rejected(response: &PlatformResponse) -> bool {
+    matches!(response.status, 429 | 503)
 }
 
-/// Whether a call surely had no effect: it wasn't sent, was turned away, or only reads.
-fn did_nothing(kind: CallKind, sent: &Result<PlatformAnswer, CallFailure>) -> bool {
+/// Whether a call is known to have had no effect: it wasn't sent, was rejected, or only reads.
+fn had_no_effect(kind: CallKind, sent: &Result<PlatformResponse, CallFailure>) -> bool {
     match sent {
-        Ok(answer) => is_turned_away(answer),
+        Ok(response) => is_rejected(response),
         Err(CallFailure::NotSent) => true,
         Err(CallFailure::Lost) => kind != CallKind::Write,
     }
 }
 
-/// The error of a call whose answer didn't come. A read has no effect.
-fn lost(kind: CallKind) -> StoreError {
+/// The error of a call whose response was lost. A read has no effect.
+fn lost_response_error(kind: CallKind) -> StoreError {
     match kind {
         CallKind::Write => StoreError::Uncertain,
         CallKind::Read | CallKind::Watch => StoreError::Unavailable,
     }
 }
 
-fn judge_answer<T>(
+fn interpret_response<T>(
     kind: CallKind,
-    answer: PlatformAnswer,
+    response: PlatformResponse,
     read: impl FnOnce(&[u8]) -> Result<T, DialectError>,
     read_version: VersionReader,
 ) -> Result<Option<T>, StoreError> {
-    match answer.status {
-        200 | 201 => read_body(kind, answer.body, read).map(Some),
+    match response.status {
+        200 | 201 => read_body(kind, response.body, read).map(Some),
         404 => Ok(None),
-        409 => Err(conflict(answer.body, read_version)),
+        409 => Err(conflict(response.body, read_version)),
         410 => Err(StoreError::HistoryGone),
         413 => Err(StoreError::TooLarge),
         429 => {
-            let retry_after = answer.retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
+            let retry_after = response.retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
             Err(StoreError::RateLimited { retry_after })
         }
         503 => Err(StoreError::Unavailable),
-        400..500 => Err(StoreError::Malformed(turned_away(answer))),
-        // Something between here and the store failed, or worked otherwise than
-        // the contract says: nothing tells whether a write took effect.
-        _ => Err(lost(kind)),
+        400..500 => Err(StoreError::Malformed(rejection_detail(response))),
+        // An intermediary failed, or the store violates its contract: a write may have taken effect.
+        _ => Err(lost_response_error(kind)),
     }
 }
 
-/// Reads a body of an answer that says "done". A write whose answer can't be
-/// read took effect, but its caller doesn't know as which version.
+/// Decodes the body of a successful response. If the response to a write can't be decoded, the write
+/// took effect at an unknown version.
 fn read_body<T>(
     kind: CallKind,
     body: Option<Vec<u8>>,
     read: impl FnOnce(&[u8]) -> Result<T, DialectError>,
 ) -> Result<T, StoreError> {
-    let body = body.ok_or_else(|| lost(kind))?;
-    read(&body).map_err(|fault| match kind {
+    let body = body.ok_or_else(|| lost_response_error(kind))?;
+    read(&body).map_err(|error| match kind {
         CallKind::Write => StoreError::Uncertain,
-        CallKind::Read | CallKind::Watch => StoreError::Malformed(fault),
+        CallKind::Read | CallKind::Watch => StoreError::Malformed(error),
     })
 }
 
@@ -357,12 +361,12 @@
     let body = body.unwrap_or_default();
     match read_version(&body) {
         Ok(present) => StoreError::Conflict { present },
-        Err(error) => StoreError::Malformed(format!("a conflict without a version: {error}")),
+        Err(error) => StoreError::Malformed(format!("409 response without a version: {error}")),
     }
 }
 
-fn turned_away(answer: PlatformAnswer) -> String {
-    let body = answer.body.unwrap_or_default();
-    let shown = String::from_utf8_lossy(&body[..body.len().min(SHOWN_BYTES)]);
-    format!("status {}: {shown}", answer.status)
+fn rejection_detail(response: PlatformResponse) -> String {
+    let body = response.body.unwrap_or_default();
+    let shown = String::from_utf8_lossy(&body[..body.len().min(MAX_SHOWN_BYTES)]);
+    format!("status {}: {shown}", response.status)
 }
--- a/crates/sagespool-platform/src/connector.rs
+++ b/crates/sagespool-platform/src/connector.rs
@@ -1,4 +1,4 @@
-//! Connecting, with failures that are told from those of a sent request.
+//! Connects with a timeout, and marks connect errors to distinguish them from errors after sending.
 
 use std::error::Error;
 use std::fmt;
@@ -12,64 +12,63 @@
 use trillium_server_common::{Connector, Destination, Url};
 use trillium_smol::ClientConfig;
 
-/// Connects within a limit, and marks each failure to connect: after it, surely
-/// nothing was sent.
+/// Connects within a timeout. Each failure is a [`ConnectError`], which means that nothing was sent.
 #[derive(Debug, Clone)]
-pub(crate) struct MarkedConnector {
+pub(crate) struct TimeoutConnector {
     connector: ClientConfig,
-    limit: Duration,
+    timeout: Duration,
 }
 
-/// The mark.
+/// Marks an I/O error as a failure to connect.
 #[derive(Debug)]
-struct ConnectFailure(io::Error);
+struct ConnectError(io::Error);
 
-impl fmt::Display for ConnectFailure {
+impl fmt::Display for ConnectError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "can't connect: {}", self.0)
+        write!(f, "cannot connect: {}", self.0)
     }
 }
 
-impl Error for ConnectFailure {}
+impl Error for ConnectError {}
 
-/// True if an error carries the mark.
-pub(crate) fn is_connect_failure(error: &trillium_client::Error) -> bool {
+/// Whether the connection could not be opened, so that nothing was sent.
+pub(crate) fn is_connect_error(error: &trillium_client::Error) -> bool {
     let trillium_client::Error::Io(error) = error else {
         return false;
     };
-    error.get_ref().is_some_and(|inner| inner.is::<ConnectFailure>())
+    error.get_ref().is_some_and(|inner| inner.is::<ConnectError>())
 }
 
-impl MarkedConnector {
-    pub(crate) fn new(limit: Duration) -> Self {
-        Self { connector: ClientConfig::new().with_nodelay(true), limit }
+impl TimeoutConnector {
+    pub(crate) fn new(timeout: Duration) -> Self {
+        Self { connector: ClientConfig::new().with_nodelay(true), timeout }
     }
 
-    async fn connect_in_time(
+    async fn connect_with_timeout(
         &self,
         destination: Destination,
     ) -> io::Result<<ClientConfig as Connector>::Transport> {
         let timer = async {
-            Timer::after(self.limit).await;
+            Timer::after(self.timeout).await;
             Err(io::ErrorKind::TimedOut.into())
         };
         or(self.connector.connect_to(destination), timer)
             .await
-            .map_err(|error| io::Error::new(error.kind(), ConnectFailure(error)))
+            .map_err(|error| io::Error::new(error.kind(), ConnectError(error)))
     }
 }
 
-impl Connector for MarkedConnector {
+impl Connector for TimeoutConnector {
     type Transport = <ClientConfig as Connector>::Transport;
     type Runtime = SharedRuntime;
     type Udp = <ClientConfig as Connector>::Udp;
 
     async fn connect(&self, url: &Url) -> io::Result<Self::Transport> {
-        self.connect_in_time(Destination::from_url(url)?).await
+        self.connect_with_timeout(Destination::from_url(url)?).await
     }
 
     async fn connect_to(&self, destination: Destination) -> io::Result<Self::Transport> {
-        self.connect_in_time(destination).await
+        self.connect_with_timeout(destination).await
     }
 
     async fn resolve(&self, host: &str, port: u16) -> io::Result<Vec<SocketAddr>> {
--- a/crates/sagespool-platform/src/counters.rs
+++ b/crates/sagespool-platform/src/counters.rs
@@ -1,4 +1,4 @@
-//! How many calls went to the platform.
+//! Counters of calls to the platform.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,7 +6,7 @@
 
 use crate::StoreError;
 
-/// Calls of one client since it was made. Each counts against the platform's rates.
+/// Calls of one client since its creation. Each counts against the platform's rate limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct StoreCounters {
     /// Gets and lists.
@@ -15,27 +15,27 @@
     pub writes: u64,
     /// Watches, of objects and of the instance list.
     pub watches: u64,
-    /// Writes that found another version.
+    /// Writes refused because the object was at another version.
     pub conflicts: u64,
-    /// Calls that the platform turned away over its rate.
+    /// Calls refused by the platform's rate limit.
     pub rate_limited: u64,
-    /// Calls that got no answer that could be used.
+    /// Calls without a usable response.
     pub failures: u64,
 }
 
-/// What a call counts as.
+/// The kind of a call, as counted against the platform's rate limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallKind {
-    /// A get or a list.
+    /// A get or a list call.
     Read,
-    /// A put or a delete.
+    /// A put or a delete call.
     Write,
-    /// A watch.
+    /// A call that waits for changes.
     Watch,
 }
 
 impl CallKind {
-    /// The word that metrics use.
+    /// The label value in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Read => "read",
@@ -45,17 +45,17 @@
     }
 }
 
-/// Calls that went out, by their cause.
+/// The category by which sent calls are counted.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallCategory {
-    /// What kind of call.
+    /// The kind of call.
     pub kind: CallKind,
-    /// The kind of object that it was for, as the store names it, after `forwarded-` for calls that are
-    /// made for other processes.
+    /// The kind of the requested objects, as the store names it; prefixed with `forwarded-` for calls
+    /// made on behalf of other processes.
     pub subject: String,
 }
 
-/// The counters while they count.
+/// The live counters of a client.
 #[derive(Debug, Default)]
 pub(crate) struct CallMeter {
     reads: AtomicU64,
@@ -64,23 +64,24 @@
     conflicts: AtomicU64,
     rate_limited: AtomicU64,
     failures: AtomicU64,
-    causes: Mutex<BTreeMap<CallCategory, u64>>,
+    by_category: Mutex<BTreeMap<CallCategory, u64>>,
 }
 
 impl CallMeter {
-    /// Counts a call that goes out.
-    pub(crate) fn sent(&self, kind: CallKind, subject: &str) {
-        let cause = CallCategory { kind, subject: subject.to_owned() };
-        let mut causes = self.causes.lock().unwrap_or_else(PoisonError::into_inner);
-        *causes.entry(cause).or_default() += 1;
+    /// Counts a call that is sent directly.
+    pub(crate) fn count_sent(&self, kind: CallKind, subject: &str) {
+        let category = CallCategory { kind, subject: subject.to_owned() };
+        let mut counts = self.by_category.lock().unwrap_or_else(PoisonError::into_inner);
+        *counts.entry(category).or_default() += 1;
     }
 
     pub(crate) fn call_counts(&self) -> Vec<(CallCategory, u64)> {
-        let causes = self.causes.lock().unwrap_or_else(PoisonError::into_inner);
-        causes.iter().map(|(cause, count)| (cause.clone(), *count)).collect()
+        let counts = self.by_category.lock().unwrap_or_else(PoisonError::into_inner);
+        counts.iter().map(|(category, count)| (category.clone(), *count)).collect()
     }
 
-    pub(crate) fn call(&self, kind: CallKind) {
+    /// Counts a call, whether or not it is sent.
+    pub(crate) fn count_call(&self, kind: CallKind) {
         let counter = match kind {
             CallKind::Read => &self.reads,
             CallKind::Write => &self.writes,
@@ -89,11 +90,11 @@
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    pub(crate) fn error(&self, error: &StoreError) {
+    pub(crate) fn count_error(&self, error: &StoreError) {
         let counter = match error {
             StoreError::Conflict { .. } => &self.conflicts,
             StoreError::RateLimited { .. } => &self.rate_limited,
-            // A true answer to what was asked.
+            // Valid responses rather than failures.
             StoreError::TooLarge | StoreError::HistoryGone => return,
             StoreError::Unavailable | StoreError::Uncertain | StoreError::Malformed(_) => {
                 &self.failures
--- a/crates/sagespool-platform/src/dialect.rs
+++ b/crates/sagespool-platform/src/dialect.rs
@@ -1,7 +1,7 @@
-//! How the object API's calls are spelled: paths, bodies and answers.
+//! Wire formats of the object API: paths, bodies and responses.
 //!
-//! The client decides what to call and what a failure means; a dialect only says how a call and
-//! its answer are written, so that one client serves stores that differ in nothing else.
+//! The client decides what to call and what a failure means. A dialect only encodes requests and
+//! decodes responses, so that one client serves stores that differ in nothing else.
 
 use std::time::Duration;
 
@@ -10,71 +10,72 @@
 use serde_json::value::RawValue;
 use trillium_client::Method;
 
-/// A call as it is sent.
+/// A request of the object API.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RawRequest {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// The body, JSON.
+    /// The JSON body, if the method has one.
     pub body: Option<Vec<u8>>,
 }
 
 impl RawRequest {
-    /// A call without a body.
+    /// Creates a request without a body.
     pub fn without_body(method: Method, path: String) -> Self {
         Self { method, path, body: None }
     }
 }
 
-/// One object of an answer. Its value is nothing if it was deleted.
+/// An object in a response, its value not decoded.
 #[derive(Debug, Clone)]
 pub struct RawObject {
-    /// Its key.
+    /// The key, `KIND/NAME`.
     pub key: String,
     /// The revision of its last change.
     pub version: StoreRevision,
-    /// Its value, not decoded yet.
+    /// The value; `None` if the object was deleted.
     pub value: Option<Box<RawValue>>,
 }
 
-/// Objects of an answer, at one revision of the store.
+/// The objects in a response, at one revision of the store.
 #[derive(Debug, Clone)]
 pub struct ObjectPage {
-    /// The store's revision; watch from here.
+    /// The store's revision, from which to watch.
     pub revision: StoreRevision,
-    /// The objects, or the changed ones.
+    /// The objects of a listing, or the changed objects of a watch.
     pub items: Vec<RawObject>,
-    /// The key after which the listing goes on, if it isn't complete.
+    /// The key after which the next page starts; `None` on the last page.
     pub more_after: Option<String>,
 }
 
-/// What a dialect can't read, in words.
+/// Why a response can't be decoded, as a message.
 pub type DialectError = String;
 
-/// The spelling of each call and answer. Keys are `KIND/NAME`, prefixes end with a slash.
+/// Encodes the requests and decodes the responses of a store. Keys are `KIND/NAME`, prefixes end
+/// with a slash.
 #[derive(Clone, Copy)]
 pub struct StoreDialect {
-    /// Reads an object.
+    /// Request for an object.
     pub get: fn(key: &str) -> RawRequest,
-    /// Lists the objects under a prefix, from the start or after a key.
+    /// Request for a page of the objects under a prefix, from the start or after a key.
     pub list: fn(prefix: &str, after: Option<&str>) -> RawRequest,
-    /// Waits for changes under a prefix after a revision.
+    /// Request that waits for changes under a prefix after a revision.
     pub watch: fn(prefix: &str, after: StoreRevision, wait: Duration) -> RawRequest,
-    /// Writes an object that is at a version; 0 = it must not exist.
+    /// Request to write an object that is at the expected version; 0 if it must not exist.
     pub put: fn(key: &str, expected: StoreRevision, value: &RawValue) -> RawRequest,
-    /// Deletes an object that is at a version.
+    /// Request to delete an object that is at the expected version.
     pub delete: fn(key: &str, expected: StoreRevision) -> RawRequest,
-    /// Reads the answer to a get.
+    /// Decodes the response to a get.
     pub read_object: fn(key: &str, body: &[u8]) -> Result<RawObject, DialectError>,
-    /// Reads the answer to a list.
+    /// Decodes the response to a list.
     pub read_page: fn(prefix: &str, body: &[u8]) -> Result<ObjectPage, DialectError>,
-    /// Reads the answer to a watch.
+    /// Decodes the response to a watch.
     pub read_changes: fn(prefix: &str, body: &[u8]) -> Result<ObjectPage, DialectError>,
-    /// Reads the version that a write has made, or that a refused write has found.
+    /// Decodes the new version from the response to a write, or the present one from a conflict.
     pub read_version: fn(body: &[u8]) -> Result<StoreRevision, DialectError>,
-    /// Checks the answer to a delete.
+    /// Checks the response to a delete.
     pub read_deleted: fn(body: &[u8]) -> Result<(), DialectError>,
 }
 
@@ -121,7 +122,7 @@
 }
 
 impl StoreDialect {
-    /// The object API as `docs/PLATFORM.md` describes it.
+    /// The dialect of `docs/PLATFORM.md`.
     pub fn native() -> Self {
         Self {
             get: |key| RawRequest::without_body(Method::Get, format!("/objects/{key}")),
--- a/crates/sagespool-platform/src/error.rs
+++ b/crates/sagespool-platform/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a call of the platform, by what is known of its effect.
+//! Errors of calls to the platform, by whether the call may have taken effect.
 
 use std::error::Error;
 use std::fmt;
@@ -6,49 +6,51 @@
 
 use sagespool_types::StoreRevision;
 
-/// Why a call of the platform failed.
+/// Why a call to the platform failed. Only [`Self::Uncertain`] may have taken effect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreError {
-    /// The object is at another version; nothing was done.
+    /// The object is at another version than expected.
     Conflict {
-        /// Its present version, 0 if it doesn't exist.
+        /// The present version, 0 if the object doesn't exist.
         present: StoreRevision,
     },
-    /// Over the platform's rate; nothing was done.
+    /// Refused by the platform's rate limit.
     RateLimited {
-        /// When to come back.
+        /// The time after which to retry.
         retry_after: Duration,
     },
-    /// Out of service or out of reach; surely nothing was done.
+    /// The platform is unreachable or out of service; the call had no effect.
     Unavailable,
-    /// The answer of a write was lost: it may have taken effect, or may yet.
+    /// The response to a write was lost: it may have taken effect, or may still do so.
     Uncertain,
-    /// The value is over the platform's limit of 1 MB; nothing was done.
+    /// The value is over the platform's limit of 1 MB.
     TooLarge,
-    /// The changes after that revision are no longer kept: read the prefix again.
+    /// The changes after the requested revision are no longer kept: list the prefix again.
     HistoryGone,
-    /// The platform turned the call away, or answered a read with what can't be
-    /// understood, in words; nothing was done.
+    /// The platform rejected the call, or its response to a read can't be decoded; the text has the
+    /// details.
     Malformed(String),
 }
 
 impl StoreError {
-    /// True if the call may have taken effect.
+    /// Whether the call may have taken effect.
     pub fn may_have_taken_effect(&self) -> bool {
         matches!(self, Self::Uncertain)
     }
 
-    /// What a person can do about it.
+    /// Advice for an operator.
     pub fn help(&self) -> &'static str {
         match self {
             Self::Conflict { .. } => {
-                "read the object again and repeat the change on what it is now"
+                "read the object again and apply the change to its present value"
+            }
+            Self::RateLimited { .. } => "retry later, or raise the platform's rate limit",
+            Self::Unavailable => {
+                "check that the platform is up, and `platform.object_api` in the settings"
             }
-            Self::RateLimited { .. } => "come back later, or raise the platform's rate",
-            Self::Unavailable => "check the platform, and `platform.object_api` in the settings",
             Self::Uncertain => "read the object again to see whether the change took effect",
-            Self::TooLarge => "spread the data over more objects",
-            Self::HistoryGone => "read the prefix again and watch from the revision it gives",
+            Self::TooLarge => "split the data over more objects",
+            Self::HistoryGone => "list the prefix again and watch from the listing's revision",
             Self::Malformed(_) => "check the platform's version and the token in the settings",
         }
     }
@@ -58,18 +60,26 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Conflict { present } => {
-                write!(f, "the object is at version {present}, not at the expected one")
+                write!(f, "the object is at version {present} instead of the expected one")
             }
             Self::RateLimited { retry_after } => {
-                write!(f, "over the platform's rate for {} ms", retry_after.as_millis())
+                write!(
+                    f,
+                    "the platform's rate limit is exceeded; retry after {} ms",
+                    retry_after.as_millis()
+                )
             }
-            Self::Unavailable => f.write_str("the platform is out of reach; nothing was done"),
+            Self::Unavailable => f.write_str("the platform is unreachable; the call had no effect"),
             Self::Uncertain => {
-                f.write_str("the platform's answer was lost; the change may have taken effect")
+                f.write_str("the platform's response was lost; the write may have taken effect")
+            }
+            Self::TooLarge => f.write_str("the value exceeds the platform's limit of 1 MB"),
+            Self::HistoryGone => {
+                f.write_str("the changes since the requested revision are no longer kept")
+            }
+            Self::Malformed(detail) => {
+                write!(f, "the platform rejected the call or sent an invalid response: {detail}")
             }
-            Self::TooLarge => f.write_str("the value is over the platform's limit of 1 MB"),
-            Self::HistoryGone => f.write_str("the changes since that revision are no longer kept"),
-            Self::Malformed(detail) => write!(f, "the platform's answer can't be used: {detail}"),
         }
     }
 }
--- a/crates/sagespool-platform/src/instances.rs
+++ b/crates/sagespool-platform/src/instances.rs
@@ -13,34 +13,34 @@
 use crate::dialect::{RawRequest, StoreDialect};
 use crate::{StoreCounters, StoreError};
 
-/// The longest that a call may take, besides its own waiting time.
-const CALL_LIMIT: Duration = Duration::from_secs(1);
+/// The timeout of a call; the time that a watch waits is added.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 derives! { value;
-    /// Whether the platform is about to take an instance away.
+    /// Whether the platform is about to remove an instance.
     #[serde(rename_all = "kebab-case")]
     pub enum ListedState {
-        /// It stays.
+        /// The instance stays.
         Live,
-        /// It is being taken away.
+        /// The instance is being removed.
         Leaving,
     }
 }
 
 derives! { record;
-    /// An instance, as the platform lists it; the list lags behind the truth.
+    /// An entry of the platform's instance list, which lags behind the real state.
     pub struct ListedInstance {
-        /// Its name.
+        /// The instance's name.
         pub instance: InstanceName,
-        /// Its role.
+        /// The instance's role.
         pub role: MemberRole,
-        /// Its region.
+        /// The instance's region.
         pub region: RegionName,
-        /// Its data centre.
+        /// The instance's data centre.
         pub centre: CentreName,
-        /// Where its link is reached.
+        /// The address of its link endpoint.
         pub address: SocketAddr,
-        /// Whether it stays.
+        /// Whether it is being removed.
         pub state: ListedState,
     }
 }
@@ -48,9 +48,9 @@
 derives! { record;
     /// The instance list at a revision.
     pub struct InstanceListing {
-        /// The list's revision.
+        /// The list's revision, from which to wait for changes.
         pub revision: StoreRevision,
-        /// The instances.
+        /// All listed instances.
         pub instances: Vec<ListedInstance>,
     }
 }
@@ -62,22 +62,24 @@
 }
 
 impl InstanceClient {
-    /// A client; connects when it is first used.
+    /// Creates a client. It connects on its first call, and sends `token` as the bearer token.
     pub fn new(address: SocketAddr, token: Option<String>) -> Self {
         Self {
             caller: PlatformCaller::new(
                 address,
                 token,
-                CALL_LIMIT,
+                CALL_TIMEOUT,
                 StoreDialect::native().read_version,
             ),
         }
     }
 
-    /// Reads the list: at once without `after`, else as soon as it changes after
-    /// that revision, at the latest after `wait`.
+    /// Reads the list: at once without `after`, else as soon as it changes after that revision, at
+    /// the latest after `wait`.
     ///
-    /// Every error means that the list isn't known.
+    /// # Errors
+    ///
+    /// Any [`StoreError`] means that the list is unknown, not that it is empty.
     pub async fn list(
         &self,
         after: Option<StoreRevision>,
@@ -90,14 +92,16 @@
         );
         if let Some(after) = after {
             call.kind = CallKind::Watch;
-            call.form.path = format!("/instances?after={after}&wait_ms={}", wait.as_millis());
+            call.request.path = format!("/instances?after={after}&wait_ms={}", wait.as_millis());
             call.wait = wait;
         }
         let listing: Option<InstanceListing> = self.caller.call(call).await?;
-        listing.ok_or_else(|| StoreError::Malformed("there is no instance list".to_owned()))
+        listing.ok_or_else(|| {
+            StoreError::Malformed("the platform has no instance list (404)".to_owned())
+        })
     }
 
-    /// Calls so far.
+    /// The counters of all calls so far.
     pub fn counters(&self) -> StoreCounters {
         self.caller.counters()
     }
--- a/crates/sagespool-platform/src/lib.rs
+++ b/crates/sagespool-platform/src/lib.rs
@@ -1,8 +1,8 @@
 //! Clients of the platform: object API and instance list.
 //!
-//! Both keep their connections, bound each call's time, and tell strictly
-//! whether a failed call may have taken effect: a write whose answer was lost
-//! is [`StoreError::Uncertain`], never a failure that looks like "not done".
+//! Both keep their connections open and limit the time of each call. Errors distinguish strictly
+//! whether a failed call may have taken effect: a write whose response was lost fails with
+//! [`StoreError::Uncertain`], never with an error that means that it had no effect.
 //!
 //! ```no_run
 //! use std::time::Duration;
@@ -15,7 +15,7 @@
 //!     .token("the platform's token".into())
 //!     .build();
 //! let client = ObjectClient::new(options);
-//! // Called with each state that is read, until one write finds the object unchanged.
+//! // Called with each value read, until a write finds the object unchanged since the read.
 //! let count = |starts: &mut u64| {
 //!     *starts += 1;
 //!     UpdateChoice::Write
@@ -29,17 +29,17 @@
 mod caller;
 mod connector;
 mod counters;
-mod detour;
 mod dialect;
 mod error;
+mod fallback;
 mod instances;
 mod objects;
 mod update;
 
 pub use counters::{CallCategory, CallKind, StoreCounters};
-pub use detour::{RawFailure, RawResponse, RawResponseFuture, StoreFallback};
 pub use dialect::{DialectError, ObjectPage, RawObject, RawRequest, StoreDialect};
 pub use error::StoreError;
+pub use fallback::{RawFailure, RawResponse, RawResponseFuture, StoreFallback};
 pub use instances::{InstanceClient, InstanceListing, ListedInstance, ListedState};
 pub use objects::{
     ObjectChange, ObjectChanges, ObjectClient, ObjectListing, ObjectOptions, StoredObject,
--- a/crates/sagespool-platform/src/objects.rs
+++ b/crates/sagespool-platform/src/objects.rs
@@ -11,26 +11,26 @@
 
 use crate::caller::{PlatformCall, PlatformCaller};
 use crate::counters::{CallCategory, CallKind};
-use crate::detour::{RawFailure, RawResponse, StoreFallback};
 use crate::dialect::{RawRequest, StoreDialect};
+use crate::fallback::{RawFailure, RawResponse, StoreFallback};
 use crate::{StoreCounters, StoreError};
 
-/// The platform's limit for a value, 1 MB; it may mean a little less by it.
-const LARGEST_VALUE: usize = 1 << 20;
-const NO_SUCH_CALL: &str = "the platform doesn't know this call";
+/// The largest value that is sent. The platform's limit of 1 MB may be slightly lower.
+const MAX_VALUE_BYTES: usize = 1 << 20;
+const NO_SUCH_ENDPOINT: &str = "the platform has no such endpoint (404)";
 
-/// Where the object API is, and how long a call may take.
+/// Options of an [`ObjectClient`].
 #[derive(Debug, Clone, Builder)]
 pub struct ObjectOptions {
-    /// Its address.
+    /// The address of the object API.
     pub address: SocketAddr,
     /// The bearer token to send, if any.
     pub token: Option<String>,
-    /// The longest that a call may take, connecting included; a watch gets its
-    /// own waiting time on top. 1 s unless given.
+    /// The timeout of a call, connecting included; the time that a watch waits is added. 1 s by
+    /// default.
     #[builder(default = Duration::from_secs(1))]
     pub call_timeout: Duration,
-    /// How its calls are spelled; as `docs/PLATFORM.md` has them unless given.
+    /// The wire format; that of `docs/PLATFORM.md` by default.
     #[builder(default)]
     pub dialect: StoreDialect,
 }
@@ -40,14 +40,14 @@
 pub struct StoredObject<T> {
     /// The revision of its last change.
     pub version: StoreRevision,
-    /// Its value.
+    /// The decoded value.
     pub value: T,
 }
 
 /// The objects under a prefix, at one revision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ObjectListing<T> {
-    /// The store's revision at that moment; watch from here.
+    /// The store's revision, from which to watch.
     pub revision: StoreRevision,
     /// The objects, sorted by key.
     pub items: Vec<(String, StoredObject<T>)>,
@@ -56,20 +56,20 @@
 /// The newest change of one object.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ObjectChange<T> {
-    /// Its key.
+    /// The object's key.
     pub key: String,
     /// The revision of the change.
     pub version: StoreRevision,
-    /// Its value, nothing if it was deleted.
+    /// The new value; `None` if the object was deleted.
     pub value: Option<T>,
 }
 
-/// What changed under a prefix after a revision.
+/// The changes under a prefix after a revision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ObjectChanges<T> {
-    /// The revision up to which this is complete; watch on from here.
+    /// The revision up to which the changes are complete, from which to watch next.
     pub revision: StoreRevision,
-    /// The changes, the newest of each key.
+    /// The newest change of each changed key.
     pub changes: Vec<ObjectChange<T>>,
 }
 
@@ -77,7 +77,7 @@
 ///
 /// # Errors
 ///
-/// Each call fails with a [`StoreError`], which says what is known of its effect.
+/// Each call fails with a [`StoreError`], which tells whether the call may have taken effect.
 #[derive(Debug, Clone)]
 pub struct ObjectClient {
     caller: PlatformCaller,
@@ -85,39 +85,39 @@
 }
 
 impl ObjectClient {
-    /// A client; connects when it is first used.
+    /// Creates a client. It connects on its first call.
     pub fn new(options: ObjectOptions) -> Self {
         let ObjectOptions { address, token, call_timeout, dialect } = options;
         let caller = PlatformCaller::new(address, token, call_timeout, dialect.read_version);
         Self { caller, dialect }
     }
 
-    /// The same client, whose calls take at most this long.
-    pub(crate) fn bounded(&self, limit: Duration) -> Self {
-        Self { caller: self.caller.bounded(limit), dialect: self.dialect }
+    /// The same client with a call timeout of at most `timeout`.
+    pub(crate) fn with_max_timeout(&self, timeout: Duration) -> Self {
+        Self { caller: self.caller.with_max_timeout(timeout), dialect: self.dialect }
     }
 
-    /// Reads an object; nothing if it doesn't exist.
+    /// Reads an object; `None` if it doesn't exist.
     pub async fn get<T: DeserializeOwned>(
         &self,
         key: &str,
     ) -> Result<Option<StoredObject<T>>, StoreError> {
-        let call = PlatformCall::new(CallKind::Read, (self.dialect.get)(checked(key)?), key);
+        let call = PlatformCall::new(CallKind::Read, (self.dialect.get)(valid_key(key)?), key);
         let read = |body: &[u8]| (self.dialect.read_object)(key, body);
-        let Some(form) = self.caller.call_read(call, read).await? else {
+        let Some(object) = self.caller.call_read(call, read).await? else {
             return Ok(None);
         };
-        let value = form.value.as_deref().ok_or_else(|| no_value(key))?;
-        Ok(Some(StoredObject { version: form.version, value: decode(value)? }))
+        let value = object.value.as_deref().ok_or_else(|| missing_value(key))?;
+        Ok(Some(StoredObject { version: object.version, value: decode(value)? }))
     }
 
-    /// Writes an object if it is at the expected version; 0 = it must not exist.
-    /// Gives its new version.
+    /// Writes an object if it is at the expected version, 0 if it must not exist. Returns its new
+    /// version.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Conflict`] at another version; [`StoreError::Uncertain`] if the answer was
-    /// lost, after which it may have taken effect, or may yet.
+    /// [`StoreError::Conflict`] if the object is at another version; [`StoreError::Uncertain`] if the
+    /// response was lost, so that the write may have taken effect or may still do so.
     pub async fn put<T: Serialize>(
         &self,
         key: &str,
@@ -125,20 +125,24 @@
         value: &T,
     ) -> Result<StoreRevision, StoreError> {
         let value = encode(value)?;
-        let form = (self.dialect.put)(checked(key)?, expected, &value);
-        let call = PlatformCall::new(CallKind::Write, form, key);
+        let request = (self.dialect.put)(valid_key(key)?, expected, &value);
+        let call = PlatformCall::new(CallKind::Write, request, key);
         let written = self.caller.call_read(call, self.dialect.read_version).await?;
         written.ok_or_else(|| match expected {
-            StoreRevision::ZERO => StoreError::Malformed(NO_SUCH_CALL.to_owned()),
-            // The object was deleted meanwhile.
+            StoreRevision::ZERO => StoreError::Malformed(NO_SUCH_ENDPOINT.to_owned()),
+            // The object was deleted since it was read.
             _ => StoreError::Conflict { present: StoreRevision::ZERO },
         })
     }
 
-    /// Deletes an object if it is at the expected version; fails as [`Self::put`] does.
+    /// Deletes an object if it is at the expected version.
+    ///
+    /// # Errors
+    ///
+    /// As [`Self::put`].
     pub async fn delete(&self, key: &str, expected: StoreRevision) -> Result<(), StoreError> {
-        let form = (self.dialect.delete)(checked(key)?, expected);
-        let call = PlatformCall::new(CallKind::Write, form, key);
+        let request = (self.dialect.delete)(valid_key(key)?, expected);
+        let call = PlatformCall::new(CallKind::Write, request, key);
         match self.caller.call_read(call, self.dialect.read_deleted).await? {
             Some(()) => Ok(()),
             None => Err(StoreError::Conflict { present: StoreRevision::ZERO }),
@@ -147,24 +151,24 @@
 
     /// Reads all objects under a prefix.
     ///
-    /// A listing of several pages tells the first page's revision: a watch from there repeats what
-    /// changed while the others were read, and misses nothing.
+    /// The listing has the revision of its first page: a watch from there repeats changes made while
+    /// the other pages were read, and misses none.
     pub async fn list<T: DeserializeOwned>(
         &self,
         prefix: &str,
     ) -> Result<ObjectListing<T>, StoreError> {
-        let prefix = checked(prefix)?;
+        let prefix = valid_key(prefix)?;
         let mut items = Vec::new();
         let mut first = None;
         let mut after: Option<String> = None;
         loop {
-            let form = (self.dialect.list)(prefix, after.as_deref());
-            let call = PlatformCall::new(CallKind::Read, form, prefix);
+            let request = (self.dialect.list)(prefix, after.as_deref());
+            let call = PlatformCall::new(CallKind::Read, request, prefix);
             let read = |body: &[u8]| (self.dialect.read_page)(prefix, body);
             let page = self.caller.call_read(call, read).await?;
-            let page = page.ok_or_else(|| StoreError::Malformed(NO_SUCH_CALL.to_owned()))?;
+            let page = page.ok_or_else(|| StoreError::Malformed(NO_SUCH_ENDPOINT.to_owned()))?;
             for item in page.items {
-                let value = item.value.as_deref().ok_or_else(|| no_value(&item.key))?;
+                let value = item.value.as_deref().ok_or_else(|| missing_value(&item.key))?;
                 let value = decode(value)?;
                 items.push((item.key, StoredObject { version: item.version, value }));
             }
@@ -176,25 +180,25 @@
         }
     }
 
-    /// Waits for changes under a prefix after a revision: returns at once if there
-    /// are any, else after at most `wait`, then with none.
+    /// Waits for changes under a prefix after a revision. Returns at once if there are any, else
+    /// without changes after at most `wait`.
     ///
     /// # Errors
     ///
-    /// [`StoreError::HistoryGone`] if the changes after `after` aren't kept any more: list again.
+    /// [`StoreError::HistoryGone`] if the changes since `after` are no longer kept: list again.
     pub async fn watch<T: DeserializeOwned>(
         &self,
         prefix: &str,
         after: StoreRevision,
         wait: Duration,
     ) -> Result<ObjectChanges<T>, StoreError> {
-        let prefix = checked(prefix)?;
+        let prefix = valid_key(prefix)?;
         let mut call =
             PlatformCall::new(CallKind::Watch, (self.dialect.watch)(prefix, after, wait), prefix);
         call.wait = wait;
         let read = |body: &[u8]| (self.dialect.read_changes)(prefix, body);
         let watched = self.caller.call_read(call, read).await?;
-        let watched = watched.ok_or_else(|| StoreError::Malformed(NO_SUCH_CALL.to_owned()))?;
+        let watched = watched.ok_or_else(|| StoreError::Malformed(NO_SUCH_ENDPOINT.to_owned()))?;
         let mut changes = Vec::with_capacity(watched.items.len());
         for item in watched.items {
             let value = item.value.as_deref().map(decode).transpose()?;
@@ -203,63 +207,65 @@
         Ok(ObjectChanges { revision: watched.revision, changes })
     }
 
-    /// Sets another way to the platform, for calls that surely did nothing on the direct one.
-    /// False if there is one already.
-    pub fn set_fallback(&self, detour: StoreFallback) -> bool {
-        self.caller.set_fallback(detour)
+    /// Sets the fallback for calls whose direct attempt is known to have had no effect. False if
+    /// there is one already.
+    pub fn set_fallback(&self, fallback: StoreFallback) -> bool {
+        self.caller.set_fallback(fallback)
     }
 
-    /// Notes word of another process that the platform answers it: calls that were given up at once,
-    /// since no way was open, are tried again.
+    /// Records a peer's report that the platform answers it. Ends the backoff in which calls fail at
+    /// once.
     pub fn note_store_reachable(&self) {
         self.caller.note_store_reachable();
     }
 
-    /// Makes a call for another process that can't reach the platform, on the direct way only.
+    /// Makes a call for another process that can't reach the platform, without the fallback.
     ///
     /// # Errors
     ///
-    /// [`RawFailure`] if there is no answer.
+    /// [`RawFailure`] if there is no response.
     pub async fn forward(
         &self,
-        form: RawRequest,
+        request: RawRequest,
         wait: Duration,
     ) -> Result<RawResponse, RawFailure> {
-        self.caller.forward(form, wait).await
+        self.caller.forward(request, wait).await
     }
 
-    /// The highest revision of the store that any answer carried.
+    /// The highest store revision in any response so far.
     pub fn seen_revision(&self) -> StoreRevision {
         self.caller.seen_revision()
     }
 
-    /// Calls that went out on the direct way, by their cause.
+    /// The numbers of calls sent directly, by category.
     pub fn call_counts(&self) -> Vec<(CallCategory, u64)> {
         self.caller.call_counts()
     }
 
-    /// Calls so far.
+    /// The counters of all calls so far.
     pub fn counters(&self) -> StoreCounters {
         self.caller.counters()
     }
 }
 
-/// A key or prefix as it may stand in a path.
-fn checked(key: &str) -> Result<&str, StoreError> {
+/// Checks that a key or prefix can be used in a path without escaping.
+fn valid_key(key: &str) -> Result<&str, StoreError> {
     let plain = |c: char| c.is_ascii_alphanumeric() || "-_./".contains(c);
-    let climbs = key.split('/').any(|part| part == "." || part == "..");
-    if key.chars().all(plain) && !climbs {
+    let has_dot_segment = key.split('/').any(|part| part == "." || part == "..");
+    if key.chars().all(plain) && !has_dot_segment {
         return Ok(key);
     }
-    Err(StoreError::Malformed(format!("`{key}` is no key: letters, digits, `-`, `_`, `.`, `/`")))
+    Err(StoreError::Malformed(format!(
+        "invalid key `{key}`: allowed are letters, digits, `-`, `_`, `.` and `/`, but no segment `.` or `..`"
+    )))
 }
 
-/// A value as JSON. One that is over the platform's limit isn't sent: the
-/// platform may hang up in the middle of it, which would look like a lost answer.
+/// Encodes a value as JSON. A value over the platform's limit isn't sent: the platform may close the
+/// connection while it arrives, which would look like a lost response.
 fn encode<T: Serialize>(value: &T) -> Result<Box<RawValue>, StoreError> {
     let body = serde_json::value::to_raw_value(value)
         .map_err(|error| StoreError::Malformed(error.to_string()))?;
-    if body.get().len() > LARGEST_VALUE {
+    if body.get().len() > MAX_VALUE_BYTES {
         return Err(StoreError::TooLarge);
     }
     Ok(body)
@@ -269,6 +275,6 @@
     serde_json::from_str(value.get()).map_err(|error| StoreError::Malformed(error.to_string()))
 }
 
-fn no_value(key: &str) -> StoreError {
-    StoreError::Malformed(format!("`{key}` has no value"))
+fn missing_value(key: &str) -> StoreError {
+    StoreError::Malformed(format!("object `{key}` has no value"))
 }
--- a/crates/sagespool-platform/src/update.rs
+++ b/crates/sagespool-platform/src/update.rs
@@ -1,4 +1,4 @@
-//! Read, change, write back if nobody else did.
+//! Read-modify-write of an object, with optimistic concurrency control.
 
 use std::time::{Duration, Instant};
 
@@ -9,90 +9,93 @@
 
 use crate::{ObjectClient, StoreError};
 
-/// How often an update is tried at most, its limit in time aside.
-const TRY_LIMIT: u32 = 12;
-/// No update goes on for longer, so that a deadline never overflows.
-const LONGEST_LIMIT: Duration = Duration::from_secs(3600);
-/// The pause after the first try, at most; it doubles with each.
-const FIRST_PAUSE: Duration = Duration::from_millis(4);
-const LONGEST_PAUSE: Duration = Duration::from_millis(250);
+/// The most attempts of an update, besides its limit in time.
+const MAX_ATTEMPTS: u32 = 12;
+/// The longest limit in time, so that the deadline never overflows.
+const MAX_TIME_LIMIT: Duration = Duration::from_secs(3600);
+/// Doubled once for each attempt, this is the longest random backoff after it.
+const BASE_BACKOFF: Duration = Duration::from_millis(4);
+const MAX_BACKOFF: Duration = Duration::from_millis(250);
 
-/// What became of an object on applying a change.
+/// Whether an object has to be written after a change was applied to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpdateChoice {
-    /// It changed: write it.
+    /// The object changed and has to be written.
     Write,
-    /// It is as wished already: nothing to write.
+    /// The object has the wanted state already.
     Keep,
 }
 
-/// An object as it is in the store after an update.
+/// The state of an object in the store after an update.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UpdatedObject<T> {
-    /// Its version, 0 if it doesn't exist.
+    /// The version, 0 if the object doesn't exist.
     pub version: StoreRevision,
-    /// Its value.
+    /// The value after the change.
     pub value: T,
-    /// False if it was as wished already.
+    /// False if the object had the wanted state already.
     pub written: bool,
 }
 
-/// Reads an object (its default if it doesn't exist), applies a change and
-/// writes it if nobody else did meanwhile.
+/// Reads an object (its default if it doesn't exist), applies a change, and writes it back unless it
+/// was written in between.
 ///
-/// On a conflict, an outage, a rate limit or a lost answer it starts again with
-/// a fresh read, after a pause with jitter (at least as long as the platform
-/// asked for), until `limit` or the number of tries is used up. So `apply` is
-/// called with each state that was read, and must be idempotent: after a lost
-/// answer its change may be in there already.
+/// On a conflict, an outage, a rate limit or a lost response it retries from the read, after a
+/// backoff with jitter (at least the platform's `retry-after`), until `limit` or the number of
+/// attempts is exhausted. `apply` is called with each value read, and must be idempotent: after a
+/// lost response the value may contain its change already.
 ///
-/// The error is [`StoreError::Uncertain`] if any write may still have taken
-/// effect, also if the last try failed otherwise.
+/// # Errors
+///
+/// [`StoreError::Uncertain`] if any write may have taken effect, even if the last attempt failed with
+/// another error.
 pub async fn update_object<T: Serialize + DeserializeOwned + Default>(
     client: &ObjectClient,
     key: &str,
     limit: Duration,
     mut apply: impl FnMut(&mut T) -> UpdateChoice,
 ) -> Result<UpdatedObject<T>, StoreError> {
-    let deadline = Instant::now() + limit.min(LONGEST_LIMIT);
-    let mut doubt = WriteDoubt::default();
-    let mut tries = 0;
+    let deadline = Instant::now() + limit.min(MAX_TIME_LIMIT);
+    let mut uncertain = UncertainWrite::default();
+    let mut attempts = 0;
     loop {
         let time_left = deadline.saturating_duration_since(Instant::now());
-        let tried = try_update(&client.bounded(time_left), key, &mut apply, &mut doubt).await;
-        let error = match tried {
+        let attempt =
+            try_update(&client.with_max_timeout(time_left), key, &mut apply, &mut uncertain).await;
+        let error = match attempt {
             Ok(updated) => return Ok(updated),
             Err(error) => error,
         };
-        tries += 1;
-        let Some(pause) = pause_after(&error, tries) else {
-            return Err(doubt.over(error));
+        attempts += 1;
+        let Some(backoff) = backoff_after(&error, attempts) else {
+            return Err(uncertain.resolve(error));
         };
         let time_left = deadline.saturating_duration_since(Instant::now());
-        if tries == TRY_LIMIT || pause >= time_left {
-            return Err(doubt.over(error));
+        if attempts == MAX_ATTEMPTS || backoff >= time_left {
+            return Err(uncertain.resolve(error));
         }
-        Timer::after(pause).await;
+        Timer::after(backoff).await;
     }
 }
 
-/// The version that a write with a lost answer expected.
+/// The version that a write expected whose response was lost.
 ///
-/// Guards against reporting "nothing was done" after a lost answer followed by
-/// an outage: the first write may have taken effect, or may yet. The doubt ends
-/// only when the object is seen at another version, since the write can't take
-/// effect any more then, and `apply` saw whether it had.
+/// Guards against reporting that an update had no effect after a lost response followed by an outage:
+/// the write may have taken effect, or may still do so. This is settled only when the object is read
+/// at another version, since the write can't take effect any more then, and `apply` saw whether it
+/// had.
 #[derive(Debug, Default)]
-struct WriteDoubt(Option<StoreRevision>);
+struct UncertainWrite(Option<StoreRevision>);
 
-impl WriteDoubt {
-    fn seen(&mut self, version: StoreRevision) {
+impl UncertainWrite {
+    fn observe(&mut self, version: StoreRevision) {
         if self.0.is_some_and(|expected| expected != version) {
             self.0 = None;
         }
     }
 
-    fn over(&self, error: StoreError) -> StoreError {
+    /// The error of the update whose last attempt failed with `error`.
+    fn resolve(&self, error: StoreError) -> StoreError {
         match self.0 {
             Some(_) => StoreError::Uncertain,
             None => error,
@@ -104,14 +107,14 @@
     client: &ObjectClient,
     key: &str,
     apply: &mut impl FnMut(&mut T) -> UpdateChoice,
-    doubt: &mut WriteDoubt,
+    uncertain: &mut UncertainWrite,
 ) -> Result<UpdatedObject<T>, StoreError> {
     let found = client.get::<T>(key).await?;
     let (version, mut value) = match found {
         Some(object) => (object.version, object.value),
         None => (StoreRevision::ZERO, T::default()),
     };
-    doubt.seen(version);
+    uncertain.observe(version);
     if apply(&mut value) == UpdateChoice::Keep {
         return Ok(UpdatedObject { version, value, written: false });
     }
@@ -119,16 +122,16 @@
         Ok(version) => Ok(UpdatedObject { version, value, written: true }),
         Err(error) => {
             if error.may_have_taken_effect() {
-                doubt.0 = Some(version);
+                uncertain.0 = Some(version);
             }
             Err(error)
         }
     }
 }
 
-/// How long to wait before the next try, or nothing if it would fail as well.
-fn pause_after(error: &StoreError, tries: u32) -> Option<Duration> {
-    let longest = FIRST_PAUSE.saturating_mul(1 << tries.min(16)).min(LONGEST_PAUSE);
+/// The backoff before the next attempt; `None` if a retry would fail with the same error.
+fn backoff_after(error: &StoreError, attempts: u32) -> Option<Duration> {
+    let longest = BASE_BACKOFF.saturating_mul(1 << attempts.min(16)).min(MAX_BACKOFF);
     let jitter = longest.mul_f64(fastrand::f64());
     match error {
         StoreError::Conflict { .. } | StoreError::Unavailable | StoreError::Uncertain => {
