--- a/crates/sagespool-platform/tests/instance_client.rs
+++ b/crates/sagespool-platform/tests/instance_client.rs
@@ -1,4 +1,4 @@
-//! Contract of the instance list's client.
+//! Contract of the client of the instance list.
 
 mod support;
 
@@ -54,8 +54,8 @@
 
 #[test]
 fn list_unknown() {
-    // The list is away or garbled. None of it may pass for an empty list, which
-    // would say that every instance is gone.
+    // An unavailable or invalid list must not be taken for an empty one, which would mean that every
+    // instance is gone.
     let cases = [
         (Answer(503, "", &[]), StoreError::Unavailable),
         (HangUp, StoreError::Unavailable),
@@ -68,8 +68,8 @@
             let platform = ScriptedPlatform::start([step.clone()]);
             let client = InstanceClient::new(platform.address, None);
             let error = client.list(None, Duration::ZERO).await.unwrap_err();
-            let alike = std::mem::discriminant(&error) == std::mem::discriminant(&expected);
-            assert!(alike, "{step:?}: {error}");
+            let same_kind = std::mem::discriminant(&error) == std::mem::discriminant(&expected);
+            assert!(same_kind, "{step:?}: {error}");
         }
     });
 }
--- a/crates/sagespool-platform/tests/object_client.rs
+++ b/crates/sagespool-platform/tests/object_client.rs
@@ -1,4 +1,4 @@
-//! Contract of the object API's client.
+//! Contract of the client of the object API.
 
 mod support;
 
@@ -15,7 +15,7 @@
 const V5: StoreRevision = StoreRevision(5);
 
 #[test]
-fn calls_and_answers() {
+fn requests_and_responses() {
     smol::block_on(async {
         let platform = ScriptedPlatform::start([
             Answer(200, r#"{"key":"books/7","version":5,"value":[1]}"#, &["x-store-revision: 40"]),
@@ -71,9 +71,9 @@
 
 #[test]
 fn failures_classified() {
-    // The platform fails in every way it has. A home that takes a lost answer for
-    // "not done" loses or doubles a grant; one that takes "not done" for a lost
-    // answer holds budget back. A read never has an effect.
+    // All kinds of failures of the platform. If a lost response counts as "no effect", a home loses or
+    // duplicates a grant; if "no effect" counts as a lost response, it withholds budget. A read never
+    // has an effect.
     let malformed = || StoreError::Malformed(String::new());
     let conflict = StoreError::Conflict { present: StoreRevision(9) };
     let limited = |millis| StoreError::RateLimited { retry_after: Duration::from_millis(millis) };
@@ -111,17 +111,17 @@
             let options = ObjectOptions::builder().address(platform.address);
             let client = ObjectClient::new(options.call_timeout(limit).build());
             let read = client.get::<u8>("a").await.unwrap_err();
-            assert_eq!(worded(read), worded(of_read), "reading, {step:?}");
+            assert_eq!(without_text(read), without_text(of_read), "reading, {step:?}");
             let written = client.put("a", V5, &1).await.unwrap_err();
-            assert_eq!(worded(written), worded(of_write.clone()), "writing, {step:?}");
+            assert_eq!(without_text(written), without_text(of_write.clone()), "writing, {step:?}");
             let deleted = client.delete("a", V5).await.unwrap_err();
-            assert_eq!(worded(deleted), worded(of_write), "deleting, {step:?}");
+            assert_eq!(without_text(deleted), without_text(of_write), "deleting, {step:?}");
         }
     });
 }
 
 /// An error without its free text.
-fn worded(error: StoreError) -> StoreError {
+fn without_text(error: StoreError) -> StoreError {
     match error {
         StoreError::Malformed(_) => StoreError::Malformed(String::new()),
         other => other,
@@ -129,10 +129,10 @@
 }
 
 #[test]
-fn nobody_listens() {
-    // The store's process is gone: surely nothing was done, also by a write.
+fn connection_refused() {
+    // The store's process is gone: no call had an effect, not even a write.
     smol::block_on(async {
-        // The port of an open connection: taken, and nobody listens there.
+        // The local port of an open connection is in use, and nothing listens on it.
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let connection = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let address = connection.local_addr().unwrap();
@@ -145,8 +145,8 @@
 
 #[test]
 fn kept_connection_closed() {
-    // The store restarts and closes the connections that clients keep. The next
-    // write must go over a new one, and not end in doubt on the old.
+    // The store restarts and closes the clients' idle connections. The next write must use a new
+    // connection instead of failing as uncertain on the old one.
     smol::block_on(async {
         let platform = ScriptedPlatform::start([
             AnswerAndHangUp(200, r#"{"version":6}"#),
@@ -162,14 +162,14 @@
 
 #[test]
 fn large_values() {
-    // A book of some hundred kilobytes is sent without asking leave first, which
-    // a plain server doesn't answer: each write would take a second. A value that
-    // the store refuses by its size never starts.
+    // Values of several hundred kilobytes are sent without `Expect: 100-continue`, which a plain
+    // server doesn't support: each write would take a second. A value over the store's limit isn't
+    // sent at all.
     smol::block_on(async {
         let platform = ScriptedPlatform::start([done(r#"{"version":6}"#)]);
         let client = platform.client();
-        let book = "x".repeat(900_000);
-        assert_eq!(client.put("a", V5, &book).await, Ok(StoreRevision(6)));
+        let large = "x".repeat(900_000);
+        assert_eq!(client.put("a", V5, &large).await, Ok(StoreRevision(6)));
         let too_large = "x".repeat(1_100_000);
         assert_eq!(client.put("a", V5, &too_large).await, Err(StoreError::TooLarge));
         let requests = platform.requests();
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn strange_keys() {
+fn invalid_keys() {
     smol::block_on(async {
         let platform = ScriptedPlatform::start([done("{}")]);
         for key in ["books/../secrets", "a b", "a?b", "a#b", "a%2e", "ä"] {
--- a/crates/sagespool-platform/tests/platform_stand.rs
+++ b/crates/sagespool-platform/tests/platform_stand.rs
@@ -1,4 +1,4 @@
-//! The clients against the stand-ins of the platform: both keep one contract.
+//! The clients against the testkit's platform: both follow one contract.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests")]
 
@@ -17,12 +17,12 @@
 use sagespool_types::{RequestRate, StoreRevision};
 
 const ABSENT: StoreRevision = StoreRevision::ZERO;
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn start(history_limit: usize) -> (ObjectStand, ObjectClient) {
     let options = ObjectStandOptions::builder().history_limit(history_limit).build();
     let stand = ObjectStand::start(options).unwrap();
-    let options = ObjectOptions::builder().address(stand.address()).call_timeout(PATIENCE);
+    let options = ObjectOptions::builder().address(stand.address()).call_timeout(TIMEOUT);
     let client = ObjectClient::new(options.build());
     (stand, client)
 }
@@ -44,9 +44,9 @@
         assert_eq!(listing.items.len(), 1);
         assert_eq!(listing.items[0].1.version, second);
 
-        let gone = client.watch::<u8>("books/", ABSENT, PATIENCE).await;
+        let gone = client.watch::<u8>("books/", ABSENT, TIMEOUT).await;
         assert_eq!(gone, Err(StoreError::HistoryGone));
-        let watched = client.watch::<u8>("books/", other, PATIENCE);
+        let watched = client.watch::<u8>("books/", other, TIMEOUT);
         let (watched, deleted) = zip(watched, client.delete("books/1", second)).await;
         deleted.unwrap();
         let changes = watched.unwrap().changes;
@@ -59,7 +59,7 @@
 
 #[test]
 fn store_faults() {
-    // What the client says of a failed write, against what the store really did.
+    // The client's error for a failed write, compared with the state of the store.
     smol::block_on(async {
         let (stand, client) = start(100);
         let put = async |faults, key: &str| {
@@ -73,9 +73,9 @@
         assert_eq!(outage, (unavailable.clone(), Err(unavailable.clone()), false));
         let lost_call = put(StoreFaults::builder().lose_call_share(1.0).build(), "a").await;
         assert_eq!(lost_call, (StoreError::Uncertain, Err(unavailable), false));
-        let (error, read, there) =
+        let (error, read, exists) =
             put(StoreFaults::builder().lose_answer_share(1.0).build(), "a").await;
-        assert_eq!((error, there), (StoreError::Uncertain, true));
+        assert_eq!((error, exists), (StoreError::Uncertain, true));
         assert_eq!(read.unwrap().unwrap().value, 1);
 
         let slow = StoreFaults::builder().writes_per_second(RequestRate(1)).build();
@@ -88,14 +88,14 @@
                 return;
             }
         }
-        panic!("a hundred writes, and none over the rate");
+        panic!("none of 100 writes was over the rate limit");
     });
 }
 
 #[test]
 fn racing_updates() {
-    // Homes race for one book while every third answer is lost. Each change must
-    // be in there once: none overwritten by another, none made twice.
+    // Concurrent updates of one object while 30 % of the responses are lost. Each change must be applied
+    // exactly once: none overwritten, none duplicated.
     const RACERS: usize = 6;
     const ROUNDS: usize = 5;
     const TRIES: usize = 1000;
@@ -116,12 +116,12 @@
                     };
                     let mut done = false;
                     for _ in 0..TRIES {
-                        done = update_object(&client, "a", PATIENCE, add).await.is_ok();
+                        done = update_object(&client, "a", TIMEOUT, add).await.is_ok();
                         if done {
                             break;
                         }
                     }
-                    assert!(done, "{name} never got in");
+                    assert!(done, "{name} was never stored");
                 }
             })
         };
@@ -154,7 +154,7 @@
         assert_eq!(listing.instances[0].state, ListedState::Live);
 
         let leaving = async { stand.mark_leaving(&"side-1".parse().unwrap()) };
-        let (listing, ()) = zip(client.list(Some(listing.revision), PATIENCE), leaving).await;
+        let (listing, ()) = zip(client.list(Some(listing.revision), TIMEOUT), leaving).await;
         assert_eq!(listing.unwrap().instances[0].state, ListedState::Leaving);
     });
 }
--- a/crates/sagespool-platform/tests/detour_ways.rs
+++ b/crates/sagespool-platform/tests/store_fallback.rs
@@ -1,4 +1,4 @@
-//! Calls by way of another process, and back to the direct way.
+//! Calls through the fallback, and the return to direct calls.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests")]
 
@@ -12,37 +12,36 @@
 use sagespool_testkit::{ObjectStand, ObjectStandOptions, StoreFaults};
 use sagespool_types::StoreRevision;
 
-const LIMIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const ABSENT: StoreRevision = StoreRevision::ZERO;
 
 fn start() -> (ObjectStand, ObjectClient) {
     let stand = ObjectStand::start(ObjectStandOptions::builder().build()).unwrap();
-    let options = ObjectOptions::builder().address(stand.address()).call_timeout(LIMIT);
+    let options = ObjectOptions::builder().address(stand.address()).call_timeout(TIMEOUT);
     (stand, ObjectClient::new(options.build()))
 }
 
-/// A detour that counts its calls and gives one result.
-fn detour(result: Result<RawResponse, RawFailure>) -> (StoreFallback, Arc<AtomicUsize>) {
+/// A fallback that counts its calls and always returns one result.
+fn counting_fallback(result: Result<RawResponse, RawFailure>) -> (StoreFallback, Arc<AtomicUsize>) {
     let calls = Arc::new(AtomicUsize::new(0));
-    let counted = calls.clone();
-    let detour = StoreFallback::new(move |_, _| {
-        counted.fetch_add(1, Ordering::Relaxed);
+    let counter = calls.clone();
+    let fallback = StoreFallback::new(move |_, _| {
+        counter.fetch_add(1, Ordering::Relaxed);
         let result = result.clone();
         Box::pin(async move { result })
     });
-    (detour, calls)
+    (fallback, calls)
 }
 
-/// Every process is killed while the store is away, and starts before it is back. Nobody can be
-/// asked to make calls, for links open only with the store's help. When the store is back, a plain
-/// read must find it.
+/// All processes are restarted during a store outage. No peer can take calls, since links need the
+/// store to open. Once the store is available again, a plain read must succeed.
 #[test]
-fn nobody_else_up() {
+fn no_peer_reachable() {
     smol::block_on(async {
         let (stand, client) = start();
         client.put("books/1", ABSENT, &1).await.unwrap();
-        let (detour, calls) = detour(Err(RawFailure::NotSent));
-        assert!(client.set_fallback(detour));
+        let (fallback, calls) = counting_fallback(Err(RawFailure::NotSent));
+        assert!(client.set_fallback(fallback));
         stand.set_faults(StoreFaults::builder().outage(true).build());
         assert_eq!(client.get::<u8>("books/1").await, Err(StoreError::Unavailable));
         assert_eq!(calls.load(Ordering::Relaxed), 1);
@@ -51,14 +50,15 @@
     });
 }
 
-/// The store turns this process away and serves another one, which makes the calls meanwhile.
+/// The store rejects this process and serves another one, which makes the calls meanwhile.
 #[test]
-fn turned_away() {
+fn direct_calls_rejected() {
     smol::block_on(async {
         let (stand, client) = start();
         let body = br#"{"key":"books/1","version":4,"value":7}"#.to_vec();
-        let (detour, calls) = detour(Ok(RawResponse { status: 200, body: Some(body) }));
-        assert!(client.set_fallback(detour));
+        let (fallback, calls) =
+            counting_fallback(Ok(RawResponse { status: 200, body: Some(body) }));
+        assert!(client.set_fallback(fallback));
         stand.set_faults(StoreFaults::builder().outage(true).build());
         for _ in 0..3 {
             assert_eq!(client.get::<u8>("books/1").await.unwrap().unwrap().value, 7);
@@ -67,14 +67,14 @@
     });
 }
 
-/// A write goes the other way only if it surely did nothing on the first one, and its loss there
-/// leaves it as uncertain as any lost write.
+/// A write uses the fallback only if it is known to have had no effect directly. If its reply is lost
+/// there, it is as uncertain as any lost write.
 #[test]
-fn lost_write() {
+fn write_lost_in_fallback() {
     smol::block_on(async {
         let (stand, client) = start();
-        let (detour, calls) = detour(Err(RawFailure::Lost));
-        assert!(client.set_fallback(detour));
+        let (fallback, calls) = counting_fallback(Err(RawFailure::Lost));
+        assert!(client.set_fallback(fallback));
         stand.set_faults(StoreFaults::builder().outage(true).build());
         let written = client.put("books/1", ABSENT, &1).await;
         assert_eq!(written, Err(StoreError::Uncertain));
@@ -82,14 +82,14 @@
     });
 }
 
-/// This process is too busy to take the answers of those that it asks in time. That says nothing of the
-/// store: each read goes on asking.
+/// This process is too busy to receive the replies of its peers in time. This is no evidence of a store
+/// outage: each read keeps using the fallback.
 #[test]
-fn busy_asker() {
+fn peer_replies_lost() {
     smol::block_on(async {
         let (stand, client) = start();
-        let (detour, calls) = detour(Err(RawFailure::Lost));
-        assert!(client.set_fallback(detour));
+        let (fallback, calls) = counting_fallback(Err(RawFailure::Lost));
+        assert!(client.set_fallback(fallback));
         stand.set_faults(StoreFaults::builder().outage(true).build());
         for _ in 0..20 {
             assert_eq!(client.get::<u8>("books/1").await, Err(StoreError::Unavailable));
@@ -98,22 +98,22 @@
     });
 }
 
-/// The store is down for everybody. Each process of a fleet would try it for every request, directly
-/// and by way of several others, which try it in turn: the calls are many times those of a quiet day.
-/// After two rounds in vain a call is given up at once, and nobody is asked.
+/// The store is down for the whole fleet. Guards against a multiple of the normal call rate: each
+/// process would call it for every request, directly and through several peers, which call it in
+/// turn. After two failures of direct call and fallback, calls fail at once without either.
 #[test]
-fn nobody_served() {
+fn store_down_for_all() {
     smol::block_on(async {
         let (stand, client) = start();
         client.put("books/1", ABSENT, &1).await.unwrap();
-        let (detour, calls) = detour(Err(RawFailure::Unanswered));
-        assert!(client.set_fallback(detour));
+        let (fallback, calls) = counting_fallback(Err(RawFailure::Unanswered));
+        assert!(client.set_fallback(fallback));
         stand.set_faults(StoreFaults::builder().outage(true).build());
         for _ in 0..200 {
             assert_eq!(client.get::<u8>("books/1").await, Err(StoreError::Unavailable));
         }
         assert!(calls.load(Ordering::Relaxed) < 20, "{}", calls.load(Ordering::Relaxed));
-        // Word of others that it is back opens the ways again.
+        // A peer's report that the store answers again ends the backoff.
         stand.set_faults(StoreFaults::builder().build());
         client.note_store_reachable();
         let before = calls.load(Ordering::Relaxed);
--- a/crates/sagespool-platform/tests/support/mod.rs
+++ b/crates/sagespool-platform/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A platform that does as it is told, one step a request.
+//! A platform that follows a script, one step per request.
 #![allow(dead_code, reason = "each test file uses a part")]
 #![allow(clippy::unwrap_used, reason = "these are tests")]
 
@@ -11,27 +11,27 @@
 
 use sagespool_platform::{ObjectClient, ObjectOptions};
 
-/// How a scripted platform meets a request.
+/// What a scripted platform does with a request.
 #[derive(Debug, Clone)]
 pub enum PlatformStep {
-    /// Answers with a status, a body and more header lines.
+    /// Responds with a status, a body and extra header lines.
     Answer(u16, &'static str, &'static [&'static str]),
-    /// Answers, then hangs up without having said so.
+    /// Responds, then closes the connection without `Connection: close`.
     AnswerAndHangUp(u16, &'static str),
-    /// Reads the request and hangs up.
+    /// Reads the request and closes the connection.
     HangUp,
-    /// Hangs up within the body of an answer with this status.
+    /// Closes the connection within the body of a response with this status.
     HangUpInBody(u16),
-    /// Reads the request and never answers.
+    /// Reads the request and never responds.
     Silence,
 }
 
-/// 200 with a body.
+/// Responds with status 200 and a body.
 pub fn done(body: &'static str) -> PlatformStep {
     PlatformStep::Answer(200, body, &[])
 }
 
-/// A request as it arrived.
+/// A request as received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SeenRequest {
     /// Method, path and query.
@@ -41,7 +41,7 @@
     pub body: String,
 }
 
-/// A platform that follows a script; the last step stands for all further requests.
+/// A platform that follows a script; the last step is repeated for all further requests.
 pub struct ScriptedPlatform {
     pub address: SocketAddr,
     state: Arc<Mutex<ScriptState>>,
@@ -88,7 +88,7 @@
         self.requests().into_iter().map(|request| request.line).collect()
     }
 
-    /// Waits until the platform has hung up so often.
+    /// Waits until the platform has closed `count` connections.
     pub fn until_hung_up(&self, count: usize) {
         for _ in 0..10_000 {
             if self.state.lock().unwrap().hung_up == count {
@@ -96,7 +96,7 @@
             }
             thread::sleep(Duration::from_millis(1));
         }
-        panic!("the platform didn't hang up");
+        panic!("the platform has not closed {count} connections");
     }
 
     pub fn connections(&self) -> usize {
@@ -115,8 +115,8 @@
                 _ => state.steps.pop_front().unwrap(),
             }
         };
-        if !follow(&step, &stream) {
-            // The client may be gone first.
+        if !perform(&step, &stream) {
+            // The client may have closed the connection already.
             let _ = stream.shutdown(Shutdown::Both);
             state.lock().unwrap().hung_up += 1;
             return;
@@ -127,23 +127,23 @@
     }
 }
 
-/// False if the connection is over.
-fn follow(step: &PlatformStep, mut stream: &TcpStream) -> bool {
-    let mut answer = |status: u16, length: usize, body: &str, headers: &[&str]| {
+/// Performs a step. False if the connection is to be closed.
+fn perform(step: &PlatformStep, mut stream: &TcpStream) -> bool {
+    let mut respond = |status: u16, length: usize, body: &str, headers: &[&str]| {
         let headers: String = headers.iter().map(|line| format!("{line}\r\n")).collect();
         let head =
-            format!("HTTP/1.1 {status} As-Told\r\ncontent-length: {length}\r\n{headers}\r\n");
+            format!("HTTP/1.1 {status} Scripted\r\ncontent-length: {length}\r\n{headers}\r\n");
         stream.write_all(format!("{head}{body}").as_bytes()).is_ok()
     };
     match step {
-        PlatformStep::Answer(status, body, headers) => answer(*status, body.len(), body, headers),
+        PlatformStep::Answer(status, body, headers) => respond(*status, body.len(), body, headers),
         PlatformStep::AnswerAndHangUp(status, body) => {
-            answer(*status, body.len(), body, &[]);
+            respond(*status, body.len(), body, &[]);
             false
         }
         PlatformStep::HangUp => false,
         PlatformStep::HangUpInBody(status) => {
-            answer(*status, 100, "{\"version\":", &[]);
+            respond(*status, 100, "{\"version\":", &[]);
             false
         }
         PlatformStep::Silence => true,
