--- a/crates/sagespool-platform/src/update.rs
+++ b/crates/sagespool-platform/src/update.rs
@@ -9,9 +9,9 @@
 
 use crate::{ObjectClient, StoreError};
 
-/// The most attempts of an update, besides its limit in time.
+/// The most attempts of an update, besides its time limit.
 const MAX_ATTEMPTS: u32 = 12;
-/// The longest limit in time, so that the deadline never overflows.
+/// The longest time limit, so that the deadline never overflows.
 const MAX_TIME_LIMIT: Duration = Duration::from_secs(3600);
 /// Doubled once for each attempt, this is the longest random backoff after it.
 const BASE_BACKOFF: Duration = Duration::from_millis(4);
@@ -41,7 +41,7 @@
 /// was written in between.
 ///
 /// On a conflict, an outage, a rate limit or a lost response it retries from the read, after a
-/// backoff with jitter (at least the platform's `retry-after`), until `limit` or the number of
+/// backoff with jitter (at least the platform's `retry-after`), until `time_limit` or the number of
 /// attempts is exhausted. `apply` is called with each value read, and must be idempotent: after a
 /// lost response the value may contain its change already.
 ///
@@ -52,10 +52,10 @@
 pub async fn update_object<T: Serialize + DeserializeOwned + Default>(
     client: &ObjectClient,
     key: &str,
-    limit: Duration,
+    time_limit: Duration,
     mut apply: impl FnMut(&mut T) -> UpdateChoice,
 ) -> Result<UpdatedObject<T>, StoreError> {
-    let deadline = Instant::now() + limit.min(MAX_TIME_LIMIT);
+    let deadline = Instant::now() + time_limit.min(MAX_TIME_LIMIT);
     let mut uncertain = UncertainWrite::default();
     let mut attempts = 0;
     loop {
--- a/crates/sagespool-platform/tests/object_client.rs
+++ b/crates/sagespool-platform/tests/object_client.rs
@@ -104,12 +104,12 @@
     smol::block_on(async {
         for (step, (of_read, of_write)) in cases {
             let platform = ScriptedPlatform::start([step.clone()]);
-            let limit = Duration::from_millis(match step {
+            let timeout = Duration::from_millis(match step {
                 Silence => 100,
                 _ => 20_000,
             });
             let options = ObjectOptions::builder().address(platform.address);
-            let client = ObjectClient::new(options.call_timeout(limit).build());
+            let client = ObjectClient::new(options.call_timeout(timeout).build());
             let read = client.get::<u8>("a").await.unwrap_err();
             assert_eq!(without_text(read), without_text(of_read), "reading, {step:?}");
             let written = client.put("a", V5, &1).await.unwrap_err();
--- a/crates/sagespool-platform/tests/object_update.rs
+++ b/crates/sagespool-platform/tests/object_update.rs
@@ -28,9 +28,9 @@
 
 async fn update(
     platform: &ScriptedPlatform,
-    limit: Duration,
+    time_limit: Duration,
 ) -> Result<UpdatedObject<Vec<String>>, StoreError> {
-    update_object(&platform.client(), "a", limit, add_ours).await
+    update_object(&platform.client(), "a", time_limit, add_ours).await
 }
 
 fn updated(version: u64, names: &[&str], written: bool) -> UpdatedObject<Vec<String>> {
--- a/crates/sagespool-platform/tests/support/mod.rs
+++ b/crates/sagespool-platform/tests/support/mod.rs
@@ -74,9 +74,9 @@
     }
 
     pub fn client(&self) -> ObjectClient {
-        let limit = Duration::from_secs(20);
+        let timeout = Duration::from_secs(20);
         ObjectClient::new(
-            ObjectOptions::builder().address(self.address).call_timeout(limit).build(),
+            ObjectOptions::builder().address(self.address).call_timeout(timeout).build(),
         )
     }
 
