--- a/crates/sagespool-sidecar/src/admission.rs
+++ b/crates/sagespool-sidecar/src/admission.rs
@@ -1,4 +1,4 @@
-//! The checks that a dispatch passes before it runs.
+//! The checks that a dispatch must pass before it runs.
 
 use std::fmt;
 use std::sync::Arc;
@@ -12,32 +12,32 @@
 use smol::Timer;
 
 use crate::attempt::AdmittedAttempt;
-use crate::key_memory::{KeyAdmission, KeyEnding, KeyWish};
+use crate::idempotency_cache::{KeyAdmission, KeyedAttempt, KeyedOutcome};
 use crate::run_completion::CompletionTarget;
 use crate::run_service::ServiceTarget;
 use crate::running::StopReason;
-use crate::{AnswerLog, AnswerReader, ChargeRefusal, ChargeWish, Dispatcher, KeyRefusal};
+use crate::{AnswerLog, AnswerReader, ChargeRefusal, ChargeRequest, Dispatcher, KeyRefusal};
 
-/// How long a new attempt waits for the engine to be free of an earlier one:
-/// an engine answers a cancel call in milliseconds, or is down.
-const SUPERSEDE_LIMIT: Duration = Duration::from_secs(2);
+/// How long a new attempt waits until the engine has released an earlier one.
+/// An engine answers a cancel call within milliseconds unless it is down.
+const SUPERSEDE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a dispatch starts no attempt.
+/// Why a dispatch starts no new attempt.
 #[derive(Debug)]
-pub(crate) enum AdmissionEnd {
-    /// Its answer runs or is kept already.
+pub(crate) enum NotAdmitted {
+    /// An attempt at the request is running or its answer is cached.
     Known(AnswerReader),
-    /// This sidecar doesn't run it.
-    Place(PlaceRefusal),
-    /// Its charge can't be used here.
+    /// The sidecar does not accept the dispatch.
+    Dispatch(DispatchRefusal),
+    /// Its charge cannot be opened.
     Charge(ChargeRefusal),
-    /// Its key can't.
+    /// Its idempotency key is refused.
     Key(KeyRefusal),
 }
 
-/// Why a dispatch is refused whatever its charge and key.
+/// Why a dispatch is refused regardless of its charge and key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum PlaceRefusal {
+pub(crate) enum DispatchRefusal {
     OtherIncarnation,
     Leaving,
     DeadlinePassed,
@@ -45,7 +45,7 @@
     NotCovered,
 }
 
-impl PlaceRefusal {
+impl DispatchRefusal {
     fn reason(self) -> RefusalReason {
         match self {
             Self::OtherIncarnation | Self::OtherKind => RefusalReason::NoUpstream,
@@ -56,24 +56,26 @@
     }
 }
 
-impl fmt::Display for PlaceRefusal {
+impl fmt::Display for DispatchRefusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::OtherIncarnation => "another incarnation of the sidecar was meant",
-            Self::Leaving => "the sidecar takes nothing new",
-            Self::DeadlinePassed => "the deadline passed before the request came",
-            Self::OtherKind => "the upstream is of another kind",
-            Self::NotCovered => "the reservation doesn't cover the call",
+            Self::OtherIncarnation => {
+                "the request is addressed to another incarnation of the sidecar"
+            }
+            Self::Leaving => "the sidecar accepts no new requests",
+            Self::DeadlinePassed => "the deadline passed before the request arrived",
+            Self::OtherKind => "the request is for another kind of upstream",
+            Self::NotCovered => "the reservation does not cover the request",
         })
     }
 }
 
-impl AdmissionEnd {
-    /// The answer's reader for who asked.
-    pub(crate) fn reader(self) -> AnswerReader {
+impl NotAdmitted {
+    /// The reader of the known answer, or of the refusal.
+    pub(crate) fn into_reader(self) -> AnswerReader {
         match self {
             Self::Known(reader) => reader,
-            Self::Place(refusal) => {
+            Self::Dispatch(refusal) => {
                 refusal_reader(refused(refusal.reason(), RunState::NotRun, refusal.to_string()))
             }
             Self::Charge(refusal) => refusal_reader(charge_refused(refusal)),
@@ -83,41 +85,41 @@
 }
 
 impl Dispatcher {
-    /// Lets a dispatch in, with the reader of its answer, or says why not.
+    /// Admits a dispatch and returns its attempt with a reader of the answer.
     pub(crate) async fn admit(
         &self,
         dispatch: DispatchRequest,
         now: ClockTime,
-    ) -> Result<(AdmittedAttempt, AnswerReader), AdmissionEnd> {
-        // Listed before the check of `leaving`: a stop sets that first and then
-        // waits until nothing is listed, so none slips in between.
-        let place = self.running.add(&dispatch, now);
-        self.check_place(&dispatch).map_err(AdmissionEnd::Place)?;
-        let wish = KeyWish::of(&dispatch);
-        let longest = wish.map_or(ByteCount::ZERO, |_| self.keys.longest_answer());
-        let log = AnswerLog::new(longest);
-        match wish {
-            Some(wish) => self.take_key(&wish, &dispatch, &log).await?,
+    ) -> Result<(AdmittedAttempt, AnswerReader), NotAdmitted> {
+        // Registered before `leaving` is checked. A stop sets `leaving` first and
+        // then waits until no attempt is registered, so it misses none.
+        let registration = self.running.add(&dispatch, now);
+        self.check_dispatch(&dispatch).map_err(NotAdmitted::Dispatch)?;
+        let keyed = KeyedAttempt::of(&dispatch);
+        let max_bytes = keyed.map_or(ByteCount::ZERO, |_| self.keys.max_answer_bytes());
+        let log = AnswerLog::new(max_bytes);
+        match keyed {
+            Some(keyed) => self.admit_key(&keyed, &dispatch, &log).await?,
             None => self.supersede(&dispatch).await,
         }
-        if let Err(refusal) = self.charges.open(&charge_wish(&dispatch), now) {
-            self.give_up_key(wish, &log, refusal, now);
-            return Err(AdmissionEnd::Charge(refusal));
+        if let Err(refusal) = self.charges.open(&charge_request(&dispatch), now) {
+            self.release_key(keyed, &log, refusal, now);
+            return Err(NotAdmitted::Charge(refusal));
         }
         let reader = begin_log(&log, &dispatch);
-        Ok((AdmittedAttempt::new(dispatch, log, place, &self.metrics, now), reader))
+        Ok((AdmittedAttempt::new(dispatch, log, registration, &self.metrics, now), reader))
     }
 
-    /// The checks that need no state but the sidecar's own.
-    fn check_place(&self, dispatch: &DispatchRequest) -> Result<(), PlaceRefusal> {
+    /// The checks that use neither the charge registry nor the idempotency cache.
+    fn check_dispatch(&self, dispatch: &DispatchRequest) -> Result<(), DispatchRefusal> {
         if dispatch.sidecar != self.sidecar {
-            return Err(PlaceRefusal::OtherIncarnation);
+            return Err(DispatchRefusal::OtherIncarnation);
         }
-        if self.is_closed() {
-            return Err(PlaceRefusal::Leaving);
+        if self.rejects_new() {
+            return Err(DispatchRefusal::Leaving);
         }
         if dispatch.time_left.is_zero() {
-            return Err(PlaceRefusal::DeadlinePassed);
+            return Err(DispatchRefusal::DeadlinePassed);
         }
         let reserved = dispatch.reserved.amount;
         let (kind, is_covered) = match &dispatch.target {
@@ -132,68 +134,68 @@
             }
         };
         if kind != self.kind {
-            return Err(PlaceRefusal::OtherKind);
+            return Err(DispatchRefusal::OtherKind);
         }
-        if is_covered { Ok(()) } else { Err(PlaceRefusal::NotCovered) }
+        if is_covered { Ok(()) } else { Err(DispatchRefusal::NotCovered) }
     }
 
-    /// Takes a request's key, or finds the answer that an earlier attempt at
-    /// the same request makes or has made. Another request's answer belongs to
-    /// another charge, so its asker has to attach to it.
-    async fn take_key(
+    /// Registers a request's key, or finds the answer of an earlier attempt at
+    /// the same request. The answer of another request belongs to another
+    /// charge, so a caller has to attach to it.
+    async fn admit_key(
         &self,
-        wish: &KeyWish,
+        keyed: &KeyedAttempt,
         dispatch: &DispatchRequest,
         log: &Arc<AnswerLog>,
-    ) -> Result<(), AdmissionEnd> {
-        let mut admission = self.keys.begin(wish, log);
+    ) -> Result<(), NotAdmitted> {
+        let mut admission = self.keys.admit(keyed, log);
         if let KeyAdmission::Known { log: known, request } = &admission
-            && *request == wish.request
+            && *request == keyed.request
         {
             if let Some(reader) = known_reader(known, dispatch) {
-                return Err(AdmissionEnd::Known(reader));
+                return Err(NotAdmitted::Known(reader));
             }
-            if !wish.non_idempotent {
+            if !keyed.non_idempotent {
                 self.supersede(dispatch).await;
-                admission = self.keys.begin(wish, log);
+                admission = self.keys.admit(keyed, log);
             }
         }
         match admission {
-            KeyAdmission::Run => Ok(()),
+            KeyAdmission::Admitted => Ok(()),
             KeyAdmission::Known { request, .. } => {
-                Err(AdmissionEnd::Key(KeyRefusal::OfOther { request }))
+                Err(NotAdmitted::Key(KeyRefusal::HeldByOther { request }))
             }
-            KeyAdmission::Refused(refusal) => Err(AdmissionEnd::Key(refusal)),
+            KeyAdmission::Refused(refusal) => Err(NotAdmitted::Key(refusal)),
         }
     }
 
-    /// Stops earlier attempts at the same request, whose entry has given them
-    /// up, and waits until the engine is free of them: its cancel call names
-    /// the request only and would hit the new attempt. An earlier attempt at a
-    /// non-idempotent request stays, and the charge book refuses the new one.
+    /// Stops earlier attempts at the same request, which its entry has abandoned,
+    /// and waits until the engine has released them. The engine's cancel call
+    /// names only the request and would cancel the new attempt. Earlier attempts
+    /// at a non-idempotent request go on; the charge registry refuses the new one.
     async fn supersede(&self, dispatch: &DispatchRequest) {
         if dispatch.non_idempotent {
             return;
         }
-        for earlier in self.running.earlier(dispatch.request, dispatch.attempt) {
+        for earlier in self.running.earlier_attempts(dispatch.request, dispatch.attempt) {
             earlier.stop(StopReason::Superseded);
-            let limit = async {
-                Timer::after(dispatch.time_left.min(SUPERSEDE_LIMIT)).await;
+            let timeout = async {
+                Timer::after(dispatch.time_left.min(SUPERSEDE_TIMEOUT)).await;
             };
-            earlier.over().or(limit).await;
+            earlier.released().or(timeout).await;
         }
     }
 
-    /// Frees a key whose attempt was refused; who attached meanwhile is told.
-    fn give_up_key(
+    /// Releases the key of a refused attempt, and ends the log for callers that attached meanwhile.
+    fn release_key(
         &self,
-        wish: Option<KeyWish>,
+        keyed: Option<KeyedAttempt>,
         log: &AnswerLog,
         refusal: ChargeRefusal,
         now: ClockTime,
     ) {
-        if let Some(wish) = wish {
-            self.keys.end(&wish, KeyEnding::NotRun, now);
+        if let Some(keyed) = keyed {
+            self.keys.end_attempt(&keyed, KeyedOutcome::NotRun, now);
         }
         let detail = refusal.to_string();
         let end = DispatchEnd::Broken { ran: None, crashed: false, detail };
@@ -201,8 +203,8 @@
     }
 }
 
-fn charge_wish(dispatch: &DispatchRequest) -> ChargeWish {
-    ChargeWish {
+fn charge_request(dispatch: &DispatchRequest) -> ChargeRequest {
+    ChargeRequest {
         reserved: dispatch.reserved.clone(),
         branch: dispatch.branch.clone(),
         request: dispatch.request,
@@ -212,10 +214,11 @@
     }
 }
 
-/// Begins a new attempt's log, with the reader for its asker.
+/// Begins the log of a new attempt and returns a reader for its requester.
 ///
-/// A resumed attempt makes only the rest of an answer. Who attaches to its key
-/// wants all of it, so the part that the asker has goes into the log first.
+/// A resumed attempt produces only the remainder of an answer. Callers that
+/// attach to its key need all of it, so the part that the requester already has
+/// is logged first.
 fn begin_log(log: &Arc<AnswerLog>, dispatch: &DispatchRequest) -> AnswerReader {
     if let (Some(_), CallTarget::Completion { resume: Some(resume), .. }) =
         (dispatch.key, &dispatch.target)
@@ -223,38 +226,38 @@
         let data = resume.text.clone().into_bytes();
         log.push(DispatchEvent::Piece { at: 0, tokens: resume.tokens, data });
     }
-    let reader = log.follower();
+    let reader = log.reader_of_new();
     log.push(DispatchEvent::Started);
     reader
 }
 
-/// A reader of an answer that runs or is kept, from where the asker stands.
+/// A reader of a known answer from the requester's resume point; `None` if it cannot start there.
 fn known_reader(log: &Arc<AnswerLog>, dispatch: &DispatchRequest) -> Option<AnswerReader> {
     match &dispatch.target {
         CallTarget::Completion { resume: Some(resume), .. } if resume.tokens > 0 => {
-            log.reader_from(resume.tokens, &resume.text)
+            log.resume_reader(resume.tokens, &resume.text)
         }
         _ => log.reader(),
     }
 }
 
-/// The reader for who attaches to a key that gives no answer.
+/// A reader of the refusal for an attach to a key without an answer.
 pub(crate) fn attach_refused(refusal: KeyRefusal) -> AnswerReader {
     refusal_reader(key_refused(refusal))
 }
 
 fn refusal_reader(end: DispatchEnd) -> AnswerReader {
-    let log = AnswerLog::ended(DispatchEvent::End(end));
-    log.reader().expect("a log of one event is kept")
+    let log = AnswerLog::with_end(DispatchEvent::End(end));
+    log.reader().expect("a log of one event is never trimmed")
 }
 
 fn refused(reason: RefusalReason, run_state: RunState, message: String) -> DispatchEnd {
     DispatchEnd::Refused(RefusalNotice { reason, run_state, message, retry_after: None })
 }
 
-/// A charge that ran here before is no matter of the grant: another one would
-/// run the request twice. Nor is a sidecar that has yet to start: the home
-/// would drop a grant that is good elsewhere.
+/// Only the refusals that concern the grant report it as unusable. If the charge
+/// has already run, a retry with another grant would run the request twice. If
+/// the sidecar is not ready, the home would drop a grant that is valid elsewhere.
 fn charge_refused(refusal: ChargeRefusal) -> DispatchEnd {
     let message = refusal.to_string();
     match refusal {
@@ -262,7 +265,7 @@
         ChargeRefusal::GrantTooOld { .. }
         | ChargeRefusal::GrantSealed
         | ChargeRefusal::ChargeSealed => DispatchEnd::GrantUnusable(message),
-        ChargeRefusal::RunBefore { .. } => {
+        ChargeRefusal::AlreadyRun { .. } => {
             refused(RefusalReason::OutcomeUnknown, RunState::Unknown, message)
         }
     }
@@ -272,7 +275,7 @@
     let (reason, run_state) = match refusal {
         KeyRefusal::Fenced => (RefusalReason::NoUpstream, RunState::NotRun),
         KeyRefusal::OtherContent => (RefusalReason::KeyReused, RunState::NotRun),
-        KeyRefusal::AnswerLost { .. } | KeyRefusal::OfOther { .. } | KeyRefusal::NeverSeen => {
+        KeyRefusal::AnswerLost { .. } | KeyRefusal::HeldByOther { .. } | KeyRefusal::UnknownKey => {
             (RefusalReason::OutcomeUnknown, RunState::Unknown)
         }
     };
--- a/crates/sagespool-sidecar/src/answer_log.rs
+++ b/crates/sagespool-sidecar/src/answer_log.rs
@@ -1,9 +1,9 @@
-//! One attempt's answer as it comes, for any number of readers.
+//! The events of one attempt's answer, for any number of readers.
 //!
-//! The attempt writes events, readers follow at their own pace. The log of a
-//! keyed attempt keeps everything, so that a reader who comes later gets the
-//! answer from its beginning. Any other log drops what its reader has read,
-//! and holds the attempt back while the reader lags.
+//! The attempt appends events, and each reader reads them at its own pace. The
+//! log of a keyed attempt retains all events, so that a later reader gets the
+//! answer from its beginning. Any other log drops events that all readers have
+//! read, and applies backpressure to the attempt while a reader lags.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -14,16 +14,16 @@
 
 use crate::shards::lock;
 
-/// How far the slowest reader may lag before the attempt waits for it.
-const READER_WINDOW: u64 = 1 << 20;
+/// Unread bytes above which the attempt waits for the slowest reader.
+const READER_WINDOW_BYTES: u64 = 1 << 20;
 
-/// What an event takes besides its data, roughly.
-const EVENT_OVERHEAD: u64 = 96;
+/// Approximate memory of an event without its data.
+const EVENT_OVERHEAD_BYTES: u64 = 96;
 
 /// The events of one attempt.
 #[derive(Debug)]
 pub struct AnswerLog {
-    longest: ByteCount,
+    max_bytes: ByteCount,
     state: Mutex<LogState>,
     changed: Event,
 }
@@ -33,36 +33,36 @@
     events: VecDeque<Arc<DispatchEvent>>,
     dropped: usize,
     bytes: u64,
-    keeps: bool,
+    retains_all: bool,
     ended: bool,
     readers: BTreeMap<u64, usize>,
     next_reader: u64,
 }
 
 impl AnswerLog {
-    /// A log that keeps the whole answer while it fits in so many bytes. With
-    /// zero, it keeps only what its readers have yet to read.
-    pub fn new(longest: ByteCount) -> Arc<Self> {
+    /// A log that retains the whole answer while it fits in `max_bytes`. With
+    /// zero, it retains only events that a reader has not read yet.
+    pub fn new(max_bytes: ByteCount) -> Arc<Self> {
         let state = LogState {
             events: VecDeque::new(),
             dropped: 0,
             bytes: 0,
-            keeps: longest > ByteCount::ZERO,
+            retains_all: max_bytes > ByteCount::ZERO,
             ended: false,
             readers: BTreeMap::new(),
             next_reader: 0,
         };
-        Arc::new(Self { longest, state: Mutex::new(state), changed: Event::new() })
+        Arc::new(Self { max_bytes, state: Mutex::new(state), changed: Event::new() })
     }
 
-    /// A log with one event, the end: how a request that never started is answered.
-    pub fn ended(event: DispatchEvent) -> Arc<Self> {
+    /// A log that holds a single event, the end of a request that never started.
+    pub fn with_end(event: DispatchEvent) -> Arc<Self> {
         let log = Self::new(ByteCount(1 << 20));
         log.push(event);
         log
     }
 
-    /// Adds an event. Nothing follows an end.
+    /// Appends an event. Events after an end are ignored.
     pub fn push(&self, event: DispatchEvent) {
         let mut state = lock(&self.state);
         if state.ended {
@@ -71,16 +71,16 @@
         state.ended = matches!(event, DispatchEvent::End(_));
         state.bytes += event_bytes(&event);
         state.events.push_back(Arc::new(event));
-        if state.bytes > self.longest.0 {
-            state.keeps = false;
+        if state.bytes > self.max_bytes.0 {
+            state.retains_all = false;
         }
         state.trim();
         drop(state);
         self.changed.notify(usize::MAX);
     }
 
-    /// Waits while the readers lag too far behind for more to be added.
-    pub async fn room(&self) {
+    /// Waits while unread events fill the reader window.
+    pub async fn wait_for_room(&self) {
         while !lock(&self.state).has_room() {
             let changed = self.changed.listen();
             if !lock(&self.state).has_room() {
@@ -89,13 +89,13 @@
         }
     }
 
-    /// True while anybody reads.
-    pub fn is_read(&self) -> bool {
+    /// Whether the log has a reader.
+    pub fn has_readers(&self) -> bool {
         !lock(&self.state).readers.is_empty()
     }
 
-    /// Resolves when nobody reads any more.
-    pub async fn abandoned(&self) {
+    /// Resolves when the log has no reader.
+    pub async fn readers_gone(&self) {
         loop {
             let changed = self.changed.listen();
             if lock(&self.state).readers.is_empty() {
@@ -105,51 +105,51 @@
         }
     }
 
-    /// True once the last event is there.
+    /// Whether the end was appended.
     pub fn has_ended(&self) -> bool {
         lock(&self.state).ended
     }
 
-    /// True if the answer is still there from its beginning.
-    pub fn is_from_start(&self) -> bool {
+    /// Whether the log still holds the answer from its beginning.
+    pub fn has_start(&self) -> bool {
         lock(&self.state).dropped == 0
     }
 
-    /// What the log holds.
+    /// Approximate memory of the events in the log.
     pub fn bytes(&self) -> ByteCount {
         ByteCount(lock(&self.state).bytes)
     }
 
-    /// A reader of every event from the beginning, or none if that is gone.
+    /// A reader of every event from the beginning; `None` if that was dropped.
     pub fn reader(self: &Arc<Self>) -> Option<AnswerReader> {
         self.reader_after(|events| (events.dropped == 0).then_some(0))
     }
 
-    /// A reader of what is added from now on.
-    pub fn follower(self: &Arc<Self>) -> AnswerReader {
+    /// A reader of the events that are appended from now on.
+    pub fn reader_of_new(self: &Arc<Self>) -> AnswerReader {
         let reader = self.reader_after(|state| Some(state.dropped + state.events.len()));
-        reader.expect("the place after the last event always exists")
+        reader.expect("the position after the last event always exists")
     }
 
-    /// A reader for a caller who has the first `tokens` tokens, with `text`:
-    /// pieces within that are left out. None if the answer here begins
-    /// otherwise, is cut elsewhere, or hasn't come so far.
+    /// A reader that skips the first `tokens` tokens, which the caller already
+    /// has as `text`. `None` if the answer here begins with other text, has no
+    /// event boundary at that token, or has not reached it yet.
     ///
-    /// Two runs of a prompt may differ. Going on in another run than the one
-    /// that the caller saw would mix two answers, so the text is compared.
-    pub fn reader_from(self: &Arc<Self>, tokens: u32, text: &str) -> Option<AnswerReader> {
+    /// Two runs of a prompt may differ. Resuming in another run than the one
+    /// that the caller read would mix two answers, so the text is compared.
+    pub fn resume_reader(self: &Arc<Self>, tokens: u32, text: &str) -> Option<AnswerReader> {
         self.reader_after(|state| {
             let mut rest = text.as_bytes();
             if state.dropped > 0 {
                 return None;
             }
-            for (place, event) in state.events.iter().enumerate() {
+            for (position, event) in state.events.iter().enumerate() {
                 let DispatchEvent::Piece { at, tokens: count, data } = event.as_ref() else {
                     continue;
                 };
                 rest = rest.strip_prefix(data.as_slice())?;
                 if at + count >= tokens {
-                    return (at + count == tokens && rest.is_empty()).then_some(place + 1);
+                    return (at + count == tokens && rest.is_empty()).then_some(position + 1);
                 }
             }
             None
@@ -168,22 +168,22 @@
         Some(AnswerReader { log: Arc::clone(self), id })
     }
 
-    /// The next event of a reader, the end of the log, or nothing yet.
-    fn take(&self, reader: u64) -> Option<TakenEvent> {
+    /// The next event of a reader; `None` if it was not appended yet.
+    fn next_event(&self, reader: u64) -> Option<NextEvent> {
         let mut state = lock(&self.state);
-        let place = state.readers[&reader];
-        let Some(event) = state.events.get(place - state.dropped).cloned() else {
-            return state.ended.then_some(TakenEvent::Over);
+        let position = state.readers[&reader];
+        let Some(event) = state.events.get(position - state.dropped).cloned() else {
+            return state.ended.then_some(NextEvent::Over);
         };
-        state.readers.insert(reader, place + 1);
+        state.readers.insert(reader, position + 1);
         if state.trim() {
             drop(state);
             self.changed.notify(usize::MAX);
         }
-        Some(TakenEvent::Event(event))
+        Some(NextEvent::Event(event))
     }
 
-    fn leave(&self, reader: u64) {
+    fn remove_reader(&self, reader: u64) {
         let mut state = lock(&self.state);
         state.readers.remove(&reader);
         state.trim();
@@ -192,12 +192,12 @@
     }
 }
 
-enum TakenEvent {
+enum NextEvent {
     Event(Arc<DispatchEvent>),
     Over,
 }
 
-impl TakenEvent {
+impl NextEvent {
     fn event(self) -> Option<Arc<DispatchEvent>> {
         match self {
             Self::Event(event) => Some(event),
@@ -207,16 +207,17 @@
 }
 
 impl LogState {
-    /// Drops what every reader has read, unless all is kept. True if that made room.
+    /// Drops events that every reader has read, unless all are retained. Returns whether this
+    /// freed room in a full reader window.
     fn trim(&mut self) -> bool {
-        if self.keeps {
+        if self.retains_all {
             return false;
         }
         let had_room = self.has_room();
         let all = self.dropped + self.events.len();
         let needed = self.readers.values().copied().min().unwrap_or(all);
         while self.dropped < needed {
-            let event = self.events.pop_front().expect("no reader is beyond the last event");
+            let event = self.events.pop_front().expect("no reader position is past the last event");
             self.bytes -= event_bytes(&event);
             self.dropped += 1;
         }
@@ -224,11 +225,11 @@
     }
 
     fn has_room(&self) -> bool {
-        self.keeps || self.bytes <= READER_WINDOW
+        self.retains_all || self.bytes <= READER_WINDOW_BYTES
     }
 }
 
-/// Roughly the memory that an event takes.
+/// Approximate memory of an event.
 fn event_bytes(event: &DispatchEvent) -> u64 {
     let data = match event {
         DispatchEvent::Piece { data, .. } => data.len(),
@@ -240,10 +241,10 @@
         | DispatchEvent::CacheNews(_)
         | DispatchEvent::Beside(_) => 0,
     };
-    EVENT_OVERHEAD + data as u64
+    EVENT_OVERHEAD_BYTES + data as u64
 }
 
-/// Reads a log. Dropping it tells the attempt that this reader is gone.
+/// A reader of a log. Dropping it wakes the attempt if it waits for readers.
 #[derive(Debug)]
 pub struct AnswerReader {
     log: Arc<AnswerLog>,
@@ -251,15 +252,15 @@
 }
 
 impl AnswerReader {
-    /// The next event, once it is there; none after the end.
+    /// Waits for the next event; `None` after the end.
     pub async fn next(&mut self) -> Option<Arc<DispatchEvent>> {
         loop {
-            if let Some(taken) = self.log.take(self.id) {
-                return taken.event();
+            if let Some(next) = self.log.next_event(self.id) {
+                return next.event();
             }
             let changed = self.log.changed.listen();
-            if let Some(taken) = self.log.take(self.id) {
-                return taken.event();
+            if let Some(next) = self.log.next_event(self.id) {
+                return next.event();
             }
             changed.await;
         }
@@ -268,6 +269,6 @@
 
 impl Drop for AnswerReader {
     fn drop(&mut self) {
-        self.log.leave(self.id);
+        self.log.remove_reader(self.id);
     }
 }
--- a/crates/sagespool-sidecar/src/attempt.rs
+++ b/crates/sagespool-sidecar/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt, from its admission to its end.
+//! An admitted attempt and its outcome.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -9,11 +9,11 @@
 use sagespool_types::{AttemptNumber, BranchName, ChargeId, ClockTime, RequestId, TokenCount};
 use smol::Timer;
 
-use crate::key_memory::{KeyEnding, KeyWish};
-use crate::running::{RunningPlace, StopReason};
-use crate::{AnswerLog, CallFault};
+use crate::idempotency_cache::{KeyedAttempt, KeyedOutcome};
+use crate::running::{RunningRegistration, StopReason};
+use crate::{AnswerLog, UpstreamCallError};
 
-/// An admitted attempt.
+/// An attempt that may run.
 pub(crate) struct AdmittedAttempt {
     pub(crate) request: RequestId,
     pub(crate) attempt: AttemptNumber,
@@ -23,9 +23,9 @@
     pub(crate) priority: u8,
     pub(crate) target: CallTarget,
     pub(crate) body: Vec<u8>,
-    pub(crate) key: Option<KeyWish>,
+    pub(crate) key: Option<KeyedAttempt>,
     pub(crate) log: Arc<AnswerLog>,
-    pub(crate) place: RunningPlace,
+    pub(crate) registration: RunningRegistration,
     pub(crate) arrived: ClockTime,
     pub(crate) timings: RequestTimings,
     deadline: ClockTime,
@@ -35,14 +35,14 @@
     pub(crate) fn new(
         dispatch: DispatchRequest,
         log: Arc<AnswerLog>,
-        place: RunningPlace,
+        registration: RunningRegistration,
         metrics: &FleetMetrics,
         now: ClockTime,
     ) -> Self {
         Self {
             arrived: now,
             timings: metrics.timings(&dispatch.class, &dispatch.branch),
-            key: KeyWish::of(&dispatch),
+            key: KeyedAttempt::of(&dispatch),
             request: dispatch.request,
             attempt: dispatch.attempt,
             branch: dispatch.branch,
@@ -52,59 +52,59 @@
             target: dispatch.target,
             body: dispatch.body,
             log,
-            place,
+            registration,
             deadline: now.after(dispatch.time_left),
         }
     }
 
-    /// Resolves when the attempt is to stop before its end.
+    /// Resolves when the attempt must stop before its end.
     ///
-    /// Without a key nobody can come back for the answer once its asker is
-    /// gone. With one, the caller may come back through another entry, so the
-    /// attempt goes on.
+    /// Without a key, no caller can attach to the answer once the requester has
+    /// disconnected. With one, the caller may reconnect through another entry,
+    /// so the attempt goes on.
     pub(crate) async fn stopped(&self) -> StopReason {
         let deadline = async {
             Timer::after(self.deadline.since(ClockTime::now())).await;
             StopReason::Deadline
         };
-        let asker_gone = async {
+        let requester_gone = async {
             match self.key {
                 Some(_) => future::pending().await,
-                None => self.log.abandoned().await,
+                None => self.log.readers_gone().await,
             }
-            StopReason::AskerGone
+            StopReason::RequesterGone
         };
-        self.place.attempt.stopped().or(asker_gone).or(deadline).await
+        self.registration.attempt.stopped().or(requester_gone).or(deadline).await
     }
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum AttemptEnd {
-    /// With a whole answer.
+pub(crate) enum AttemptOutcome {
+    /// With a complete answer.
     Whole(FinishReason),
-    /// The upstream failed.
+    /// The call to the upstream failed.
     Broken {
-        /// False if it surely did not run.
+        /// False if it certainly did not run.
         ran: bool,
-        /// True if the upstream itself is down.
+        /// Whether the upstream itself went down.
         crashed: bool,
-        /// For people.
+        /// Description of the failure, for logs and callers.
         detail: String,
     },
-    /// It was stopped.
+    /// The sidecar stopped the attempt.
     Stopped {
-        /// False if it surely did not run.
+        /// False if it certainly did not run.
         ran: bool,
-        /// Why.
+        /// Why it was stopped.
         reason: StopReason,
     },
 }
 
-impl AttemptEnd {
-    /// The end of a call that failed.
-    pub(crate) fn of_fault(fault: &CallFault, crashed: bool) -> Self {
-        Self::Broken { ran: fault.may_have_run(), crashed, detail: fault.to_string() }
+impl AttemptOutcome {
+    /// The outcome of a call that failed.
+    pub(crate) fn from_call_error(error: &UpstreamCallError, crashed: bool) -> Self {
+        Self::Broken { ran: error.may_have_run(), crashed, detail: error.to_string() }
     }
 
     pub(crate) fn may_have_run(&self) -> bool {
@@ -114,11 +114,11 @@
         }
     }
 
-    pub(crate) fn key_ending(&self) -> KeyEnding {
+    pub(crate) fn keyed_outcome(&self) -> KeyedOutcome {
         match self {
-            Self::Whole(_) => KeyEnding::Whole,
-            _ if self.may_have_run() => KeyEnding::MayHaveRun,
-            _ => KeyEnding::NotRun,
+            Self::Whole(_) => KeyedOutcome::Whole,
+            _ if self.may_have_run() => KeyedOutcome::MayHaveRun,
+            _ => KeyedOutcome::NotRun,
         }
     }
 
@@ -137,21 +137,21 @@
         }
     }
 
-    /// The end as the asker is told. Where the sidecar stops, the request may
-    /// go on elsewhere, as after any other failure.
-    pub(crate) fn tell(self, charge: Option<ChargeRecord>) -> DispatchEnd {
+    /// The end that is sent to the requester. If the sidecar stops, the request
+    /// may continue on another upstream, as after any other failure.
+    pub(crate) fn into_dispatch_end(self, charge: Option<ChargeRecord>) -> DispatchEnd {
         match (self, charge) {
             (Self::Whole(stop), Some(charge)) => DispatchEnd::Whole { charge, stop },
             (Self::Whole(_), None) => DispatchEnd::Broken {
                 ran: None,
                 crashed: false,
-                detail: "the charge of a whole answer is missing".to_owned(),
+                detail: "the charge of a complete answer is missing".to_owned(),
             },
             (Self::Broken { crashed, detail, .. }, ran) => {
                 DispatchEnd::Broken { ran, crashed, detail }
             }
             (Self::Stopped { reason: StopReason::SidecarStops, .. }, ran) => {
-                let detail = "the sidecar stopped before the answer's end".to_owned();
+                let detail = "the sidecar stopped before the end of the answer".to_owned();
                 DispatchEnd::Broken { ran, crashed: false, detail }
             }
             (Self::Stopped { .. }, ran) => DispatchEnd::Cancelled { ran },
@@ -159,7 +159,7 @@
     }
 }
 
-/// The work's result, unless the attempt is stopped first.
+/// The result of `work`, or the reason if the attempt is stopped first.
 pub(crate) async fn unless_stopped<T>(
     stopped: Pin<&mut impl Future<Output = StopReason>>,
     work: impl Future<Output = T>,
--- a/crates/sagespool-sidecar/src/charge_book/grant.rs
+++ b/crates/sagespool-sidecar/src/charge_registry/grant.rs
@@ -1,4 +1,4 @@
-//! What is known of one grant.
+//! The charges and seals of one grant.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,9 +6,9 @@
 use sagespool_messages::{ChargeRecord, SealRequest, SealScope};
 use sagespool_types::{AttemptNumber, ClockTime, IncarnationId, SequenceNumber, TokenCount};
 
-use super::{ChargeRefusal, ChargeWish, ReportPolicy, ReportScope};
+use super::{ChargeRefusal, ChargeRequest, ReportPolicy, ReportScope};
 
-/// One grant's charges and seals.
+/// State of one grant.
 #[derive(Debug, Default)]
 pub(super) struct GrantState {
     sealed: bool,
@@ -16,16 +16,16 @@
     sealed_charges: BTreeSet<SequenceNumber>,
     durable: BTreeSet<SequenceNumber>,
     charges: BTreeMap<SequenceNumber, Vec<AttemptState>>,
-    touched: ClockTime,
+    last_activity: ClockTime,
 }
 
-/// One attempt under a charge.
+/// Record of one attempt under a charge, and when it is reported next.
 #[derive(Debug)]
 struct AttemptState {
     record: ChargeRecord,
     non_idempotent: bool,
     due: ClockTime,
-    wait: Option<Duration>,
+    delay: Option<Duration>,
 }
 
 impl GrantState {
@@ -33,37 +33,44 @@
         self.reporter
     }
 
-    pub(super) fn open(&mut self, wish: &ChargeWish, now: ClockTime) -> Result<(), ChargeRefusal> {
-        let sequence = wish.reserved.charge.sequence;
+    pub(super) fn open(
+        &mut self,
+        request: &ChargeRequest,
+        now: ClockTime,
+    ) -> Result<(), ChargeRefusal> {
+        let sequence = request.reserved.charge.sequence;
         if self.durable.contains(&sequence) {
-            return Err(ChargeRefusal::RunBefore { attempt: None });
+            return Err(ChargeRefusal::AlreadyRun { attempt: None });
         }
-        self.check_attempts(sequence, wish)?;
+        self.check_attempts(sequence, request)?;
         if self.sealed {
             return Err(ChargeRefusal::GrantSealed);
         }
         if self.sealed_charges.contains(&sequence) {
             return Err(ChargeRefusal::ChargeSealed);
         }
-        self.touched = now;
-        self.charges.entry(sequence).or_default().push(AttemptState::new(wish));
+        self.last_activity = now;
+        self.charges.entry(sequence).or_default().push(AttemptState::new(request));
         Ok(())
     }
 
-    /// A non-idempotent request that may have run is not run by any later
-    /// attempt either, whatever its entry believes.
+    /// Refuses an attempt that an earlier one blocks. A non-idempotent request
+    /// that may have run is refused even if only one of the two attempts is
+    /// marked non-idempotent.
     fn check_attempts(
         &self,
         sequence: SequenceNumber,
-        wish: &ChargeWish,
+        request: &ChargeRequest,
     ) -> Result<(), ChargeRefusal> {
         let earlier = self.charges.get(&sequence).map(Vec::as_slice).unwrap_or_default();
         let blocks = |state: &&AttemptState| {
-            state.record.attempt >= wish.attempt || state.non_idempotent || wish.non_idempotent
+            state.record.attempt >= request.attempt
+                || state.non_idempotent
+                || request.non_idempotent
         };
         let blocking = earlier.iter().filter(blocks).map(|state| state.record.attempt).max();
         match blocking {
-            Some(attempt) => Err(ChargeRefusal::RunBefore { attempt: Some(attempt) }),
+            Some(attempt) => Err(ChargeRefusal::AlreadyRun { attempt: Some(attempt) }),
             None => Ok(()),
         }
     }
@@ -74,7 +81,7 @@
         attempt: AttemptNumber,
         used: TokenCount,
     ) -> Option<()> {
-        let state = self.running(sequence, attempt)?;
+        let state = self.running_attempt(sequence, attempt)?;
         state.record.used = used;
         Some(())
     }
@@ -86,7 +93,7 @@
         whole: bool,
         due: ClockTime,
     ) -> Option<ChargeRecord> {
-        let state = self.running(sequence, attempt)?;
+        let state = self.running_attempt(sequence, attempt)?;
         state.record.ended = true;
         state.record.whole = whole;
         state.due = due;
@@ -114,7 +121,7 @@
     pub(super) fn seal(&mut self, request: &SealRequest, due: ClockTime) -> Vec<ChargeRecord> {
         self.reporter = Some(request.reporter);
         for state in self.charges.values_mut().flatten() {
-            state.wait = None;
+            state.delay = None;
             state.due = due;
         }
         match &request.scope {
@@ -138,21 +145,21 @@
         batch: &mut Vec<ChargeRecord>,
     ) {
         let ended = self.charges.values_mut().flatten().filter(|state| state.record.ended);
-        let is_wanted = |state: &&mut AttemptState| scope == ReportScope::All || state.due <= now;
-        for state in ended.filter(is_wanted) {
-            if batch.len() >= policy.batch {
+        let is_selected = |state: &&mut AttemptState| scope == ReportScope::All || state.due <= now;
+        for state in ended.filter(is_selected) {
+            if batch.len() >= policy.max_batch {
                 return;
             }
             batch.push(state.record.clone());
-            let wait = state.wait.map_or(policy.repeat_after, |wait| wait * 2);
-            let wait = wait.min(policy.longest_wait);
-            state.wait = Some(wait);
-            state.due = now.after(wait);
+            let delay = state.delay.map_or(policy.repeat_delay, |delay| delay * 2);
+            let delay = delay.min(policy.max_delay);
+            state.delay = Some(delay);
+            state.due = now.after(delay);
         }
     }
 
-    pub(super) fn durable(&mut self, sequence: SequenceNumber, now: ClockTime) -> Option<()> {
-        self.touched = now;
+    pub(super) fn mark_durable(&mut self, sequence: SequenceNumber, now: ClockTime) -> Option<()> {
+        self.last_activity = now;
         let attempts = self.charges.get_mut(&sequence)?;
         attempts.retain(|state| !state.record.ended);
         if attempts.is_empty() {
@@ -167,11 +174,11 @@
     }
 
     pub(super) fn is_idle(&self, policy: &ReportPolicy, now: ClockTime) -> bool {
-        let is_free = self.charges.is_empty() && !self.sealed && self.sealed_charges.is_empty();
-        is_free && now.since(self.touched) >= policy.idle_after
+        let is_unused = self.charges.is_empty() && !self.sealed && self.sealed_charges.is_empty();
+        is_unused && now.since(self.last_activity) >= policy.idle_timeout
     }
 
-    fn running(
+    fn running_attempt(
         &mut self,
         sequence: SequenceNumber,
         attempt: AttemptNumber,
@@ -182,18 +189,18 @@
 }
 
 impl AttemptState {
-    fn new(wish: &ChargeWish) -> Self {
+    fn new(request: &ChargeRequest) -> Self {
         let record = ChargeRecord {
-            charge: wish.reserved.charge,
-            branch: wish.branch.clone(),
-            request: wish.request,
-            key: wish.key,
-            attempt: wish.attempt,
+            charge: request.reserved.charge,
+            branch: request.branch.clone(),
+            request: request.request,
+            key: request.key,
+            attempt: request.attempt,
             used: TokenCount::ZERO,
             ended: false,
             whole: false,
         };
         let due = ClockTime::default();
-        Self { record, non_idempotent: wish.non_idempotent, due, wait: None }
+        Self { record, non_idempotent: request.non_idempotent, due, delay: None }
     }
 }
--- a/crates/sagespool-sidecar/src/dispatcher.rs
+++ b/crates/sagespool-sidecar/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The last gate before a request runs, and what follows from letting it in.
+//! Runs the requests that pass the sidecar's checks.
 
 use std::pin::{Pin, pin};
 use std::sync::Arc;
@@ -17,153 +17,160 @@
 };
 
 use crate::admission::attach_refused;
-use crate::attempt::{AdmittedAttempt, AttemptEnd};
-use crate::run_completion::{CompletionTarget, EngineRest};
+use crate::attempt::{AdmittedAttempt, AttemptOutcome};
+use crate::run_completion::{CompletionTarget, EngineCleanup};
 use crate::run_service::ServiceTarget;
 use crate::running::{RunningTable, StopReason};
 use crate::{
-    AnswerReader, CacheRelay, ChargeBook, ChargeEnding, KeyMemory, KeyRefusal, KeyRetention,
-    LoadWatch, OrderDesk, ReportPolicy, UpstreamClient,
+    AnswerReader, ChargeOutcome, ChargeRegistry, IdempotencyCache, KeyRefusal, KeyRetention,
+    LoadTracker, OrderFence, PromptCacheTracker, ReportPolicy, UpstreamClient,
 };
 
-/// The memory for answers of keyed requests, if nothing else is said.
-const KEPT_ANSWERS: ByteCount = ByteCount(64 << 20);
+/// Default memory limit of cached answers.
+const DEFAULT_ANSWER_CACHE_BYTES: ByteCount = ByteCount(64 << 20);
 
-/// What a dispatcher is told of its place.
+/// Options of a [`Dispatcher`].
 #[derive(Debug, Clone, Builder)]
-pub struct DispatchOptions {
-    /// The sidecar's incarnation.
+pub struct DispatcherOptions {
+    /// The sidecar's own incarnation.
     pub sidecar: IncarnationId,
-    /// The upstream.
+    /// The upstream that requests are sent to.
     pub upstream: UpstreamSettings,
-    /// The most memory for kept answers.
-    #[builder(default = KEPT_ANSWERS)]
-    pub kept_answers: ByteCount,
-    /// How long keys are remembered.
+    /// Memory limit of the cached answers of keyed requests.
+    #[builder(default = DEFAULT_ANSWER_CACHE_BYTES)]
+    pub answer_cache_bytes: ByteCount,
+    /// How long answers and keys are retained.
     #[builder(default)]
     pub retention: KeyRetention,
-    /// How charges are reported.
+    /// When charges are reported to holders.
     #[builder(default)]
     pub reports: ReportPolicy,
-    /// Where it notes what its upstream takes for each class and branch.
+    /// Metrics registry, which also gets the upstream's timings by class and branch.
     #[builder(default = FleetMetrics::new())]
     pub metrics: FleetMetrics,
 }
 
-/// Checks, runs and witnesses every request for one upstream.
+/// Checks, runs and records every request for one upstream.
 #[derive(Debug)]
 pub struct Dispatcher {
     pub(crate) sidecar: IncarnationId,
     pub(crate) kind: UpstreamKind,
     service: ServiceName,
     leaving: AtomicBool,
-    held: AtomicBool,
+    listed_leaving: AtomicBool,
     pub(crate) upstream: UpstreamClient,
-    pub(crate) charges: ChargeBook,
-    pub(crate) keys: KeyMemory,
-    pub(crate) load: LoadWatch,
-    cache: CacheRelay,
-    pub(crate) orders: OrderDesk,
+    pub(crate) charges: ChargeRegistry,
+    pub(crate) keys: IdempotencyCache,
+    pub(crate) load: LoadTracker,
+    cache: PromptCacheTracker,
+    pub(crate) orders: OrderFence,
     pub(crate) running: Arc<RunningTable>,
     pub(crate) metrics: FleetMetrics,
 }
 
 impl Dispatcher {
-    /// A dispatcher that runs nothing until [`ChargeBook::started`] was called.
-    pub fn new(options: DispatchOptions) -> Arc<Self> {
-        let DispatchOptions { sidecar, upstream, kept_answers, retention, reports, metrics } =
-            options;
+    /// A dispatcher that refuses all requests until [`ChargeRegistry::set_started_at`] is called.
+    pub fn new(options: DispatcherOptions) -> Arc<Self> {
+        let DispatcherOptions {
+            sidecar,
+            upstream,
+            answer_cache_bytes,
+            retention,
+            reports,
+            metrics,
+        } = options;
         Arc::new(Self {
             sidecar,
             kind: upstream.kind,
             service: upstream.service.clone(),
             leaving: AtomicBool::new(false),
-            held: AtomicBool::new(false),
+            listed_leaving: AtomicBool::new(false),
             upstream: UpstreamClient::new(upstream.address),
-            charges: ChargeBook::new(sidecar, reports),
-            keys: KeyMemory::new(sidecar, kept_answers, retention),
-            load: LoadWatch::new(&upstream),
-            cache: CacheRelay::default(),
-            orders: OrderDesk::new(),
+            charges: ChargeRegistry::new(sidecar, reports),
+            keys: IdempotencyCache::new(sidecar, answer_cache_bytes, retention),
+            load: LoadTracker::new(&upstream),
+            cache: PromptCacheTracker::default(),
+            orders: OrderFence::new(),
             running: Arc::default(),
             metrics,
         })
     }
 
-    /// The charges it has witnessed.
-    pub fn charges(&self) -> &ChargeBook {
+    /// Charges of the attempts that run or have run.
+    pub fn charges(&self) -> &ChargeRegistry {
         &self.charges
     }
 
-    /// The keys it remembers.
-    pub fn keys(&self) -> &KeyMemory {
+    /// Idempotency keys and cached answers.
+    pub fn keys(&self) -> &IdempotencyCache {
         &self.keys
     }
 
-    /// The upstream's load.
-    pub fn load(&self) -> &LoadWatch {
+    /// Load and health of the upstream.
+    pub fn load(&self) -> &LoadTracker {
         &self.load
     }
 
-    /// What askers are told of the engine's prompt cache.
-    pub fn cache(&self) -> &CacheRelay {
+    /// Changes of the engine's prompt cache.
+    pub fn cache(&self) -> &PromptCacheTracker {
         &self.cache
     }
 
-    /// Engine or plain service.
+    /// Whether the upstream is an engine or a plain service.
     pub fn kind(&self) -> UpstreamKind {
         self.kind
     }
 
-    /// The upstream.
+    /// HTTP client of the upstream.
     pub fn upstream(&self) -> &UpstreamClient {
         &self.upstream
     }
 
-    /// How many attempts run.
+    /// Number of running attempts.
     pub fn running_count(&self) -> usize {
         self.running.count()
     }
 
-    /// How many attempts run beside one, whether that one still does or not.
-    pub fn count_beside(&self, request: RequestId, attempt: AttemptNumber) -> u32 {
-        let own = usize::from(self.running.runs(request, attempt));
+    /// Number of running attempts besides the given one, which may have ended already.
+    pub fn count_others(&self, request: RequestId, attempt: AttemptNumber) -> u32 {
+        let own = usize::from(self.running.contains(request, attempt));
         self.running.count().saturating_sub(own) as u32
     }
 
-    /// From now on takes nothing new.
-    pub fn leave(&self) {
+    /// Refuses new requests from now on.
+    pub fn set_leaving(&self) {
         self.leaving.store(true, Ordering::SeqCst);
     }
 
-    /// Takes nothing new while the instance list shows its instance as leaving, though that may be
-    /// about an earlier run.
-    pub fn hold(&self, is_held: bool) {
-        self.held.store(is_held, Ordering::SeqCst);
+    /// Refuses new requests while the instance list shows this instance as leaving. The entry may
+    /// refer to an earlier incarnation, so it can be withdrawn.
+    pub fn set_listed_leaving(&self, is_leaving: bool) {
+        self.listed_leaving.store(is_leaving, Ordering::SeqCst);
     }
 
-    /// Whether it takes nothing new, since it leaves or an operator drains it.
-    pub(crate) fn is_closed(&self) -> bool {
-        let is_leaving = self.leaving.load(Ordering::SeqCst) || self.held.load(Ordering::SeqCst);
+    /// Whether new requests are refused because the process is leaving or the upstream is drained.
+    pub(crate) fn rejects_new(&self) -> bool {
+        let is_leaving =
+            self.leaving.load(Ordering::SeqCst) || self.listed_leaving.load(Ordering::SeqCst);
         is_leaving || self.load.is_drained()
     }
 
-    /// At most so many of the attempts that run, and whether that is all.
+    /// The running attempts up to the query's limit, and whether the list is complete.
     pub fn list_running(&self, query: &StatusQuery, now: ClockTime) -> (Vec<RunningRequest>, bool) {
         self.running.list(query.branch.as_ref(), query.running as usize, now)
     }
 
-    /// Resolves when no attempt runs.
-    pub async fn finished(&self) {
-        self.running.empty().await;
+    /// Resolves when no attempt is running.
+    pub async fn wait_until_idle(&self) {
+        self.running.wait_until_idle().await;
     }
 
-    /// Stops every attempt, since the sidecar must end. How many there were.
+    /// Stops every attempt because the sidecar stops. Returns their number.
     pub fn stop_running(&self) -> usize {
         self.running.stop_all(StopReason::SidecarStops)
     }
 
-    /// Runs a request, or tells why not; the answer is read as it comes.
+    /// Starts a request, and returns a reader of its answer or of the refusal.
     pub async fn dispatch(
         self: &Arc<Self>,
         dispatch: DispatchRequest,
@@ -171,24 +178,24 @@
     ) -> AnswerReader {
         let (attempt, reader) = match self.admit(dispatch, now).await {
             Ok(admitted) => admitted,
-            Err(end) => return end.reader(),
+            Err(not_admitted) => return not_admitted.into_reader(),
         };
-        self.load.dispatched();
+        self.load.count_dispatch();
         let dispatcher = Arc::clone(self);
         smol::spawn(async move { dispatcher.run(attempt).await }).detach();
         reader
     }
 
-    /// The answer to a key that runs or is kept here.
+    /// A reader of the answer to a key, or of the refusal if there is none here.
     pub fn attach(&self, request: &AttachRequest) -> AnswerReader {
         let reader = self.keys.attach(request).and_then(|log| {
-            let lost = KeyRefusal::AnswerLost { request: request.request };
-            log.reader().ok_or(lost)
+            let refusal = KeyRefusal::AnswerLost { request: request.request };
+            log.reader().ok_or(refusal)
         });
         reader.unwrap_or_else(attach_refused)
     }
 
-    /// What is known of a key; nothing if another service would run it.
+    /// Looks up a key; always unknown if the key is for another service.
     pub fn find_key(&self, request: &KeyRequest, now: ClockTime) -> KeyReply {
         if request.service != self.service {
             return KeyReply { sidecar: self.sidecar, known: None };
@@ -196,58 +203,61 @@
         self.keys.find(request, now)
     }
 
-    /// Stops an attempt that its entry has given up.
+    /// Stops an attempt that its entry has cancelled.
     pub fn cancel(&self, request: &CancelRequest) {
         self.running.stop(request.request, request.attempt, StopReason::Cancelled);
     }
 
     async fn run(&self, attempt: AdmittedAttempt) {
-        let (end, rest) = {
+        let (outcome, cleanup) = {
             let mut stopped = pin!(attempt.stopped());
             self.call_upstream(&attempt, stopped.as_mut()).await
         };
-        self.finish(&attempt, end, ClockTime::now());
-        self.free_engine(&attempt, rest).await;
+        self.finish(&attempt, outcome, ClockTime::now());
+        self.release_engine(&attempt, cleanup).await;
     }
 
     async fn call_upstream(
         &self,
         attempt: &AdmittedAttempt,
         stopped: Pin<&mut impl Future<Output = StopReason>>,
-    ) -> (AttemptEnd, EngineRest) {
+    ) -> (AttemptOutcome, EngineCleanup) {
         if let Some(target) = ServiceTarget::of(&attempt.target) {
-            return (self.run_service(attempt, target, stopped).await, EngineRest::Nothing);
+            return (self.run_service(attempt, target, stopped).await, EngineCleanup::Nothing);
         }
-        let target = CompletionTarget::of(&attempt.target).expect("a call is one or the other");
-        let meter = target.meter(attempt.reserved).expect("admitted only if it is covered");
+        let target = CompletionTarget::of(&attempt.target)
+            .expect("a call target is a service or a completion");
+        let meter =
+            target.meter(attempt.reserved).expect("admitted only if the reservation covers it");
         self.run_completion(attempt, target, meter, stopped).await
     }
 
-    /// Notes what an attempt has used; never more than was reserved.
-    pub(crate) fn note_used(&self, attempt: &AdmittedAttempt, used: TokenCount) {
-        attempt.place.attempt.note_used(used.min(attempt.reserved));
-        self.note_charged(attempt, used);
+    /// Records the tokens that an attempt has used, at most those reserved.
+    pub(crate) fn record_used(&self, attempt: &AdmittedAttempt, used: TokenCount) {
+        attempt.registration.attempt.record_used(used.min(attempt.reserved));
+        self.record_charged(attempt, used);
     }
 
-    /// Notes what an attempt is charged if it ends now, without showing it as used: an engine that has
-    /// taken a request in may not have begun with its prompt.
-    pub(crate) fn note_charged(&self, attempt: &AdmittedAttempt, used: TokenCount) {
-        self.charges.update(attempt.charge, attempt.attempt, used.min(attempt.reserved));
+    /// Records what an attempt is charged if it ends now, without listing it as used. An engine
+    /// that has accepted a request may not have started on its prompt.
+    pub(crate) fn record_charged(&self, attempt: &AdmittedAttempt, used: TokenCount) {
+        self.charges.update_used(attempt.charge, attempt.attempt, used.min(attempt.reserved));
     }
 
-    /// Counts and logs an answer, or a part of one, that is thrown away.
-    pub(crate) fn note_dropped(&self, cause: DropCause, detail: &str) {
+    /// Counts and logs an answer, or a part of one, that is discarded.
+    pub(crate) fn record_dropped(&self, cause: DropCause, detail: &str) {
         self.metrics.dropped_answer(cause);
         log_event!(warn, "answer-dropped", cause = cause, detail = detail);
     }
 
-    /// Ends an attempt everywhere, the asker last: what it does next must find
-    /// the charge and the key in their final state.
-    fn finish(&self, attempt: &AdmittedAttempt, end: AttemptEnd, now: ClockTime) {
-        let is_whole = matches!(end, AttemptEnd::Whole(_));
-        let charge = if end.may_have_run() {
-            let ending = ChargeEnding { whole: is_whole, heard: attempt.log.is_read() };
-            self.charges.end(attempt.charge, attempt.attempt, ending, now)
+    /// Ends an attempt in all tables and then in its log. The requester reads the
+    /// end last, so that its next request finds charge and key in their final state.
+    fn finish(&self, attempt: &AdmittedAttempt, outcome: AttemptOutcome, now: ClockTime) {
+        let is_whole = matches!(outcome, AttemptOutcome::Whole(_));
+        let charge = if outcome.may_have_run() {
+            let end_delivered = attempt.log.has_readers();
+            let charge_outcome = ChargeOutcome { whole: is_whole, end_delivered };
+            self.charges.end_attempt(attempt.charge, attempt.attempt, charge_outcome, now)
         } else {
             self.charges.withdraw(attempt.charge, attempt.attempt, now);
             None
@@ -255,21 +265,21 @@
         if is_whole {
             attempt.timings.whole(now.since(attempt.arrived));
         }
-        if let Some(wish) = &attempt.key {
-            self.keys.end(wish, end.key_ending(), now);
+        if let Some(keyed) = &attempt.key {
+            self.keys.end_attempt(keyed, outcome.keyed_outcome(), now);
         }
-        log_end(attempt, &end, charge.as_ref());
-        attempt.log.push(DispatchEvent::End(end.tell(charge)));
+        log_end(attempt, &outcome, charge.as_ref());
+        attempt.log.push(DispatchEvent::End(outcome.into_dispatch_end(charge)));
     }
 }
 
-/// Whole answers are the rule, and logged for who looks closely.
-fn log_end(attempt: &AdmittedAttempt, end: &AttemptEnd, charge: Option<&ChargeRecord>) {
+/// Complete answers are the common case, and are logged at debug level only.
+fn log_end(attempt: &AdmittedAttempt, end: &AttemptOutcome, charge: Option<&ChargeRecord>) {
     let used = charge.map_or(TokenCount::ZERO, |charge| charge.used);
     let (request, number, outcome) = (attempt.request, attempt.attempt, end.as_str());
     let (branch, charge) = (&attempt.branch, attempt.charge);
     match end {
-        AttemptEnd::Whole(_) => log_event!(
+        AttemptOutcome::Whole(_) => log_event!(
             debug,
             "attempt-ended",
             request = request,
--- a/crates/sagespool-sidecar/src/engine_body.rs
+++ b/crates/sagespool-sidecar/src/engine_body.rs
@@ -1,4 +1,4 @@
-//! The body that goes to an engine, made from the caller's.
+//! Builds the body of an engine request from the caller's body.
 
 use std::collections::BTreeMap;
 
@@ -7,33 +7,32 @@
 use serde_json::Error;
 use serde_json::value::{RawValue, to_raw_value};
 
-/// What the sidecar decides about a completion, whatever the caller's body says.
+/// Fields of a completion that the sidecar sets regardless of the caller's body.
 #[derive(Debug, Clone, PartialEq)]
-pub struct EngineTerms<'a> {
-    /// The model.
+pub struct EngineOverrides<'a> {
+    /// The model to run.
     pub model: &'a ModelName,
-    /// The most tokens that the whole answer may have. No more than was
-    /// reserved, so that an engine which keeps to it never makes a token that
-    /// nobody pays for.
+    /// Most tokens of the whole answer, at most those reserved. An engine that
+    /// respects the limit produces no token without budget.
     pub max_tokens: u32,
     /// The engine's priority; lower goes first.
     pub priority: u8,
-    /// Where to go on.
+    /// The point to resume the answer at; `None` starts from the beginning.
     pub resume: Option<&'a ResumePoint>,
 }
 
-/// The caller's body with the sidecar's terms in it; everything else as it came.
+/// The caller's body with the sidecar's overrides; all other fields are unchanged.
 ///
 /// # Errors
 ///
-/// If the body is no JSON object.
-pub fn engine_body(body: &[u8], terms: &EngineTerms<'_>) -> Result<Vec<u8>, Error> {
+/// Returns an error if the body is not a JSON object.
+pub fn engine_body(body: &[u8], overrides: &EngineOverrides<'_>) -> Result<Vec<u8>, Error> {
     let mut fields: BTreeMap<String, Box<RawValue>> = serde_json::from_slice(body)?;
-    fields.insert("model".to_owned(), to_raw_value(terms.model)?);
-    fields.insert("max_tokens".to_owned(), to_raw_value(&terms.max_tokens)?);
-    fields.insert("priority".to_owned(), to_raw_value(&terms.priority)?);
+    fields.insert("model".to_owned(), to_raw_value(overrides.model)?);
+    fields.insert("max_tokens".to_owned(), to_raw_value(&overrides.max_tokens)?);
+    fields.insert("priority".to_owned(), to_raw_value(&overrides.priority)?);
     fields.insert("stream".to_owned(), to_raw_value(&true)?);
-    match terms.resume {
+    match overrides.resume {
         Some(resume) => fields.insert("resume".to_owned(), to_raw_value(resume)?),
         None => fields.remove("resume"),
     };
--- a/crates/sagespool-sidecar/src/engine_events.rs
+++ b/crates/sagespool-sidecar/src/engine_events.rs
@@ -1,4 +1,4 @@
-//! An engine's stream of events, read into typed ones.
+//! Parses the events of an engine's completion stream.
 
 use std::error::Error;
 use std::fmt;
@@ -6,7 +6,7 @@
 use sagespool_messages::FinishReason;
 use serde::Deserialize;
 
-/// The text of the event that closes a stream.
+/// Data of the event that ends a stream.
 const DONE: &str = "[DONE]";
 
 /// One event of a completion's stream.
@@ -14,40 +14,40 @@
 pub enum EngineEvent {
     /// One token.
     Token {
-        /// Its place in the whole answer, from 0, if the engine says it.
+        /// Position in the whole answer, from 0; `None` if the engine does not send it.
         index: Option<u32>,
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
     /// The engine has finished.
     Finished {
-        /// Why.
+        /// Why the answer ended.
         stop: FinishReason,
-        /// How many tokens the engine says it made, if it does.
+        /// The engine's own token count; `None` if it does not send it.
         completion_tokens: Option<u32>,
     },
-    /// The engine gave the request up, for the reason it says.
+    /// The engine aborted the request, with its finish reason.
     Aborted(String),
-    /// Nothing follows.
+    /// The stream is complete.
     Done,
-    /// An event without a token, which counts for nothing.
+    /// An event without a token.
     Empty,
 }
 
-/// An event that is none of an engine's.
+/// An event that cannot be parsed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EventFault {
-    /// Where the event differs from what was expected.
+pub struct EngineEventError {
+    /// The parser's message.
     pub detail: String,
 }
 
-impl fmt::Display for EventFault {
+impl fmt::Display for EngineEventError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the engine sent an event that can't be read: {}", self.detail)
+        write!(f, "failed to parse an event from the engine: {}", self.detail)
     }
 }
 
-impl Error for EventFault {}
+impl Error for EngineEventError {}
 
 #[derive(Deserialize)]
 struct WireEvent {
@@ -74,18 +74,18 @@
 }
 
 impl EngineEvent {
-    /// Reads the data of one server-sent event.
+    /// Parses the data of one server-sent event.
     ///
     /// # Errors
     ///
-    /// An [`EventFault`] for data that is neither a completion's event nor the
-    /// closing mark.
-    pub fn read(data: &str) -> Result<Self, EventFault> {
+    /// Returns an [`EngineEventError`] for data that is neither a completion event
+    /// nor the end of the stream.
+    pub fn parse(data: &str) -> Result<Self, EngineEventError> {
         if data == DONE {
             return Ok(Self::Done);
         }
-        let event: WireEvent =
-            serde_json::from_str(data).map_err(|error| EventFault { detail: error.to_string() })?;
+        let event: WireEvent = serde_json::from_str(data)
+            .map_err(|error| EngineEventError { detail: error.to_string() })?;
         let completion_tokens = event.usage.and_then(|usage| usage.completion_tokens);
         let Some(choice) = event.choices.into_iter().next() else {
             return Ok(Self::Empty);
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Only two reasons stand for a whole answer. An engine that was told to
-    /// cancel closes its stream in good order too, with another one.
+    /// Only `stop` and `length` mean a complete answer. A cancelled engine also
+    /// closes its stream regularly, with another reason.
     fn finish(reason: String, completion_tokens: Option<u32>) -> Self {
         match reason.as_str() {
             "stop" => Self::Finished { stop: FinishReason::Stop, completion_tokens },
--- a/crates/sagespool-sidecar/src/key_memory/shard.rs
+++ b/crates/sagespool-sidecar/src/idempotency_cache/shard.rs
@@ -1,4 +1,4 @@
-//! A part of the keys.
+//! One shard of the idempotency cache.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::sync::Arc;
@@ -6,16 +6,17 @@
 use sagespool_messages::{AttachRequest, KeyRequest};
 use sagespool_types::{AttemptNumber, ByteCount, ClockTime, ContentDigest, KeyDigest, RequestId};
 
-use super::{KeyAdmission, KeyEnding, KeyFound, KeyRefusal, KeyRetention, KeyWish};
+use super::{KeyAdmission, KeyLookup, KeyRefusal, KeyRetention, KeyedAttempt, KeyedOutcome};
 use crate::AnswerLog;
 
 #[derive(Debug, Default)]
 pub(super) struct KeyShard {
     keys: HashMap<KeyDigest, KeyEntry>,
-    /// Kept answers, the oldest first, and their size in all.
-    kept: VecDeque<(ClockTime, KeyDigest, RequestId)>,
-    kept_bytes: ByteCount,
-    /// Keys remembered without their answer, the oldest first.
+    /// Cached answers, the oldest first.
+    cached: VecDeque<(ClockTime, KeyDigest, RequestId)>,
+    /// Total size of the cached answers.
+    cached_bytes: ByteCount,
+    /// Non-idempotent keys without an answer, the oldest first.
     lost: VecDeque<(ClockTime, KeyDigest, RequestId)>,
     fences: HashSet<(KeyDigest, RequestId)>,
     fence_order: VecDeque<(ClockTime, KeyDigest, RequestId)>,
@@ -34,14 +35,14 @@
 #[derive(Debug)]
 enum AnswerState {
     Running(Arc<AnswerLog>),
-    Kept { log: Arc<AnswerLog>, bytes: ByteCount },
+    Cached { log: Arc<AnswerLog>, bytes: ByteCount },
     Lost,
 }
 
 impl KeyEntry {
     fn answer(&self) -> Result<&Arc<AnswerLog>, KeyRefusal> {
         match &self.answer {
-            AnswerState::Running(log) | AnswerState::Kept { log, .. } if log.is_from_start() => {
+            AnswerState::Running(log) | AnswerState::Cached { log, .. } if log.has_start() => {
                 Ok(log)
             }
             _ => Err(KeyRefusal::AnswerLost { request: self.request }),
@@ -50,27 +51,27 @@
 }
 
 impl KeyShard {
-    pub(super) fn begin(&mut self, wish: &KeyWish, log: &Arc<AnswerLog>) -> KeyAdmission {
-        if self.fences.contains(&(wish.key, wish.request)) {
+    pub(super) fn admit(&mut self, keyed: &KeyedAttempt, log: &Arc<AnswerLog>) -> KeyAdmission {
+        if self.fences.contains(&(keyed.key, keyed.request)) {
             return KeyAdmission::Refused(KeyRefusal::Fenced);
         }
-        if let Some(entry) = self.keys.get(&wish.key) {
-            return Self::admit_known(entry, wish);
+        if let Some(entry) = self.keys.get(&keyed.key) {
+            return Self::admit_known(entry, keyed);
         }
         let entry = KeyEntry {
-            request: wish.request,
-            attempt: wish.attempt,
-            content: wish.content,
-            non_idempotent: wish.non_idempotent,
+            request: keyed.request,
+            attempt: keyed.attempt,
+            content: keyed.content,
+            non_idempotent: keyed.non_idempotent,
             ended: ClockTime::default(),
             answer: AnswerState::Running(Arc::clone(log)),
         };
-        self.keys.insert(wish.key, entry);
-        KeyAdmission::Run
+        self.keys.insert(keyed.key, entry);
+        KeyAdmission::Admitted
     }
 
-    fn admit_known(entry: &KeyEntry, wish: &KeyWish) -> KeyAdmission {
-        if entry.content != wish.content {
+    fn admit_known(entry: &KeyEntry, keyed: &KeyedAttempt) -> KeyAdmission {
+        if entry.content != keyed.content {
             return KeyAdmission::Refused(KeyRefusal::OtherContent);
         }
         match entry.answer() {
@@ -80,46 +81,51 @@
     }
 
     pub(super) fn attach(&self, request: &AttachRequest) -> Result<Arc<AnswerLog>, KeyRefusal> {
-        let entry = self.keys.get(&request.key).ok_or(KeyRefusal::NeverSeen)?;
+        let entry = self.keys.get(&request.key).ok_or(KeyRefusal::UnknownKey)?;
         if entry.content != request.content {
             return Err(KeyRefusal::OtherContent);
         }
         entry.answer().cloned()
     }
 
-    pub(super) fn end(&mut self, wish: &KeyWish, ending: KeyEnding, now: ClockTime) {
-        let Some(entry) = self.keys.get_mut(&wish.key) else { return };
+    pub(super) fn end_attempt(
+        &mut self,
+        keyed: &KeyedAttempt,
+        outcome: KeyedOutcome,
+        now: ClockTime,
+    ) {
+        let Some(entry) = self.keys.get_mut(&keyed.key) else { return };
         let AnswerState::Running(log) = &entry.answer else { return };
-        if (entry.request, entry.attempt) != (wish.request, wish.attempt) {
+        if (entry.request, entry.attempt) != (keyed.request, keyed.attempt) {
             return;
         }
         entry.ended = now;
-        let place = (now, wish.key, wish.request);
-        if ending == KeyEnding::Whole && log.is_from_start() {
+        let expiry = (now, keyed.key, keyed.request);
+        if outcome == KeyedOutcome::Whole && log.has_start() {
             let bytes = log.bytes();
-            entry.answer = AnswerState::Kept { log: Arc::clone(log), bytes };
-            self.kept_bytes += bytes;
-            self.kept.push_back(place);
-        } else if ending != KeyEnding::NotRun && entry.non_idempotent {
+            entry.answer = AnswerState::Cached { log: Arc::clone(log), bytes };
+            self.cached_bytes += bytes;
+            self.cached.push_back(expiry);
+        } else if outcome != KeyedOutcome::NotRun && entry.non_idempotent {
             entry.answer = AnswerState::Lost;
-            self.lost.push_back(place);
+            self.lost.push_back(expiry);
         } else {
-            self.keys.remove(&wish.key);
+            self.keys.remove(&keyed.key);
         }
     }
 
-    /// Drops the oldest answers until the rest fits. How many were dropped.
-    pub(super) fn evict(&mut self, most: ByteCount) -> u64 {
+    /// Evicts the oldest answers until the others fit in `capacity`. Returns the number evicted.
+    pub(super) fn evict(&mut self, capacity: ByteCount) -> u64 {
         let mut evicted = 0;
-        while self.kept_bytes > most {
-            let Some((_, key, request)) = self.kept.pop_front() else { break };
+        while self.cached_bytes > capacity {
+            let Some((_, key, request)) = self.cached.pop_front() else { break };
             self.drop_answer(key, request);
             evicted += 1;
         }
         evicted
     }
 
-    pub(super) fn find(&mut self, request: &KeyRequest, now: ClockTime) -> Option<KeyFound> {
+    pub(super) fn find(&mut self, request: &KeyRequest, now: ClockTime) -> Option<KeyLookup> {
         let Some(entry) = self.keys.get(&request.key) else {
             if let Some(fenced) = request.fence {
                 self.fence(request.key, fenced, now);
@@ -127,8 +133,8 @@
             return None;
         };
         Some(match entry.answer() {
-            Ok(_) => KeyFound::At { request: entry.request, content: entry.content },
-            Err(_) => KeyFound::Lost { request: entry.request },
+            Ok(_) => KeyLookup::At { request: entry.request, content: entry.content },
+            Err(_) => KeyLookup::Lost { request: entry.request },
         })
     }
 
@@ -139,27 +145,28 @@
     }
 
     pub(super) fn expire(&mut self, retention: &KeyRetention, now: ClockTime) {
-        while let Some((_, key, request)) = pop_older(&mut self.kept, retention.answers, now) {
+        while let Some((_, key, request)) = pop_expired(&mut self.cached, retention.answers, now) {
             self.drop_answer(key, request);
         }
-        while let Some((_, key, request)) = pop_older(&mut self.lost, retention.keys, now) {
+        while let Some((_, key, request)) = pop_expired(&mut self.lost, retention.keys, now) {
             if self.keys.get(&key).is_some_and(|entry| entry.request == request) {
                 self.keys.remove(&key);
             }
         }
-        while let Some((_, key, request)) = pop_older(&mut self.fence_order, retention.keys, now) {
+        while let Some((_, key, request)) = pop_expired(&mut self.fence_order, retention.keys, now)
+        {
             self.fences.remove(&(key, request));
         }
     }
 
-    /// An idempotent key is forgotten with its answer, since it may run again.
+    /// Drops a cached answer, and its key too if the request may run again.
     fn drop_answer(&mut self, key: KeyDigest, request: RequestId) {
         let Some(entry) = self.keys.get_mut(&key) else { return };
-        let AnswerState::Kept { bytes, .. } = entry.answer else { return };
+        let AnswerState::Cached { bytes, .. } = entry.answer else { return };
         if entry.request != request {
             return;
         }
-        self.kept_bytes = self.kept_bytes.saturating_sub(bytes);
+        self.cached_bytes = self.cached_bytes.saturating_sub(bytes);
         if entry.non_idempotent {
             entry.answer = AnswerState::Lost;
             self.lost.push_back((entry.ended, key, request));
@@ -171,7 +178,7 @@
 
 type KeyOrder = VecDeque<(ClockTime, KeyDigest, RequestId)>;
 
-fn pop_older(
+fn pop_expired(
     order: &mut KeyOrder,
     retention: std::time::Duration,
     now: ClockTime,
--- a/crates/sagespool-sidecar/src/tally.rs
+++ b/crates/sagespool-sidecar/src/in_flight.rs
@@ -1,36 +1,35 @@
-//! Counts what is under way, for who waits until nothing is.
+//! A counter of work in flight that can be waited on.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use event_listener::Event;
 
-/// How many of something are under way. Clones count together.
+/// Counts work in flight. Clones share the count.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct WorkTally {
-    shared: Arc<TallyState>,
+pub(crate) struct InFlightCounter {
+    shared: Arc<CounterState>,
 }
 
 #[derive(Debug, Default)]
-struct TallyState {
+struct CounterState {
     count: AtomicUsize,
     changed: Event,
 }
 
-impl WorkTally {
-    /// Counts one more until what is returned is dropped.
-    pub(crate) fn enter(&self) -> TallyMark {
+impl InFlightCounter {
+    /// Counts one more until the guard is dropped.
+    pub(crate) fn start(&self) -> InFlightGuard {
         self.shared.count.fetch_add(1, Ordering::SeqCst);
-        TallyMark { shared: Arc::clone(&self.shared) }
+        InFlightGuard { shared: Arc::clone(&self.shared) }
     }
 
-    /// How many there are.
     pub(crate) fn count(&self) -> usize {
         self.shared.count.load(Ordering::SeqCst)
     }
 
-    /// Resolves when there is none.
-    pub(crate) async fn empty(&self) {
+    /// Resolves when nothing is in flight.
+    pub(crate) async fn wait_until_idle(&self) {
         loop {
             let changed = self.shared.changed.listen();
             if self.count() == 0 {
@@ -41,13 +40,13 @@
     }
 }
 
-/// One that is under way.
+/// Counts one unit of work until it is dropped.
 #[derive(Debug)]
-pub(crate) struct TallyMark {
-    shared: Arc<TallyState>,
+pub(crate) struct InFlightGuard {
+    shared: Arc<CounterState>,
 }
 
-impl Drop for TallyMark {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.shared.count.fetch_sub(1, Ordering::SeqCst);
         self.shared.changed.notify(usize::MAX);
--- a/crates/sagespool-sidecar/src/lib.rs
+++ b/crates/sagespool-sidecar/src/lib.rs
@@ -1,59 +1,65 @@
-//! The sidecar role: the last check before a request runs, and the witness of what ran.
+//! The sidecar role: checks each request before it runs, and records what ran.
 //!
-//! A sidecar stands beside one upstream, an engine or a plain service. Nothing
-//! reaches the upstream but through its [`Dispatcher`], which lets a request in
-//! only if the sidecar's own state allows it:
+//! A sidecar runs next to one upstream, an engine or a plain service. All requests
+//! reach the upstream through its [`Dispatcher`], which admits a request only if
+//! the sidecar's own state allows it:
 //!
-//! - [`ChargeBook`]: the charge has not run here, and neither it nor its grant
-//!   is sealed; every charge that runs is kept until it is durable.
-//! - [`KeyMemory`]: the caller's key is free. If not, there is the answer that
-//!   runs or is kept ([`AnswerLog`]), or the certainty that it must not run again.
+//! - [`ChargeRegistry`]: the charge has not run here, and neither it nor its grant
+//!   is sealed. The record of every charge that runs is kept until it is durable.
+//! - [`IdempotencyCache`]: the caller's key is free. Otherwise the caller reads the
+//!   running or cached answer ([`AnswerLog`]), or the request is refused because it
+//!   must not run again.
 //! - [`TokenMeter`]: the answer ends with the last token that was reserved.
-//! - [`OrderDesk`]: orders reach the engine in the order of their fencing numbers.
+//! - [`OrderFence`]: orders reach the engine in the order of their fencing numbers.
 //!
-//! What helps to choose well, [`LoadWatch`] and [`CacheRelay`] pass on.
+//! [`LoadTracker`] and [`PromptCacheTracker`] publish the upstream's load, health and
+//! prompt cache for placement decisions.
 //!
-//! These decide without I/O and take the time as an argument. [`SidecarRole`]
-//! is the process around them: link, heartbeats, charge reports, graceful stop.
+//! These types do no I/O and take the time as an argument. [`SidecarRole`] is the
+//! process around them: link, heartbeats, charge reports, graceful stop.
 //!
-//! What must hold rests on three properties, each of one incarnation: a charge
-//! is opened under the same lock as a seal, so it is listed or refused; a grant
-//! no newer than the incarnation is refused, since a predecessor's memory is
-//! lost; and a call has a connection of its own, so it is known whether it can
-//! have run.
+//! Correctness relies on three properties, each within one incarnation. A charge is
+//! opened under the same lock as a seal, so it is either listed or refused. A grant
+//! no newer than the incarnation is refused, because the records of an earlier
+//! incarnation are lost. Each call has its own connection, so it is known whether
+//! the call may have run.
 
 mod admission;
 mod answer_log;
 mod attempt;
-mod cache_relay;
-mod charge_book;
+mod charge_registry;
 mod dispatcher;
 mod engine_body;
 mod engine_events;
-mod key_memory;
-mod load_watch;
+mod idempotency_cache;
+mod in_flight;
+mod load_tracker;
 mod orders;
+mod prompt_cache;
 mod role;
 mod run_completion;
 mod run_service;
 mod running;
 mod shards;
-mod tally;
 mod token_meter;
 mod upstream;
 
 pub use answer_log::{AnswerLog, AnswerReader};
-pub use cache_relay::CacheRelay;
-pub use charge_book::{ChargeBook, ChargeEnding, ChargeRefusal, ChargeWish, ReportPolicy};
-pub use dispatcher::{DispatchOptions, Dispatcher};
-pub use engine_body::{EngineTerms, engine_body};
-pub use engine_events::{EngineEvent, EventFault};
-pub use key_memory::{KeyAdmission, KeyEnding, KeyMemory, KeyRefusal, KeyRetention, KeyWish};
-pub use load_watch::{LoadWatch, UpstreamHealth, UpstreamSample};
-pub use orders::{OrderDesk, OrderRefusal};
-pub use role::{RoleFault, SidecarRole, StopReport};
+pub use charge_registry::{
+    ChargeOutcome, ChargeRefusal, ChargeRegistry, ChargeRequest, ReportPolicy,
+};
+pub use dispatcher::{Dispatcher, DispatcherOptions};
+pub use engine_body::{EngineOverrides, engine_body};
+pub use engine_events::{EngineEvent, EngineEventError};
+pub use idempotency_cache::{
+    IdempotencyCache, KeyAdmission, KeyRefusal, KeyRetention, KeyedAttempt, KeyedOutcome,
+};
+pub use load_tracker::{LoadTracker, UpstreamHealth, UpstreamSample};
+pub use orders::{OrderFence, OrderRefusal};
+pub use prompt_cache::PromptCacheTracker;
+pub use role::{SidecarError, SidecarRole, StopReport};
 pub use token_meter::{MeterStep, TokenMeter};
 pub use upstream::{
-    CacheFeed, CallFault, CompletionStream, EngineCacheEvent, EngineLoad, OrderOutcome, RunCall,
-    ServiceAnswer, ServiceCall, UpstreamClient,
+    CacheEvents, CompletionStream, EngineCacheEvent, EngineLoad, OrderOutcome, RunCall,
+    ServiceAnswer, ServiceCall, UpstreamCallError, UpstreamClient,
 };
--- a/crates/sagespool-sidecar/src/load_watch.rs
+++ b/crates/sagespool-sidecar/src/load_tracker.rs
@@ -1,4 +1,4 @@
-//! What the sidecar knows of its upstream's load and health.
+//! Load and health of the sidecar's upstream.
 
 use std::fmt;
 use std::sync::Mutex;
@@ -10,63 +10,63 @@
 use crate::shards::lock;
 use crate::upstream::EngineLoad;
 
-/// So many looks in a row may go unanswered before an upstream counts as down.
-const MISSES_ALLOWED: u32 = 1;
+/// Consecutive failed probes after which an upstream still counts as healthy.
+const MAX_MISSED_PROBES: u32 = 1;
 
-/// The upstream, as its sidecar knows it.
+/// Tracks the load and health of one upstream, and decides when to publish them.
 #[derive(Debug)]
-pub struct LoadWatch {
+pub struct LoadTracker {
     upstream: UpstreamName,
     service: ServiceName,
     kind: UpstreamKind,
     capacity: u32,
     models: Vec<ModelName>,
-    state: Mutex<WatchState>,
+    state: Mutex<TrackerState>,
 }
 
 #[derive(Debug, Default)]
-struct WatchState {
+struct TrackerState {
     number: u64,
-    misses: u32,
+    missed_probes: u32,
     healthy: bool,
     newest: Option<EngineLoad>,
     dispatched: u64,
     drained: bool,
-    told: Option<ServedUpstream>,
+    published: Option<ServedUpstream>,
 }
 
-/// How an upstream answers when it is asked whether it is well.
+/// Result of a health probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpstreamHealth {
-    /// It says so.
-    Well,
-    /// It doesn't answer in time, or not as it should: it may be slow or down.
-    Silent,
-    /// Nothing listens where it should: it is down.
+    /// The upstream reports that it is healthy.
+    Healthy,
+    /// The upstream does not answer in time, or answers with an error; it may be slow or down.
+    Unresponsive,
+    /// The connection is refused: the upstream is down.
     Refusing,
 }
 
 impl fmt::Display for UpstreamHealth {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Well => "well",
-            Self::Silent => "silent",
+            Self::Healthy => "well",
+            Self::Unresponsive => "silent",
             Self::Refusing => "refusing",
         })
     }
 }
 
-/// One look at the upstream.
+/// One probe of the upstream.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UpstreamSample {
-    /// How it answered.
+    /// Result of the health probe.
     pub health: UpstreamHealth,
-    /// Its load, if it told.
+    /// The upstream's load; `None` if it did not report it.
     pub load: Option<EngineLoad>,
 }
 
-impl LoadWatch {
-    /// A watch that has not seen its upstream yet: not healthy until it answers.
+impl LoadTracker {
+    /// A tracker without probes. The upstream is unhealthy until it answers one.
     pub fn new(settings: &UpstreamSettings) -> Self {
         Self {
             upstream: settings.name.clone(),
@@ -78,51 +78,50 @@
         }
     }
 
-    /// Counts a dispatch that was let in, so that an entry which reads the
-    /// load can tell which of its own dispatches the figures don't show yet.
-    pub fn dispatched(&self) {
+    /// Counts an admitted dispatch. Entries use the count to see which of their
+    /// own dispatches the reported load does not include yet.
+    pub fn count_dispatch(&self) {
         lock(&self.state).dispatched += 1;
     }
 
-    /// Shows the upstream as taking nothing, or as it is again. A process
-    /// can't take back that it leaves, but an operator can end a drain, so a
-    /// drained upstream counts as not healthy.
+    /// Starts or ends a drain. A drained upstream is published as unhealthy, not
+    /// as leaving: an operator can end a drain, but leaving is irrevocable.
     pub fn set_drained(&self, is_drained: bool) {
         lock(&self.state).drained = is_drained;
     }
 
-    /// Whether an operator has drained the upstream.
+    /// Whether the upstream is drained by an operator.
     pub fn is_drained(&self) -> bool {
         lock(&self.state).drained
     }
 
-    /// Notes that the upstream was found down while a request ran.
-    pub fn upstream_down(&self) {
+    /// Marks the upstream as unhealthy after it went down during a request.
+    pub fn mark_down(&self) {
         let mut state = lock(&self.state);
         state.healthy = false;
     }
 
-    /// True if a load is of a later start of the upstream than the newest known.
-    pub fn is_restarted(&self, load: &EngineLoad) -> bool {
+    /// Whether a load report has a lower number than the newest one: the upstream has restarted.
+    pub fn shows_restart(&self, load: &EngineLoad) -> bool {
         lock(&self.state).newest.as_ref().is_some_and(|newest| load.number < newest.number)
     }
 
-    /// Whether the upstream answered when last looked at.
+    /// Whether the upstream is healthy according to the latest probes.
     pub fn is_healthy(&self) -> bool {
         lock(&self.state).healthy
     }
 
-    /// Takes in a look at the upstream.
+    /// Applies a probe.
     pub fn observe(&self, sample: UpstreamSample) {
         let mut state = lock(&self.state);
         match sample.health {
-            UpstreamHealth::Well => {
-                state.misses = 0;
+            UpstreamHealth::Healthy => {
+                state.missed_probes = 0;
                 state.healthy = true;
             }
-            UpstreamHealth::Silent => {
-                state.misses += 1;
-                state.healthy &= state.misses <= MISSES_ALLOWED;
+            UpstreamHealth::Unresponsive => {
+                state.missed_probes += 1;
+                state.healthy &= state.missed_probes <= MAX_MISSED_PROBES;
             }
             UpstreamHealth::Refusing => state.healthy = false,
         }
@@ -131,25 +130,25 @@
         }
     }
 
-    /// The upstream as others are to know it, if that differs from what they
-    /// were told last.
-    pub fn news(&self) -> Option<ServedUpstream> {
+    /// The upstream's description for other members, if it differs from the one
+    /// published last.
+    pub fn take_update(&self) -> Option<ServedUpstream> {
         let mut state = lock(&self.state);
         let mut served = self.describe(&state);
-        let is_told = state.told.as_ref().is_some_and(|told| {
-            served.load.number = told.load.number;
-            *told == served
+        let is_published = state.published.as_ref().is_some_and(|published| {
+            served.load.number = published.load.number;
+            *published == served
         });
-        if is_told {
+        if is_published {
             return None;
         }
         state.number += 1;
         served.load.number = state.number;
-        state.told = Some(served.clone());
+        state.published = Some(served.clone());
         Some(served)
     }
 
-    fn describe(&self, state: &WatchState) -> ServedUpstream {
+    fn describe(&self, state: &TrackerState) -> ServedUpstream {
         let load = state.newest.as_ref();
         ServedUpstream {
             upstream: self.upstream.clone(),
--- a/crates/sagespool-sidecar/src/orders.rs
+++ b/crates/sagespool-sidecar/src/orders.rs
@@ -1,15 +1,15 @@
-//! Orders to the engine, kept in the order of their fencing numbers.
+//! Executes operators' orders in the order of their fencing numbers.
 //!
-//! Operators race each other, and an order may be held up on its way. Some
-//! engines refuse an order with an old number, others ignore the number, so
-//! the sidecar refuses it for either kind.
+//! Orders of several operators race, and an order may be delayed in transit.
+//! Some engines refuse an order with an old number and others ignore the
+//! number, so the sidecar refuses it for both kinds.
 //!
-//! The number is kept in memory, and a sidecar that was restarted would take
-//! the held up order for the first: its engine, if it ignores numbers, would do
-//! what a newer order undid. So a desk takes no order until it has been told
-//! the newest number that the store gave out. A number is taken in the store
-//! before its order is sent, so whatever this sidecar's earlier runs carried
-//! out has a number that the store shows at the start of this one.
+//! The newest number is kept in memory. A restarted sidecar would accept a
+//! delayed order as its first, and an engine that ignores numbers would then
+//! revert a newer order. The fence therefore accepts no order until it has the
+//! newest number that the store has issued. A number is issued before its order
+//! is sent, so the store shows the numbers of all orders that earlier
+//! incarnations executed.
 
 use std::sync::Mutex;
 
@@ -22,12 +22,12 @@
 use crate::upstream::OrderOutcome;
 use crate::{Dispatcher, UpstreamClient};
 
-/// Why an order isn't carried out.
+/// Why an order is not executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderRefusal {
-    /// A newer one was seen: this number.
+    /// An order with this higher number was accepted already.
     Stale(FenceNumber),
-    /// The newest number isn't known yet.
+    /// The newest number was not read from the store yet.
     NotReady,
 }
 
@@ -40,69 +40,70 @@
     }
 }
 
-/// The newest order seen, and the engine's turn.
+/// Tracks the newest fencing number and serializes orders to the engine.
 #[derive(Debug, Default)]
-pub struct OrderDesk {
-    /// Nothing until the store's newest number is known.
+pub struct OrderFence {
+    /// `None` until the store's newest number is known.
     newest: Mutex<Option<FenceNumber>>,
-    turn: async_lock::Mutex<()>,
+    sending: async_lock::Mutex<()>,
 }
 
-impl OrderDesk {
-    /// A desk that has seen no order and takes none yet.
+impl OrderFence {
+    /// A fence that accepts no order until [`Self::start`] is called.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes orders from now on, if they aren't older than the newest number
-    /// that the store had given out after this process's start. What that order
-    /// left behind is put in force before any other is taken; a second telling
-    /// changes nothing, since orders may have come after the first.
-    pub fn started(&self, newest: FenceNumber, put_in_force: impl FnOnce()) {
-        let mut seen = lock(&self.newest);
-        if seen.is_none() {
-            put_in_force();
-            *seen = Some(newest);
+    /// Accepts orders from now on that are not older than `newest`, the newest
+    /// number that the store had issued after this process started. `restore`
+    /// applies the state of that order before any other is accepted. Later calls
+    /// have no effect, because newer orders may have been accepted meanwhile.
+    pub fn start(&self, newest: FenceNumber, restore: impl FnOnce()) {
+        let mut known = lock(&self.newest);
+        if known.is_none() {
+            restore();
+            *known = Some(newest);
         }
     }
 
-    /// Notes an order's number.
+    /// Accepts an order's number.
     ///
     /// # Errors
     ///
-    /// If a higher number was seen, or may have been before this process's start.
+    /// Returns an [`OrderRefusal`] if a higher number was accepted, or if an earlier process may
+    /// have accepted one.
     pub fn admit(&self, fence: FenceNumber) -> Result<(), OrderRefusal> {
-        self.admit_then(fence, || {})
+        self.admit_and_apply(fence, || {})
     }
 
-    /// Notes an order's number and carries it out before another is noted: of two
-    /// that come at the same time the older must not be carried out last.
+    /// Accepts an order's number and applies the order under the same lock. Of two
+    /// simultaneous orders, the older must not be applied last.
     ///
     /// # Errors
     ///
-    /// As `admit`; it isn't carried out then.
-    pub fn admit_then(
+    /// As [`Self::admit`]; the order is not applied then.
+    pub fn admit_and_apply(
         &self,
         fence: FenceNumber,
-        carry_out: impl FnOnce(),
+        apply: impl FnOnce(),
     ) -> Result<(), OrderRefusal> {
         let mut newest = lock(&self.newest);
         match *newest {
             None => Err(OrderRefusal::NotReady),
-            Some(seen) if seen > fence => Err(OrderRefusal::Stale(seen)),
+            Some(known) if known > fence => Err(OrderRefusal::Stale(known)),
             Some(_) => {
                 *newest = Some(fence);
-                carry_out();
+                apply();
                 Ok(())
             }
         }
     }
 
-    /// Gives an order to the engine, unless a newer one was seen.
+    /// Sends an order to the engine, unless a newer one was accepted.
     ///
-    /// Orders go to the engine one at a time. One that waited for its turn is
-    /// checked again: a newer one may have come and gone meanwhile.
-    pub async fn pass_on(
+    /// Orders are sent one at a time. An order that waited is checked again,
+    /// because a newer one may have been accepted meanwhile.
+    pub async fn send(
         &self,
         engine: &UpstreamClient,
         fence: FenceNumber,
@@ -111,7 +112,7 @@
         if let Err(refusal) = self.admit(fence) {
             return refusal.into();
         }
-        let _turn = self.turn.lock().await;
+        let _sending = self.sending.lock().await;
         if let Err(refusal) = self.admit(fence) {
             return refusal.into();
         }
@@ -126,7 +127,7 @@
     }
 }
 
-/// An order in the engine's own form; none for what the sidecar does itself.
+/// The engine's form of an order; `None` for orders that the sidecar executes itself.
 fn engine_order(order: &EngineOrder) -> Option<Value> {
     match order {
         EngineOrder::LoadModel(model) => Some(json!({ "load_model": model })),
@@ -139,16 +140,16 @@
 }
 
 impl Dispatcher {
-    /// Takes orders from now on, and is drained as the newest order before this process's start says.
+    /// Accepts orders from now on, and restores the drain state of the newest earlier order.
     pub fn start_orders(&self, newest: FenceNumber, is_drained: bool) {
-        self.orders.started(newest, || self.load.set_drained(is_drained));
+        self.orders.start(newest, || self.load.set_drained(is_drained));
     }
 
-    /// Carries out an operator's order.
-    pub async fn carry_out(&self, request: &OrderRequest) -> OrderReply {
+    /// Executes an operator's order.
+    pub async fn execute_order(&self, request: &OrderRequest) -> OrderReply {
         let reply = match &request.order {
             EngineOrder::Drain(is_on) => self.drain(request.fence, *is_on),
-            order => self.order_engine(request.fence, order).await,
+            order => self.send_engine_order(request.fence, order).await,
         };
         let (command, fence) = (request.command, request.fence);
         let outcome = match &reply {
@@ -162,16 +163,16 @@
     }
 
     fn drain(&self, fence: FenceNumber, is_on: bool) -> OrderReply {
-        match self.orders.admit_then(fence, || self.load.set_drained(is_on)) {
+        match self.orders.admit_and_apply(fence, || self.load.set_drained(is_on)) {
             Ok(()) => OrderReply::Done,
             Err(refusal) => refusal.into(),
         }
     }
 
-    async fn order_engine(&self, fence: FenceNumber, order: &EngineOrder) -> OrderReply {
+    async fn send_engine_order(&self, fence: FenceNumber, order: &EngineOrder) -> OrderReply {
         let Some(order) = engine_order(order).filter(|_| self.kind == UpstreamKind::Engine) else {
-            return OrderReply::Failed("a plain service takes no such order".to_owned());
+            return OrderReply::Failed("a plain service does not support this order".to_owned());
         };
-        self.orders.pass_on(&self.upstream, fence, &order).await
+        self.orders.send(&self.upstream, fence, &order).await
     }
 }
--- a/crates/sagespool-sidecar/src/role.rs
+++ b/crates/sagespool-sidecar/src/role.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a sidecar.
+//! Starts and stops a sidecar process.
 
 mod configuration;
 mod members;
@@ -26,38 +26,38 @@
 use crate::Dispatcher;
 use state::SidecarState;
 
-/// After the requests in flight, how long a stop waits for charges to be
-/// durable: a holder writes its books every few seconds.
-const FLUSH_LIMIT: Duration = Duration::from_secs(10);
+/// How long a stop waits for charges to become durable after the last request.
+/// A holder writes its books every few seconds.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long attempts that are cut off may take to free the engine and to tell
-/// their askers.
-const CUT_LIMIT: Duration = Duration::from_secs(2);
+/// How long stopped attempts may take to release the engine and to send their
+/// ends to requesters.
+const STOPPED_ATTEMPTS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a probe that is being answered may hold up a stop.
-const PROBE_LIMIT: Duration = Duration::from_secs(1);
+/// How long a stop waits for probe responses in progress.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A sidecar that couldn't be started.
+/// A sidecar failed to start.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RoleFault {
-    /// What was being done.
-    pub doing: &'static str,
+pub struct SidecarError {
+    /// The step that failed.
+    pub step: &'static str,
 }
 
-impl fmt::Display for RoleFault {
+impl fmt::Display for SidecarError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the sidecar couldn't be started: {}", self.doing)
+        write!(f, "failed to start the sidecar while {}", self.step)
     }
 }
 
-impl std::error::Error for RoleFault {}
+impl std::error::Error for SidecarError {}
 
-/// What was left when a sidecar stopped.
+/// Requests and charges that a stop left unfinished.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StopReport {
-    /// Attempts that still ran when the time limit came.
+    /// Number of attempts that were still running at the time limit.
     pub cut: usize,
-    /// Ended charges that no holder has said are durable.
+    /// Number of ended charges that are not known to be durable.
     pub unsettled: usize,
 }
 
@@ -71,27 +71,27 @@
 impl SidecarRole {
     /// Starts a sidecar: its link, its tasks and its HTTP server for probes.
     ///
-    /// It runs nothing until the store has answered once; heartbeats, seals and
-    /// questions about keys are answered from the start.
+    /// It runs no request until the store has answered once. Heartbeats, seals and
+    /// key requests are answered from the start.
     ///
     /// # Errors
     ///
-    /// If the certificates can't be read or an address can't be taken.
+    /// Returns an error if the certificates cannot be read or an address cannot be bound.
     pub fn start(
         process: ProcessSettings,
         settings: SidecarSettings,
-    ) -> Result<Self, Report<RoleFault>> {
-        let fault = |doing| RoleFault { doing };
+    ) -> Result<Self, Report<SidecarError>> {
+        let error = |step| SidecarError { step };
         let files = &process.link;
         let identity = LinkIdentity::from_files(&files.certificate, &files.key, &files.authority)
-            .change_context(fault("reading the link's certificates"))?;
+            .change_context(error("reading the link's certificates"))?;
         let state = Arc::new(SidecarState::new(process, settings));
         let handler = peers::peer_handler(Arc::clone(&state));
         let link = LinkEndpoint::start(state.process.link.listen, identity, handler)
-            .change_context(fault("opening the link's address"))?;
-        state.take_link(link);
+            .change_context(error("binding the link's address"))?;
+        state.set_link(link);
         let server = probes::serve(Arc::clone(&state))
-            .change_context(fault("opening the probes' address"))?;
+            .change_context(error("binding the address for probes"))?;
         let tasks = start_tasks(&state);
         log_event!(
             info,
@@ -104,42 +104,42 @@
         Ok(Self { state, tasks, server })
     }
 
-    /// This run's id.
+    /// The incarnation of this process.
     pub fn incarnation(&self) -> IncarnationId {
         self.state.incarnation
     }
 
-    /// Where its link listens.
+    /// The address that the link listens on.
     pub fn address(&self) -> SocketAddr {
         self.state.link().local_address()
     }
 
-    /// What runs requests.
+    /// The dispatcher of the upstream.
     pub fn dispatcher(&self) -> &Arc<Dispatcher> {
         &self.state.dispatcher
     }
 
-    /// Who is in the fleet, as this sidecar sees it.
+    /// The members of the fleet as seen by this sidecar.
     pub fn members(&self) -> &MemberTable {
         &self.state.members
     }
 
-    /// Resolves when the instance list shows this instance as leaving. From
-    /// then on it takes nothing new; the process is to stop.
+    /// Resolves when a leave was requested, by the instance list or an operator.
+    /// The sidecar refuses new requests from then on, and the process must stop.
     pub async fn leave_requested(&self) {
         self.state.leave_requested().await;
     }
 
-    /// Stops gracefully: nothing new from now on, what runs may end within the
-    /// limit, and charges are reported until they are durable or it is in vain.
+    /// Stops gracefully: refuses new requests, waits up to `limit` for running
+    /// attempts, and reports charges until they are durable or a timeout passes.
     pub async fn stop(self, limit: Duration) -> StopReport {
         let state = &self.state;
         state.leave();
-        let cut = finish_attempts(state, limit).await;
+        let cut = drain_attempts(state, limit).await;
         let unsettled = settle_charges(state).await;
         log_event!(info, "sidecar-stopped", cut = cut, unsettled = unsettled);
-        let probes_ended = self.server.shut_down();
-        within(PROBE_LIMIT, probes_ended).await;
+        let server_stopped = self.server.shut_down();
+        finishes_within(PROBE_TIMEOUT, server_stopped).await;
         for task in self.tasks {
             task.cancel().await;
         }
@@ -150,8 +150,8 @@
 
 fn start_tasks(state: &Arc<SidecarState>) -> Vec<Task<()>> {
     vec![
-        smol::spawn(upstream_tasks::find_start(Arc::clone(state))),
-        smol::spawn(upstream_tasks::watch_load(Arc::clone(state))),
+        smol::spawn(upstream_tasks::wait_for_store(Arc::clone(state))),
+        smol::spawn(upstream_tasks::probe_upstream(Arc::clone(state))),
         smol::spawn(upstream_tasks::follow_cache(Arc::clone(state))),
         smol::spawn(upstream_tasks::expire(Arc::clone(state))),
         smol::spawn(members::send_heartbeats(Arc::clone(state))),
@@ -161,42 +161,42 @@
     ]
 }
 
-/// Waits for what runs; what still does at the limit is stopped, with an end
-/// that its entry can go on from. How many those were.
-async fn finish_attempts(state: &SidecarState, limit: Duration) -> usize {
+/// Waits for running attempts and stops those that run past the limit, with an
+/// end from which their entry can resume. Returns the number stopped.
+async fn drain_attempts(state: &SidecarState, limit: Duration) -> usize {
     let dispatcher = &state.dispatcher;
-    if within(limit, passed_on(state)).await {
+    if finishes_within(limit, answers_delivered(state)).await {
         return 0;
     }
     let cut = dispatcher.stop_running();
     if cut > 0 {
         log_event!(warn, "attempts-cut", count = cut, limit_ms = limit.as_millis());
     }
-    within(CUT_LIMIT, passed_on(state)).await;
+    finishes_within(STOPPED_ATTEMPTS_TIMEOUT, answers_delivered(state)).await;
     cut
 }
 
-/// Resolves when nothing runs and every asker has its answer's end.
-async fn passed_on(state: &SidecarState) {
-    state.dispatcher.finished().await;
-    state.forwards.empty().await;
+/// Resolves when no attempt is running and every requester has the end of its answer.
+async fn answers_delivered(state: &SidecarState) {
+    state.dispatcher.wait_until_idle().await;
+    state.deliveries.wait_until_idle().await;
 }
 
-/// Reports ended charges until they are durable. How many are left.
+/// Reports ended charges until they are durable or the timeout passes. Returns the number left.
 async fn settle_charges(state: &Arc<SidecarState>) -> usize {
-    within(FLUSH_LIMIT, reports::flush(state)).await;
-    state.dispatcher.charges().unsettled()
+    finishes_within(FLUSH_TIMEOUT, reports::flush_charges(state)).await;
+    state.dispatcher.charges().unsettled_count()
 }
 
-/// True if the work ended within the limit.
-async fn within(limit: Duration, work: impl Future<Output = ()>) -> bool {
+/// Whether the work ends within the limit.
+async fn finishes_within(limit: Duration, work: impl Future<Output = ()>) -> bool {
     let done = async {
         work.await;
         true
     };
-    let late = async {
+    let timeout = async {
         Timer::after(limit).await;
         false
     };
-    done.or(late).await
+    done.or(timeout).await
 }
--- a/crates/sagespool-sidecar/src/role/configuration.rs
+++ b/crates/sagespool-sidecar/src/role/configuration.rs
@@ -1,5 +1,5 @@
-//! Following the part of the configuration that a sidecar needs: how long
-//! answers and keys are kept.
+//! Follows the part of the configuration that a sidecar uses: retention of
+//! answers and keys.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use super::state::SidecarState;
 use crate::KeyRetention;
 
-/// Follows the fleet's object for the process's whole life.
+/// Follows the fleet's object for the lifetime of the process.
 pub(super) async fn follow(state: Arc<SidecarState>) {
     let context = FollowerContext {
         members: &state.members,
@@ -25,7 +25,7 @@
     state.follower.run(context).await;
 }
 
-/// Puts a version of the fleet's object in force, unless it is not valid.
+/// Applies a version of the fleet's object if it is valid.
 fn apply(state: &SidecarState, object: &ConfigObject) {
     let ConfigObject { key, version, value } = object;
     let Some(value) = value else { return };
@@ -40,7 +40,7 @@
             return;
         }
     };
-    state.dispatcher.keys().retain(KeyRetention {
+    state.dispatcher.keys().set_retention(KeyRetention {
         answers: Duration::from_millis(fleet.answer_retention_ms),
         keys: Duration::from_millis(fleet.key_retention_ms),
     });
--- a/crates/sagespool-sidecar/src/role/members.rs
+++ b/crates/sagespool-sidecar/src/role/members.rs
@@ -1,4 +1,4 @@
-//! Heartbeats with other processes, and the instance list as their seed.
+//! Exchanges heartbeats with other processes, and reads the instance list for seeds.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,27 +11,27 @@
 
 use super::state::SidecarState;
 
-/// How often heartbeats are looked for that are due.
-const ROUND: Duration = Duration::from_millis(100);
+/// How often due heartbeats are sent.
+const HEARTBEAT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A peer that takes longer to answer a heartbeat has missed it.
-const BEAT_LIMIT: Duration = Duration::from_millis(900);
+/// A peer that takes longer to answer counts as having missed the heartbeat.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Between two readings of the instance list, on average. Gossip is faster;
-/// the list is for who knows nobody, and each reading counts at the platform.
-const LIST_PERIOD: Duration = Duration::from_secs(20);
+/// Average time between two reads of the instance list. Gossip is faster; the
+/// list is for processes without members, and each read loads the platform.
+const INSTANCE_LIST_INTERVAL: Duration = Duration::from_secs(20);
 
-/// Between two tries while the list can't be read, or shows this instance as leaving.
-const LIST_PAUSE: Duration = Duration::from_secs(1);
+/// The same while the list cannot be read, or shows this instance as leaving.
+const INSTANCE_LIST_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Sends heartbeats as they fall due.
+/// Sends heartbeats as they become due.
 pub(super) async fn send_heartbeats(state: Arc<SidecarState>) {
     loop {
-        for (address, beat) in state.members.due_heartbeats(ClockTime::now()) {
+        for (address, heartbeat) in state.members.due_heartbeats(ClockTime::now()) {
             let state = Arc::clone(&state);
-            let request = PeerRequest::Heartbeat(beat);
+            let request = PeerRequest::Heartbeat(heartbeat);
             smol::spawn(async move {
-                match state.link().ask(address, &request, BEAT_LIMIT).await {
+                match state.link().ask(address, &request, HEARTBEAT_TIMEOUT).await {
                     Ok(PeerReply::Heartbeat(reply)) => {
                         state.members.handle_reply(address, &reply, ClockTime::now());
                         state.follower.observe_member(&reply.from);
@@ -41,28 +41,29 @@
             })
             .detach();
         }
-        Timer::after(ROUND).await;
+        Timer::after(HEARTBEAT_CHECK_INTERVAL).await;
     }
 }
 
-/// Reads the platform's instance list now and then. An instance that is being
-/// taken away takes no new work from then on.
+/// Reads the platform's instance list at intervals. An instance that is listed as
+/// leaving refuses new requests.
 pub(super) async fn read_instances(state: Arc<SidecarState>) {
     loop {
-        let pause = match state.instances.list(None, Duration::ZERO).await {
+        let delay = match state.instances.list(None, Duration::ZERO).await {
             Ok(listing) => {
                 let listed: Vec<_> = listing.instances.into_iter().map(listed_member).collect();
                 if state.members.apply_instance_list(&listed, ClockTime::now()) {
                     state.leave();
                 }
-                let is_held = state.members.is_listed_leaving();
-                state.dispatcher.hold(is_held);
-                let pause = if is_held { LIST_PAUSE } else { LIST_PERIOD };
-                pause.mul_f64(0.5 + fastrand::f64())
+                let is_leaving = state.members.is_listed_leaving();
+                state.dispatcher.set_listed_leaving(is_leaving);
+                let delay =
+                    if is_leaving { INSTANCE_LIST_RETRY_DELAY } else { INSTANCE_LIST_INTERVAL };
+                delay.mul_f64(0.5 + fastrand::f64())
             }
-            Err(_) => LIST_PAUSE.mul_f64(0.5 + fastrand::f64()),
+            Err(_) => INSTANCE_LIST_RETRY_DELAY.mul_f64(0.5 + fastrand::f64()),
         };
-        Timer::after(pause).await;
+        Timer::after(delay).await;
     }
 }
 
--- a/crates/sagespool-sidecar/src/role/peers.rs
+++ b/crates/sagespool-sidecar/src/role/peers.rs
@@ -1,4 +1,4 @@
-//! Answering what other processes ask of a sidecar.
+//! Handles requests of other processes.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -18,27 +18,27 @@
 pub(super) fn peer_handler(state: Arc<SidecarState>) -> PeerHandler {
     Arc::new(move |call: PeerCall| {
         let state = Arc::clone(&state);
-        Box::pin(async move { answer(&state, call).await })
+        Box::pin(async move { handle_call(&state, call).await })
     })
 }
 
-async fn answer(state: &SidecarState, call: PeerCall) {
+async fn handle_call(state: &SidecarState, call: PeerCall) {
     let PeerCall { from, request, responder } = call;
     let now = ClockTime::now();
     let dispatcher = &state.dispatcher;
     let reply = match request {
         PeerRequest::Dispatch(dispatch) => {
-            let _forward = state.forwards.enter();
+            let _delivery = state.deliveries.start();
             let (id, attempt) = (dispatch.request, dispatch.attempt);
             let reader = dispatcher.dispatch(dispatch, now).await;
-            let news = dispatcher.cache().news_for(from).map(DispatchEvent::CacheNews);
-            let beside = || DispatchEvent::Beside(dispatcher.count_beside(id, attempt));
-            return pass_on_told(dispatcher, reader, news, beside, responder.events()).await;
+            let changes = dispatcher.cache().changes_for(from).map(DispatchEvent::CacheNews);
+            let others = || DispatchEvent::Beside(dispatcher.count_others(id, attempt));
+            return forward_dispatch(dispatcher, reader, changes, others, responder.events()).await;
         }
         PeerRequest::Attach(request) => {
-            let _forward = state.forwards.enter();
+            let _delivery = state.deliveries.start();
             let reader = dispatcher.attach(&request);
-            return pass_on(dispatcher, reader, || None, responder.events()).await;
+            return forward_events(dispatcher, reader, || None, responder.events()).await;
         }
         PeerRequest::Cancel(request) => {
             dispatcher.cancel(&request);
@@ -46,12 +46,12 @@
         }
         PeerRequest::Seal(request) => PeerReply::Seal(dispatcher.charges().seal(&request, now)),
         PeerRequest::FindKey(request) => PeerReply::Key(dispatcher.find_key(&request, now)),
-        PeerRequest::Order(request) => PeerReply::Order(dispatcher.carry_out(&request).await),
+        PeerRequest::Order(request) => PeerReply::Order(dispatcher.execute_order(&request).await),
         PeerRequest::Status(query) => PeerReply::Status(status(state, &query, now)),
         PeerRequest::Leave(request) => leave(state, &request),
-        PeerRequest::Heartbeat(beat) => {
-            let reply = state.members.handle_heartbeat(&beat, now);
-            state.follower.observe_member(&beat.from);
+        PeerRequest::Heartbeat(heartbeat) => {
+            let reply = state.members.handle_heartbeat(&heartbeat, now);
+            state.follower.observe_member(&heartbeat.from);
             PeerReply::Heartbeat(reply)
         }
         PeerRequest::AskConfiguration(ask) => state.follower.handle_query(&ask, now),
@@ -78,43 +78,44 @@
     responder.reply(reply).await;
 }
 
-/// Sends an answer's events as they come, after what is new of the cache, and with what else the
-/// upstream has when it starts and when it ends.
-async fn pass_on_told(
+/// Forwards an answer's events after the changes of the prompt cache. The number of other running
+/// attempts is sent at the start and before the end.
+async fn forward_dispatch(
     dispatcher: &Dispatcher,
     reader: AnswerReader,
-    news: Option<DispatchEvent>,
-    beside: impl Fn() -> DispatchEvent,
+    changes: Option<DispatchEvent>,
+    others: impl Fn() -> DispatchEvent,
     mut sender: EventSender,
 ) {
-    for event in [Some(beside()), news].into_iter().flatten() {
+    for event in [Some(others()), changes].into_iter().flatten() {
         if sender.send(&event).await.is_err() {
             return;
         }
     }
-    pass_on(dispatcher, reader, || Some(beside()), sender).await;
+    forward_events(dispatcher, reader, || Some(others()), sender).await;
 }
 
-/// Sends an answer's events as they come, and something before the last. When the asker is gone the
-/// reader is dropped, which tells the attempt; what is left of the answer goes nowhere.
-async fn pass_on(
+/// Forwards an answer's events as they arrive, with an optional event before the end. If the
+/// requester disconnects, the reader is dropped, which the attempt observes, and the remainder of
+/// the answer is discarded.
+async fn forward_events(
     dispatcher: &Dispatcher,
     mut reader: AnswerReader,
     before_end: impl Fn() -> Option<DispatchEvent>,
     mut sender: EventSender,
 ) {
     let mut gone = pin!(sender.asker_gone());
-    let mut passage = AnswerPassage { dispatcher, heard: false };
+    let mut delivery = AnswerDelivery { dispatcher, delivered: false };
     let mut ended = false;
     loop {
-        let asker_gone = async {
+        let requester_gone = async {
             gone.as_mut().await;
             None
         };
-        let Some(event) = asker_gone.or(reader.next()).await else { break };
+        let Some(event) = requester_gone.or(reader.next()).await else { break };
         let is_end = matches!(*event, DispatchEvent::End(_));
-        if let Some(last_word) = is_end.then(&before_end).flatten()
-            && sender.send(&last_word).await.is_err()
+        if let Some(event) = is_end.then(&before_end).flatten()
+            && sender.send(&event).await.is_err()
         {
             break;
         }
@@ -123,29 +124,32 @@
         }
         ended |= is_end;
     }
-    passage.heard = ended && sender.heard().await;
+    delivery.delivered = ended && sender.heard().await;
 }
 
-/// An answer on its way to its asker. Where the asker is gone before it has the end, what is left
-/// goes nowhere, which is counted: so late answers show of a sidecar that was paused or cut off.
-struct AnswerPassage<'a> {
+/// Delivery of an answer to its requester. If the requester disconnects before it has the end, the
+/// answer counts as dropped. The count shows late answers of a sidecar that was paused or
+/// partitioned from the network.
+struct AnswerDelivery<'a> {
     dispatcher: &'a Dispatcher,
-    heard: bool,
+    delivered: bool,
 }
 
-impl Drop for AnswerPassage<'_> {
+impl Drop for AnswerDelivery<'_> {
     fn drop(&mut self) {
-        if !self.heard {
-            let detail = "the asker left before it had the answer's end";
-            self.dispatcher.note_dropped(DropCause::CallerGone, detail);
+        if !self.delivered {
+            let detail = "the requester disconnected before the end of the answer";
+            self.dispatcher.record_dropped(DropCause::CallerGone, detail);
         }
     }
 }
 
-/// An operator stops this process: nothing new from now on, and the daemon begins the graceful stop.
+/// Executes an operator's stop: refuses new requests, and the daemon starts the graceful stop.
 fn leave(state: &SidecarState, request: &LeaveRequest) -> PeerReply {
     if request.incarnation != state.incarnation {
-        return PeerReply::Unsupported("another run of this process is meant".to_owned());
+        return PeerReply::Unsupported(
+            "the request is addressed to another incarnation of this process".to_owned(),
+        );
     }
     state.leave();
     PeerReply::Done
--- a/crates/sagespool-sidecar/src/role/probes.rs
+++ b/crates/sagespool-sidecar/src/role/probes.rs
@@ -1,4 +1,4 @@
-//! The sidecar's own HTTP: health and metrics.
+//! HTTP server for health probes and metrics.
 
 use std::io;
 use std::net::TcpListener;
@@ -10,7 +10,7 @@
 
 use super::state::SidecarState;
 
-/// Starts serving probes, and returns the handle that stops it.
+/// Starts the server and returns the handle that stops it.
 pub(super) fn serve(state: Arc<SidecarState>) -> io::Result<ServerHandle> {
     let server = http_server(TcpListener::bind(state.process.http.listen)?)?;
     let handler = move |conn: Conn| {
@@ -33,7 +33,7 @@
     let reason = if state.dispatcher.charges().started_at().is_none() {
         "the store has not answered yet\n"
     } else if !state.dispatcher.load().is_healthy() {
-        "the upstream doesn't answer\n"
+        "the upstream does not answer\n"
     } else {
         return conn.ok("ready\n").halt();
     };
--- a/crates/sagespool-sidecar/src/role/reports.rs
+++ b/crates/sagespool-sidecar/src/role/reports.rs
@@ -1,4 +1,4 @@
-//! Reporting charges to the holders of their grants.
+//! Reports charges to the holders of their grants.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,68 +11,74 @@
 
 use super::state::SidecarState;
 
-/// How often reports are looked for that are due.
-const REPORT_PERIOD: Duration = Duration::from_millis(250);
+/// How often due reports are sent.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How often everything is reported while the sidecar stops.
-const FLUSH_PERIOD: Duration = Duration::from_millis(500);
+/// How often all charges are reported while the sidecar stops.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// For a holder's answer, which it gives from memory.
-const REPORT_LIMIT: Duration = Duration::from_secs(2);
+/// For a holder's reply, which needs no store access.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Sends reports as they fall due, for the process's whole life.
+/// Sends reports as they become due, for the lifetime of the process.
 pub(super) async fn send_reports(state: Arc<SidecarState>) {
     loop {
-        Timer::after(REPORT_PERIOD).await;
-        for (to, report) in state.dispatcher.charges().due(ClockTime::now()) {
+        Timer::after(REPORT_INTERVAL).await;
+        for (to, report) in state.dispatcher.charges().due_reports(ClockTime::now()) {
             let state = Arc::clone(&state);
-            smol::spawn(async move { send(&state, to, report, Holder::MayAnswer).await }).detach();
+            smol::spawn(async move { send(&state, to, report, BookFallback::IfHolderGone).await })
+                .detach();
         }
     }
 }
 
-/// Reports everything until it is durable.
-pub(super) async fn flush(state: &Arc<SidecarState>) {
-    while state.dispatcher.charges().unsettled() > 0 {
-        let reports = state.dispatcher.charges().flush(ClockTime::now());
+/// Reports all charges until they are durable.
+pub(super) async fn flush_charges(state: &Arc<SidecarState>) {
+    while state.dispatcher.charges().unsettled_count() > 0 {
+        let reports = state.dispatcher.charges().all_reports(ClockTime::now());
         let sends = reports.into_iter().map(|(to, report)| {
             let state = Arc::clone(state);
-            smol::spawn(async move { send(&state, to, report, Holder::LastChance).await })
+            smol::spawn(async move { send(&state, to, report, BookFallback::Always).await })
         });
         for send in sends.collect::<Vec<_>>() {
             send.await;
         }
-        if state.dispatcher.charges().unsettled() > 0 {
-            Timer::after(FLUSH_PERIOD).await;
+        if state.dispatcher.charges().unsettled_count() > 0 {
+            Timer::after(FLUSH_INTERVAL).await;
         }
     }
 }
 
-/// Whether a holder that doesn't answer is asked again later.
+/// When to look up charges in the books if their holder does not reply.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Holder {
-    /// It is.
-    MayAnswer,
-    /// This process stops, so the books have to say it now.
-    LastChance,
+enum BookFallback {
+    /// Only if the holder is gone; otherwise the report is repeated later.
+    IfHolderGone,
+    /// Even if the holder may reply later, because this process is stopping.
+    Always,
 }
 
-/// One report. Whatever goes wrong, its charges fall due again.
-async fn send(state: &SidecarState, to: IncarnationId, report: ChargeReport, holder: Holder) {
+/// Sends one report. If that fails, its charges become due again.
+async fn send(
+    state: &SidecarState,
+    to: IncarnationId,
+    report: ChargeReport,
+    fallback: BookFallback,
+) {
     let gone = state.members.is_gone(to, ClockTime::now());
-    match ask_holder(state, to, &report).await {
-        Some(durable) => state.dispatcher.charges().durable(&durable, ClockTime::now()),
-        None if gone || holder == Holder::LastChance => look_up(state, &report).await,
+    match report_to_holder(state, to, &report).await {
+        Some(durable) => state.dispatcher.charges().mark_durable(&durable, ClockTime::now()),
+        None if gone || fallback == BookFallback::Always => settle_from_books(state, &report).await,
         None => {}
     }
 }
 
-/// The holder's word on which charges are durable; nothing if it can't be had.
+/// Reports to the holder and returns the charges that it has made durable; `None` without a reply.
 ///
-/// Guards against a holder that was restarted at its address: the new run would answer, and know
-/// nothing of the old one's charges. They would never be durable, and a stop would wait for them in
-/// vain and report them lost. So it isn't asked, and the books are.
-async fn ask_holder(
+/// No report is sent if another incarnation has the holder's address. A restarted holder would
+/// reply without records of its predecessor's charges. They would never become durable, and a stop
+/// would time out and report them as lost, so they are looked up in the books.
+async fn report_to_holder(
     state: &SidecarState,
     to: IncarnationId,
     report: &ChargeReport,
@@ -83,17 +89,16 @@
         return None;
     }
     let request = PeerRequest::ReportCharges(report.clone());
-    match state.link().ask(address, &request, REPORT_LIMIT).await {
+    match state.link().ask(address, &request, REPORT_TIMEOUT).await {
         Ok(PeerReply::ChargesDurable(durable)) => Some(durable),
         _ => None,
     }
 }
 
-/// Looks in the books themselves for what has become of charges whose holder can't be asked: one
-/// that stopped gracefully has settled them and is gone. A grant that a charge ran under existed
-/// then, so that a book read now without it shows that the grant was closed, with every charge of
-/// it settled.
-async fn look_up(state: &SidecarState, report: &ChargeReport) {
+/// Looks up in the books which charges are settled, for a holder that does not reply. One that
+/// stopped gracefully has settled them and is gone. The grant existed when its charge ran, so a
+/// book without the grant shows that it was closed, with all its charges settled.
+async fn settle_from_books(state: &SidecarState, report: &ChargeReport) {
     let books: BTreeSet<BookNumber> =
         report.charges.iter().map(|record| book_of(&record.branch)).collect();
     for book in books {
@@ -104,6 +109,6 @@
         let own = report.charges.iter().filter(|charge| book_of(&charge.branch) == book);
         let settled = own.filter(|charge| record.is_settled(&charge.branch, &charge.charge));
         let charges = settled.map(|charge| charge.charge).collect();
-        state.dispatcher.charges().durable(&ChargesDurable { charges }, ClockTime::now());
+        state.dispatcher.charges().mark_durable(&ChargesDurable { charges }, ClockTime::now());
     }
 }
--- a/crates/sagespool-sidecar/src/role/state.rs
+++ b/crates/sagespool-sidecar/src/role/state.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a sidecar share.
+//! State shared by all tasks of a sidecar.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,10 +15,10 @@
 use sagespool_settings::{ProcessSettings, SidecarSettings};
 use sagespool_types::{ClockTime, ConfigVersion, IncarnationId, WallTime};
 
-use crate::tally::WorkTally;
-use crate::{DispatchOptions, Dispatcher};
+use crate::in_flight::InFlightCounter;
+use crate::{Dispatcher, DispatcherOptions};
 
-/// What all tasks of a sidecar share. Each part has its own locks.
+/// State shared by all tasks of a sidecar. Each part has its own locks.
 pub(super) struct SidecarState {
     pub(super) process: ProcessSettings,
     pub(super) settings: SidecarSettings,
@@ -26,20 +26,20 @@
     pub(super) started: ClockTime,
     pub(super) dispatcher: Arc<Dispatcher>,
     pub(super) members: MemberTable,
-    /// Where the fleet's object comes from and goes on to.
+    /// Receives the fleet's configuration object and relays it to other members.
     pub(super) follower: ConfigFollower,
     pub(super) objects: ObjectClient,
     pub(super) instances: InstanceClient,
     pub(super) metrics: FleetMetrics,
-    /// Answers on their way to askers.
-    pub(super) forwards: WorkTally,
+    /// Answers that are being delivered to requesters.
+    pub(super) deliveries: InFlightCounter,
     link: OnceLock<LinkEndpoint>,
     leaving: AtomicBool,
-    left: Event,
+    leave_event: Event,
 }
 
 impl SidecarState {
-    /// The state of a sidecar that has just been started and knows nobody yet.
+    /// The state of a sidecar at its start, with the configured peers as its only members.
     pub(super) fn new(process: ProcessSettings, settings: SidecarSettings) -> Self {
         let incarnation = IncarnationId::random();
         let platform = &process.platform;
@@ -48,22 +48,22 @@
         let objects = ObjectClient::new(options.maybe_token(token.clone()).build());
         let instances = InstanceClient::new(platform.instance_list, token);
         let metrics = FleetMetrics::new();
-        let dispatch = DispatchOptions::builder()
+        let dispatch = DispatcherOptions::builder()
             .sidecar(incarnation)
             .upstream(settings.upstream.clone())
-            .kept_answers(settings.answers.most_bytes)
+            .answer_cache_bytes(settings.answers.most_bytes)
             .metrics(metrics.clone());
-        let own = own_description(&process, incarnation);
+        let own = own_info(&process, incarnation);
         let members = MemberTable::new(own, MembershipPolicy::default(), incarnation.0);
         members.add_seeds(&process.peers, ClockTime::now());
         Self {
             dispatcher: Dispatcher::new(dispatch.build()),
             started: ClockTime::now(),
             follower: ConfigFollower::new(ConfigScope::Fleet, incarnation, ClockTime::now()),
-            forwards: WorkTally::default(),
+            deliveries: InFlightCounter::default(),
             link: OnceLock::new(),
             leaving: AtomicBool::new(false),
-            left: Event::new(),
+            leave_event: Event::new(),
             process,
             settings,
             incarnation,
@@ -74,43 +74,43 @@
         }
     }
 
-    /// Takes the link once it listens, and tells the members its address.
-    pub(super) fn take_link(&self, link: LinkEndpoint) {
+    /// Sets the link once it listens, and publishes its address to the members.
+    pub(super) fn set_link(&self, link: LinkEndpoint) {
         let address = self.process.link.advertise.unwrap_or(link.local_address());
         self.members.update_own(|own| own.address = address);
         let is_first = self.link.set(link).is_ok();
-        assert!(is_first, "the link is started once");
+        assert!(is_first, "the link is set once");
     }
 
-    /// The link to other processes. A request may come in before the start has
-    /// taken the link, but nothing that answers one needs it.
+    /// The link to other processes. A request may arrive before the link is set,
+    /// but no request handler uses it.
     pub(super) fn link(&self) -> &LinkEndpoint {
-        self.link.get().expect("no task starts before the link is taken")
+        self.link.get().expect("no task starts before the link is set")
     }
 
-    /// From now on takes nothing new, and says so.
+    /// Refuses new requests from now on, and publishes that this process is leaving.
     pub(super) fn leave(&self) {
-        self.dispatcher.leave();
+        self.dispatcher.set_leaving();
         self.members.update_own(|own| own.leaving = true);
         if !self.leaving.swap(true, Ordering::SeqCst) {
             log_event!(info, "sidecar-leaving", running = self.dispatcher.running_count());
         }
-        self.left.notify(usize::MAX);
+        self.leave_event.notify(usize::MAX);
     }
 
-    /// Resolves when the sidecar leaves.
+    /// Resolves when a leave was requested.
     pub(super) async fn leave_requested(&self) {
         loop {
-            let left = self.left.listen();
+            let requested = self.leave_event.listen();
             if self.leaving.load(Ordering::SeqCst) {
                 return;
             }
-            left.await;
+            requested.await;
         }
     }
 }
 
-fn own_description(process: &ProcessSettings, incarnation: IncarnationId) -> MemberInfo {
+fn own_info(process: &ProcessSettings, incarnation: IncarnationId) -> MemberInfo {
     MemberInfo {
         instance: process.instance.clone(),
         incarnation,
--- a/crates/sagespool-sidecar/src/role/upstream_tasks.rs
+++ b/crates/sagespool-sidecar/src/role/upstream_tasks.rs
@@ -1,4 +1,4 @@
-//! What a sidecar does at intervals for its upstream and its memory.
+//! Periodic tasks for the upstream, and expiry of state.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,33 +14,33 @@
 use super::state::SidecarState;
 use crate::UpstreamSample;
 
-/// How often the upstream is looked at.
-const LOAD_PERIOD: Duration = Duration::from_millis(200);
+/// How often the upstream is probed.
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long the engine may wait for a change of its cache.
-const CACHE_WAIT: Duration = Duration::from_secs(10);
+/// How long the engine may hold a poll for changes of its prompt cache.
+const CACHE_POLL_WAIT: Duration = Duration::from_secs(10);
 
-/// Between two questions for changes, so that many come in one answer.
-const CACHE_PAUSE: Duration = Duration::from_millis(200);
+/// Delay between two polls, so that one answer carries several changes.
+const CACHE_POLL_DELAY: Duration = Duration::from_millis(200);
 
-/// Between two tries to ask for changes.
-const CACHE_RETRY: Duration = Duration::from_secs(1);
+/// Delay after a failed poll.
+const CACHE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// How often memories are cleared of what is past its time.
-const EXPIRY_PERIOD: Duration = Duration::from_secs(1);
+/// How often expired state is removed.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Between two tries to reach the store; doubled up to the longest.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+/// Delay between two attempts to reach the store; doubles up to the maximum.
+const MIN_STORE_RETRY_DELAY: Duration = Duration::from_millis(100);
+const MAX_STORE_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// A prefix under which the store has no object: its revision is all that is asked.
+/// A prefix without objects in the store; listing it returns only the revision.
 const EMPTY_PREFIX: &str = "sidecar-start/";
 
-/// Reads the upstream's newest order and the store's revision after this
-/// incarnation's start, however long the store can't be reached. Until then no
-/// order and no grant is known to be newer.
-pub(super) async fn find_start(state: Arc<SidecarState>) {
-    let mut pause = FIRST_PAUSE;
+/// Reads the upstream's newest order and the store's revision after the start of
+/// this incarnation, and retries until the store can be reached. Before that, no
+/// order or grant can be shown to be newer than the start.
+pub(super) async fn wait_for_store(state: Arc<SidecarState>) {
+    let mut delay = MIN_STORE_RETRY_DELAY;
     loop {
         match read_start(&state).await {
             Ok(revision) => {
@@ -49,13 +49,13 @@
             }
             Err(error) => log_event!(warn, "store-unreached", cause = error),
         }
-        Timer::after(pause.mul_f64(0.5 + fastrand::f64())).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        Timer::after(delay.mul_f64(0.5 + fastrand::f64())).await;
+        delay = (delay * 2).min(MAX_STORE_RETRY_DELAY);
     }
 }
 
-/// The orders come first: an upstream that is drained must not run anything on a
-/// grant that the second reading lets in.
+/// Orders are read before the revision. A drained upstream must not run requests
+/// on a grant that the revision makes valid.
 async fn read_start(state: &SidecarState) -> Result<StoreRevision, StoreError> {
     let key = fence_key(&state.settings.upstream.name);
     let fence = state.objects.get::<FenceRecord>(&key).await?.map(|stored| stored.value);
@@ -63,13 +63,13 @@
     let is_drained = fence.is_some_and(|fence| fence.drained);
     state.dispatcher.start_orders(newest, is_drained);
     let revision = state.objects.list::<IgnoredAny>(EMPTY_PREFIX).await?.revision;
-    state.dispatcher.charges().started(revision);
+    state.dispatcher.charges().set_started_at(revision);
     state.members.update_own(|own| own.started_at = Some(revision));
     Ok(revision)
 }
 
-/// Looks at the upstream and tells the members when it changed.
-pub(super) async fn watch_load(state: Arc<SidecarState>) {
+/// Probes the upstream and publishes changes to the members.
+pub(super) async fn probe_upstream(state: Arc<SidecarState>) {
     let dispatcher = &state.dispatcher;
     let mut was_healthy = false;
     loop {
@@ -89,10 +89,10 @@
             );
             was_healthy = is_healthy;
         }
-        if let Some(served) = dispatcher.load().news() {
+        if let Some(served) = dispatcher.load().take_update() {
             state.members.update_own(|own| own.serves = Some(served));
         }
-        Timer::after(LOAD_PERIOD).await;
+        Timer::after(PROBE_INTERVAL).await;
     }
 }
 
@@ -103,27 +103,27 @@
         return;
     }
     loop {
-        let after = dispatcher.cache().ask_after();
-        let pause = match dispatcher.upstream().cache_events(after, CACHE_WAIT).await {
-            Some(feed) => {
-                dispatcher.cache().take(&feed);
-                CACHE_PAUSE
+        let after = dispatcher.cache().poll_after();
+        let delay = match dispatcher.upstream().cache_events(after, CACHE_POLL_WAIT).await {
+            Some(events) => {
+                dispatcher.cache().apply(&events);
+                CACHE_POLL_DELAY
             }
             None => {
-                dispatcher.cache().lost_touch();
-                CACHE_RETRY
+                dispatcher.cache().mark_unreachable();
+                CACHE_RETRY_DELAY
             }
         };
-        Timer::after(pause).await;
+        Timer::after(delay).await;
     }
 }
 
-/// Clears the memories of what is past its time.
+/// Removes expired state.
 pub(super) async fn expire(state: Arc<SidecarState>) {
     loop {
-        Timer::after(EXPIRY_PERIOD).await;
+        Timer::after(EXPIRY_INTERVAL).await;
         let now = ClockTime::now();
         state.dispatcher.keys().expire(now);
-        state.dispatcher.charges().forget_idle(now);
+        state.dispatcher.charges().evict_idle(now);
     }
 }
--- a/crates/sagespool-sidecar/src/run_completion.rs
+++ b/crates/sagespool-sidecar/src/run_completion.rs
@@ -9,19 +9,19 @@
 use sagespool_types::{ClockTime, ModelName, TokenCount};
 use smol::Timer;
 
-use crate::attempt::{AdmittedAttempt, AttemptEnd, unless_stopped};
+use crate::attempt::{AdmittedAttempt, AttemptOutcome, unless_stopped};
 use crate::dispatcher::Dispatcher;
-use crate::engine_body::{EngineTerms, engine_body};
+use crate::engine_body::{EngineOverrides, engine_body};
 use crate::running::StopReason;
 use crate::token_meter::{MeterStep, TokenMeter};
 use crate::upstream::{CompletionStream, RunCall};
-use crate::{CallFault, EngineEvent, UpstreamHealth};
+use crate::{EngineEvent, UpstreamCallError, UpstreamHealth};
 
-/// After the last token that may come, an engine closes its stream within
-/// this time, or it is told to stop.
-const CLOSING_GRACE: Duration = Duration::from_millis(100);
+/// After the last token of the reservation, an engine must close its stream within
+/// this time or is cancelled.
+const STREAM_CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A completion's particulars.
+/// The target of a completion.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct CompletionTarget<'a> {
     model: &'a ModelName,
@@ -39,7 +39,7 @@
         Some(Self { model, max_tokens: *max_tokens, prompt_tokens: *prompt_tokens, resume })
     }
 
-    /// Counts the answer; none if the reservation can't cover it.
+    /// The token meter of the answer; `None` if the reservation does not cover the request.
     pub(crate) fn meter(&self, reserved: TokenCount) -> Option<TokenMeter> {
         let prompt = TokenCount(self.prompt_tokens.into());
         let resumed = self.resume.map_or(0, |resume| resume.tokens);
@@ -47,71 +47,71 @@
     }
 }
 
-/// Times an attempt's tokens.
+/// Measures the time to the first token and between tokens.
 #[derive(Debug)]
-struct TokenClock {
+struct TokenTimer {
     last: ClockTime,
     has_first: bool,
 }
 
-impl TokenClock {
+impl TokenTimer {
     fn new(arrived: ClockTime) -> Self {
         Self { last: arrived, has_first: false }
     }
 
-    fn note_token(&mut self, timings: &RequestTimings, now: ClockTime) {
-        let took = now.since(self.last);
+    fn record_token(&mut self, timings: &RequestTimings, now: ClockTime) {
+        let elapsed = now.since(self.last);
         match self.has_first {
-            true => timings.between_tokens(took),
-            false => timings.first_token(took),
+            true => timings.between_tokens(elapsed),
+            false => timings.first_token(elapsed),
         }
         self.has_first = true;
         self.last = now;
     }
 }
 
-/// What the engine has still to be told.
+/// What remains to be done at the engine after an attempt.
 #[derive(Debug)]
-pub(crate) enum EngineRest {
-    /// Nothing: it is free of the request.
+pub(crate) enum EngineCleanup {
+    /// Nothing: the engine has released the request.
     Nothing,
-    /// To give the request up.
+    /// Cancel the request.
     Cancel,
-    /// To give the request up, unless it closes its stream by itself.
-    Close(Box<CompletionStream>),
+    /// Cancel the request unless the engine closes its stream.
+    AwaitClose(Box<CompletionStream>),
 }
 
 impl Dispatcher {
-    /// Runs a completion and passes its tokens on as they come.
+    /// Runs a completion and forwards its tokens as they arrive.
     pub(crate) async fn run_completion(
         &self,
         attempt: &AdmittedAttempt,
         target: CompletionTarget<'_>,
         mut meter: TokenMeter,
         mut stopped: Pin<&mut impl Future<Output = StopReason>>,
-    ) -> (AttemptEnd, EngineRest) {
+    ) -> (AttemptOutcome, EngineCleanup) {
         if meter.is_full() {
-            self.note_used(attempt, meter.used());
-            return (AttemptEnd::Whole(FinishReason::Length), EngineRest::Nothing);
+            self.record_used(attempt, meter.used());
+            return (AttemptOutcome::Whole(FinishReason::Length), EngineCleanup::Nothing);
         }
-        let call = self.upstream.name_call(attempt.request, attempt.attempt);
+        let call = self.upstream.new_call(attempt.request, attempt.attempt);
         let opened = self.open_completion(&call, attempt, target, &meter, stopped.as_mut()).await;
         let mut stream = match opened {
             Ok(stream) => Box::new(stream),
             Err(end) => {
-                let rest =
-                    if end.may_have_run() { EngineRest::Cancel } else { EngineRest::Nothing };
-                return (end, rest);
+                let cleanup =
+                    if end.may_have_run() { EngineCleanup::Cancel } else { EngineCleanup::Nothing };
+                return (end, cleanup);
             }
         };
-        self.note_charged(attempt, meter.used());
-        let end = self.pass_tokens(attempt, &mut stream, &mut meter, stopped).await;
-        let rest = match end {
-            AttemptEnd::Whole(_) if meter.is_full() => EngineRest::Close(stream),
-            AttemptEnd::Whole(_) => EngineRest::Nothing,
-            _ => EngineRest::Cancel,
+        self.record_charged(attempt, meter.used());
+        let end = self.forward_tokens(attempt, &mut stream, &mut meter, stopped).await;
+        let cleanup = match end {
+            AttemptOutcome::Whole(_) if meter.is_full() => EngineCleanup::AwaitClose(stream),
+            AttemptOutcome::Whole(_) => EngineCleanup::Nothing,
+            _ => EngineCleanup::Cancel,
         };
-        (end, rest)
+        (end, cleanup)
     }
 
     async fn open_completion(
@@ -121,99 +121,100 @@
         target: CompletionTarget<'_>,
         meter: &TokenMeter,
         stopped: Pin<&mut impl Future<Output = StopReason>>,
-    ) -> Result<CompletionStream, AttemptEnd> {
-        let terms = EngineTerms {
+    ) -> Result<CompletionStream, AttemptOutcome> {
+        let overrides = EngineOverrides {
             model: target.model,
-            max_tokens: meter.most(),
+            max_tokens: meter.max_tokens(),
             priority: attempt.priority,
             resume: target.resume,
         };
-        let body = engine_body(&attempt.body, &terms).map_err(|error| AttemptEnd::Broken {
-            ran: false,
-            crashed: false,
-            detail: format!("the body is no JSON object: {error}"),
-        })?;
-        match unless_stopped(stopped, self.upstream.complete(call, body)).await {
+        let body =
+            engine_body(&attempt.body, &overrides).map_err(|error| AttemptOutcome::Broken {
+                ran: false,
+                crashed: false,
+                detail: format!("the request body is not a JSON object: {error}"),
+            })?;
+        match unless_stopped(stopped, self.upstream.start_completion(call, body)).await {
             Ok(Ok(stream)) => Ok(stream),
-            Ok(Err(fault)) => Err(self.end_of_fault(&fault).await),
-            Err(reason) => Err(AttemptEnd::Stopped { ran: call.may_have_run(), reason }),
+            Ok(Err(error)) => Err(self.outcome_of_error(&error).await),
+            Err(reason) => Err(AttemptOutcome::Stopped { ran: call.may_have_run(), reason }),
         }
     }
 
-    async fn pass_tokens(
+    async fn forward_tokens(
         &self,
         attempt: &AdmittedAttempt,
         stream: &mut CompletionStream,
         meter: &mut TokenMeter,
         mut stopped: Pin<&mut impl Future<Output = StopReason>>,
-    ) -> AttemptEnd {
-        let mut clock = TokenClock::new(attempt.arrived);
+    ) -> AttemptOutcome {
+        let mut timer = TokenTimer::new(attempt.arrived);
         loop {
             let next = async {
-                attempt.log.room().await;
+                attempt.log.wait_for_room().await;
                 stream.next().await
             };
             let event = match unless_stopped(stopped.as_mut(), next).await {
                 Ok(Ok(event)) => event,
-                Ok(Err(fault)) => return self.end_of_fault(&fault).await,
-                Err(reason) => return AttemptEnd::Stopped { ran: true, reason },
+                Ok(Err(error)) => return self.outcome_of_error(&error).await,
+                Err(reason) => return AttemptOutcome::Stopped { ran: true, reason },
             };
-            let step = meter.take(event);
-            self.note_charged(attempt, meter.used());
+            let step = meter.apply(event);
+            self.record_charged(attempt, meter.used());
             if matches!(step, MeterStep::Piece(_) | MeterStep::LastPiece(_)) {
-                self.note_used(attempt, meter.used());
-                clock.note_token(&attempt.timings, ClockTime::now());
+                self.record_used(attempt, meter.used());
+                timer.record_token(&attempt.timings, ClockTime::now());
             }
             match step {
                 MeterStep::Piece(piece) => attempt.log.push(piece),
                 MeterStep::LastPiece(piece) => {
                     attempt.log.push(piece);
-                    return AttemptEnd::Whole(FinishReason::Length);
+                    return AttemptOutcome::Whole(FinishReason::Length);
                 }
-                MeterStep::Finished(stop) => return AttemptEnd::Whole(stop),
+                MeterStep::Finished(stop) => return AttemptOutcome::Whole(stop),
                 MeterStep::Nothing => {}
                 MeterStep::Broken(detail) => {
-                    return AttemptEnd::Broken { ran: true, crashed: false, detail };
+                    return AttemptOutcome::Broken { ran: true, crashed: false, detail };
                 }
             }
         }
     }
 
-    /// How an attempt ends whose call failed.
-    pub(crate) async fn end_of_fault(&self, fault: &CallFault) -> AttemptEnd {
-        let crashed = match fault {
-            CallFault::NotSent { refused, .. } => *refused,
-            CallFault::Declined { .. } => false,
-            CallFault::Crossed { .. } => false,
-            CallFault::Lost { .. } => self.went_down().await,
+    /// The outcome of an attempt whose call failed.
+    pub(crate) async fn outcome_of_error(&self, error: &UpstreamCallError) -> AttemptOutcome {
+        let crashed = match error {
+            UpstreamCallError::NotSent { refused, .. } => *refused,
+            UpstreamCallError::Declined { .. } => false,
+            UpstreamCallError::Crossed { .. } => false,
+            UpstreamCallError::Lost { .. } => self.is_upstream_down().await,
         };
-        if let CallFault::Crossed { detail } = fault {
-            self.note_dropped(DropCause::Crossed, detail);
+        if let UpstreamCallError::Crossed { detail } = error {
+            self.record_dropped(DropCause::Crossed, detail);
         }
         if crashed {
-            self.load.upstream_down();
+            self.load.mark_down();
         }
-        AttemptEnd::of_fault(fault, crashed)
+        AttemptOutcome::from_call_error(error, crashed)
     }
 
-    /// Whether the upstream went down under a call that broke.
+    /// Whether the upstream went down during a call that broke.
     ///
-    /// The call itself doesn't say, so the upstream is asked. One that was
-    /// started again at once answers, but counts its load from the beginning.
-    async fn went_down(&self) -> bool {
-        if self.upstream.health().await != UpstreamHealth::Well {
+    /// The failed call does not show it, so the upstream is probed. An upstream
+    /// that has restarted meanwhile answers, but numbers its load reports anew.
+    async fn is_upstream_down(&self) -> bool {
+        if self.upstream.health().await != UpstreamHealth::Healthy {
             return true;
         }
         let load = self.upstream.load().await;
-        load.is_some_and(|load| self.load.is_restarted(&load))
+        load.is_some_and(|load| self.load.shows_restart(&load))
     }
 
-    /// Makes sure that the engine is free of an attempt that has ended.
-    pub(crate) async fn free_engine(&self, attempt: &AdmittedAttempt, rest: EngineRest) {
-        let must_cancel = match rest {
-            EngineRest::Nothing => false,
-            EngineRest::Cancel => true,
-            EngineRest::Close(stream) => !closes(*stream).await,
+    /// Makes sure that the engine releases an attempt that has ended.
+    pub(crate) async fn release_engine(&self, attempt: &AdmittedAttempt, cleanup: EngineCleanup) {
+        let must_cancel = match cleanup {
+            EngineCleanup::Nothing => false,
+            EngineCleanup::Cancel => true,
+            EngineCleanup::AwaitClose(stream) => !closes_in_time(*stream).await,
         };
         if must_cancel {
             self.upstream.cancel(attempt.request, attempt.attempt).await;
@@ -221,8 +222,8 @@
     }
 }
 
-/// True if a stream comes to its end by itself, with no token more.
-async fn closes(mut stream: CompletionStream) -> bool {
+/// Whether a stream ends within the timeout without another token.
+async fn closes_in_time(mut stream: CompletionStream) -> bool {
     let closing = async {
         loop {
             match stream.next().await {
@@ -234,9 +235,9 @@
             }
         }
     };
-    let late = async {
-        Timer::after(CLOSING_GRACE).await;
+    let timeout = async {
+        Timer::after(STREAM_CLOSE_TIMEOUT).await;
         false
     };
-    closing.or(late).await
+    closing.or(timeout).await
 }
--- a/crates/sagespool-sidecar/src/run_service.rs
+++ b/crates/sagespool-sidecar/src/run_service.rs
@@ -1,17 +1,17 @@
-//! Runs a call of a plain service.
+//! Runs a call to a plain service.
 
 use std::pin::Pin;
 
 use sagespool_messages::{CallTarget, DispatchEvent, FinishReason, HeaderPair};
 use sagespool_types::TokenCount;
 
-use crate::CallFault;
-use crate::attempt::{AdmittedAttempt, AttemptEnd, unless_stopped};
+use crate::UpstreamCallError;
+use crate::attempt::{AdmittedAttempt, AttemptOutcome, unless_stopped};
 use crate::dispatcher::Dispatcher;
 use crate::running::StopReason;
 use crate::upstream::{RunCall, ServiceAnswer, ServiceCall};
 
-/// A call's particulars.
+/// The target of a service call.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ServiceTarget<'a> {
     method: &'a str,
@@ -32,22 +32,22 @@
 }
 
 impl Dispatcher {
-    /// Calls the service and passes its answer on as it comes. The price is
-    /// charged whole once the call may have run.
+    /// Calls the service and forwards its answer as it arrives. The full price is
+    /// charged once the call may have run.
     pub(crate) async fn run_service(
         &self,
         attempt: &AdmittedAttempt,
         target: ServiceTarget<'_>,
         mut stopped: Pin<&mut impl Future<Output = StopReason>>,
-    ) -> AttemptEnd {
-        let call = self.upstream.name_call(attempt.request, attempt.attempt);
+    ) -> AttemptOutcome {
+        let call = self.upstream.new_call(attempt.request, attempt.attempt);
         let opened = self.open_service(&call, attempt, target, stopped.as_mut()).await;
         let end = match opened {
-            Ok(answer) => self.pass_body(attempt, answer, stopped).await,
+            Ok(answer) => self.forward_body(attempt, answer, stopped).await,
             Err(end) => end,
         };
         if end.may_have_run() {
-            self.note_used(attempt, target.price());
+            self.record_used(attempt, target.price());
         }
         end
     }
@@ -58,40 +58,40 @@
         attempt: &AdmittedAttempt,
         target: ServiceTarget<'_>,
         stopped: Pin<&mut impl Future<Output = StopReason>>,
-    ) -> Result<ServiceAnswer, AttemptEnd> {
-        let wanted = ServiceCall {
+    ) -> Result<ServiceAnswer, AttemptOutcome> {
+        let service_call = ServiceCall {
             method: target.method,
             path: target.path,
             headers: target.headers,
             body: attempt.body.clone(),
         };
-        match unless_stopped(stopped, self.upstream.serve(call, wanted)).await {
+        match unless_stopped(stopped, self.upstream.call_service(call, service_call)).await {
             Ok(Ok(answer)) => Ok(answer),
-            Ok(Err(fault)) => Err(self.end_of_fault(&fault).await),
-            Err(reason) => Err(AttemptEnd::Stopped { ran: call.may_have_run(), reason }),
+            Ok(Err(error)) => Err(self.outcome_of_error(&error).await),
+            Err(reason) => Err(AttemptOutcome::Stopped { ran: call.may_have_run(), reason }),
         }
     }
 
-    async fn pass_body(
+    async fn forward_body(
         &self,
         attempt: &AdmittedAttempt,
         mut answer: ServiceAnswer,
         mut stopped: Pin<&mut impl Future<Output = StopReason>>,
-    ) -> AttemptEnd {
+    ) -> AttemptOutcome {
         let headers = std::mem::take(&mut answer.headers);
         attempt.log.push(DispatchEvent::Head { status: answer.status, headers });
         let mut at = 0;
         loop {
             let next = async {
-                attempt.log.room().await;
+                attempt.log.wait_for_room().await;
                 let bytes = answer.next().await?;
-                Ok::<_, CallFault>(bytes.map(<[u8]>::to_vec))
+                Ok::<_, UpstreamCallError>(bytes.map(<[u8]>::to_vec))
             };
             let data = match unless_stopped(stopped.as_mut(), next).await {
                 Ok(Ok(Some(data))) => data,
-                Ok(Ok(None)) => return AttemptEnd::Whole(FinishReason::Stop),
-                Ok(Err(fault)) => return self.end_of_fault(&fault).await,
-                Err(reason) => return AttemptEnd::Stopped { ran: true, reason },
+                Ok(Ok(None)) => return AttemptOutcome::Whole(FinishReason::Stop),
+                Ok(Err(error)) => return self.outcome_of_error(&error).await,
+                Err(reason) => return AttemptOutcome::Stopped { ran: true, reason },
             };
             let count = data.len() as u32;
             attempt.log.push(DispatchEvent::Piece { at, tokens: 0, data });
--- a/crates/sagespool-sidecar/src/running.rs
+++ b/crates/sagespool-sidecar/src/running.rs
@@ -1,4 +1,4 @@
-//! The attempts that run here now.
+//! The running attempts.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -8,21 +8,21 @@
 use sagespool_messages::{DispatchRequest, RunningRequest};
 use sagespool_types::{AttemptNumber, BranchName, ClassName, ClockTime, RequestId, TokenCount};
 
+use crate::in_flight::{InFlightCounter, InFlightGuard};
 use crate::shards::StateShards;
-use crate::tally::{TallyMark, WorkTally};
 
 /// Why an attempt is stopped before its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StopReason {
-    /// Its deadline passed.
+    /// The deadline passed.
     Deadline,
-    /// Its entry cancelled it.
+    /// The entry cancelled it.
     Cancelled,
-    /// Its asker is gone, and without a key nobody can come back for the answer.
-    AskerGone,
-    /// A later attempt at the same request has come.
+    /// The requester disconnected, and without a key no caller can attach to the answer.
+    RequesterGone,
+    /// A later attempt at the same request arrived.
     Superseded,
-    /// The sidecar stops.
+    /// The sidecar is stopping.
     SidecarStops,
 }
 
@@ -31,14 +31,14 @@
         match self {
             Self::Deadline => "deadline",
             Self::Cancelled => "cancelled",
-            Self::AskerGone => "asker-gone",
+            Self::RequesterGone => "asker-gone",
             Self::Superseded => "superseded",
             Self::SidecarStops => "sidecar-stops",
         }
     }
 }
 
-/// One attempt that runs.
+/// One running attempt.
 #[derive(Debug)]
 pub(crate) struct RunningAttempt {
     pub(crate) request: RequestId,
@@ -67,17 +67,17 @@
         }
     }
 
-    pub(crate) fn note_used(&self, used: TokenCount) {
+    pub(crate) fn record_used(&self, used: TokenCount) {
         self.used.store(used.0, Ordering::Relaxed);
     }
 
-    /// Stops the attempt; the first reason counts.
+    /// Stops the attempt. Later reasons are ignored.
     pub(crate) fn stop(&self, reason: StopReason) {
         self.stop.get_or_init(|| reason);
         self.changed.notify(usize::MAX);
     }
 
-    /// Resolves when the attempt is to stop.
+    /// Resolves when the attempt must stop.
     pub(crate) async fn stopped(&self) -> StopReason {
         loop {
             let changed = self.changed.listen();
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Resolves when the attempt is over and its upstream is free of it.
-    pub(crate) async fn over(&self) {
+    /// Resolves when the attempt has ended and its upstream has released it.
+    pub(crate) async fn released(&self) {
         loop {
             let changed = self.changed.listen();
             if self.ended.load(Ordering::SeqCst) {
@@ -111,58 +111,58 @@
     }
 }
 
-/// Every attempt that runs here.
+/// The running attempts, by request.
 #[derive(Debug, Default)]
 pub(crate) struct RunningTable {
     attempts: StateShards<HashMap<RequestId, Vec<Arc<RunningAttempt>>>>,
-    tally: WorkTally,
+    counter: InFlightCounter,
 }
 
 impl RunningTable {
-    /// Lists an attempt for as long as the place that is returned lives.
+    /// Registers an attempt until the returned registration is dropped.
     pub(crate) fn add(
         self: &Arc<Self>,
         dispatch: &DispatchRequest,
         now: ClockTime,
-    ) -> RunningPlace {
+    ) -> RunningRegistration {
         let attempt = Arc::new(RunningAttempt::new(dispatch, now));
-        let mut shard = self.attempts.of(&dispatch.request);
+        let mut shard = self.attempts.lock_for(&dispatch.request);
         shard.entry(dispatch.request).or_default().push(Arc::clone(&attempt));
-        let mark = self.tally.enter();
-        RunningPlace { table: Arc::clone(self), attempt, _mark: mark }
+        let guard = self.counter.start();
+        RunningRegistration { table: Arc::clone(self), attempt, _guard: guard }
     }
 
-    /// The attempts at a request that are lower than one.
-    pub(crate) fn earlier(
+    /// The running attempts at a request with a lower number.
+    pub(crate) fn earlier_attempts(
         &self,
         request: RequestId,
         attempt: AttemptNumber,
     ) -> Vec<Arc<RunningAttempt>> {
-        let shard = self.attempts.of(&request);
+        let shard = self.attempts.lock_for(&request);
         let attempts = shard.get(&request).into_iter().flatten();
         attempts.filter(|running| running.attempt < attempt).cloned().collect()
     }
 
-    /// True if an attempt runs here.
-    pub(crate) fn runs(&self, request: RequestId, attempt: AttemptNumber) -> bool {
-        let shard = self.attempts.of(&request);
+    /// Whether an attempt is running.
+    pub(crate) fn contains(&self, request: RequestId, attempt: AttemptNumber) -> bool {
+        let shard = self.attempts.lock_for(&request);
         let mut attempts = shard.get(&request).into_iter().flatten();
         attempts.any(|running| running.attempt == attempt)
     }
 
-    /// Stops an attempt, if it runs here.
+    /// Stops an attempt if it is running.
     pub(crate) fn stop(&self, request: RequestId, attempt: AttemptNumber, reason: StopReason) {
-        let shard = self.attempts.of(&request);
+        let shard = self.attempts.lock_for(&request);
         let attempts = shard.get(&request).into_iter().flatten();
         attempts.filter(|running| running.attempt == attempt).for_each(|running| {
             running.stop(reason);
         });
     }
 
-    /// Stops every attempt. How many there were.
+    /// Stops every attempt. Returns their number.
     pub(crate) fn stop_all(&self, reason: StopReason) -> usize {
         let mut stopped = 0;
-        for shard in self.attempts.each() {
+        for shard in self.attempts.lock_each() {
             for running in shard.values().flatten() {
                 running.stop(reason);
                 stopped += 1;
@@ -171,30 +171,30 @@
         stopped
     }
 
-    /// How many run.
+    /// Number of running attempts.
     pub(crate) fn count(&self) -> usize {
-        self.tally.count()
+        self.counter.count()
     }
 
-    /// Resolves when none runs.
-    pub(crate) async fn empty(&self) {
-        self.tally.empty().await;
+    /// Resolves when no attempt is running.
+    pub(crate) async fn wait_until_idle(&self) {
+        self.counter.wait_until_idle().await;
     }
 
-    /// At most so many of those that run, and whether that is all.
+    /// At most `limit` running attempts, and whether the list is complete.
     pub(crate) fn list(
         &self,
         branch: Option<&BranchName>,
-        most: usize,
+        limit: usize,
         now: ClockTime,
     ) -> (Vec<RunningRequest>, bool) {
         let mut listed = Vec::new();
-        for shard in self.attempts.each() {
-            let wanted = |running: &&Arc<RunningAttempt>| {
+        for shard in self.attempts.lock_each() {
+            let is_selected = |running: &&Arc<RunningAttempt>| {
                 branch.is_none_or(|branch| *branch == running.branch)
             };
-            for running in shard.values().flatten().filter(wanted) {
-                if listed.len() == most {
+            for running in shard.values().flatten().filter(is_selected) {
+                if listed.len() == limit {
                     return (listed, false);
                 }
                 listed.push(running.describe(now));
@@ -204,18 +204,18 @@
     }
 }
 
-/// An attempt's place in the table; dropping it takes the attempt out.
+/// Registration of an attempt; dropping it removes the attempt from the table.
 #[derive(Debug)]
-pub(crate) struct RunningPlace {
+pub(crate) struct RunningRegistration {
     table: Arc<RunningTable>,
     pub(crate) attempt: Arc<RunningAttempt>,
-    _mark: TallyMark,
+    _guard: InFlightGuard,
 }
 
-impl Drop for RunningPlace {
+impl Drop for RunningRegistration {
     fn drop(&mut self) {
         let request = self.attempt.request;
-        let mut shard = self.table.attempts.of(&request);
+        let mut shard = self.table.attempts.lock_for(&request);
         if let Some(attempts) = shard.get_mut(&request) {
             attempts.retain(|attempt| !Arc::ptr_eq(attempt, &self.attempt));
             if attempts.is_empty() {
--- a/crates/sagespool-sidecar/src/shards.rs
+++ b/crates/sagespool-sidecar/src/shards.rs
@@ -1,12 +1,12 @@
-//! State in shards, each under its own lock.
+//! State split into shards with a lock each.
 
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher, Hash};
 use std::sync::{Mutex, MutexGuard};
 
-/// Enough that two of a dozen threads seldom want the same lock.
+/// Enough that two of a dozen threads rarely contend for one lock.
 const SHARD_COUNT: usize = 16;
 
-/// A fixed number of equal parts of a state, found by key.
+/// A fixed number of shards, selected by the hash of a key.
 #[derive(Debug)]
 pub(crate) struct StateShards<T> {
     shards: [Mutex<T>; SHARD_COUNT],
@@ -19,24 +19,23 @@
 }
 
 impl<T> StateShards<T> {
-    /// The part that holds a key, locked.
-    pub(crate) fn of<K: Hash>(&self, key: &K) -> MutexGuard<'_, T> {
+    /// Locks the shard of a key.
+    pub(crate) fn lock_for<K: Hash>(&self, key: &K) -> MutexGuard<'_, T> {
         let hash = BuildHasherDefault::<DefaultHasher>::default().hash_one(key);
         lock(&self.shards[hash as usize % SHARD_COUNT])
     }
 
-    /// Every part, each locked while it is visited.
-    pub(crate) fn each(&self) -> impl Iterator<Item = MutexGuard<'_, T>> {
+    /// Iterates over all shards, locking one at a time.
+    pub(crate) fn lock_each(&self) -> impl Iterator<Item = MutexGuard<'_, T>> {
         self.shards.iter().map(lock)
     }
 
-    /// How many parts there are.
     pub(crate) const fn count(&self) -> usize {
         SHARD_COUNT
     }
 }
 
-/// Locks; a thread that panicked while it held the lock broke an invariant already.
+/// Locks a mutex. Panics if it is poisoned, because the state may then violate an invariant.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().expect("no thread panics while it holds this lock")
 }
--- a/crates/sagespool-sidecar/src/token_meter.rs
+++ b/crates/sagespool-sidecar/src/token_meter.rs
@@ -1,4 +1,4 @@
-//! Counts an answer's tokens and cuts it at what was reserved.
+//! Counts the tokens of an answer and ends it at the reservation.
 
 use sagespool_messages::{DispatchEvent, FinishReason};
 use sagespool_types::TokenCount;
@@ -7,34 +7,34 @@
 
 /// Counts the tokens of one attempt.
 ///
-/// A charge covers the prompt and the whole answer, so an attempt that resumes
-/// starts with the tokens that the caller has already.
+/// A charge covers the prompt and the whole answer, so a resumed attempt starts
+/// with the tokens that the caller already has.
 #[derive(Debug, Clone)]
 pub struct TokenMeter {
     prompt: TokenCount,
     tokens: u32,
-    most: u32,
+    max_tokens: u32,
 }
 
-/// What follows from an event.
+/// What to do after an event.
 #[derive(Debug, Clone, PartialEq)]
 pub enum MeterStep {
-    /// Pass a piece on.
+    /// Forward a piece.
     Piece(DispatchEvent),
-    /// Pass a piece on, the last that fits in the reservation: the answer ends.
+    /// Forward the last piece that fits in the reservation and end the answer.
     LastPiece(DispatchEvent),
-    /// The engine finished by itself.
+    /// The engine finished the answer.
     Finished(FinishReason),
-    /// Nothing to do.
+    /// The event needs no action.
     Nothing,
-    /// The stream closed, or jumped: what was passed on isn't a whole answer.
+    /// The stream closed early or skipped tokens: the forwarded answer is incomplete.
     Broken(String),
 }
 
 impl TokenMeter {
-    /// A meter for a prompt of so many tokens, of which an answer of `resumed`
-    /// tokens is there already, and `max_tokens` may come in all. None if the
-    /// reservation doesn't even cover the prompt and what is there.
+    /// A meter for a prompt of `prompt` tokens and an answer of at most
+    /// `max_tokens`, of which the caller already has `resumed`. `None` if the
+    /// reservation does not cover the prompt and the resumed tokens.
     pub fn new(
         reserved: TokenCount,
         prompt: TokenCount,
@@ -45,61 +45,65 @@
             return None;
         }
         let left = u32::try_from(reserved.saturating_sub(prompt).0).unwrap_or(u32::MAX);
-        Some(Self { prompt, tokens: resumed, most: left.min(max_tokens) })
+        Some(Self { prompt, tokens: resumed, max_tokens: left.min(max_tokens) })
     }
 
-    /// The most tokens that the whole answer may have.
-    pub fn most(&self) -> u32 {
-        self.most
+    /// Most tokens of the whole answer.
+    pub fn max_tokens(&self) -> u32 {
+        self.max_tokens
     }
 
-    /// True if no token more may come.
+    /// Whether the answer has reached its limit.
     pub fn is_full(&self) -> bool {
-        self.tokens >= self.most
+        self.tokens >= self.max_tokens
     }
 
-    /// What the attempt has used: the prompt and every token of the answer.
+    /// Tokens used by the attempt: the prompt and the answer so far.
     pub fn used(&self) -> TokenCount {
         self.prompt + TokenCount(self.tokens.into())
     }
 
-    /// Takes in the engine's next event.
+    /// Applies the engine's next event.
     ///
-    /// A token out of its place means that the engine lost or repeated some.
-    /// The caller would get an answer with a hole in it and pay for it, so the
-    /// attempt counts as broken.
-    pub fn take(&mut self, event: EngineEvent) -> MeterStep {
+    /// A token out of sequence means that the engine lost or repeated tokens.
+    /// The caller would be billed for an answer with a gap, so the attempt
+    /// counts as broken.
+    pub fn apply(&mut self, event: EngineEvent) -> MeterStep {
         match event {
-            EngineEvent::Token { index, text } => self.take_token(index, text),
+            EngineEvent::Token { index, text } => self.apply_token(index, text),
             EngineEvent::Finished { stop, completion_tokens } => {
-                self.take_finish(stop, completion_tokens)
+                self.apply_finish(stop, completion_tokens)
             }
             EngineEvent::Aborted(reason) => {
-                MeterStep::Broken(format!("the engine gave the request up: {reason}"))
+                MeterStep::Broken(format!("the engine aborted the request: {reason}"))
+            }
+            EngineEvent::Done => {
+                MeterStep::Broken("the stream closed before the answer was finished".to_owned())
             }
-            EngineEvent::Done => MeterStep::Broken("the stream closed unfinished".to_owned()),
             EngineEvent::Empty => MeterStep::Nothing,
         }
     }
 
-    fn take_token(&mut self, index: Option<u32>, text: String) -> MeterStep {
+    fn apply_token(&mut self, index: Option<u32>, text: String) -> MeterStep {
         let at = self.tokens;
         if let Some(index) = index.filter(|index| *index != at) {
-            return MeterStep::Broken(format!("token {index} came in the place of {at}"));
+            return MeterStep::Broken(format!("expected token {at} but received token {index}"));
         }
         if self.is_full() {
-            return MeterStep::Broken(format!("the engine went on after {at} tokens"));
+            return MeterStep::Broken(format!(
+                "the engine sent more than the limit of {at} tokens"
+            ));
         }
         self.tokens += 1;
         let piece = DispatchEvent::Piece { at, tokens: 1, data: text.into_bytes() };
         if self.is_full() { MeterStep::LastPiece(piece) } else { MeterStep::Piece(piece) }
     }
 
-    fn take_finish(&self, stop: FinishReason, completion_tokens: Option<u32>) -> MeterStep {
+    fn apply_finish(&self, stop: FinishReason, completion_tokens: Option<u32>) -> MeterStep {
         match completion_tokens.filter(|made| *made != self.tokens) {
             Some(made) => {
-                let came = self.tokens;
-                MeterStep::Broken(format!("the engine made {made} tokens but sent {came}"))
+                let received = self.tokens;
+                MeterStep::Broken(format!("the engine reports {made} tokens but sent {received}"))
             }
             None => MeterStep::Finished(stop),
         }
--- a/crates/sagespool-sidecar/src/upstream.rs
+++ b/crates/sagespool-sidecar/src/upstream.rs
@@ -1,8 +1,8 @@
-//! The sidecar's calls to its upstream, over HTTP.
+//! HTTP client of the sidecar's upstream.
 
 mod connector;
 mod control;
-mod fault;
+mod error;
 mod run;
 
 use std::net::SocketAddr;
@@ -12,11 +12,11 @@
 
 use connector::UpstreamConnector;
 
-pub use control::{CacheFeed, EngineCacheEvent, EngineLoad, OrderOutcome};
-pub use fault::CallFault;
+pub use control::{CacheEvents, EngineCacheEvent, EngineLoad, OrderOutcome};
+pub use error::UpstreamCallError;
 pub use run::{CompletionStream, RunCall, ServiceAnswer, ServiceCall};
 
-/// Calls one upstream.
+/// HTTP client of one upstream.
 #[derive(Debug, Clone)]
 pub struct UpstreamClient {
     address: SocketAddr,
@@ -27,14 +27,14 @@
 impl UpstreamClient {
     /// A client of the upstream at an address.
     ///
-    /// Each call has a connection of its own, which costs little on the same
-    /// instance. A reused one may turn out closed when a request is half
-    /// written: nobody could tell then whether it ran, and a probe or a cancel
-    /// call would fail though the upstream is well. And giving up a call closes
-    /// its connection at once.
+    /// Each call has its own connection, which is cheap on the same instance. A
+    /// reused connection may turn out to be closed when a request is half
+    /// written. It would then be unknown whether the request ran, and a probe or
+    /// cancel call would fail although the upstream is healthy. Dropping a call
+    /// also closes its connection at once.
     ///
-    /// No body waits for leave to be sent: an upstream that never answers
-    /// `expect: 100-continue` would cost each long prompt a second.
+    /// Bodies are sent without `expect: 100-continue`. An upstream that never
+    /// answers it would delay each long prompt by a second.
     pub fn new(address: SocketAddr) -> Self {
         let connector = UpstreamConnector::new(address);
         let client = Client::new(connector.clone())
@@ -44,8 +44,8 @@
     }
 }
 
-/// Headers that belong to one connection, or that the sidecar sets itself.
-const OWN_HEADERS: [KnownHeaderName; 10] = [
+/// Headers of a single connection, or that the sidecar sets itself; they are not forwarded.
+const CONNECTION_HEADERS: [KnownHeaderName; 10] = [
     KnownHeaderName::Connection,
     KnownHeaderName::ContentLength,
     KnownHeaderName::Expect,
@@ -58,14 +58,14 @@
     KnownHeaderName::Upgrade,
 ];
 
-fn is_own_header(name: &HeaderName<'_>) -> bool {
-    OWN_HEADERS.iter().any(|own| *name == *own)
+fn is_connection_header(name: &HeaderName<'_>) -> bool {
+    CONNECTION_HEADERS.iter().any(|own| *name == *own)
 }
 
-/// The headers of an answer that may be passed on.
-fn passed_headers(headers: &Headers) -> Vec<HeaderPair> {
+/// The headers of an answer that are forwarded to the caller.
+fn forwarded_headers(headers: &Headers) -> Vec<HeaderPair> {
     let mut pairs = Vec::new();
-    for (name, values) in headers.iter().filter(|(name, _)| !is_own_header(name)) {
+    for (name, values) in headers.iter().filter(|(name, _)| !is_connection_header(name)) {
         let name = name.as_ref().to_ascii_lowercase();
         let values = values.iter().filter_map(|value| value.as_str());
         pairs
--- a/crates/sagespool-sidecar/src/upstream/connector.rs
+++ b/crates/sagespool-sidecar/src/upstream/connector.rs
@@ -1,4 +1,4 @@
-//! Connections to the upstream, and whether a call got one.
+//! Connections to the upstream, and which calls were connected.
 
 use std::collections::HashSet;
 use std::io;
@@ -15,23 +15,23 @@
 
 use crate::shards::lock;
 
-/// The upstream stands on the same instance: a connection takes microseconds,
+/// The upstream runs on the same instance, where connecting takes microseconds
 /// unless its backlog is full.
-const CONNECT_LIMIT: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Opens connections to one address, whatever host a URL names.
+/// Opens connections to one address, regardless of the host in the URL.
 ///
-/// The host names the call instead, so that the connector can note which
-/// calls got a connection: one that didn't has surely not run, whether it
-/// failed or was given up meanwhile.
+/// The host carries the id of the call instead, so that the connector can
+/// record which calls were connected. A call without a connection certainly did
+/// not run, whether it failed or was dropped.
 #[derive(Debug, Clone)]
 pub(super) struct UpstreamConnector {
     address: SocketAddr,
-    shared: Arc<SharedCalls>,
+    shared: Arc<CallState>,
 }
 
 #[derive(Debug, Default)]
-struct SharedCalls {
+struct CallState {
     next: AtomicU64,
     connected: Mutex<HashSet<String>>,
 }
@@ -41,33 +41,33 @@
         Self { address, shared: Arc::default() }
     }
 
-    /// A name for the next call.
-    pub(super) fn call(&self) -> CallName {
+    /// Assigns an id to the next call.
+    pub(super) fn next_call(&self) -> CallId {
         let number = self.shared.next.fetch_add(1, Ordering::Relaxed);
-        CallName { host: format!("call-{number}"), shared: Arc::clone(&self.shared) }
+        CallId { host: format!("call-{number}"), shared: Arc::clone(&self.shared) }
     }
 }
 
-/// Names one call.
+/// Id of one call.
 #[derive(Debug)]
-pub(super) struct CallName {
+pub(super) struct CallId {
     host: String,
-    shared: Arc<SharedCalls>,
+    shared: Arc<CallState>,
 }
 
-impl CallName {
-    /// The name, as the host of the call's URL.
+impl CallId {
+    /// The id, as the host of the call's URL.
     pub(super) fn host(&self) -> &str {
         &self.host
     }
 
-    /// True from when the call had a connection: from then on it may have run.
-    pub(super) fn had_connection(&self) -> bool {
+    /// Whether the call was connected, so that it may have run.
+    pub(super) fn was_connected(&self) -> bool {
         lock(&self.shared.connected).contains(&self.host)
     }
 }
 
-impl Drop for CallName {
+impl Drop for CallId {
     fn drop(&mut self) {
         lock(&self.shared.connected).remove(&self.host);
     }
@@ -83,14 +83,14 @@
     }
 
     async fn connect_to(&self, destination: Destination) -> io::Result<Self::Transport> {
-        let dialled = Destination::new_with_socket_addrs(false, [self.address]);
+        let upstream = Destination::new_with_socket_addrs(false, [self.address]);
         let config = ClientConfig::new().with_nodelay(true);
-        let connect = config.connect_to(dialled);
-        let limit = async {
-            Timer::after(CONNECT_LIMIT).await;
+        let connect = config.connect_to(upstream);
+        let timeout = async {
+            Timer::after(CONNECT_TIMEOUT).await;
             Err(io::ErrorKind::TimedOut.into())
         };
-        let transport = connect.or(limit).await?;
+        let transport = connect.or(timeout).await?;
         if let Some(host) = destination.host() {
             lock(&self.shared.connected).insert(host.to_owned());
         }
--- a/crates/sagespool-sidecar/src/upstream/control.rs
+++ b/crates/sagespool-sidecar/src/upstream/control.rs
@@ -1,4 +1,4 @@
-//! Calls about the upstream itself: health, load, cancelling, orders.
+//! Control calls to the upstream: health, load, cancellation, orders.
 
 use std::io;
 use std::num::ParseIntError;
@@ -15,29 +15,29 @@
 use super::UpstreamClient;
 use crate::UpstreamHealth;
 
-/// For a call whose answer is at hand: an upstream on the same instance that
-/// takes longer isn't answering.
-const PROBE_LIMIT: Duration = Duration::from_millis(500);
+/// For calls that an upstream on the same instance answers at once. One that
+/// takes longer counts as unresponsive.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// For an order. Newer ones wait meanwhile, so a hanging engine must not hold
-/// them up for long.
-const ORDER_LIMIT: Duration = Duration::from_secs(30);
+/// For an order. Newer orders wait meanwhile, so a hanging engine must not block
+/// them for long.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// An upstream's report of its load.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct EngineLoad {
-    /// Counted by the upstream.
+    /// Sequence number of the report, counted from the upstream's start.
     pub number: u64,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// How many it runs at once.
+    /// Number of requests that it runs concurrently.
     pub capacity: u32,
-    /// Tokens a second over all requests; engines only.
+    /// Tokens per second over all requests; engines only.
     #[serde(default)]
     pub tokens_per_second: f64,
-    /// The models it has loaded; engines only.
+    /// Models that are loaded; engines only.
     #[serde(default)]
     pub models: Vec<ModelName>,
 }
@@ -46,9 +46,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "WireCacheEvent")]
 pub struct EngineCacheEvent {
-    /// Counted by the engine from its start.
+    /// Sequence number, counted by the engine from its start.
     pub number: u64,
-    /// What changed.
+    /// The prefix, and whether it was stored or evicted.
     pub note: PrefixCacheEvent,
 }
 
@@ -78,44 +78,44 @@
 
 /// Changes of an engine's prompt cache.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct CacheFeed {
-    /// Another value after each start of the engine.
+pub struct CacheEvents {
+    /// Identifies the start of the engine; differs after each restart.
     pub start: Value,
-    /// In order, with gaps.
+    /// Events by ascending number, with gaps.
     pub events: Vec<EngineCacheEvent>,
 }
 
-/// How an engine answered an order.
+/// Result of an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// Done.
+    /// The engine executed the order.
     Done,
-    /// It has seen a newer order.
+    /// The engine has accepted a newer order.
     Stale {
-        /// The newest fencing number that it has seen.
+        /// The newest fencing number that the engine has accepted.
         newest: FenceNumber,
     },
-    /// It failed, or may have.
+    /// The order failed or may have failed.
     Failed(String),
 }
 
 impl UpstreamClient {
-    /// How the upstream answers now.
+    /// Probes the upstream's health.
     pub async fn health(&self) -> UpstreamHealth {
         let conn = self.client.get(self.control_url("/healthz"));
-        let answer = within(PROBE_LIMIT, async { conn.await });
+        let answer = within(PROBE_TIMEOUT, async { conn.await });
         match answer.await {
-            Some(Ok(conn)) if conn.status() == Some(Status::Ok) => UpstreamHealth::Well,
+            Some(Ok(conn)) if conn.status() == Some(Status::Ok) => UpstreamHealth::Healthy,
             Some(Err(Error::Io(error))) if error.kind() == io::ErrorKind::ConnectionRefused => {
                 UpstreamHealth::Refusing
             }
-            _ => UpstreamHealth::Silent,
+            _ => UpstreamHealth::Unresponsive,
         }
     }
 
-    /// The upstream's load, as it reports it; none if it doesn't.
+    /// The load that the upstream reports; `None` if it gives no valid report in time.
     pub async fn load(&self) -> Option<EngineLoad> {
-        let body = within(PROBE_LIMIT, async {
+        let body = within(PROBE_TIMEOUT, async {
             let mut conn = self.client.get(self.control_url("/load")).await.ok()?;
             let is_report = conn.status() == Some(Status::Ok);
             let body = conn.response_body().read_bytes().await.ok()?;
@@ -124,32 +124,32 @@
         serde_json::from_slice(&body.await.flatten()?).ok()
     }
 
-    /// Changes of an engine's prompt cache after a number; waits for one for so long. None if the
-    /// engine doesn't tell.
-    pub async fn cache_events(&self, after: u64, wait: Duration) -> Option<CacheFeed> {
+    /// Polls an engine for changes of its prompt cache after a number. The engine waits up to
+    /// `wait` for one. `None` if it gives no valid answer.
+    pub async fn cache_events(&self, after: u64, wait: Duration) -> Option<CacheEvents> {
         let query = format!("/cache-events?after={after}&wait_ms={}", wait.as_millis());
-        let body = within(wait + PROBE_LIMIT, async {
+        let body = within(wait + PROBE_TIMEOUT, async {
             let mut conn = self.client.get(self.control_url(&query)).await.ok()?;
-            let is_feed = conn.status() == Some(Status::Ok);
+            let is_found = conn.status() == Some(Status::Ok);
             let body = conn.response_body().read_bytes().await.ok()?;
-            is_feed.then_some(body)
+            is_found.then_some(body)
         });
         serde_json::from_slice(&body.await.flatten()?).ok()
     }
 
-    /// Tells an engine to give a request up. Dropping the stream alone would
-    /// leave the engine working until it next writes. True if it answered.
+    /// Cancels a request at an engine. Dropping the stream alone would leave the
+    /// engine running it until its next write. Returns whether the engine answered.
     pub async fn cancel(&self, request: RequestId, attempt: AttemptNumber) -> bool {
         let url = self.control_url(&format!("/v1/requests/{request}/cancel"));
         let conn = self.client.post(url).with_request_header("x-attempt", attempt.to_string());
-        let answer = within(PROBE_LIMIT, async { conn.await.ok() });
+        let answer = within(PROBE_TIMEOUT, async { conn.await.ok() });
         answer.await.flatten().is_some()
     }
 
-    /// Gives an engine an order, in the engine's own form.
+    /// Sends an order to an engine, in the engine's own form.
     pub async fn order(&self, fence: FenceNumber, order: &Value) -> OrderOutcome {
         let body = json!({ "fence": fence, "order": order });
-        let answer = within(ORDER_LIMIT, async {
+        let answer = within(ORDER_TIMEOUT, async {
             let mut conn = self
                 .client
                 .post(self.control_url("/orders"))
@@ -163,13 +163,13 @@
         match answer.await.flatten() {
             Some((Status::Ok, _)) => OrderOutcome::Done,
             Some((Status::Conflict, body)) => {
-                OrderOutcome::Stale { newest: newest_of(&body, fence) }
+                OrderOutcome::Stale { newest: newest_fence(&body, fence) }
             }
             Some((status, _)) => {
-                OrderOutcome::Failed(format!("the engine answered the order with {status}"))
+                OrderOutcome::Failed(format!("the engine answered the order with status {status}"))
             }
             None => {
-                let detail = "the engine did not answer the order and may have carried it out";
+                let detail = "the engine did not answer the order and may have executed it";
                 OrderOutcome::Failed(detail.to_owned())
             }
         }
@@ -180,7 +180,7 @@
     }
 }
 
-fn newest_of(body: &[u8], fence: FenceNumber) -> FenceNumber {
+fn newest_fence(body: &[u8], fence: FenceNumber) -> FenceNumber {
     #[derive(Deserialize)]
     struct StaleBody {
         newest: FenceNumber,
