--- a/crates/sagespool-sidecar/src/upstream/run.rs
+++ b/crates/sagespool-sidecar/src/upstream/run.rs
@@ -1,4 +1,4 @@
-//! Calls that run a request.
+//! Calls that run a request on the upstream.
 
 use std::io;
 
@@ -10,40 +10,40 @@
 };
 use trillium_http::{Error, Status};
 
-use super::connector::CallName;
-use super::{CallFault, UpstreamClient, is_own_header, passed_headers};
+use super::connector::CallId;
+use super::{UpstreamCallError, UpstreamClient, forwarded_headers, is_connection_header};
 use crate::EngineEvent;
 
-/// Names a call's request to the upstream, and in its answer.
+/// Carries the request id in a call and its answer.
 const REQUEST_HEADER: &str = "x-request-id";
-/// Names a call's attempt likewise.
+/// Carries the attempt number in a call and its answer.
 const ATTEMPT_HEADER: &str = "x-attempt";
 
-/// How much of an error's body is shown.
-const SHOWN_BYTES: usize = 300;
+/// Most bytes of an error response that are included in the error.
+const MAX_ERROR_DETAIL_BYTES: usize = 300;
 
-/// How much of a body is passed on at once.
-const READ_BYTES: usize = 16 * 1024;
+/// Most bytes of a body that are forwarded at once.
+const BODY_BUFFER_BYTES: usize = 16 * 1024;
 
-/// One call that runs a request; lives as long as it matters whether it ran.
+/// One call that runs a request. It is kept while it matters whether the call may have run.
 #[derive(Debug)]
 pub struct RunCall {
-    name: CallName,
+    id: CallId,
     request: RequestId,
     attempt: AttemptNumber,
 }
 
 impl RunCall {
-    /// True if the upstream may have got the call by now.
+    /// Whether the upstream may have received the call.
     pub fn may_have_run(&self) -> bool {
-        self.name.had_connection()
+        self.id.was_connected()
     }
 
-    /// Checks that an answer is to this call, if it says whose it is.
+    /// Checks that an answer belongs to this call, if its headers name a call.
     ///
-    /// An upstream that mixes its answers up, or sends that of an earlier attempt late, would show
-    /// one branch's answer to another's caller. It names the call in two headers, as it got them.
-    fn check_owner(&self, headers: &Headers) -> Result<(), CallFault> {
+    /// An upstream that mixes up its answers, or sends that of an earlier attempt late, would
+    /// expose one branch's answer to a caller of another. It echoes the request's two headers.
+    fn check_identity(&self, headers: &Headers) -> Result<(), UpstreamCallError> {
         let named = |name: &'static str| headers.get_str(name).map(str::to_owned);
         let (request, attempt) = (named(REQUEST_HEADER), named(ATTEMPT_HEADER));
         let is_request = request.as_ref().is_none_or(|named| *named == self.request.to_string());
@@ -53,103 +53,108 @@
         }
         let part = |named: Option<String>| named.unwrap_or_else(|| "none".to_owned());
         let detail = format!("request {}, attempt {}", part(request), part(attempt));
-        Err(CallFault::Crossed { detail })
+        Err(UpstreamCallError::Crossed { detail })
     }
 
-    fn fault(&self, error: &Error) -> CallFault {
+    fn call_error(&self, error: &Error) -> UpstreamCallError {
         let detail = error.to_string();
         if self.may_have_run() {
-            return CallFault::Lost { detail };
+            return UpstreamCallError::Lost { detail };
         }
         let refused =
             matches!(error, Error::Io(error) if error.kind() == io::ErrorKind::ConnectionRefused);
-        CallFault::NotSent { detail, refused }
+        UpstreamCallError::NotSent { detail, refused }
     }
 }
 
-/// A call of a plain service.
+/// A call to a plain service.
 #[derive(Debug)]
 pub struct ServiceCall<'a> {
-    /// The HTTP method.
+    /// HTTP method.
     pub method: &'a str,
     /// Path and query.
     pub path: &'a str,
-    /// Headers to pass on.
+    /// Headers to forward.
     pub headers: &'a [HeaderPair],
-    /// The body.
+    /// Request body.
     pub body: Vec<u8>,
 }
 
 impl UpstreamClient {
-    /// Names a call before it is made.
-    pub fn name_call(&self, request: RequestId, attempt: AttemptNumber) -> RunCall {
-        RunCall { name: self.connector.call(), request, attempt }
+    /// Creates a call; it is sent by [`Self::start_completion`] or [`Self::call_service`].
+    pub fn new_call(&self, request: RequestId, attempt: AttemptNumber) -> RunCall {
+        RunCall { id: self.connector.next_call(), request, attempt }
     }
 
     /// Starts a completion and waits for its stream to open.
     ///
     /// # Errors
     ///
-    /// A [`CallFault`]; statuses 4xx and 503 mean that the engine took nothing
-    /// on, any other but success that it may have.
-    pub async fn complete(
+    /// Returns an [`UpstreamCallError`]. Statuses 4xx and 503 mean that the engine did
+    /// not run the call; with any other error status it may have.
+    pub async fn start_completion(
         &self,
         call: &RunCall,
         body: Vec<u8>,
-    ) -> Result<CompletionStream, CallFault> {
+    ) -> Result<CompletionStream, UpstreamCallError> {
         let conn = self
             .run_conn(call, Method::Post, "/v1/chat/completions")
             .with_request_header(KnownHeaderName::ContentType, "application/json")
             .with_body(body);
         match conn.into_sse().await {
             Ok(events) => {
-                call.check_owner(events.conn().response_headers())?;
+                call.check_identity(events.conn().response_headers())?;
                 Ok(CompletionStream { events })
             }
-            Err(error) => Err(stream_fault(call, error).await),
+            Err(error) => Err(stream_error(call, error).await),
         }
     }
 
-    /// Calls a plain service and waits for the head of its answer.
+    /// Calls a plain service and waits for the headers of its answer.
     ///
     /// # Errors
     ///
-    /// A [`CallFault`]; 429 and 503 mean that the service took nothing on. Any
-    /// other status is an answer.
-    pub async fn serve(
+    /// Returns an [`UpstreamCallError`]. Statuses 429 and 503 mean that the service did
+    /// not run the call; any other status is an answer.
+    pub async fn call_service(
         &self,
         call: &RunCall,
-        wanted: ServiceCall<'_>,
-    ) -> Result<ServiceAnswer, CallFault> {
-        let not_sent = |detail| Err(CallFault::NotSent { detail, refused: false });
-        let Ok(method) = wanted.method.parse::<Method>() else {
-            return not_sent(format!("`{}` is not an HTTP method", wanted.method));
+        request: ServiceCall<'_>,
+    ) -> Result<ServiceAnswer, UpstreamCallError> {
+        let not_sent = |detail| Err(UpstreamCallError::NotSent { detail, refused: false });
+        let Ok(method) = request.method.parse::<Method>() else {
+            return not_sent(format!("`{}` is not a valid HTTP method", request.method));
         };
-        // Without the slash, the path would go into the URL's host, by which
-        // the connector knows the call: it would seem never to have been sent.
-        if !wanted.path.starts_with('/') {
-            return not_sent(format!("`{}` is not a path", wanted.path));
+        // Without the slash, the path would become part of the URL's host, which
+        // carries the call's id, and the call would count as not sent.
+        if !request.path.starts_with('/') {
+            return not_sent(format!("`{}` is not an absolute path", request.path));
         }
-        let mut conn = self.run_conn(call, method, wanted.path);
-        for pair in wanted.headers {
+        let mut conn = self.run_conn(call, method, request.path);
+        for pair in request.headers {
             let name = HeaderName::from(pair.name.clone());
-            if !is_own_header(&name) {
+            if !is_connection_header(&name) {
                 conn.request_headers_mut().append(name, pair.value.clone());
             }
         }
-        let mut conn = conn.with_body(wanted.body);
-        (&mut conn).await.map_err(|error| call.fault(&error))?;
+        let mut conn = conn.with_body(request.body);
+        (&mut conn).await.map_err(|error| call.call_error(&error))?;
         let status = conn.status().unwrap_or(Status::BadGateway);
         if matches!(status, Status::TooManyRequests | Status::ServiceUnavailable) {
             return Err(declined(conn, status).await);
         }
-        call.check_owner(conn.response_headers())?;
-        let headers = passed_headers(conn.response_headers());
-        Ok(ServiceAnswer { status: status as u16, headers, conn, buffer: vec![0; READ_BYTES] })
+        call.check_identity(conn.response_headers())?;
+        let headers = forwarded_headers(conn.response_headers());
+        Ok(ServiceAnswer {
+            status: status as u16,
+            headers,
+            conn,
+            buffer: vec![0; BODY_BUFFER_BYTES],
+        })
     }
 
     fn run_conn(&self, call: &RunCall, method: Method, path: &str) -> Conn {
-        let url = format!("http://{}{path}", call.name.host());
+        let url = format!("http://{}{path}", call.id.host());
         self.client
             .build_conn(method, url)
             .with_request_header(KnownHeaderName::Host, self.address.to_string())
@@ -158,77 +163,79 @@
     }
 }
 
-async fn stream_fault(call: &RunCall, mut error: SseError) -> CallFault {
+async fn stream_error(call: &RunCall, mut error: SseError) -> UpstreamCallError {
     let kind = std::mem::replace(&mut error.kind, SseErrorKind::NoBody);
     match kind {
-        SseErrorKind::Http(error) => call.fault(&error),
+        SseErrorKind::Http(error) => call.call_error(&error),
         SseErrorKind::Status(status)
             if status.is_client_error() || status == Status::ServiceUnavailable =>
         {
             declined(error.into(), status).await
         }
-        other => CallFault::Lost { detail: other.to_string() },
+        other => UpstreamCallError::Lost { detail: other.to_string() },
     }
 }
 
-async fn declined(mut conn: Conn, status: Status) -> CallFault {
-    let mut shown = vec![0; SHOWN_BYTES];
+async fn declined(mut conn: Conn, status: Status) -> UpstreamCallError {
+    let mut shown = vec![0; MAX_ERROR_DETAIL_BYTES];
     let read = conn.response_body().read(&mut shown).await.unwrap_or_default();
     let detail = String::from_utf8_lossy(&shown[..read]).into_owned();
-    CallFault::Declined { status: status as u16, detail }
+    UpstreamCallError::Declined { status: status as u16, detail }
 }
 
-/// The events of a completion that runs.
+/// The event stream of a running completion.
 ///
-/// The client reads at most 10 MB of one stream, some 130,000 tokens; a longer
-/// answer breaks there and goes on in another attempt.
+/// The client reads at most 10 MB of one stream, about 130,000 tokens. A longer
+/// answer breaks there and is resumed by another attempt.
 #[derive(Debug)]
 pub struct CompletionStream {
     events: EventStream,
 }
 
 impl CompletionStream {
-    /// The engine's next event.
+    /// Waits for the engine's next event.
     ///
     /// # Errors
     ///
-    /// [`CallFault::Lost`] when the stream breaks, ends without its closing
-    /// event or holds what can't be read.
-    pub async fn next(&mut self) -> Result<EngineEvent, CallFault> {
+    /// Returns [`UpstreamCallError::Lost`] if the stream breaks, ends without its
+    /// closing event or contains an invalid event.
+    pub async fn next(&mut self) -> Result<EngineEvent, UpstreamCallError> {
         match self.events.next().await {
-            Some(Ok(event)) => EngineEvent::read(event.data())
-                .map_err(|fault| CallFault::Lost { detail: fault.to_string() }),
-            Some(Err(error)) => Err(CallFault::Lost { detail: error.to_string() }),
-            None => Err(CallFault::Lost { detail: "the stream closed unfinished".to_owned() }),
+            Some(Ok(event)) => EngineEvent::parse(event.data())
+                .map_err(|error| UpstreamCallError::Lost { detail: error.to_string() }),
+            Some(Err(error)) => Err(UpstreamCallError::Lost { detail: error.to_string() }),
+            None => Err(UpstreamCallError::Lost {
+                detail: "the stream closed before the answer was finished".to_owned(),
+            }),
         }
     }
 }
 
-/// A plain service's answer, with its body still to come.
+/// An answer of a plain service, with its body unread.
 #[derive(Debug)]
 pub struct ServiceAnswer {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
-    /// The headers that may be passed on.
+    /// Headers to forward to the caller.
     pub headers: Vec<HeaderPair>,
     conn: Conn,
     buffer: Vec<u8>,
 }
 
 impl ServiceAnswer {
-    /// The next bytes of the body; none at its end.
+    /// Waits for the next bytes of the body; `None` at its end.
     ///
     /// # Errors
     ///
-    /// [`CallFault::Lost`] when the connection breaks before the body's end.
-    pub async fn next(&mut self) -> Result<Option<&[u8]>, CallFault> {
+    /// Returns [`UpstreamCallError::Lost`] if the connection breaks before the end of the body.
+    pub async fn next(&mut self) -> Result<Option<&[u8]>, UpstreamCallError> {
         let mut body = self.conn.response_body().with_max_len(u64::MAX);
         let read = body.read(&mut self.buffer).await;
         drop(body);
         match read {
             Ok(0) => Ok(None),
             Ok(count) => Ok(Some(&self.buffer[..count])),
-            Err(error) => Err(CallFault::Lost { detail: error.to_string() }),
+            Err(error) => Err(UpstreamCallError::Lost { detail: error.to_string() }),
         }
     }
 }
--- a/crates/sagespool-sidecar/tests/dispatch_faults.rs
+++ b/crates/sagespool-sidecar/tests/dispatch_faults.rs
@@ -1,14 +1,14 @@
-//! What becomes of a dispatch when something fails, at a real dispatcher
-//! beside a stand-in of its upstream.
+//! Outcomes of dispatches under failures, with a real dispatcher and a simulated
+//! upstream.
 
 #![allow(clippy::unwrap_used)]
 
-mod bench;
+mod harness;
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use bench::*;
+use harness::*;
 use sagespool_messages::{
     AttachRequest, CancelRequest, DispatchEnd, DispatchRequest, FinishReason, SealRequest,
     SealScope, UpstreamKind,
@@ -36,30 +36,32 @@
     }
 }
 
-/// How a refusal reads: that the grant is of no use, or a reason.
+/// A refusal as the requester receives it.
 #[derive(Debug, PartialEq)]
-enum ToldRefusal {
+enum ReceivedRefusal {
     Grant,
     Reason(RefusalReason, RunState),
 }
 
-fn told(end: &DispatchEnd) -> Option<ToldRefusal> {
+fn refusal_of(end: &DispatchEnd) -> Option<ReceivedRefusal> {
     match end {
-        DispatchEnd::GrantUnusable(_) => Some(ToldRefusal::Grant),
-        DispatchEnd::Refused(notice) => Some(ToldRefusal::Reason(notice.reason, notice.run_state)),
+        DispatchEnd::GrantUnusable(_) => Some(ReceivedRefusal::Grant),
+        DispatchEnd::Refused(notice) => {
+            Some(ReceivedRefusal::Reason(notice.reason, notice.run_state))
+        }
         _ => None,
     }
 }
 
-type RefusalCase = (&'static str, fn(&Arc<Dispatcher>, &mut DispatchRequest), ToldRefusal);
+type RefusalCase = (&'static str, fn(&Arc<Dispatcher>, &mut DispatchRequest), ReceivedRefusal);
 
 fn refusal_cases() -> Vec<RefusalCase> {
-    let not_run = |reason| ToldRefusal::Reason(reason, RunState::NotRun);
+    let not_run = |reason| ReceivedRefusal::Reason(reason, RunState::NotRun);
     vec![
         (
             "sealed grant",
             |dispatcher, _| assert!(charges(dispatcher).is_empty()),
-            ToldRefusal::Grant,
+            ReceivedRefusal::Grant,
         ),
         (
             "sealed charge",
@@ -68,19 +70,19 @@
                 let seal = SealRequest { grant: GRANT, scope, reporter: IncarnationId(8) };
                 dispatcher.charges().seal(&seal, ClockTime::now());
             },
-            ToldRefusal::Grant,
+            ReceivedRefusal::Grant,
         ),
         (
             "grant older than the sidecar",
             |_, request| request.reserved.grant_revision = StoreRevision(100),
-            ToldRefusal::Grant,
+            ReceivedRefusal::Grant,
         ),
         (
-            "another incarnation meant",
+            "addressed to another incarnation",
             |_, request| request.sidecar = IncarnationId(2),
             not_run(RefusalReason::NoUpstream),
         ),
-        ("leaving", |dispatcher, _| dispatcher.leave(), not_run(RefusalReason::Leaving)),
+        ("leaving", |dispatcher, _| dispatcher.set_leaving(), not_run(RefusalReason::Leaving)),
         (
             "drained",
             |dispatcher, _| dispatcher.load().set_drained(true),
@@ -92,17 +94,17 @@
             not_run(RefusalReason::DeadlineExceeded),
         ),
         (
-            "prompt over the reservation",
+            "prompt exceeds the reservation",
             |_, request| request.reserved.amount = TokenCount(6),
             not_run(RefusalReason::LimitReached),
         ),
         (
-            "call of another kind",
-            |_, request| request.target = letter(1).target,
+            "another kind of upstream",
+            |_, request| request.target = service_call(1).target,
             not_run(RefusalReason::NoUpstream),
         ),
         (
-            "key of other content",
+            "key with other content",
             |dispatcher, request| {
                 block_on(run(dispatcher, keyed(9, 5)));
                 request.key = Some(KeyDigest(5));
@@ -116,46 +118,46 @@
                 block_on(run(dispatcher, keyed(9, 5)));
                 request.key = Some(KeyDigest(5));
             },
-            ToldRefusal::Reason(RefusalReason::OutcomeUnknown, RunState::Unknown),
+            ReceivedRefusal::Reason(RefusalReason::OutcomeUnknown, RunState::Unknown),
         ),
     ]
 }
 
-// Whatever is wrong with a dispatch, the engine must not see it: what was
-// told as not run, or will be paid from another grant, would run all the same.
+// A refused dispatch must not reach the engine. A request that was reported as not
+// run, or that is charged to another grant on retry, would run nonetheless.
 #[test]
 fn refused_dispatches() {
-    for (case, spoil, wanted) in refusal_cases() {
+    for (case, alter, expected) in refusal_cases() {
         let engine = engine(|_| {});
-        let dispatcher = beside(&engine);
+        let dispatcher = dispatcher_at(&engine);
         let mut request = completion(1);
-        spoil(&dispatcher, &mut request);
+        alter(&dispatcher, &mut request);
         let name = request.request.to_string();
         let end = block_on(run(&dispatcher, request)).end;
-        assert_eq!(told(&end), Some(wanted), "{case}");
+        assert_eq!(refusal_of(&end), Some(expected), "{case}");
         let runs = engine.witness().runs();
         assert!(runs.iter().all(|run| run.start.request.as_ref() != Some(&name)), "{case}");
-        block_on(dispatcher.finished());
+        block_on(dispatcher.wait_until_idle());
     }
 }
 
-// A sidecar has started while the store is out of reach. It can't tell which
-// grants its predecessor saw sealed, so it runs none, and says that it isn't
-// ready rather than that the grant is bad.
+// A sidecar starts while the store is unreachable. Grants may have been sealed at
+// its earlier incarnation, so it must run none, and must refuse with `NotReady`
+// rather than report the grant as unusable.
 #[test]
-fn store_unreached() {
+fn store_unreachable() {
     let engine = engine(|_| {});
     let dispatcher = unstarted(engine.address(), UpstreamKind::Engine);
     let end = block_on(run(&dispatcher, completion(1))).end;
-    let not_ready = ToldRefusal::Reason(RefusalReason::NotReady, RunState::NotRun);
-    assert_eq!(told(&end), Some(not_ready));
+    let not_ready = ReceivedRefusal::Reason(RefusalReason::NotReady, RunState::NotRun);
+    assert_eq!(refusal_of(&end), Some(not_ready));
     assert!(engine.witness().runs().is_empty());
 }
 
 #[test]
 fn whole_answer() {
     let engine = engine(|_| {});
-    let dispatcher = beside(&engine);
+    let dispatcher = dispatcher_at(&engine);
     let answer = block_on(run(&dispatcher, completion(1)));
     assert_eq!(answer.text(), answer_text(MODEL, PROMPT, ANSWER_TOKENS));
     let DispatchEnd::Whole { charge, stop: FinishReason::Stop } = answer.end else {
@@ -165,13 +167,13 @@
     assert_eq!(charges(&dispatcher), [charge]);
 }
 
-// An answer is longer than what its branch could reserve. Each token beyond
-// would be spend without budget, at the engine as in the bill.
+// An answer is longer than the reservation. Further tokens have no budget, so
+// neither the engine may produce them nor may they be charged.
 #[test]
-fn reservation_cut() {
+fn reservation_limit() {
     for (case, resume) in [("from the start", 0), ("resumed", 3)] {
         let engine = engine(|_| {});
-        let dispatcher = beside(&engine);
+        let dispatcher = dispatcher_at(&engine);
         let mut request = resumed(completion(1), resume);
         request.reserved.amount = TokenCount(12);
         let answer = block_on(run(&dispatcher, request));
@@ -180,19 +182,19 @@
         };
         assert_eq!(charge.used, TokenCount(12), "{case}");
         assert_eq!(answer.first_at, Some(resume), "{case}");
-        block_on(dispatcher.finished());
+        block_on(dispatcher.wait_until_idle());
         let made = engine.witness().runs()[0].produced;
         assert_eq!(made, TokenCount(5 - u64::from(resume)), "{case}");
     }
 }
 
-// An engine dies under a request that has its first tokens. The entry has to
-// hear that the engine went down, so that it can tell a request that kills
-// engines from bad luck, and what ran, so that it is not billed twice.
+// An engine crashes after the first tokens of a request. The entry must learn that
+// the engine went down, to detect requests that crash engines, and what ran, so
+// that it is not billed twice.
 #[test]
 fn engine_crash() {
     let engine = slow_engine();
-    let dispatcher = beside(&engine);
+    let dispatcher = dispatcher_at(&engine);
     block_on(async {
         let mut reader = dispatch(&dispatcher, completion(1)).await;
         first_piece(&mut reader).await;
@@ -207,18 +209,18 @@
     });
 }
 
-// An engine that supervises itself is back before anyone asks whether it is
-// down. Its load counts from the beginning again, which gives it away.
+// A supervised engine restarts before the sidecar probes it. Its load reports are
+// numbered from the beginning again, which must be detected as a crash.
 #[test]
 fn quick_restart() {
     let engine = slow_engine();
-    let dispatcher = beside(&engine);
+    let dispatcher = dispatcher_at(&engine);
     block_on(async {
         let mut reader = dispatch(&dispatcher, completion(1)).await;
         first_piece(&mut reader).await;
         let mut load = dispatcher.upstream().load().await.unwrap();
         load.number += 1;
-        let health = UpstreamHealth::Well;
+        let health = UpstreamHealth::Healthy;
         dispatcher.load().observe(UpstreamSample { health, load: Some(load) });
         engine.crash();
         engine.restart().unwrap();
@@ -227,10 +229,10 @@
     });
 }
 
-// The engine is down, or takes nothing on: the request surely did not run, may
-// go elsewhere, and leaves no charge that anyone would wait for.
+// The engine is down or declines the request. The request certainly did not run,
+// can be dispatched elsewhere, and must leave no charge behind.
 #[test]
-fn surely_not_run() {
+fn certainly_not_run() {
     let down = engine(|_| {});
     down.crash();
     let full = engine(|options| {
@@ -239,11 +241,11 @@
         options.token_rate = TokenRate(1);
     });
     let other_model = engine(|options| options.models = vec!["clause-3b".parse().unwrap()]);
-    for (case, engine, wanted_crash) in
+    for (case, engine, expected_crash) in
         [("down", down, true), ("full", full, false), ("other model", other_model, false)]
     {
-        let dispatcher = beside(&engine);
-        let filler = beside(&engine);
+        let dispatcher = dispatcher_at(&engine);
+        let filler = dispatcher_at(&engine);
         block_on(async {
             let mut first = dispatch(&filler, completion(9)).await;
             if case == "full" {
@@ -253,23 +255,23 @@
             let DispatchEnd::Broken { ran: None, crashed, .. } = end else {
                 panic!("{case}: {end:?}");
             };
-            assert_eq!(crashed, wanted_crash, "{case}");
+            assert_eq!(crashed, expected_crash, "{case}");
             assert!(charges(&dispatcher).is_empty(), "{case}");
         });
     }
 }
 
-// A caller without a key closes its page. Nobody can come back for the answer,
-// so each token more is its branch's money and another branch's slot.
+// A caller without a key disconnects. No caller can attach to the answer, so
+// further tokens would waste the branch's budget and an engine slot.
 #[test]
-fn asker_gone() {
+fn requester_gone() {
     let engine = slow_engine();
-    let dispatcher = beside(&engine);
+    let dispatcher = dispatcher_at(&engine);
     block_on(async {
         let mut reader = dispatch(&dispatcher, completion(1)).await;
         first_piece(&mut reader).await;
         drop(reader);
-        dispatcher.finished().await;
+        dispatcher.wait_until_idle().await;
     });
     let run = &engine.witness().runs()[0];
     assert!(matches!(run.ended, Some((RunEnd::Cancelled | RunEnd::Dropped, _))), "{run:?}");
@@ -278,17 +280,17 @@
     assert_eq!((record.used.0, record.ended), (u64::from(PROMPT_TOKENS) + 1, true));
 }
 
-// A caller's entry dies, and the caller comes back with its key through
-// another one. The answer must be there, whole, and have run once.
+// An entry crashes, and the caller reconnects with its key through another one.
+// The answer must be available and complete, and the request must have run once.
 #[test]
-fn keyed_asker_gone() {
+fn keyed_requester_gone() {
     let engine = engine(|options| options.token_rate = TokenRate(200));
-    let dispatcher = beside(&engine);
+    let dispatcher = dispatcher_at(&engine);
     let answer = block_on(async {
         let mut reader = dispatch(&dispatcher, keyed(1, 5)).await;
         first_piece(&mut reader).await;
         drop(reader);
-        dispatcher.finished().await;
+        dispatcher.wait_until_idle().await;
         read(&mut dispatcher.attach(&attach(5))).await
     });
     assert_eq!(answer.text(), answer_text(MODEL, PROMPT, ANSWER_TOKENS));
@@ -296,25 +298,25 @@
     assert_eq!(engine.witness().runs().len(), 1);
 }
 
-// A second sidecar goes on where the first one's engine broke off. Who attaches
-// there wants the whole answer, not the second half.
+// A second sidecar resumes an answer after the first one's engine failed. Callers
+// that attach there must get the whole answer, not only its second part.
 #[test]
 fn resumed_attach() {
     let engine = engine(|_| {});
-    let dispatcher = beside(&engine);
+    let dispatcher = dispatcher_at(&engine);
     let own = block_on(run(&dispatcher, resumed(keyed(1, 5), 8)));
     assert_eq!(own.first_at, Some(8));
     let attached = block_on(read(&mut dispatcher.attach(&attach(5))));
     assert_eq!(attached.text(), answer_text(MODEL, PROMPT, ANSWER_TOKENS));
 }
 
-// An entry gives a request up, with a key or without: the engine must be free
-// of it, and what ran is billed.
+// An entry cancels a request, with a key or without. The engine must release it,
+// and what ran is billed.
 #[test]
 fn cancelled() {
     for request in [completion(1), keyed(1, 5)] {
         let engine = slow_engine();
-        let dispatcher = beside(&engine);
+        let dispatcher = dispatcher_at(&engine);
         block_on(async {
             let mut reader = dispatch(&dispatcher, request).await;
             first_piece(&mut reader).await;
@@ -322,18 +324,18 @@
             dispatcher.cancel(&CancelRequest { request, attempt });
             let end = read(&mut reader).await.end;
             assert!(matches!(end, DispatchEnd::Cancelled { ran: Some(_) }), "{end:?}");
-            dispatcher.finished().await;
+            dispatcher.wait_until_idle().await;
         });
         assert_eq!(engine.load_now().running, 0);
     }
 }
 
-// Someone else cancels the request at the engine, which then closes the stream
-// in good order. Passed on as an end, half an answer would count as whole.
+// Another client cancels the request at the engine, which then closes the stream
+// regularly. An incomplete answer must not count as complete.
 #[test]
 fn cancelled_at_engine() {
     let engine = slow_engine();
-    let dispatcher = beside(&engine);
+    let dispatcher = dispatcher_at(&engine);
     block_on(async {
         let mut reader = dispatch(&dispatcher, completion(1)).await;
         first_piece(&mut reader).await;
@@ -343,30 +345,30 @@
     });
 }
 
-// An engine stops answering, before or after its first token. At the deadline
-// the entry must hear of it, and of what ran.
+// An engine stops answering, before or after its first token. At the deadline the
+// entry must get the end of the attempt and the charge.
 #[test]
 fn deadline_passes() {
     for frozen in [true, false] {
         let engine = slow_engine();
         engine.freeze(frozen);
-        let dispatcher = beside(&engine);
+        let dispatcher = dispatcher_at(&engine);
         let request = DispatchRequest { time_left: Duration::from_millis(200), ..completion(1) };
         let end = block_on(run(&dispatcher, request)).end;
         let DispatchEnd::Cancelled { ran: Some(charge) } = end else { panic!("{end:?}") };
         assert_eq!(charge.used == TokenCount::ZERO, frozen);
         engine.freeze(false);
-        block_on(dispatcher.finished());
+        block_on(dispatcher.wait_until_idle());
         block_on(eventually(|| engine.witness().running().is_empty()));
     }
 }
 
-// An entry loses its stream and sends the dispatch again. A second run would
-// be paid by nobody; with a key, the entry gets the running answer instead.
+// An entry loses its stream and sends the dispatch again. A second run would have
+// no budget; with a key, the entry must get the known answer instead.
 #[test]
 fn sent_twice() {
     let engine = engine(|_| {});
-    let dispatcher = beside(&engine);
+    let dispatcher = dispatcher_at(&engine);
     block_on(async {
         let first = run(&dispatcher, keyed(1, 5)).await;
         let again = run(&dispatcher, keyed(1, 5)).await;
@@ -374,19 +376,23 @@
 
         run(&dispatcher, completion(2)).await;
         let end = run(&dispatcher, completion(2)).await.end;
-        let unknown = ToldRefusal::Reason(RefusalReason::OutcomeUnknown, RunState::Unknown);
-        assert_eq!(told(&end), Some(unknown), "it ran, so it can't be called not run");
+        let unknown = ReceivedRefusal::Reason(RefusalReason::OutcomeUnknown, RunState::Unknown);
+        assert_eq!(
+            refusal_of(&end),
+            Some(unknown),
+            "it ran, so it must not be reported as not run"
+        );
     });
     assert_eq!(engine.witness().runs().len(), 2);
 }
 
-// An entry believes its first attempt lost and sends a second to the same
-// sidecar. Both would run; and the cancel of the first, which names only the
-// request, would end the second. So the second waits for that cancel.
+// An entry assumes that its first attempt was lost and sends a second one to the
+// same sidecar. Both would run, and cancelling the first, which names only the
+// request, would cancel the second. The second must wait for that cancel call.
 #[test]
 fn superseded_attempt() {
     block_on(async {
-        let engine = HeldEngine::start().await;
+        let engine = StalledEngine::start().await;
         let dispatcher = dispatcher(engine.address, UpstreamKind::Engine);
         let mut first = dispatch(&dispatcher, completion(1)).await;
         first_piece(&mut first).await;
@@ -398,69 +404,69 @@
         let end = read(&mut first).await.end;
         assert!(matches!(end, DispatchEnd::Cancelled { ran: Some(_) }), "{end:?}");
         for other in 2..5 {
-            // While others run, the second would have the time to.
+            // Gives a second attempt that does not wait the time to run.
             first_piece(&mut dispatch(&dispatcher, keyed(other, other.into())).await).await;
         }
-        engine.let_cancel.send(()).await.unwrap();
+        engine.allow_cancel.send(()).await.unwrap();
         first_piece(&mut second.await).await;
-        let asked = engine.asked();
-        let second_at = asked.iter().position(|note| note == "run 2");
-        assert!(second_at > asked.iter().position(|note| note == "cancelled 1"), "{asked:?}");
+        let calls = engine.calls();
+        let second_at = calls.iter().position(|call| call == "run 2");
+        assert!(second_at > calls.iter().position(|call| call == "cancelled 1"), "{calls:?}");
     });
 }
 
-// A clarification letter goes out and the answer is lost on its way. "Not run"
-// would bring a second letter to the ministry; so would a second dispatch.
+// A non-idempotent call runs and its answer is lost. It must not be reported as not
+// run, and a second dispatch must be refused, or the call would run twice.
 #[test]
-fn lost_letter() {
+fn lost_answer() {
     let service = service(FailureShares { before_running: 0.0, after_running: 1.0 });
     let dispatcher = dispatcher(service.address(), UpstreamKind::Service);
     block_on(async {
-        let end = run(&dispatcher, letter(1)).await.end;
+        let end = run(&dispatcher, service_call(1)).await.end;
         let DispatchEnd::Broken { ran: Some(charge), crashed: false, .. } = end else {
             panic!("{end:?}");
         };
         assert_eq!(charge.used, TokenCount(30));
-        let again = DispatchRequest { attempt: AttemptNumber(2), ..letter(1) };
-        let unknown = ToldRefusal::Reason(RefusalReason::OutcomeUnknown, RunState::Unknown);
-        assert_eq!(told(&run(&dispatcher, again).await.end), Some(unknown));
+        let again = DispatchRequest { attempt: AttemptNumber(2), ..service_call(1) };
+        let unknown = ReceivedRefusal::Reason(RefusalReason::OutcomeUnknown, RunState::Unknown);
+        assert_eq!(refusal_of(&run(&dispatcher, again).await.end), Some(unknown));
     });
     assert_eq!(service.witness().runs().len(), 1);
 }
 
-// The service is down: the letter surely did not go out, and may go elsewhere.
+// The service is down. The call certainly did not run and may be retried.
 #[test]
-fn unsent_letter() {
+fn unsent_call() {
     let service = service(FailureShares::default());
     let dispatcher = dispatcher(service.address(), UpstreamKind::Service);
     service.crash();
-    let end = block_on(run(&dispatcher, letter(1))).end;
+    let end = block_on(run(&dispatcher, service_call(1))).end;
     assert!(matches!(end, DispatchEnd::Broken { ran: None, crashed: true, .. }), "{end:?}");
 
     service.restart().unwrap();
-    let again = DispatchRequest { attempt: AttemptNumber(2), ..letter(1) };
+    let again = DispatchRequest { attempt: AttemptNumber(2), ..service_call(1) };
     let answer = block_on(run(&dispatcher, again));
     assert!(matches!(answer.end, DispatchEnd::Whole { .. }), "{:?}", answer.end);
     assert_eq!(answer.status, Some(200));
-    let wanted = sagespool_testkit::service_answer("/letters?kind=clarification", b"Sirs,");
-    assert_eq!(answer.text(), wanted);
+    let expected = sagespool_testkit::service_answer("/letters?kind=clarification", b"Sirs,");
+    assert_eq!(answer.text(), expected);
     assert_eq!(charges(&dispatcher)[0].used, TokenCount(30));
 }
 
-// A sidecar must end while a request still runs. Its entry has to hear so at
-// once and what ran, to go on elsewhere, and the engine has to be free.
+// A sidecar stops while a request is running. Its entry must get the end and the
+// charge at once, to resume elsewhere, and the engine must release the request.
 #[test]
 fn sidecar_stops() {
     let engine = slow_engine();
-    let dispatcher = beside(&engine);
+    let dispatcher = dispatcher_at(&engine);
     block_on(async {
         let mut reader = dispatch(&dispatcher, completion(1)).await;
         first_piece(&mut reader).await;
-        dispatcher.leave();
+        dispatcher.set_leaving();
         assert_eq!(dispatcher.stop_running(), 1);
         let end = read(&mut reader).await.end;
         assert!(matches!(end, DispatchEnd::Broken { ran: Some(_), crashed: false, .. }), "{end:?}");
-        dispatcher.finished().await;
+        dispatcher.wait_until_idle().await;
     });
     assert_eq!(engine.load_now().running, 0);
 }
--- a/crates/sagespool-sidecar/tests/bench/fleet.rs
+++ b/crates/sagespool-sidecar/tests/harness/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole sidecar role between a holder of grants, a platform and an engine.
+//! A complete sidecar with a grant holder, a platform and an engine.
 
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -26,18 +26,18 @@
 
 use super::{GRANT, upstream_at};
 
-/// The sidecar's instance.
+/// Name of the sidecar's instance.
 pub const INSTANCE: &str = "side-1";
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The platform's store and instance list.
-pub struct PlatformStands {
+pub struct TestPlatform {
     pub store: ObjectStand,
     pub list: InstanceStand,
 }
 
-impl PlatformStands {
+impl TestPlatform {
     /// An empty store, and a list with the sidecar in it.
     pub fn start() -> Self {
         let store = ObjectStand::start(ObjectStandOptions::builder().build()).unwrap();
@@ -59,28 +59,28 @@
     }
 }
 
-/// A grant's holder: hears of charges, and says that they are durable from
-/// when it is told to.
+/// A grant holder that records reported charges, and replies that they are durable
+/// while `settles` is set.
 pub struct GrantHolder {
     pub link: LinkEndpoint,
-    pub heard: Arc<Mutex<Vec<ChargeRecord>>>,
+    pub received: Arc<Mutex<Vec<ChargeRecord>>>,
     pub reports: Arc<AtomicUsize>,
     pub settles: Arc<AtomicBool>,
 }
 
 impl GrantHolder {
     fn start(identity: LinkIdentity) -> Self {
-        let heard = Arc::new(Mutex::new(Vec::new()));
+        let received = Arc::new(Mutex::new(Vec::new()));
         let reports = Arc::new(AtomicUsize::new(0));
         let settles = Arc::new(AtomicBool::new(true));
-        let (notes, count, settle) =
-            (Arc::clone(&heard), Arc::clone(&reports), Arc::clone(&settles));
+        let (records, count, settle) =
+            (Arc::clone(&received), Arc::clone(&reports), Arc::clone(&settles));
         let handler = move |call: PeerCall| {
             let reply = match call.request {
                 PeerRequest::ReportCharges(report) => {
                     count.fetch_add(1, Ordering::SeqCst);
                     let charges = report.charges.iter().map(|record| record.charge).collect();
-                    notes.lock().unwrap().extend(report.charges);
+                    records.lock().unwrap().extend(report.charges);
                     let settled = settle.load(Ordering::SeqCst);
                     let charges = if settled { charges } else { vec![] };
                     PeerReply::ChargesDurable(ChargesDurable { charges })
@@ -92,21 +92,21 @@
         };
         let listen = "127.0.0.1:0".parse().unwrap();
         let link = LinkEndpoint::start(listen, identity, Arc::new(handler)).unwrap();
-        Self { link, heard, reports, settles }
+        Self { link, received, reports, settles }
     }
 }
 
-/// A sidecar with all that is around it.
+/// A sidecar with its surroundings.
 pub struct TestFleet {
     pub role: SidecarRole,
     pub holder: GrantHolder,
-    pub platform: PlatformStands,
+    pub platform: TestPlatform,
     _files: TempDir,
 }
 
 impl TestFleet {
-    /// Starts a sidecar beside an engine; the holder is a member that it knows.
-    pub async fn start(engine: &EngineStand, platform: PlatformStands) -> Self {
+    /// Starts a sidecar next to an engine, with the holder as a member.
+    pub async fn start(engine: &EngineStand, platform: TestPlatform) -> Self {
         let files = TempDir::new().unwrap();
         let [sidecar_link, holder_link] = write_identities(files.path());
         let settings = SidecarSettings {
@@ -141,7 +141,7 @@
         fleet
     }
 
-    /// Tells the sidecar of a run of the holder's instance, at the holder's address.
+    /// Introduces an incarnation of the holder's instance, at the holder's address.
     pub async fn introduce(&self, incarnation: IncarnationId, number: u64) {
         let from = MemberInfo {
             instance: "entry-1".parse().unwrap(),
@@ -157,24 +157,24 @@
             serves: None,
         };
         let (others, suspects, slices) = (vec![], vec![], vec![]);
-        let beat = Heartbeat { from, others, view_digest: 0, suspects, slices };
-        let reply = self.ask(PeerRequest::Heartbeat(beat)).await;
+        let heartbeat = Heartbeat { from, others, view_digest: 0, suspects, slices };
+        let reply = self.ask(PeerRequest::Heartbeat(heartbeat)).await;
         assert!(matches!(reply, PeerReply::Heartbeat(_)), "{reply:?}");
     }
 
-    /// Asks the sidecar over the link.
+    /// Sends a request to the sidecar over the link.
     pub async fn ask(&self, request: PeerRequest) -> PeerReply {
-        self.holder.link.ask(self.role.address(), &request, PATIENCE).await.unwrap()
+        self.holder.link.ask(self.role.address(), &request, REPLY_TIMEOUT).await.unwrap()
     }
 
-    /// Dispatches over the link, to the incarnation that runs.
+    /// Dispatches over the link to the running incarnation.
     pub async fn dispatch(&self, mut request: DispatchRequest) -> EventStream {
         request.sidecar = self.role.incarnation();
         let request = PeerRequest::Dispatch(request);
-        self.holder.link.open(self.role.address(), &request, PATIENCE).await.unwrap()
+        self.holder.link.open(self.role.address(), &request, REPLY_TIMEOUT).await.unwrap()
     }
 
-    /// Waits until the sidecar has reached the store.
+    /// Waits until the sidecar has read its start revision from the store.
     pub async fn ready(&self) {
         let charges = self.role.dispatcher().charges();
         super::eventually(|| charges.started_at().is_some()).await;
@@ -201,7 +201,7 @@
     }
 }
 
-/// Two certificates of one authority, as files.
+/// Writes the files of two certificates of one authority.
 fn write_identities(directory: &Path) -> [LinkSettings; 2] {
     let key = KeyPair::generate().unwrap();
     let mut params = CertificateParams::new(Vec::new()).unwrap();
--- a/crates/sagespool-sidecar/tests/bench/mod.rs
+++ b/crates/sagespool-sidecar/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! One dispatcher beside one upstream stand.
+//! One dispatcher with one simulated upstream.
 
 #![allow(dead_code)]
 
@@ -15,7 +15,7 @@
     ResumePoint, SealRequest, SealScope, UpstreamKind,
 };
 use sagespool_settings::UpstreamSettings;
-use sagespool_sidecar::{AnswerReader, DispatchOptions, Dispatcher};
+use sagespool_sidecar::{AnswerReader, Dispatcher, DispatcherOptions};
 use sagespool_testkit::{EngineOptions, EngineStand, answer_text};
 use sagespool_types::{
     AttemptNumber, ChargeId, ClockTime, ContentDigest, FenceNumber, GrantId, IncarnationId,
@@ -43,14 +43,14 @@
     EngineStand::start(options).unwrap()
 }
 
-/// An engine that never comes to the end of an answer by itself.
+/// An engine too slow to finish an answer during a test.
 pub fn slow_engine() -> EngineStand {
     engine(|options| options.token_rate = TokenRate(1))
 }
 
 pub fn dispatcher(address: SocketAddr, kind: UpstreamKind) -> Arc<Dispatcher> {
     let dispatcher = unstarted(address, kind);
-    dispatcher.charges().started(StoreRevision(100));
+    dispatcher.charges().set_started_at(StoreRevision(100));
     dispatcher.start_orders(FenceNumber(0), false);
     dispatcher
 }
@@ -67,14 +67,14 @@
     }
 }
 
-/// A dispatcher that hasn't reached the store.
+/// A dispatcher without a start revision from the store.
 pub fn unstarted(address: SocketAddr, kind: UpstreamKind) -> Arc<Dispatcher> {
     let upstream = upstream_at(address, kind);
-    let options = DispatchOptions::builder().sidecar(SIDECAR).upstream(upstream).build();
+    let options = DispatcherOptions::builder().sidecar(SIDECAR).upstream(upstream).build();
     Dispatcher::new(options)
 }
 
-pub fn beside(engine: &EngineStand) -> Arc<Dispatcher> {
+pub fn dispatcher_at(engine: &EngineStand) -> Arc<Dispatcher> {
     dispatcher(engine.address(), UpstreamKind::Engine)
 }
 
@@ -82,7 +82,7 @@
     ChargeId { grant: GRANT, sequence: SequenceNumber(sequence) }
 }
 
-/// A completion with everything in order.
+/// A completion that passes all checks.
 pub fn completion(number: u64) -> DispatchRequest {
     let body = format!(r#"{{"model":"x","messages":[{{"role":"user","content":"{PROMPT}"}}]}}"#);
     DispatchRequest {
@@ -122,8 +122,8 @@
     request
 }
 
-/// A call of a plain service that may never run twice.
-pub fn letter(number: u64) -> DispatchRequest {
+/// A non-idempotent call to a plain service.
+pub fn service_call(number: u64) -> DispatchRequest {
     let target = CallTarget::Service {
         method: "POST".to_owned(),
         path: "/letters?kind=clarification".to_owned(),
@@ -137,7 +137,7 @@
     dispatcher.dispatch(request, ClockTime::now()).await
 }
 
-/// Everything an answer holds.
+/// A complete answer.
 #[derive(Debug)]
 pub struct ReadAnswer {
     pub first_at: Option<u32>,
@@ -155,9 +155,9 @@
 pub async fn read(reader: &mut AnswerReader) -> ReadAnswer {
     let (mut data, mut status, mut first_at) = (Vec::new(), None, None);
     loop {
-        match reader.next().await.expect("an answer ends with its end").as_ref() {
+        match reader.next().await.expect("an answer has an end event").as_ref() {
             DispatchEvent::Started | DispatchEvent::CacheNews(_) | DispatchEvent::Beside(_) => {}
-            DispatchEvent::Head { status: came, .. } => status = Some(*came),
+            DispatchEvent::Head { status: received, .. } => status = Some(*received),
             DispatchEvent::Piece { at, data: piece, .. } => {
                 first_at.get_or_insert(*at);
                 data.extend(piece);
@@ -174,7 +174,7 @@
     read(&mut dispatch(dispatcher, request).await).await
 }
 
-/// Reads up to the first piece, so that the request surely runs.
+/// Reads up to the first piece, so that the request is certainly running.
 pub async fn first_piece(reader: &mut AnswerReader) {
     loop {
         let event = reader.next().await.expect("a piece comes before the end");
@@ -185,87 +185,88 @@
     }
 }
 
-/// What the dispatcher's book has of the grant.
+/// Lists the dispatcher's charges of the grant, by sealing it.
 pub fn charges(dispatcher: &Dispatcher) -> Vec<ChargeRecord> {
     let scope = SealScope::WholeGrant;
     let request = SealRequest { grant: GRANT, scope, reporter: IncarnationId(8) };
     dispatcher.charges().seal(&request, ClockTime::now()).charges
 }
 
-/// Waits until something holds, which must be within seconds.
+/// Waits until a condition holds; panics after 10 s.
 pub async fn eventually(holds: impl Fn() -> bool) {
-    comes_true(async || holds()).await;
+    eventually_async(async || holds()).await;
 }
 
-/// The same for what has to be asked.
-pub async fn comes_true(holds: impl AsyncFn() -> bool) {
+/// The same for an asynchronous condition.
+pub async fn eventually_async(holds: impl AsyncFn() -> bool) {
     for _ in 0..1000 {
         if holds().await {
             return;
         }
         smol::Timer::after(Duration::from_millis(10)).await;
     }
-    panic!("it never came to hold");
+    panic!("the condition did not hold within 10 s");
 }
 
-/// An engine whose answers stop after a token, and whose cancel calls answer
-/// when they are let. It notes what it is asked.
-pub struct HeldEngine {
+/// An engine whose answers stall after one token, and whose cancel calls answer
+/// only when allowed. It records its calls.
+pub struct StalledEngine {
     pub address: SocketAddr,
-    pub asked: Arc<Mutex<Vec<String>>>,
-    pub let_cancel: smol::channel::Sender<()>,
+    pub calls: Arc<Mutex<Vec<String>>>,
+    pub allow_cancel: smol::channel::Sender<()>,
 }
 
-impl HeldEngine {
+impl StalledEngine {
     pub async fn start() -> Self {
-        let asked = Arc::new(Mutex::new(Vec::new()));
-        let (let_cancel, may_cancel) = smol::channel::unbounded();
-        let notes = Arc::clone(&asked);
-        let server =
-            trillium_smol::config().with_host("127.0.0.1").with_port(0).without_signals().spawn(
-                move |conn: trillium::Conn| {
-                    let (notes, may_cancel) = (Arc::clone(&notes), may_cancel.clone());
-                    async move { hold(conn, &notes, &may_cancel).await }
-                },
-            );
+        let calls = Arc::new(Mutex::new(Vec::new()));
+        let (allow_cancel, cancel_allowed) = smol::channel::unbounded();
+        let recorded = Arc::clone(&calls);
+        let server = trillium_smol::config()
+            .with_host("127.0.0.1")
+            .with_port(0)
+            .without_signals()
+            .spawn(move |conn: trillium::Conn| {
+                let (recorded, cancel_allowed) = (Arc::clone(&recorded), cancel_allowed.clone());
+                async move { respond(conn, &recorded, &cancel_allowed).await }
+            });
         let address = *server.info().await.tcp_socket_addr().unwrap();
-        Self { address, asked, let_cancel }
+        Self { address, calls, allow_cancel }
     }
 
-    pub fn asked(&self) -> Vec<String> {
-        self.asked.lock().unwrap().clone()
+    pub fn calls(&self) -> Vec<String> {
+        self.calls.lock().unwrap().clone()
     }
 }
 
-async fn hold(
+async fn respond(
     conn: trillium::Conn,
-    notes: &Mutex<Vec<String>>,
-    may_cancel: &smol::channel::Receiver<()>,
+    recorded: &Mutex<Vec<String>>,
+    cancel_allowed: &smol::channel::Receiver<()>,
 ) -> trillium::Conn {
     let attempt = conn.request_headers().get_str("x-attempt").unwrap_or_default().to_owned();
     if conn.path().ends_with("/cancel") {
-        may_cancel.recv().await.unwrap();
-        notes.lock().unwrap().push(format!("cancelled {attempt}"));
+        cancel_allowed.recv().await.unwrap();
+        recorded.lock().unwrap().push(format!("cancelled {attempt}"));
         return conn.ok("{}").halt();
     }
-    notes.lock().unwrap().push(format!("run {attempt}"));
+    recorded.lock().unwrap().push(format!("run {attempt}"));
     let token = b"data: {\"index\":0,\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\n";
-    let body = smol::io::Cursor::new(token).chain(NeverRead::default());
+    let body = smol::io::Cursor::new(token).chain(PendingReader::default());
     conn.with_status(200)
         .with_response_header("content-type", "text/event-stream")
         .with_body(trillium::Body::new_streaming(body, None))
         .halt()
 }
 
-/// Never has anything to read, and never ends.
+/// A reader that is always pending.
 ///
-/// It keeps the waker that it is asked with. The executor drops a task that waits and whose waker
-/// nobody has: the engine then closed its connection in the middle of the answer, and the sidecar
-/// saw it break before the test could supersede the attempt.
+/// It keeps the waker of its task. The executor drops a pending task without a live waker: the
+/// engine then closed its connection in the middle of the answer, and the attempt failed before the
+/// test could supersede it.
 #[derive(Default)]
-struct NeverRead(Option<Waker>);
+struct PendingReader(Option<Waker>);
 
-impl AsyncRead for NeverRead {
+impl AsyncRead for PendingReader {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/sagespool-sidecar/tests/order_fencing.rs
+++ b/crates/sagespool-sidecar/tests/order_fencing.rs
@@ -1,13 +1,13 @@
-//! Orders with old fencing numbers, at engines of both kinds.
+//! Orders with stale fencing numbers, at engines that check the numbers and engines that do not.
 
 #![allow(clippy::unwrap_used)]
 
-mod bench;
+mod harness;
 
-use bench::*;
+use harness::*;
 use sagespool_messages::{EngineOrder, OrderReply, OrderRequest, UpstreamKind};
-use sagespool_sidecar::{OrderDesk, UpstreamClient};
-use sagespool_testkit::EngineOrder as TakenOrder;
+use sagespool_sidecar::{OrderFence, UpstreamClient};
+use sagespool_testkit::EngineOrder as ExecutedOrder;
 use sagespool_types::{CommandId, FenceNumber};
 use serde_json::json;
 use smol::block_on;
@@ -27,38 +27,38 @@
 
 const STALE: OrderReply = OrderReply::Stale { newest: FenceNumber(5) };
 
-// Two operators race: one unloads a model, the other's older order to load it
-// is held up on its way. An engine that ignores numbers would load it again.
+// Two operators race. One unloads a model, and the other's older order to load it
+// is delayed in transit. An engine that ignores numbers would load it again.
 #[test]
 fn stale_order() {
     for honours_fences in [true, false] {
         let engine = engine(|options| options.honours_fences = honours_fences);
-        let dispatcher = beside(&engine);
+        let dispatcher = dispatcher_at(&engine);
         block_on(async {
-            assert_eq!(dispatcher.carry_out(&unload(5)).await, OrderReply::Done);
-            assert_eq!(dispatcher.carry_out(&load(4)).await, STALE);
-            assert_eq!(dispatcher.carry_out(&unload(5)).await, OrderReply::Done, "sent again");
+            assert_eq!(dispatcher.execute_order(&unload(5)).await, OrderReply::Done);
+            assert_eq!(dispatcher.execute_order(&load(4)).await, STALE);
+            assert_eq!(dispatcher.execute_order(&unload(5)).await, OrderReply::Done, "sent again");
         });
         let reached = engine.orders().iter().map(|record| record.fenced.fence.0).max();
         assert_eq!(reached, Some(5));
-        let loads = |order: &TakenOrder| matches!(order, TakenOrder::LoadModel(_));
+        let loads = |order: &ExecutedOrder| matches!(order, ExecutedOrder::LoadModel(_));
         assert!(!engine.orders().iter().any(|record| loads(&record.fenced.order)));
     }
 }
 
-// The engine hangs over one order. Two more come, the newer one last: the
-// older waits for its turn and must be dropped when that comes.
+// The engine hangs on one order while two more arrive, the newer one last. The
+// older of the two waits and must be refused when it is its turn.
 #[test]
 fn waiting_order() {
     let engine = engine(|options| options.honours_fences = false);
     let client = UpstreamClient::new(engine.address());
-    let desk = OrderDesk::new();
-    desk.started(FenceNumber(0), || {});
+    let order_fence = OrderFence::new();
+    order_fence.start(FenceNumber(0), || {});
     let unload = json!({ "unload_model": "clause-3b" });
-    let pass_on = |fence| Box::pin(desk.pass_on(&client, FenceNumber(fence), &unload));
+    let send = |fence| Box::pin(order_fence.send(&client, FenceNumber(fence), &unload));
     engine.freeze(true);
     let replies = block_on(async {
-        let mut orders = [pass_on(3), pass_on(4), pass_on(5)];
+        let mut orders = [send(3), send(4), send(5)];
         for order in &mut orders {
             assert_eq!(poll_once(order).await, None);
         }
@@ -71,57 +71,61 @@
     assert_eq!(reached, [3, 5]);
 }
 
-// A sidecar learns of a newer order only from its engine, which other hands
-// reach too.
+// A newer order reached the engine through another sidecar. The sidecar must adopt
+// the newer number from the engine's reply.
 #[test]
-fn engine_knows_newer() {
+fn newer_at_engine() {
     let engine = engine(|_| {});
-    let (first, second) = (beside(&engine), beside(&engine));
+    let (first, second) = (dispatcher_at(&engine), dispatcher_at(&engine));
     block_on(async {
-        first.carry_out(&unload(5)).await;
-        assert_eq!(second.carry_out(&load(4)).await, STALE);
+        first.execute_order(&unload(5)).await;
+        assert_eq!(second.execute_order(&load(4)).await, STALE);
         engine.crash();
-        assert_eq!(second.carry_out(&load(4)).await, STALE, "known without the engine now");
-        let reply = second.carry_out(&load(6)).await;
+        assert_eq!(
+            second.execute_order(&load(4)).await,
+            STALE,
+            "the number is known without the engine"
+        );
+        let reply = second.execute_order(&load(6)).await;
         assert!(matches!(reply, OrderReply::Failed(_)), "{reply:?}");
     });
 }
 
-// An order to load is held up on its way, a newer one unloads, and the sidecar
-// is restarted. The late order is the first that the new process sees, and its
-// engine ignores numbers: it would load the model again.
+// An order to load a model is delayed in transit, a newer one unloads it, and the
+// sidecar restarts. The delayed order is the first that the new process receives,
+// and an engine that ignores numbers would load the model again.
 #[test]
 fn restarted_sidecar() {
     for honours_fences in [true, false] {
         let engine = engine(|options| options.honours_fences = honours_fences);
         block_on(async {
-            assert_eq!(beside(&engine).carry_out(&unload(5)).await, OrderReply::Done);
+            assert_eq!(dispatcher_at(&engine).execute_order(&unload(5)).await, OrderReply::Done);
             let restarted = unstarted(engine.address(), UpstreamKind::Engine);
-            assert_eq!(restarted.carry_out(&load(4)).await, OrderReply::NotReady);
-            assert_eq!(restarted.carry_out(&load(6)).await, OrderReply::NotReady);
+            assert_eq!(restarted.execute_order(&load(4)).await, OrderReply::NotReady);
+            assert_eq!(restarted.execute_order(&load(6)).await, OrderReply::NotReady);
             restarted.start_orders(FenceNumber(5), true);
             assert!(restarted.load().is_drained());
-            assert_eq!(restarted.carry_out(&load(4)).await, STALE);
-            assert_eq!(restarted.carry_out(&unload(6)).await, OrderReply::Done);
+            assert_eq!(restarted.execute_order(&load(4)).await, STALE);
+            assert_eq!(restarted.execute_order(&unload(6)).await, OrderReply::Done);
         });
-        let loads = |order: &TakenOrder| matches!(order, TakenOrder::LoadModel(_));
+        let loads = |order: &ExecutedOrder| matches!(order, ExecutedOrder::LoadModel(_));
         assert!(!engine.orders().iter().any(|record| loads(&record.fenced.order)));
     }
 }
 
-// A drain and its end race. The upstream must stay as the newest order says.
+// Orders that start and end a drain race. The newest order must take effect.
 #[test]
 fn fenced_drain() {
     let engine = engine(|_| {});
-    let dispatcher = beside(&engine);
+    let dispatcher = dispatcher_at(&engine);
     block_on(async {
         assert_eq!(
-            dispatcher.carry_out(&order(5, EngineOrder::Drain(true))).await,
+            dispatcher.execute_order(&order(5, EngineOrder::Drain(true))).await,
             OrderReply::Done
         );
-        assert_eq!(dispatcher.carry_out(&order(4, EngineOrder::Drain(false))).await, STALE);
+        assert_eq!(dispatcher.execute_order(&order(4, EngineOrder::Drain(false))).await, STALE);
         assert!(dispatcher.load().is_drained());
-        dispatcher.carry_out(&order(6, EngineOrder::Drain(false))).await;
+        dispatcher.execute_order(&order(6, EngineOrder::Drain(false))).await;
         assert!(!dispatcher.load().is_drained());
     });
     assert_eq!(engine.orders(), []);
--- a/crates/sagespool-sidecar/tests/told_counts.rs
+++ b/crates/sagespool-sidecar/tests/other_requests.rs
@@ -1,17 +1,17 @@
-//! What entries hear of the other requests at an upstream.
+//! Counts of other running requests that entries receive.
 
 #![allow(clippy::unwrap_used)]
 
-mod bench;
+mod harness;
 
-use bench::fleet::{PlatformStands, TestFleet, first_piece_of};
-use bench::*;
+use harness::fleet::{TestFleet, TestPlatform, first_piece_of};
+use harness::*;
 use sagespool_link::EventStream;
 use sagespool_messages::{CancelRequest, DispatchEvent, PeerRequest};
 use sagespool_types::{AttemptNumber, RequestId};
 use smol::block_on;
 
-/// What a whole stream tells of other requests.
+/// All counts of other requests on one stream.
 async fn counts_of(fleet: &TestFleet, number: u64) -> Vec<u32> {
     let mut stream = fleet.dispatch(completion(number)).await;
     let mut counts = Vec::new();
@@ -33,21 +33,21 @@
     }
 }
 
-// Several entries send to one engine, whose own report of its load is late. Each hears on its own
-// streams, at the start and at the end, what the others have there; its own request, which it
-// knows of, is not in the count, whether it has already made room or not.
+// Several entries dispatch to one engine, and its load reports are late. At the start and the end
+// of its streams, each entry gets the number of other running requests. Its own request is never
+// counted, whether it is still registered or not.
 #[test]
-fn others_told() {
+fn counts_sent() {
     block_on(async {
         let engine = engine(|_| {});
-        let fleet = TestFleet::start(&engine, PlatformStands::start()).await;
+        let fleet = TestFleet::start(&engine, TestPlatform::start()).await;
         fleet.ready().await;
         assert_eq!(counts_of(&fleet, 1).await, [0, 0]);
         engine.slow_factor(1000.0);
-        let mut held = fleet.dispatch(completion(2)).await;
-        first_piece_of(&mut held).await;
+        let mut first = fleet.dispatch(completion(2)).await;
+        first_piece_of(&mut first).await;
         let mut second = fleet.dispatch(completion(3)).await;
-        assert_eq!(next_count(&mut second).await, 1, "the held one");
+        assert_eq!(next_count(&mut second).await, 1, "the first request");
         for number in [2, 3] {
             let attempt = AttemptNumber(1);
             let cancel = CancelRequest { request: RequestId(number), attempt };
--- a/crates/sagespool-sidecar/tests/sidecar_role.rs
+++ b/crates/sagespool-sidecar/tests/sidecar_role.rs
@@ -1,15 +1,15 @@
-//! A whole sidecar, reached over the link.
+//! A complete sidecar process, called over the link.
 
 #![allow(clippy::unwrap_used)]
 
-mod bench;
+mod harness;
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use bench::fleet::{GrantHolder, INSTANCE, PlatformStands, TestFleet, end_of, first_piece_of};
-use bench::*;
+use harness::fleet::{GrantHolder, INSTANCE, TestFleet, TestPlatform, end_of, first_piece_of};
+use harness::*;
 use sagespool_messages::{
     ChargeReport, DispatchEnd, EngineOrder, KeyRequest, OrderReply, OrderRequest, PeerReply,
     PeerRequest, RefusalNotice, SealRequest, SealScope, StatusQuery,
@@ -23,8 +23,8 @@
 use serde_json::json;
 use smol::block_on;
 
-/// Longer than any machine takes; a stop ends as soon as there is nothing left.
-const LONG: Duration = Duration::from_secs(60);
+/// Longer than any machine needs. A stop ends as soon as no work is left.
+const GENEROUS_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn seal() -> PeerRequest {
     let scope = SealScope::WholeGrant;
@@ -38,17 +38,17 @@
 
 async fn is_leaving(holder: &GrantHolder, sidecar: SocketAddr) -> bool {
     let query = PeerRequest::Status(StatusQuery { branch: None, running: 0 });
-    let reply = holder.link.ask(sidecar, &query, LONG).await.unwrap();
+    let reply = holder.link.ask(sidecar, &query, GENEROUS_TIMEOUT).await.unwrap();
     matches!(reply, PeerReply::Status(status) if status.member.info.leaving)
 }
 
-// A request's way over the link; then its charge goes to the grant's holder
-// until that has it in its books.
+// A request runs over the link. Its charge is then reported to the grant's holder
+// until the holder has it in its books.
 #[test]
 fn charge_reported() {
     block_on(async {
         let engine = engine(|_| {});
-        let fleet = TestFleet::start(&engine, PlatformStands::start()).await;
+        let fleet = TestFleet::start(&engine, TestPlatform::start()).await;
         fleet.ready().await;
         fleet.holder.settles.store(false, Ordering::SeqCst);
         let end = end_of(&mut fleet.dispatch(completion(1)).await).await;
@@ -56,39 +56,42 @@
 
         let charges = fleet.role.dispatcher().charges();
         eventually(|| fleet.holder.reports.load(Ordering::SeqCst) == 1).await;
-        assert_eq!(charges.unsettled(), 1, "not durable yet");
+        assert_eq!(charges.unsettled_count(), 1, "not durable yet");
         fleet.holder.settles.store(true, Ordering::SeqCst);
-        eventually(|| charges.unsettled() == 0).await;
-        let heard = fleet.holder.heard.lock().unwrap().clone();
-        assert!(heard.len() >= 2 && heard.iter().all(|record| *record == charge), "{heard:?}");
+        eventually(|| charges.unsettled_count() == 0).await;
+        let received = fleet.holder.received.lock().unwrap().clone();
+        assert!(
+            received.len() >= 2 && received.iter().all(|record| *record == charge),
+            "{received:?}"
+        );
     });
 }
 
-// A home is restarted after it has settled its charges and closed its grant. The new run answers at the
-// same address, and knows nothing of them: asked for ever, it never calls one durable, and a sidecar
-// that stops says that it lost charges. The book says that they are settled.
+// A home restarts after it has settled its charges and closed its grant. The new incarnation
+// replies at the same address without records of them and never reports them durable. A sidecar
+// that stops must find them settled in the book, or it would report them as lost.
 #[test]
 fn restarted_holder() {
     block_on(async {
         let engine = engine(|_| {});
-        let fleet = TestFleet::start(&engine, PlatformStands::start()).await;
+        let fleet = TestFleet::start(&engine, TestPlatform::start()).await;
         fleet.ready().await;
         fleet.holder.settles.store(false, Ordering::SeqCst);
         let end = end_of(&mut fleet.dispatch(completion(1)).await).await;
         assert!(matches!(end, DispatchEnd::Whole { .. }), "{end:?}");
         fleet.introduce(IncarnationId(GRANT.holder.0 + 1), 2).await;
-        let report = fleet.role.stop(LONG).await;
+        let report = fleet.role.stop(GENEROUS_TIMEOUT).await;
         assert_eq!((report.cut, report.unsettled), (0, 0));
     });
 }
 
-// A caller's entry goes away in the middle of an answer, while the engine is
-// slow. Over the link, too, the slot must be free without waiting for a token.
+// An entry disconnects in the middle of an answer while the engine is slow. The
+// slot must be released over the link without waiting for the next token.
 #[test]
-fn asker_leaves() {
+fn requester_disconnects() {
     block_on(async {
         let engine = slow_engine();
-        let fleet = TestFleet::start(&engine, PlatformStands::start()).await;
+        let fleet = TestFleet::start(&engine, TestPlatform::start()).await;
         fleet.ready().await;
         let mut stream = fleet.dispatch(completion(1)).await;
         first_piece_of(&mut stream).await;
@@ -98,24 +101,23 @@
         assert_eq!((status.running.len(), status.member.in_flight), (1, 1));
         assert_eq!(status.running[0].used, TokenCount(u64::from(PROMPT_TOKENS) + 1));
 
-        // Nothing more to send would tell that the stream is closed.
+        // No further token is sent that would show that the stream is closed.
         engine.freeze(true);
         drop(stream);
         eventually(|| fleet.role.dispatcher().running_count() == 0).await;
         engine.freeze(false);
         eventually(|| engine.load_now().running == 0).await;
-        eventually(|| fleet.holder.heard.lock().unwrap().len() == 1).await;
+        eventually(|| fleet.holder.received.lock().unwrap().len() == 1).await;
     });
 }
 
-// The store is out of reach when a sidecar starts. It can't run anything, but
-// homes need its word on seals and keys all the same, and that it has no
-// start to vouch for.
+// The store is unreachable when a sidecar starts. The sidecar must refuse requests
+// but answer seals and key requests of homes, with no start revision.
 #[test]
-fn store_away() {
+fn store_outage() {
     block_on(async {
         let engine = engine(|_| {});
-        let platform = PlatformStands::start();
+        let platform = TestPlatform::start();
         platform.set_outage(true);
         let fleet = TestFleet::start(&engine, platform).await;
         let reply = fleet.ask(seal()).await;
@@ -132,7 +134,10 @@
         fleet.platform.set_outage(false);
         fleet.ready().await;
         let end = end_of(&mut fleet.dispatch(completion(1)).await).await;
-        assert!(matches!(end, DispatchEnd::GrantUnusable(_)), "the seal holds: {end:?}");
+        assert!(
+            matches!(end, DispatchEnd::GrantUnusable(_)),
+            "the seal is still in effect: {end:?}"
+        );
         let reply = fleet.ask(PeerRequest::ReportCharges(ChargeReport {
             sidecar: IncarnationId(1),
             charges: vec![],
@@ -141,13 +146,13 @@
     });
 }
 
-// An instance is to be replaced while an answer streams. The answer must come
-// whole, nothing new may start, and no charge may be lost with the process.
+// An instance is replaced while answers stream. They must be completed, no new
+// request may start, and no charge may be lost with the process.
 #[test]
 fn graceful_stop() {
     block_on(async {
         let engine = engine(|options| options.token_rate = TokenRate(100));
-        let fleet = TestFleet::start(&engine, PlatformStands::start()).await;
+        let fleet = TestFleet::start(&engine, TestPlatform::start()).await;
         fleet.ready().await;
         fleet.holder.settles.store(false, Ordering::SeqCst);
         let mut running = fleet.dispatch(completion(1)).await;
@@ -157,12 +162,12 @@
 
         let TestFleet { role, holder, .. } = fleet;
         let (address, incarnation) = (role.address(), role.incarnation());
-        let stop = smol::spawn(role.stop(LONG));
-        comes_true(async || is_leaving(&holder, address).await).await;
+        let stop = smol::spawn(role.stop(GENEROUS_TIMEOUT));
+        eventually_async(async || is_leaving(&holder, address).await).await;
         let mut refused = completion(3);
         refused.sidecar = incarnation;
         let refused = PeerRequest::Dispatch(refused);
-        let mut refused = holder.link.open(address, &refused, LONG).await.unwrap();
+        let mut refused = holder.link.open(address, &refused, GENEROUS_TIMEOUT).await.unwrap();
         let end = end_of(&mut refused).await;
         let reason = RefusalReason::Leaving;
         assert!(
@@ -181,13 +186,13 @@
     });
 }
 
-// A request outlasts the stop's limit. Its entry has to hear what ran before
-// the link closes, so that it can go on elsewhere; the stop counts it.
+// A request runs past the limit of a stop. Its entry must get the charge before
+// the link closes, so that it can resume elsewhere, and the stop must count it.
 #[test]
 fn stop_limit() {
     block_on(async {
         let engine = slow_engine();
-        let fleet = TestFleet::start(&engine, PlatformStands::start()).await;
+        let fleet = TestFleet::start(&engine, TestPlatform::start()).await;
         fleet.ready().await;
         let mut stream = fleet.dispatch(completion(1)).await;
         first_piece_of(&mut stream).await;
@@ -200,13 +205,13 @@
     });
 }
 
-// The platform lists the instance as leaving before it takes it away. From
-// then on it must take no work, and its process must hear of it.
+// The platform lists an instance as leaving before it removes it. The sidecar must
+// refuse new requests from then on, and its process must be notified.
 #[test]
 fn listed_leaving() {
     block_on(async {
         let engine = engine(|_| {});
-        let platform = PlatformStands::start();
+        let platform = TestPlatform::start();
         platform.list.mark_leaving(&INSTANCE.parse().unwrap());
         let fleet = TestFleet::start(&engine, platform).await;
         fleet.role.leave_requested().await;
@@ -219,13 +224,13 @@
     });
 }
 
-// The fleet is told to keep answers for a shorter time. A sidecar that went on
-// with the old one would hand out what was to be gone.
+// The retention time of answers is shortened. A sidecar must apply it, or it would
+// return answers that should have expired.
 #[test]
-fn retention_followed() {
+fn retention_applied() {
     block_on(async {
         let engine = engine(|_| {});
-        let fleet = TestFleet::start(&engine, PlatformStands::start()).await;
+        let fleet = TestFleet::start(&engine, TestPlatform::start()).await;
         fleet.ready().await;
         end_of(&mut fleet.dispatch(keyed(1, 5)).await).await;
         let is_known = async || {
@@ -245,16 +250,16 @@
         let client = ObjectClient::new(ObjectOptions::builder().address(address).build());
         let version = client.put(FLEET_OBJECT_KEY, StoreRevision(0), &configuration).await.unwrap();
         eventually(|| fleet.role.members().own().config.0 == version.0).await;
-        comes_true(async || !is_known().await).await;
+        eventually_async(async || !is_known().await).await;
     });
 }
 
-// An operator drains an upstream: every member has to see that it takes nothing.
+// An operator drains an upstream. The sidecar must publish it as unhealthy to all members.
 #[test]
-fn drain_seen() {
+fn drain_published() {
     block_on(async {
         let engine = engine(|_| {});
-        let fleet = TestFleet::start(&engine, PlatformStands::start()).await;
+        let fleet = TestFleet::start(&engine, TestPlatform::start()).await;
         let is_healthy = || fleet.role.members().own().serves.is_some_and(|served| served.healthy);
         eventually(is_healthy).await;
         let order = |fence, is_on| {
