--- a/crates/sagespool-sidecar/src/idempotency_cache.rs
+++ b/crates/sagespool-sidecar/src/idempotency_cache.rs
@@ -192,10 +192,10 @@
     pub fn find(&self, request: &KeyRequest, now: ClockTime) -> KeyReply {
         let known = self.shards.lock_for(&request.key).find(request, now);
         let known = known.map(|found| match found {
-            KeyLookup::At { request, content } => {
+            FoundKey::At { request, content } => {
                 KeyState::At { sidecar: self.sidecar, request, content }
             }
-            KeyLookup::Lost { request } => KeyState::Unknown { request },
+            FoundKey::Lost { request } => KeyState::Unknown { request },
         });
         KeyReply { sidecar: self.sidecar, known }
     }
@@ -215,7 +215,7 @@
 }
 
 /// Result of looking up a known key.
-enum KeyLookup {
+enum FoundKey {
     At { request: RequestId, content: ContentDigest },
     Lost { request: RequestId },
 }
--- a/crates/sagespool-sidecar/src/idempotency_cache/shard.rs
+++ b/crates/sagespool-sidecar/src/idempotency_cache/shard.rs
@@ -6,7 +6,7 @@
 use sagespool_messages::{AttachRequest, KeyRequest};
 use sagespool_types::{AttemptNumber, ByteCount, ClockTime, ContentDigest, KeyDigest, RequestId};
 
-use super::{KeyAdmission, KeyLookup, KeyRefusal, KeyRetention, KeyedAttempt, KeyedOutcome};
+use super::{FoundKey, KeyAdmission, KeyRefusal, KeyRetention, KeyedAttempt, KeyedOutcome};
 use crate::AnswerLog;
 
 #[derive(Debug, Default)]
@@ -125,7 +125,7 @@
         evicted
     }
 
-    pub(super) fn find(&mut self, request: &KeyRequest, now: ClockTime) -> Option<KeyLookup> {
+    pub(super) fn find(&mut self, request: &KeyRequest, now: ClockTime) -> Option<FoundKey> {
         let Some(entry) = self.keys.get(&request.key) else {
             if let Some(fenced) = request.fence {
                 self.fence(request.key, fenced, now);
@@ -133,8 +133,8 @@
             return None;
         };
         Some(match entry.answer() {
-            Ok(_) => KeyLookup::At { request: entry.request, content: entry.content },
-            Err(_) => KeyLookup::Lost { request: entry.request },
+            Ok(_) => FoundKey::At { request: entry.request, content: entry.content },
+            Err(_) => FoundKey::Lost { request: entry.request },
         })
     }
 
--- a/crates/sagespool-sidecar/src/role/peers.rs
+++ b/crates/sagespool-sidecar/src/role/peers.rs
@@ -114,8 +114,8 @@
         };
         let Some(event) = requester_gone.or(reader.next()).await else { break };
         let is_end = matches!(*event, DispatchEvent::End(_));
-        if let Some(event) = is_end.then(&before_end).flatten()
-            && sender.send(&event).await.is_err()
+        if let Some(extra_event) = is_end.then(&before_end).flatten()
+            && sender.send(&extra_event).await.is_err()
         {
             break;
         }
