--- a/crates/sagespool-sidecar/src/attempt.rs
+++ b/crates/sagespool-sidecar/src/attempt.rs
@@ -141,7 +141,7 @@
     /// may continue on another upstream, as after any other failure.
     pub(crate) fn into_dispatch_end(self, charge: Option<ChargeRecord>) -> DispatchEnd {
         match (self, charge) {
-            (Self::Whole(stop), Some(charge)) => DispatchEnd::Whole { charge, stop },
+            (Self::Whole(reason), Some(charge)) => DispatchEnd::Whole { charge, stop: reason },
             (Self::Whole(_), None) => DispatchEnd::Broken {
                 ran: None,
                 crashed: false,
--- a/crates/sagespool-sidecar/src/engine_events.rs
+++ b/crates/sagespool-sidecar/src/engine_events.rs
@@ -22,7 +22,7 @@
     /// The engine has finished.
     Finished {
         /// Why the answer ended.
-        stop: FinishReason,
+        reason: FinishReason,
         /// The engine's own token count; `None` if it does not send it.
         completion_tokens: Option<u32>,
     },
@@ -103,8 +103,8 @@
     /// closes its stream regularly, with another reason.
     fn finish(reason: String, completion_tokens: Option<u32>) -> Self {
         match reason.as_str() {
-            "stop" => Self::Finished { stop: FinishReason::Stop, completion_tokens },
-            "length" => Self::Finished { stop: FinishReason::Length, completion_tokens },
+            "stop" => Self::Finished { reason: FinishReason::Stop, completion_tokens },
+            "length" => Self::Finished { reason: FinishReason::Length, completion_tokens },
             _ => Self::Aborted(reason),
         }
     }
--- a/crates/sagespool-sidecar/src/prompt_cache.rs
+++ b/crates/sagespool-sidecar/src/prompt_cache.rs
@@ -42,24 +42,24 @@
 }
 
 impl TrackerState {
-    fn push(&mut self, note: PrefixCacheEvent) {
-        self.changes.retain(|(_, known)| known.prefix != note.prefix);
+    fn push(&mut self, event: PrefixCacheEvent) {
+        self.changes.retain(|(_, known)| known.prefix != event.prefix);
         if self.changes.len() == MAX_CHANGES {
             self.changes.pop_front();
         }
         self.newest += 1;
-        self.changes.push_back((self.newest, note));
+        self.changes.push_back((self.newest, event));
     }
 
     /// Marks all stored prefixes as evicted. A restarted engine has an empty cache and numbers its
     /// events from 1 again.
     fn mark_restarted(&mut self) {
         self.last_event = 0;
-        let stored = self.changes.iter().filter(|(_, note)| note.is_stored);
-        let lost: Vec<PrefixCacheEvent> =
-            stored.map(|(_, note)| PrefixCacheEvent { is_stored: false, ..*note }).collect();
-        for note in lost {
-            self.push(note);
+        let stored = self.changes.iter().filter(|(_, event)| event.is_stored);
+        let evicted: Vec<PrefixCacheEvent> =
+            stored.map(|(_, event)| PrefixCacheEvent { is_stored: false, ..*event }).collect();
+        for event in evicted {
+            self.push(event);
         }
     }
 }
@@ -103,9 +103,9 @@
         }
         let sent = state.sent.insert(requester, newest).unwrap_or(0);
         let unsent = state.changes.iter().rev().take_while(|(number, _)| *number > sent);
-        let mut notes: Vec<PrefixCacheEvent> =
-            unsent.take(MAX_CHANGES_PER_STREAM).map(|(_, note)| *note).collect();
-        notes.reverse();
-        (!notes.is_empty()).then_some(PrefixCacheUpdate { newest, notes })
+        let mut events: Vec<PrefixCacheEvent> =
+            unsent.take(MAX_CHANGES_PER_STREAM).map(|(_, event)| *event).collect();
+        events.reverse();
+        (!events.is_empty()).then_some(PrefixCacheUpdate { newest, notes: events })
     }
 }
--- a/crates/sagespool-sidecar/src/role/peers.rs
+++ b/crates/sagespool-sidecar/src/role/peers.rs
@@ -54,7 +54,7 @@
             state.follower.observe_member(&heartbeat.from);
             PeerReply::Heartbeat(reply)
         }
-        PeerRequest::AskConfiguration(ask) => state.follower.handle_query(&ask, now),
+        PeerRequest::AskConfiguration(query) => state.follower.handle_query(&query, now),
         PeerRequest::NoticeConfiguration(notice) => {
             state.follower.handle_notice(&notice);
             PeerReply::Done
--- a/crates/sagespool-sidecar/src/run_completion.rs
+++ b/crates/sagespool-sidecar/src/run_completion.rs
@@ -171,7 +171,7 @@
                     attempt.log.push(piece);
                     return AttemptOutcome::Whole(FinishReason::Length);
                 }
-                MeterStep::Finished(stop) => return AttemptOutcome::Whole(stop),
+                MeterStep::Finished(reason) => return AttemptOutcome::Whole(reason),
                 MeterStep::Nothing => {}
                 MeterStep::Broken(detail) => {
                     return AttemptOutcome::Broken { ran: true, crashed: false, detail };
--- a/crates/sagespool-sidecar/src/token_meter.rs
+++ b/crates/sagespool-sidecar/src/token_meter.rs
@@ -71,8 +71,8 @@
     pub fn apply(&mut self, event: EngineEvent) -> MeterStep {
         match event {
             EngineEvent::Token { index, text } => self.apply_token(index, text),
-            EngineEvent::Finished { stop, completion_tokens } => {
-                self.apply_finish(stop, completion_tokens)
+            EngineEvent::Finished { reason, completion_tokens } => {
+                self.apply_finish(reason, completion_tokens)
             }
             EngineEvent::Aborted(reason) => {
                 MeterStep::Broken(format!("the engine aborted the request: {reason}"))
@@ -99,13 +99,13 @@
         if self.is_full() { MeterStep::LastPiece(piece) } else { MeterStep::Piece(piece) }
     }
 
-    fn apply_finish(&self, stop: FinishReason, completion_tokens: Option<u32>) -> MeterStep {
+    fn apply_finish(&self, reason: FinishReason, completion_tokens: Option<u32>) -> MeterStep {
         match completion_tokens.filter(|made| *made != self.tokens) {
             Some(made) => {
                 let received = self.tokens;
                 MeterStep::Broken(format!("the engine reports {made} tokens but sent {received}"))
             }
-            None => MeterStep::Finished(stop),
+            None => MeterStep::Finished(reason),
         }
     }
 }
--- a/crates/sagespool-sidecar/tests/prompt_cache.rs
+++ b/crates/sagespool-sidecar/tests/prompt_cache.rs
@@ -19,14 +19,14 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn note(prefix: u128, is_stored: bool) -> PrefixCacheEvent {
+fn change(prefix: u128, is_stored: bool) -> PrefixCacheEvent {
     PrefixCacheEvent { prefix: PrefixDigest::from(prefix), is_stored }
 }
 
 fn cache_events(start: u64, events: &[(u64, u128, bool)]) -> CacheEvents {
     let events = events.iter().map(|(number, prefix, is_stored)| EngineCacheEvent {
         number: *number,
-        note: note(*prefix, *is_stored),
+        note: change(*prefix, *is_stored),
     });
     CacheEvents { start: json!(start), events: events.collect() }
 }
@@ -41,12 +41,12 @@
     assert_eq!(tracker.changes_for(requester(1)), None);
     tracker.apply(&cache_events(1, &[(1, 10, true), (3, 11, true)]));
     assert_eq!(tracker.poll_after(), 3);
-    let both = vec![(1, note(10, true)), (2, note(11, true))];
+    let both = vec![(1, change(10, true)), (2, change(11, true))];
     assert_eq!(unsent(&tracker, requester(1)), both);
     assert_eq!(unsent(&tracker, requester(1)), []);
     tracker.apply(&cache_events(1, &[(3, 11, true), (4, 10, false)]));
-    assert_eq!(unsent(&tracker, requester(1)), [(3, note(10, false))]);
-    let newest = vec![(2, note(11, true)), (3, note(10, false))];
+    assert_eq!(unsent(&tracker, requester(1)), [(3, change(10, false))]);
+    let newest = vec![(2, change(11, true)), (3, change(10, false))];
     assert_eq!(unsent(&tracker, requester(2)), newest, "only the newest change of each prefix");
 }
 
@@ -61,7 +61,7 @@
     tracker.mark_unreachable();
     assert_eq!(tracker.poll_after(), 0);
     tracker.apply(&cache_events(2, &[(1, 12, true)]));
-    assert_eq!(unsent(&tracker, requester(1)), [(3, note(10, false)), (4, note(12, true))]);
+    assert_eq!(unsent(&tracker, requester(1)), [(3, change(10, false)), (4, change(12, true))]);
     assert_eq!(tracker.poll_after(), 1);
 }
 
@@ -72,7 +72,7 @@
     tracker.apply(&cache_events(1, &events));
     let received = unsent(&tracker, requester(1));
     assert!(received.len() < 100, "{} changes on one stream", received.len());
-    assert_eq!(received.last(), Some(&(1000, note(1000, true))), "the newest changes are sent");
+    assert_eq!(received.last(), Some(&(1000, change(1000, true))), "the newest changes are sent");
     assert!(received.is_sorted_by_key(|(number, _)| *number));
     let bytes = received.len() * 17;
     assert!(bytes < 1000, "{bytes} bytes");
@@ -85,7 +85,7 @@
         "events": [{"number": 4, "kind": "evicted", "prefix": format!("{:032x}", 77_u128)}],
     });
     let read: CacheEvents = serde_json::from_value(text).unwrap();
-    let event = EngineCacheEvent { number: 4, note: note(77, false) };
+    let event = EngineCacheEvent { number: 4, note: change(77, false) };
     assert_eq!(read, CacheEvents { start: json!("a1"), events: vec![event] });
     let unknown = json!({"start": 1, "events": [{"number": 4, "kind": "moved", "prefix": "1"}]});
     assert!(serde_json::from_value::<CacheEvents>(unknown).is_err());
--- a/crates/sagespool-sidecar/tests/sse_parsing.rs
+++ b/crates/sagespool-sidecar/tests/sse_parsing.rs
@@ -67,7 +67,7 @@
 // that treats each packet as an event loses tokens or corrupts their text.
 #[test]
 fn chunk_boundaries() {
-    let finished = EngineEvent::Finished { stop: FinishReason::Stop, completion_tokens: Some(2) };
+    let finished = EngineEvent::Finished { reason: FinishReason::Stop, completion_tokens: Some(2) };
     let expected = [token(0, "مهلة "), token(1, "bid"), finished];
     smol::block_on(async {
         for chunk in [1, 2, 7, 64, EVENTS.len()] {
@@ -146,7 +146,8 @@
         meter.apply(token(0, "a"));
         meter
     };
-    let finish = |made| EngineEvent::Finished { stop: FinishReason::Stop, completion_tokens: made };
+    let finish =
+        |made| EngineEvent::Finished { reason: FinishReason::Stop, completion_tokens: made };
     for event in [token(2, "c"), token(0, "a"), finish(Some(2)), EngineEvent::Done] {
         assert!(matches!(fresh().apply(event.clone()), MeterStep::Broken(_)), "{event:?}");
     }
