--- a/crates/sagespool-claims/examples/claim_bench.rs
+++ b/crates/sagespool-claims/examples/claim_bench.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use sagespool_claims::{
-    BatchPolicy, CLAIM_SHARDS, ClaimBatch, ClaimIntent, ClaimsRecord, DETAILS_KEPT, claim_shard,
+    BatchPolicy, CLAIM_SHARDS, ClaimBatch, ClaimIntent, ClaimsRecord, DETAIL_RETENTION, claim_shard,
 };
 use sagespool_types::{
     AttemptNumber, ClockTime, ContentDigest, IncarnationId, KeyDigest, RequestId, WallTime,
@@ -37,7 +37,7 @@
         sidecar: IncarnationId::random(),
         attempt: AttemptNumber(1),
         home: IncarnationId(1),
-        overturns: None,
+        replaces: None,
         time_left: Duration::from_secs(10),
     }
 }
@@ -59,7 +59,7 @@
 fn show_record(fresh: usize, aged: usize) {
     let mut record = ClaimsRecord::default();
     fill(&mut record, aged, START);
-    let now = WallTime(START.0 + 2 * DETAILS_KEPT.as_millis() as u64);
+    let now = WallTime(START.0 + 2 * DETAIL_RETENTION.as_millis() as u64);
     record.claim(&intent(), now, DAY);
     fill(&mut record, fresh, now);
     let timer = Instant::now();
--- a/crates/sagespool-claims/src/crash.rs
+++ b/crates/sagespool-claims/src/crash.rs
@@ -1,4 +1,4 @@
-//! Requests that take down the upstreams that run them.
+//! Detection of requests that crash the upstreams that run them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -10,22 +10,22 @@
 
 use crate::quarantine::{CrashNote, QuarantineRecord};
 
-/// When a content is stopped.
+/// When a content is stopped. A content is a request's target and body.
 #[derive(Debug, Clone, PartialEq, Builder)]
 pub struct CrashPolicy {
-    /// Crashes with the content in flight that stop it.
+    /// Number of crashes with the content in flight that stop it.
     #[builder(default = 2)]
     pub stop_at: usize,
-    /// Reports of one upstream within this time are of one crash: two callers
-    /// may ask for the same at once.
+    /// Reports of one upstream by different requests within this time count as one crash,
+    /// because several callers may send the same content at once.
     #[builder(default = Duration::from_secs(2))]
-    pub same_crash: Duration,
-    /// A content that was in flight at a crash is suspected for so long.
+    pub crash_window: Duration,
+    /// Time for which a content stays suspected after a crash with it in flight.
     #[builder(default = Duration::from_secs(3600))]
-    pub suspect_life: Duration,
-    /// Most suspects remembered; the oldest give way.
+    pub suspicion_duration: Duration,
+    /// Maximum number of suspects kept; the oldest is evicted first.
     #[builder(default = 10_000)]
-    pub most_suspects: usize,
+    pub max_suspects: usize,
 }
 
 impl Default for CrashPolicy {
@@ -34,41 +34,42 @@
     }
 }
 
-/// What a report of a crash leads to.
+/// The result of a crash report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrashVerdict {
-    /// It was counted already.
+    /// Not counted: the crash was reported before, or was cleared.
     Repeated,
-    /// Counted; the content is suspected, and may run again alone among suspects.
+    /// Counted. The content is suspected, and may run again on an upstream without
+    /// another suspect.
     Suspected,
-    /// Counted, and the content is stopped from now on: write it to the store.
+    /// Counted. The content is stopped from now on and must be written to the store.
     Stopped,
-    /// The content is stopped already.
+    /// Counted. The content was stopped before.
     AlreadyStopped,
 }
 
 /// A suspected or stopped content, for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SuspectContent {
-    /// The content.
+    /// Digest of the content.
     pub content: ContentDigest,
-    /// Its crashes.
+    /// Its crashes, one note each.
     pub crashes: BTreeSet<CrashNote>,
-    /// Whether it is stopped.
+    /// False if it is only suspected.
     pub stopped: bool,
-    /// Whether the store knows that.
+    /// True if the store's record has it as stopped.
     pub stored: bool,
 }
 
 #[derive(Debug, Clone, Default)]
 struct CrashRecord {
-    /// Every report, so that none counts twice.
+    /// All reports, for deduplication.
     notes: BTreeSet<CrashNote>,
-    /// One of each crash, with the time it was first heard of.
+    /// One report of each crash, with the time of its first report.
     crashes: Vec<(CrashNote, ClockTime)>,
     stopped: bool,
     stored: bool,
-    newest: ClockTime,
+    last_report_at: ClockTime,
 }
 
 impl CrashRecord {
@@ -76,7 +77,7 @@
         self.crashes.iter().map(|(note, _)| note.clone()).collect()
     }
 
-    /// True if a report tells of a crash that another one told of before.
+    /// True if a report is of a crash that another request has reported before.
     fn is_known_crash(&self, note: &CrashNote, window: Duration, now: ClockTime) -> bool {
         self.crashes.iter().any(|(known, at)| {
             let other_request = known.request != note.request;
@@ -88,13 +89,15 @@
 #[derive(Debug, Default)]
 struct CrashState {
     records: BTreeMap<ContentDigest, CrashRecord>,
-    /// Crashes that were forgiven.
-    forgiven: BTreeMap<ContentDigest, BTreeSet<CrashNote>>,
+    /// Crashes that no longer count, by content.
+    cleared: BTreeMap<ContentDigest, BTreeSet<CrashNote>>,
 }
 
-/// What one entry knows of crashes. Reports go to every entry, so that the
-/// second one stops a content on all that are in reach, also while the store is
-/// away; the store's [`QuarantineRecord`] tells the others and those to come.
+/// The crashes known to one process.
+///
+/// Reports are sent to every entry, so the second crash stops a content on all
+/// reachable entries even while the store is unreachable. Other entries and later
+/// ones read it from the store's [`QuarantineRecord`].
 ///
 /// Crashes are rare, so one lock is enough.
 #[derive(Debug, Default)]
@@ -104,12 +107,12 @@
 }
 
 impl CrashTracker {
-    /// An empty board of the default policy.
+    /// An empty state with the default policy.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// An empty board.
+    /// An empty state.
     pub fn with_policy(policy: CrashPolicy) -> Self {
         Self { policy, state: Mutex::default() }
     }
@@ -118,27 +121,27 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in a report of a crash, the own entry's or another's.
+    /// Records a crash report, of this entry or another one.
     ///
-    /// Everything in flight on a crashed upstream is reported, the innocent
-    /// too. Those run again, each on an upstream without another suspect (see
-    /// [`Self::rerun_rank`]), come through and are [cleared](Self::record_success).
-    /// The guilty one takes down a second upstream, on which no other suspect
-    /// of the first crash ran, and alone has two.
+    /// Everything in flight on a crashed upstream is reported, including contents that
+    /// did not cause the crash. Each suspect runs again on an upstream without another
+    /// suspect (see [`Self::rerun_rank`]). Those that succeed are
+    /// [cleared](Self::record_success). The cause crashes a second upstream, on which no
+    /// other suspect of the first crash ran, and so is the only one with two crashes.
     pub fn record(&self, report: &CrashReport, now: ClockTime) -> CrashVerdict {
         let note = CrashNote::of(report);
         let mut state = self.state();
-        state.drop_old(&self.policy, now);
-        let forgiven = state.forgiven.get(&report.content);
-        if forgiven.is_some_and(|forgiven| forgiven.contains(&note)) {
+        state.evict(&self.policy, now);
+        let cleared = state.cleared.get(&report.content);
+        if cleared.is_some_and(|cleared| cleared.contains(&note)) {
             return CrashVerdict::Repeated;
         }
         let record = state.records.entry(report.content).or_default();
         if !record.notes.insert(note.clone()) {
             return CrashVerdict::Repeated;
         }
-        record.newest = now;
-        if record.is_known_crash(&note, self.policy.same_crash, now) {
+        record.last_report_at = now;
+        if record.is_known_crash(&note, self.policy.crash_window, now) {
             return CrashVerdict::Repeated;
         }
         record.crashes.push((note, now));
@@ -154,123 +157,125 @@
         self.state().records.get(&content).is_some_and(|record| record.stopped)
     }
 
-    /// True if a content was in flight at a crash, and has not come through since.
+    /// True if a content was in flight at a crash and has not succeeded since, or is stopped.
     pub fn is_suspect(&self, content: ContentDigest) -> bool {
         self.state().records.contains_key(&content)
     }
 
-    /// The place of a suspect among all contents suspected now, the same on
-    /// every entry that had the same reports. The suspect of rank `r` is run
-    /// again on the `r`-th of the upstreams left (in the order of their names,
-    /// counted round), so that no two suspects meet on one as long as there are
-    /// enough of them. Nothing for a content not suspected, or stopped.
+    /// The index of a suspect among all current suspects, the same on every entry that
+    /// has the same reports; `None` if the content is not suspected or is stopped. The
+    /// suspect of rank `r` runs again on upstream `r` of those left, in the order of their
+    /// names and modulo their number. So no two suspects share an upstream as long as there
+    /// are enough upstreams.
     ///
-    /// One that was just stopped keeps its place for a moment: the others'
-    /// would else move up while they are about to run, one of them to the
-    /// upstream that has just gone down, and be stopped for a crash that was
-    /// over before it came.
+    /// A content that was just stopped keeps its rank for [`CrashPolicy::crash_window`].
+    /// Otherwise the ranks after it would shift while those suspects are about to run. One
+    /// of them would then run on the upstream that has just crashed, and be stopped for a
+    /// crash that happened before.
     pub fn rerun_rank(&self, content: ContentDigest, now: ClockTime) -> Option<usize> {
         let state = self.state();
         if state.records.get(&content)?.stopped {
             return None;
         }
-        let keeps_place = |record: &CrashRecord| {
-            !record.stopped || now.since(record.newest) < self.policy.same_crash
+        let keeps_rank = |record: &CrashRecord| {
+            !record.stopped || now.since(record.last_report_at) < self.policy.crash_window
         };
-        let mut suspects = state.records.iter().filter(|(_, record)| keeps_place(record));
+        let mut suspects = state.records.iter().filter(|(_, record)| keeps_rank(record));
         suspects.position(|(suspect, _)| *suspect == content)
     }
 
-    /// True if an upstream went down a moment ago, by any report. Nothing that was in flight at a
-    /// crash is to run again there: sent to an upstream that is still going down, it would be
-    /// reported for that crash too, as its second.
+    /// True if any report within [`CrashPolicy::crash_window`] is of a crash of the upstream. No
+    /// suspect may run again there: if the upstream is still going down, the suspect would be
+    /// reported for the same crash, and that would count as its second.
     pub fn crashed_recently(&self, upstream: &UpstreamName, now: ClockTime) -> bool {
         let state = self.state();
         let mut crashes = state.records.values().flat_map(|record| &record.crashes);
-        crashes
-            .any(|(note, at)| note.upstream == *upstream && now.since(*at) < self.policy.same_crash)
+        crashes.any(|(note, at)| {
+            note.upstream == *upstream && now.since(*at) < self.policy.crash_window
+        })
     }
 
-    /// A run of a content came through whole: it takes no upstream down. True
-    /// if it was stopped, so that the store's verdict must be lifted too.
+    /// Clears a content after a complete run, which shows that it does not crash upstreams.
+    /// True if it was stopped; it must then be lifted in the store too.
     pub fn record_success(&self, content: ContentDigest) -> bool {
-        self.forgive(content)
+        self.clear(content)
     }
 
-    /// An operator lets a content go. False if it wasn't stopped here.
+    /// Clears a content by an operator's command. False if it wasn't stopped here.
     pub fn lift(&self, content: ContentDigest) -> bool {
-        self.forgive(content)
+        self.clear(content)
     }
 
-    fn forgive(&self, content: ContentDigest) -> bool {
+    fn clear(&self, content: ContentDigest) -> bool {
         let mut state = self.state();
         let Some(record) = state.records.remove(&content) else { return false };
-        state.forgiven.entry(content).or_default().extend(record.notes);
+        state.cleared.entry(content).or_default().extend(record.notes);
         record.stopped
     }
 
-    /// The store's record, as read or watched. Returns the contents that it
-    /// stops although they came through here between the crashes: they are to
-    /// be [lifted](QuarantineRecord::lift) in the store.
+    /// Applies the store's record. Returns the contents that it stops although a run
+    /// succeeded here between the crashes; they must be [lifted](QuarantineRecord::lift) in
+    /// the store.
     pub fn apply_record(&self, record: &QuarantineRecord, now: ClockTime) -> Vec<ContentDigest> {
         let mut state = self.state();
         let mut disputed = Vec::new();
         for (content, entry) in &record.contents {
             if entry.lifted {
-                state.forget_lifted(*content, &entry.crashes);
-            } else if !state.adopt(*content, &entry.crashes, &self.policy, now) {
+                state.apply_lifted(*content, &entry.crashes);
+            } else if !state.apply_stopped(*content, &entry.crashes, &self.policy, now) {
                 disputed.push(*content);
             }
         }
         disputed
     }
 
-    /// Stopped contents that the store doesn't know of yet.
+    /// Stopped contents that are not in the store yet, with their crashes.
     pub fn unsaved(&self) -> Vec<(ContentDigest, BTreeSet<CrashNote>)> {
         let state = self.state();
         let unsaved = state.records.iter().filter(|(_, record)| record.stopped && !record.stored);
         unsaved.map(|(content, record)| (*content, record.distinct_crashes())).collect()
     }
 
-    /// Everything suspected or stopped.
+    /// All suspected or stopped contents.
     pub fn list(&self) -> Vec<SuspectContent> {
         let state = self.state();
-        let show = |(content, record): (&ContentDigest, &CrashRecord)| SuspectContent {
+        let to_suspect = |(content, record): (&ContentDigest, &CrashRecord)| SuspectContent {
             content: *content,
             crashes: record.distinct_crashes(),
             stopped: record.stopped,
             stored: record.stored,
         };
-        state.records.iter().map(show).collect()
+        state.records.iter().map(to_suspect).collect()
     }
 }
 
 impl CrashState {
-    fn drop_old(&mut self, policy: &CrashPolicy, now: ClockTime) {
-        let keep =
-            |record: &CrashRecord| record.stopped || now.since(record.newest) < policy.suspect_life;
+    fn evict(&mut self, policy: &CrashPolicy, now: ClockTime) {
+        let keep = |record: &CrashRecord| {
+            record.stopped || now.since(record.last_report_at) < policy.suspicion_duration
+        };
         self.records.retain(|_, record| keep(record));
-        if self.records.len() >= policy.most_suspects {
-            let oldest = self.records.iter().min_by_key(|(_, record)| record.newest);
+        if self.records.len() >= policy.max_suspects {
+            let oldest = self.records.iter().min_by_key(|(_, record)| record.last_report_at);
             let oldest = oldest.map(|(content, _)| *content);
             oldest.and_then(|content| self.records.remove(&content));
         }
-        while self.forgiven.len() > policy.most_suspects {
-            self.forgiven.pop_first();
+        while self.cleared.len() > policy.max_suspects {
+            self.cleared.pop_first();
         }
     }
 
-    /// Stops a content that the store stops; false if too few of its crashes
-    /// count here, because it came through since.
-    fn adopt(
+    /// Stops a content that the store's record stops. False if too few of its crashes
+    /// count here, because a run has succeeded since.
+    fn apply_stopped(
         &mut self,
         content: ContentDigest,
         crashes: &BTreeSet<CrashNote>,
         policy: &CrashPolicy,
         now: ClockTime,
     ) -> bool {
-        let forgiven = self.forgiven.get(&content);
-        let counts = |note: &&CrashNote| forgiven.is_none_or(|notes| !notes.contains(note));
+        let cleared = self.cleared.get(&content);
+        let counts = |note: &&CrashNote| cleared.is_none_or(|notes| !notes.contains(note));
         if crashes.iter().filter(counts).count() < policy.stop_at {
             return false;
         }
@@ -279,14 +284,14 @@
         record.crashes.extend(crashes.iter().map(|note| (note.clone(), now)));
         record.stopped = true;
         record.stored = true;
-        record.newest = now;
+        record.last_report_at = now;
         true
     }
 
-    fn forget_lifted(&mut self, content: ContentDigest, crashes: &BTreeSet<CrashNote>) {
-        let forgiven = self.forgiven.entry(content).or_default();
-        forgiven.extend(crashes.iter().cloned());
-        let counts = |record: &CrashRecord| !record.notes.is_subset(forgiven);
+    fn apply_lifted(&mut self, content: ContentDigest, crashes: &BTreeSet<CrashNote>) {
+        let cleared = self.cleared.entry(content).or_default();
+        cleared.extend(crashes.iter().cloned());
+        let counts = |record: &CrashRecord| !record.notes.is_subset(cleared);
         if !self.records.get(&content).is_some_and(counts) {
             self.records.remove(&content);
         }
--- a/crates/sagespool-claims/src/entry.rs
+++ b/crates/sagespool-claims/src/entry.rs
@@ -1,4 +1,4 @@
-//! One claim, and the intent for one.
+//! A stored claim, and the intent to make one.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,21 +11,21 @@
 };
 
 derives! { record;
-    /// A claim: this request alone may run under the key, and on this sidecar alone.
+    /// A claim: only this request may run under the key, and only on this sidecar.
     ///
-    /// Written as one line of text, which takes half the room of an object.
+    /// Serialized as one line of text, which takes half the space of a JSON object.
     #[derive(Eq)]
     #[serde(try_from = "String", into = "String")]
     pub struct ClaimEntry {
         /// The request.
         pub request: RequestId,
-        /// What it asks for.
+        /// Digest of the request's target and body.
         pub content: ContentDigest,
         /// The sidecar that may run it.
         pub sidecar: IncarnationId,
-        /// The attempt at it.
+        /// The attempt that the claim is for.
         pub attempt: AttemptNumber,
-        /// When it was claimed, by the claiming home's wall clock.
+        /// Time of the claim, by the claiming home's wall clock.
         pub at: WallTime,
     }
 }
@@ -58,8 +58,8 @@
 sagespool_types::string_conversions!(ClaimEntry);
 
 derives! { value;
-    /// A claim that can't be used any more: its sidecar, still the same
-    /// incarnation, never saw the key and refuses the request from now on.
+    /// A claim that can no longer be used: the same incarnation of its sidecar has
+    /// never seen the key, and refuses the request from now on.
     pub struct FencedClaim {
         /// The request that held the claim.
         pub request: RequestId,
@@ -68,29 +68,29 @@
     }
 }
 
-/// A claim that a home wants to make for a request.
+/// A claim that a home is about to make for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimIntent {
     /// The key.
     pub key: KeyDigest,
     /// The request that is to run under it.
     pub request: RequestId,
-    /// What it asks for.
+    /// Digest of the request's target and body.
     pub content: ContentDigest,
-    /// The sidecar that alone may run it.
+    /// The only sidecar that may run it.
     pub sidecar: IncarnationId,
     /// The attempt.
     pub attempt: AttemptNumber,
     /// The home that writes the claim.
     pub home: IncarnationId,
-    /// The claim that this one may take the place of.
-    pub overturns: Option<FencedClaim>,
-    /// How long the claim may take; a home refuses it after that.
+    /// The claim that this one may replace.
+    pub replaces: Option<FencedClaim>,
+    /// Time until the claim expires; it counts from [`ClaimBatch::add`](crate::ClaimBatch::add).
     pub time_left: Duration,
 }
 
 impl ClaimIntent {
-    /// The intent that a home has for an entry's request.
+    /// The claim that an entry requests from the home `home`.
     pub fn of(request: &ClaimRequest, home: IncarnationId) -> Self {
         Self {
             key: request.key,
@@ -99,14 +99,14 @@
             sidecar: request.sidecar,
             attempt: request.attempt,
             home,
-            overturns: None,
+            replaces: None,
             time_left: request.time_left,
         }
     }
 
-    /// The same intent after the sidecar of the claim in its way fenced it.
+    /// The same intent, allowed to replace a conflicting claim that its sidecar has fenced.
     pub fn replacing(self, fenced: FencedClaim) -> Self {
-        Self { overturns: Some(fenced), ..self }
+        Self { replaces: Some(fenced), ..self }
     }
 
     pub(crate) fn entry(&self, at: WallTime) -> ClaimEntry {
@@ -119,8 +119,8 @@
         }
     }
 
-    /// True if an entry is what this intent asks for.
-    pub(crate) fn is_met_by(&self, entry: &ClaimEntry) -> bool {
+    /// True if the entry is the claim of this intent.
+    pub(crate) fn matches(&self, entry: &ClaimEntry) -> bool {
         entry.request == self.request
             && entry.sidecar == self.sidecar
             && entry.attempt == self.attempt
--- a/crates/sagespool-claims/src/inquiry.rs
+++ b/crates/sagespool-claims/src/inquiry.rs
@@ -1,78 +1,82 @@
-//! Asking the sidecars what they know of a key.
+//! Collects the sidecars' replies on the state of a key.
 
 use std::collections::BTreeSet;
 
 use sagespool_messages::{KeyReply, KeyState};
 use sagespool_types::IncarnationId;
 
-/// What the sidecars' answers amount to.
+/// The combined result of the sidecars' replies.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LookupOutcome {
-    /// Some have not answered yet.
+    /// Replies are outstanding.
     Open,
-    /// One knows the key.
+    /// A sidecar has seen the key.
     Found(KeyState),
-    /// All were asked, none ever saw it, and all refuse the fenced request.
+    /// All sidecars replied, none has seen the key, and all refuse the fenced request.
     NeverSeen,
-    /// None of those who answered saw it; these can't say.
+    /// No sidecar that replied has seen the key; these did not reply.
     Incomplete(Vec<IncarnationId>),
 }
 
-/// One question to all sidecars that may have run a key.
+/// One query to all sidecars that may have run the request of a key.
 ///
-/// A sidecar that went away since the key may have been used can't be asked:
-/// it is given as lost, and the verdict is never [`LookupOutcome::NeverSeen`].
+/// A sidecar that ended since the key may have been used can't be queried. It is
+/// passed as unreachable, and the result is never [`LookupOutcome::NeverSeen`].
 #[derive(Debug)]
 pub struct KeyLookup {
-    open: BTreeSet<IncarnationId>,
-    lost: BTreeSet<IncarnationId>,
+    pending: BTreeSet<IncarnationId>,
+    unreachable: BTreeSet<IncarnationId>,
     found: Option<KeyState>,
 }
 
 impl KeyLookup {
-    /// A question to the sidecars `asked`; `lost` went away lately.
+    /// A query to the sidecars `asked`; those in `unreachable` ended recently.
     pub fn new(
         asked: impl IntoIterator<Item = IncarnationId>,
-        lost: impl IntoIterator<Item = IncarnationId>,
+        unreachable: impl IntoIterator<Item = IncarnationId>,
     ) -> Self {
-        Self { open: asked.into_iter().collect(), lost: lost.into_iter().collect(), found: None }
+        Self {
+            pending: asked.into_iter().collect(),
+            unreachable: unreachable.into_iter().collect(),
+            found: None,
+        }
     }
 
-    /// A process answered at the address of the sidecar `asked`. If it is
-    /// another incarnation, its predecessor's memory is gone.
+    /// Records a reply from the address of the sidecar `asked`. A reply of another
+    /// incarnation counts as a failure, as the predecessor's state is lost.
     pub fn record_reply(&mut self, asked: IncarnationId, reply: &KeyReply) {
         if reply.sidecar != asked {
             self.record_failure(asked);
         }
-        self.open.remove(&asked);
+        self.pending.remove(&asked);
         if let Some(state) = &reply.known
-            && self.found.as_ref().is_none_or(tells_less)
+            && self.found.as_ref().is_none_or(is_inconclusive)
         {
             self.found = Some(state.clone());
         }
     }
 
-    /// A sidecar did not answer.
+    /// Records that a sidecar did not reply.
     pub fn record_failure(&mut self, asked: IncarnationId) {
-        if self.open.remove(&asked) {
-            self.lost.insert(asked);
+        if self.pending.remove(&asked) {
+            self.unreachable.insert(asked);
         }
     }
 
-    /// What the answers so far amount to. A sidecar that has the answer, or
-    /// runs the request, ends the lookup at once.
+    /// The result of the replies so far. The reply of a sidecar that runs the request
+    /// or has its response is final without the others.
     pub fn verdict(&self) -> LookupOutcome {
         match &self.found {
-            Some(state) if !tells_less(state) => LookupOutcome::Found(state.clone()),
-            _ if !self.open.is_empty() => LookupOutcome::Open,
+            Some(state) if !is_inconclusive(state) => LookupOutcome::Found(state.clone()),
+            _ if !self.pending.is_empty() => LookupOutcome::Open,
             Some(state) => LookupOutcome::Found(state.clone()),
-            None if self.lost.is_empty() => LookupOutcome::NeverSeen,
-            None => LookupOutcome::Incomplete(self.lost.iter().copied().collect()),
+            None if self.unreachable.is_empty() => LookupOutcome::NeverSeen,
+            None => LookupOutcome::Incomplete(self.unreachable.iter().copied().collect()),
         }
     }
 }
 
-/// True if another sidecar may know better.
-fn tells_less(state: &KeyState) -> bool {
+/// True if another sidecar's reply may replace this state.
+fn is_inconclusive(state: &KeyState) -> bool {
     matches!(state, KeyState::Unknown { .. } | KeyState::Pending)
 }
--- a/crates/sagespool-claims/src/key_record.rs
+++ b/crates/sagespool-claims/src/key_record.rs
@@ -1,4 +1,4 @@
-//! What a home remembers of one key, and for how long.
+//! State and retention of one key at a home.
 
 use std::time::Duration;
 
@@ -6,17 +6,18 @@
 use sagespool_messages::KeyState;
 use sagespool_types::{ClockTime, ContentDigest, IncarnationId, RequestId};
 
-/// How long a home remembers keys.
+/// How long a home keeps keys.
 #[derive(Debug, Clone, PartialEq, Builder)]
 pub struct KeyPolicy {
-    /// How long the answer to a key is kept after its request ended.
+    /// Time for which a key is kept after its request ended.
     #[builder(default = Duration::from_secs(900))]
     pub answer_retention: Duration,
-    /// How long a request may hold a key before it runs anywhere. After that
-    /// another may take it over; [`KeyRegistry::assign_sidecar`](crate::KeyRegistry::assign_sidecar) tells the first.
+    /// Longest time that a request may hold a key before it runs. After that another
+    /// request may take the key, and [`KeyRegistry::assign_sidecar`](crate::KeyRegistry::assign_sidecar) returns
+    /// false for the first.
     #[builder(default = Duration::from_secs(60))]
     pub pending_limit: Duration,
-    /// How long a request may run without its end being reported.
+    /// Longest time that a request may run without a report of its end.
     #[builder(default = Duration::from_secs(2 * 3600))]
     pub running_limit: Duration,
 }
@@ -27,52 +28,50 @@
     }
 }
 
-/// Where a key's request is.
+/// Where the request of a key runs or ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum KeyPlace {
-    /// It holds the key, and runs nowhere yet.
+pub(crate) enum KeyLocation {
+    /// The request holds the key and has no sidecar yet.
     Pending,
-    /// It runs on this sidecar, or may.
+    /// The request runs, or may run, on this sidecar.
     Running(IncarnationId),
-    /// It has ended, and this sidecar keeps its answer.
+    /// The request has ended, and this sidecar keeps the response.
     Kept(IncarnationId),
-    /// It ran or may have, and its answer can't be had.
+    /// The request ran or may have run, and its response is not available.
     Lost,
 }
 
-/// What a home remembers of one key.
+/// The state of one key at a home.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct KeyRecord {
     pub(crate) request: RequestId,
     pub(crate) content: ContentDigest,
-    pub(crate) place: KeyPlace,
-    /// When it came to this place.
+    pub(crate) location: KeyLocation,
+    /// Time of the last change of `location`.
     pub(crate) since: ClockTime,
 }
 
 impl KeyRecord {
-    /// A request takes the key.
     pub(crate) fn pending(request: RequestId, content: ContentDigest, now: ClockTime) -> Self {
-        Self { request, content, place: KeyPlace::Pending, since: now }
+        Self { request, content, location: KeyLocation::Pending, since: now }
     }
 
-    /// What a request that finds the key is told.
+    /// The state that is returned to another request with the key.
     pub(crate) fn state(&self) -> KeyState {
-        match self.place {
-            KeyPlace::Pending => KeyState::Pending,
-            KeyPlace::Running(sidecar) | KeyPlace::Kept(sidecar) => {
+        match self.location {
+            KeyLocation::Pending => KeyState::Pending,
+            KeyLocation::Running(sidecar) | KeyLocation::Kept(sidecar) => {
                 KeyState::At { sidecar, request: self.request, content: self.content }
             }
-            KeyPlace::Lost => KeyState::Unknown { request: self.request },
+            KeyLocation::Lost => KeyState::Unknown { request: self.request },
         }
     }
 
-    /// True once the policy lets it be forgotten.
-    pub(crate) fn has_lapsed(&self, policy: &KeyPolicy, now: ClockTime) -> bool {
-        let limit = match self.place {
-            KeyPlace::Pending => policy.pending_limit,
-            KeyPlace::Running(_) => policy.running_limit,
-            KeyPlace::Kept(_) | KeyPlace::Lost => policy.answer_retention,
+    pub(crate) fn is_expired(&self, policy: &KeyPolicy, now: ClockTime) -> bool {
+        let limit = match self.location {
+            KeyLocation::Pending => policy.pending_limit,
+            KeyLocation::Running(_) => policy.running_limit,
+            KeyLocation::Kept(_) | KeyLocation::Lost => policy.answer_retention,
         };
         now.since(self.since) >= limit
     }
--- a/crates/sagespool-claims/src/keys.rs
+++ b/crates/sagespool-claims/src/keys.rs
@@ -1,4 +1,4 @@
-//! A home's memory of keys.
+//! A home's in-memory index of idempotency keys.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -7,18 +7,18 @@
 use sagespool_types::{ClockTime, ContentDigest, IncarnationId, KeyDigest, RequestId};
 
 use crate::KeyPolicy;
-use crate::key_record::{KeyPlace, KeyRecord};
+use crate::key_record::{KeyLocation, KeyRecord};
 
 const SHARD_COUNT: usize = 16;
 
-/// What a home says to a request with a key.
+/// A home's decision on a request that carries a key.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KeyDecision {
-    /// It was not run under this key, as far as a home can know: it now holds the key.
+    /// This home has seen no run under the key. The request now holds the key.
     New,
-    /// The key stands for something else, or for a request that runs or ran.
+    /// The key belongs to other content, or to a request that is pending, runs or ran.
     Attach(KeyState),
-    /// This home has not been home for long enough to know: ask the sidecars.
+    /// This process became home too recently to decide; the sidecars must be queried.
     /// The request holds the key meanwhile.
     Unsure,
 }
@@ -26,11 +26,11 @@
 /// How a request under a key ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyOutcome {
-    /// Its answer is whole, and kept where it ran.
+    /// The response is complete and kept by the sidecar that ran the request.
     Answered,
-    /// It surely never ran: the key is free again.
+    /// The request never ran; the key is free again.
     NotRun,
-    /// It ran or may have, and its answer can't be had.
+    /// The request ran or may have run, and its response is not available.
     Broken,
 }
 
@@ -40,11 +40,11 @@
     shard.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A home's memory of the keys of its branches, in shards under their own locks.
+/// A home's index of the keys of its branches, in shards with a lock each.
 ///
-/// It spares callers a second run and the sidecars most questions. At-most-once
-/// doesn't rest on it: two processes that both think they are home each have a
-/// board, and the store's claims decide between them.
+/// It prevents repeated runs and saves most queries to sidecars, but at-most-once
+/// execution does not depend on it: two processes that both act as home have an
+/// index each, and the claims in the store decide between them.
 #[derive(Debug)]
 pub struct KeyRegistry {
     policy: KeyPolicy,
@@ -53,24 +53,24 @@
 }
 
 impl KeyRegistry {
-    /// A board of the default policy.
+    /// An empty index with the default policy. `started` is the process start.
     pub fn new(started: ClockTime) -> Self {
         Self::with_policy(KeyPolicy::default(), started)
     }
 
-    /// A board that knows nothing of what was before `started`.
+    /// An empty index; runs before `started` are unknown to it.
     pub fn with_policy(policy: KeyPolicy, started: ClockTime) -> Self {
         let shards = (0..SHARD_COUNT).map(|_| Mutex::default()).collect();
         Self { policy, started, shards }
     }
 
     fn shard(&self, key: KeyDigest) -> MutexGuard<'_, KeyShard> {
-        let place = (key.0 >> 64) as usize % SHARD_COUNT;
-        lock(&self.shards[place])
+        let index = (key.0 >> 64) as usize % SHARD_COUNT;
+        lock(&self.shards[index])
     }
 
-    /// A request with a key arrives at a process that has been home of its
-    /// branch ever since it started.
+    /// Decides on a request with a key, for a process that has been home of the
+    /// branch since it started.
     pub fn begin(
         &self,
         key: KeyDigest,
@@ -81,10 +81,10 @@
         self.begin_since(key, request, content, self.started, now)
     }
 
-    /// A request with a key arrives at a process that has been home of its
-    /// branch since `home_since`. What the home before it knew is not known
-    /// here, so that until the answers of its time have lapsed the sidecars
-    /// must be asked: else a caller whose entry died would get a second run.
+    /// Decides on a request with a key, for a process that has been home of the
+    /// branch since `home_since`. The previous home's keys are unknown here, so
+    /// the sidecars must be queried until the responses of that time have expired.
+    /// Otherwise a caller whose entry failed would get a second run.
     pub fn begin_since(
         &self,
         key: KeyDigest,
@@ -94,7 +94,7 @@
         now: ClockTime,
     ) -> KeyDecision {
         let mut shard = self.shard(key);
-        if let Some(decision) = self.known(&shard, key, request, content, now) {
+        if let Some(decision) = self.existing_decision(&shard, key, request, content, now) {
             return decision;
         }
         shard.insert(key, KeyRecord::pending(request, content, now));
@@ -105,9 +105,9 @@
         KeyDecision::New
     }
 
-    /// A request takes a key: the sidecars were asked, and none knows it, or
-    /// what ran under it is lost and may run again. False if another request
-    /// holds the key meanwhile.
+    /// Lets a request take a key after the sidecars were queried and either none
+    /// has seen it, or the response to the earlier run is lost and the request may
+    /// run again. False if another request holds the key.
     pub fn try_acquire(
         &self,
         key: KeyDigest,
@@ -118,14 +118,14 @@
         let mut shard = self.shard(key);
         let is_free = shard
             .get(&key)
-            .is_none_or(|record| record.request == request || record.has_lapsed(&self.policy, now));
+            .is_none_or(|record| record.request == request || record.is_expired(&self.policy, now));
         if is_free {
             shard.insert(key, KeyRecord::pending(request, content, now));
         }
         is_free
     }
 
-    /// The sidecars were asked, and one runs the key or has its answer.
+    /// Records that a queried sidecar runs the request of a key or has its response.
     pub fn record_found(
         &self,
         key: KeyDigest,
@@ -134,18 +134,20 @@
         sidecar: IncarnationId,
         now: ClockTime,
     ) {
-        let place = KeyPlace::Kept(sidecar);
-        self.shard(key).insert(key, KeyRecord { request, content, place, since: now });
+        let location = KeyLocation::Kept(sidecar);
+        self.shard(key).insert(key, KeyRecord { request, content, location, since: now });
     }
 
-    /// False while a request is known to hold the key, or to run under it.
+    /// False while a request holds the key or runs under it.
     pub fn run_ended(&self, key: KeyDigest) -> bool {
         let shard = self.shard(key);
-        let ended = |record: &KeyRecord| matches!(record.place, KeyPlace::Kept(_) | KeyPlace::Lost);
+        let ended = |record: &KeyRecord| {
+            matches!(record.location, KeyLocation::Kept(_) | KeyLocation::Lost)
+        };
         shard.get(&key).is_none_or(ended)
     }
 
-    fn known(
+    fn existing_decision(
         &self,
         shard: &KeyShard,
         key: KeyDigest,
@@ -154,21 +156,21 @@
         now: ClockTime,
     ) -> Option<KeyDecision> {
         let record = shard.get(&key)?;
-        if record.has_lapsed(&self.policy, now) {
+        if record.is_expired(&self.policy, now) {
             return None;
         }
         if record.content != content {
             return Some(KeyDecision::Attach(KeyState::OtherContent));
         }
-        if record.request == request && record.place == KeyPlace::Pending {
-            // The same message again: the answer to the first was lost.
+        if record.request == request && record.location == KeyLocation::Pending {
+            // A retransmission: the reply to the first message was lost.
             return None;
         }
         Some(KeyDecision::Attach(record.state()))
     }
 
-    /// A request is about to run on a sidecar. False if another request holds
-    /// the key meanwhile: this one must not run.
+    /// Records the sidecar on which a request is about to run. False if another
+    /// request holds the key; this one must not run then.
     pub fn assign_sidecar(
         &self,
         key: KeyDigest,
@@ -179,7 +181,7 @@
         let mut shard = self.shard(key);
         match shard.get_mut(&key) {
             Some(record) if record.request == request => {
-                record.place = KeyPlace::Running(sidecar);
+                record.location = KeyLocation::Running(sidecar);
                 record.since = now;
                 true
             }
@@ -187,7 +189,7 @@
         }
     }
 
-    /// A request under a key ended.
+    /// Records how a request under a key ended. Ignored if another request holds the key.
     pub fn record_outcome(
         &self,
         key: KeyDigest,
@@ -200,20 +202,20 @@
         if record.request != request {
             return;
         }
-        match (outcome, record.place) {
+        match (outcome, record.location) {
             (KeyOutcome::NotRun, _) => {
                 shard.remove(&key);
                 return;
             }
-            (KeyOutcome::Answered, KeyPlace::Running(sidecar) | KeyPlace::Kept(sidecar)) => {
-                record.place = KeyPlace::Kept(sidecar);
+            (KeyOutcome::Answered, KeyLocation::Running(sidecar) | KeyLocation::Kept(sidecar)) => {
+                record.location = KeyLocation::Kept(sidecar);
             }
-            (KeyOutcome::Answered | KeyOutcome::Broken, _) => record.place = KeyPlace::Lost,
+            (KeyOutcome::Answered | KeyOutcome::Broken, _) => record.location = KeyLocation::Lost,
         }
         record.since = now;
     }
 
-    /// A request gives its key back without having run.
+    /// Frees the key of a request that did not run.
     pub fn forget(&self, key: KeyDigest, request: RequestId) {
         let mut shard = self.shard(key);
         if shard.get(&key).is_some_and(|record| record.request == request) {
@@ -221,53 +223,54 @@
         }
     }
 
-    /// A request whose entry may never have heard that it may run gives its key
-    /// back, unless it has been placed since.
+    /// Frees the key of a request whose entry may not have received the permission
+    /// to run it, unless a sidecar has been assigned since.
     pub fn release(&self, key: KeyDigest, request: RequestId) {
         let mut shard = self.shard(key);
-        let waits =
-            |record: &KeyRecord| record.request == request && record.place == KeyPlace::Pending;
-        if shard.get(&key).is_some_and(waits) {
+        let is_pending = |record: &KeyRecord| {
+            record.request == request && record.location == KeyLocation::Pending
+        };
+        if shard.get(&key).is_some_and(is_pending) {
             shard.remove(&key);
         }
     }
 
-    /// A sidecar's process is gone, and the answers that it kept with it.
+    /// Marks the responses that a sidecar kept as lost, after its process ended.
     pub fn sidecar_gone(&self, sidecar: IncarnationId, now: ClockTime) {
         for shard in &self.shards {
             let mut shard = lock(shard);
             for record in shard.values_mut() {
-                let here = [KeyPlace::Running(sidecar), KeyPlace::Kept(sidecar)];
-                if here.contains(&record.place) {
-                    record.place = KeyPlace::Lost;
+                let on_sidecar = [KeyLocation::Running(sidecar), KeyLocation::Kept(sidecar)];
+                if on_sidecar.contains(&record.location) {
+                    record.location = KeyLocation::Lost;
                     record.since = now;
                 }
             }
         }
     }
 
-    /// What is known of a key, without taking it.
+    /// The state of a key, without taking it.
     pub fn find(&self, key: KeyDigest, now: ClockTime) -> Option<KeyState> {
         let shard = self.shard(key);
         let record = shard.get(&key)?;
-        (!record.has_lapsed(&self.policy, now)).then(|| record.state())
+        (!record.is_expired(&self.policy, now)).then(|| record.state())
     }
 
-    /// Forgets what has lapsed; to be called every few seconds.
+    /// Removes expired keys; to be called every few seconds.
     pub fn expire(&self, now: ClockTime) {
         for shard in &self.shards {
             let mut shard = lock(shard);
-            shard.retain(|_, record| !record.has_lapsed(&self.policy, now));
+            shard.retain(|_, record| !record.is_expired(&self.policy, now));
         }
     }
 
-    /// How many keys are known.
+    /// The number of keys in the index.
     pub fn len(&self) -> usize {
-        let count = |shard| lock(shard).len();
-        self.shards.iter().map(count).sum()
+        let key_count = |shard| lock(shard).len();
+        self.shards.iter().map(key_count).sum()
     }
 
-    /// True if no key is known.
+    /// True if the index has no keys.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/sagespool-claims/src/lib.rs
+++ b/crates/sagespool-claims/src/lib.rs
@@ -1,17 +1,16 @@
-//! At-most-once as pure decisions: claims, known keys, quarantine.
+//! At-most-once execution as pure decisions: claims, key state, quarantine.
 //!
-//! A request that may never run twice is dispatched only after a claim on its
-//! key is in the platform's store. [`ClaimsRecord`] is the store's object, and
-//! [`ClaimBatch`] gathers many claims into one write of it. [`KeyRegistry`] is a
-//! home's memory of keys, which spares the store most questions, and
-//! [`KeyLookup`] judges what sidecars say of a key that a home doesn't know.
-//! [`CrashTracker`] and [`QuarantineRecord`] stop a request that takes down the
-//! upstreams that run it.
+//! A non-idempotent request is dispatched only after a claim on its key is in the
+//! platform's store. [`ClaimsRecord`] is the stored record, and [`ClaimBatch`]
+//! collects several claims into one write of it. [`KeyRegistry`] is a home's in-memory
+//! index of keys, which saves most store reads. [`KeyLookup`] combines the sidecars'
+//! replies on a key that a home has no record of. [`CrashTracker`] and
+//! [`QuarantineRecord`] stop a request that crashes the upstreams that run it.
 //!
-//! Nothing here opens a socket or reads a clock.
+//! This crate does no I/O. Times are arguments; no function reads a clock.
 //!
-//! Two homes intent for the same key; the store's conditional write lets one record win, and the
-//! other is told whose claim stands:
+//! Two homes claim the same key. The store's conditional write accepts one record, and the
+//! other home finds the claim that was stored:
 //!
 //! ```
 //! use std::time::Duration;
@@ -28,7 +27,7 @@
 //!     sidecar: IncarnationId(sidecar),
 //!     attempt: AttemptNumber(1),
 //!     home: IncarnationId(1),
-//!     overturns: None,
+//!     replaces: None,
 //!     time_left: Duration::from_secs(2),
 //! };
 //! let (now, retention) = (WallTime::now(), Duration::from_secs(24 * 3600));
@@ -52,7 +51,7 @@
 mod record;
 mod refusal;
 
-pub use aged::{AgedClaims, PrintSet};
+pub use aged::{AgedClaims, FingerprintSet};
 pub use batch::{BatchPolicy, ClaimBatch, ClaimResult, ClaimVerdict};
 pub use crash::{CrashPolicy, CrashTracker, CrashVerdict, SuspectContent};
 pub use entry::{ClaimEntry, ClaimIntent, FencedClaim};
@@ -61,7 +60,7 @@
 pub use keys::{KeyDecision, KeyOutcome, KeyRegistry};
 pub use quarantine::{CrashNote, QUARANTINE_KEY, QuarantineEntry, QuarantineRecord, StopOutcome};
 pub use record::{
-    CLAIM_SHARDS, ClaimOutcome, ClaimsRecord, DETAILS_KEPT, MOST_RECORD_BYTES, claim_key,
+    CLAIM_SHARDS, ClaimOutcome, ClaimsRecord, DETAIL_RETENTION, MAX_RECORD_BYTES, claim_key,
     claim_shard,
 };
 pub use refusal::{EarlierRun, claim_refusal, claimed_key_state, earlier_run};
--- a/crates/sagespool-claims/src/quarantine.rs
+++ b/crates/sagespool-claims/src/quarantine.rs
@@ -1,71 +1,73 @@
-//! The store's object of stopped contents.
+//! The stored record of stopped contents.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use sagespool_messages::CrashReport;
 use sagespool_types::{AttemptNumber, ContentDigest, RequestId, UpstreamName, WallTime, derives};
 
-/// The store's key of the object.
+/// The store's key of the record.
 pub const QUARANTINE_KEY: &str = "quarantine";
-/// Most contents kept; the oldest give way. At 400 bytes each, 0.8 MB.
-const MOST_ENTRIES: usize = 2000;
+/// Maximum number of contents kept. Lifted ones are evicted first, then the oldest.
+/// At 400 bytes each this is 0.8 MB.
+const MAX_ENTRIES: usize = 2000;
 
 derives! { record;
-    /// One crash with the content in flight.
+    /// One report of a crash with the content in flight.
     #[derive(Eq, PartialOrd, Ord)]
     pub struct CrashNote {
         /// The request that ran.
         pub request: RequestId,
-        /// Which attempt at it.
+        /// The attempt that was in flight.
         pub attempt: AttemptNumber,
-        /// The upstream that went down.
+        /// The upstream that crashed.
         pub upstream: UpstreamName,
     }
 }
 
 impl CrashNote {
-    /// The note of a report.
+    /// The note of a received report.
     pub fn of(report: &CrashReport) -> Self {
         Self { request: report.crash, attempt: report.attempt, upstream: report.upstream.clone() }
     }
 }
 
 derives! { record;
-    /// A stopped content, or one that was let go again.
+    /// A content that is stopped, or was lifted after a stop.
     pub struct QuarantineEntry {
         /// The crashes that stopped it.
         pub crashes: BTreeSet<CrashNote>,
-        /// When it was stopped or let go, by the writer's wall clock.
+        /// Time of the stop or lift, by the writer's wall clock.
         pub at: WallTime,
-        /// True if it was let go: these crashes don't count any more.
+        /// True if it was lifted; these crashes no longer count.
         pub lifted: bool,
     }
 }
 
 derives! { record;
-    /// The contents that no process may run, so that a verdict outlives every entry.
+    /// The contents that no process may run. The record keeps a stop when the entries that
+    /// received the reports have ended.
     #[derive(Default)]
     #[serde(default)]
     pub struct QuarantineRecord {
-        /// By content.
+        /// Entries by the digest of their content.
         pub contents: BTreeMap<ContentDigest, QuarantineEntry>,
     }
 }
 
-/// How a intent to stop a content went.
+/// The result of stopping a content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopOutcome {
-    /// Stopped now.
+    /// The content was not stopped before.
     Stopped,
-    /// Stopped already; its crashes were added.
+    /// The content was stopped before; its crashes were added.
     Already,
-    /// It was let go after these crashes: they don't count.
+    /// The content was lifted after these crashes, which no longer count.
     Lifted,
 }
 
 impl QuarantineRecord {
-    /// Stops a content for its crashes. Idempotent; crashes that an operator
-    /// has forgiven don't stop it again.
+    /// Stops a content for its crashes. Idempotent; crashes of a lifted entry don't stop
+    /// the content again.
     pub fn stop(
         &mut self,
         content: ContentDigest,
@@ -83,12 +85,12 @@
             *entry = QuarantineEntry { crashes: BTreeSet::new(), at: now, lifted: false };
         }
         entry.crashes.extend(crashes.iter().cloned());
-        self.drop_oldest();
+        self.evict_oldest();
         if stopped_now { StopOutcome::Stopped } else { StopOutcome::Already }
     }
 
-    /// Lets a content go: an operator's command, or a run that came through
-    /// whole. False if it wasn't stopped.
+    /// Lifts a stop, by an operator's command or after a complete run. False if the content
+    /// wasn't stopped.
     pub fn lift(&mut self, content: ContentDigest, now: WallTime) -> bool {
         match self.contents.get_mut(&content) {
             Some(entry) if !entry.lifted => {
@@ -100,13 +102,13 @@
         }
     }
 
-    /// The stopped contents, without those let go.
+    /// The stopped contents, without lifted ones.
     pub fn stopped(&self) -> impl Iterator<Item = (&ContentDigest, &QuarantineEntry)> {
         self.contents.iter().filter(|(_, entry)| !entry.lifted)
     }
 
-    fn drop_oldest(&mut self) {
-        if self.contents.len() <= MOST_ENTRIES {
+    fn evict_oldest(&mut self) {
+        if self.contents.len() <= MAX_ENTRIES {
             return;
         }
         let oldest = self.contents.iter().min_by_key(|(_, entry)| (!entry.lifted, entry.at));
--- a/crates/sagespool-claims/src/record.rs
+++ b/crates/sagespool-claims/src/record.rs
@@ -1,85 +1,82 @@
-//! The store's object of one shard of claims.
+//! The stored record of one shard of claims.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use sagespool_types::{IncarnationId, KeyDigest, WallTime, derives};
 
-use crate::aged::{AgedClaims, hour_of, hours_bytes, is_past};
+use crate::aged::{AgedClaims, hour_of, is_past_retention, max_hours_bytes};
 use crate::entry::{ClaimEntry, ClaimIntent};
 
-/// Shards that the claims are spread over by their key.
+/// Number of shards that the claims are distributed over by key.
 pub const CLAIM_SHARDS: u64 = 16;
-/// Time for which a claim's request and sidecar are kept; after it only the
-/// fact that the key was claimed. Whoever comes back later is told that the
-/// outcome is unknown, unless a sidecar still has the answer.
-pub const DETAILS_KEPT: Duration = Duration::from_secs(30 * 60);
-/// Most bytes of a shard's object. The store takes a megabyte; the rest is
-/// room for what the estimate leaves out.
-pub const MOST_RECORD_BYTES: usize = 1_000_000;
-/// A claim's key and entry as JSON, at their longest.
-const ENTRY_BYTES: usize = 170;
-/// Clocks are taken to differ by less.
-const CLOCK_MARGIN_MILLIS: u64 = 3_600_000;
-
-/// The shard of a key.
+/// Time for which a claim's request and sidecar are kept. After that the record only
+/// shows that the key was claimed, and a repeated request gets an unknown outcome
+/// unless a sidecar still has the response.
+pub const DETAIL_RETENTION: Duration = Duration::from_secs(30 * 60);
+/// Size limit of a shard's record in bytes. The store accepts a megabyte; the difference
+/// covers what the estimate leaves out.
+pub const MAX_RECORD_BYTES: usize = 1_000_000;
+/// Longest JSON form of a claim's key and entry.
+const MAX_ENTRY_BYTES: usize = 170;
+/// Assumed limit of the difference between the homes' clocks.
+const MAX_CLOCK_SKEW_MS: u64 = 3_600_000;
+
+/// The shard of a key, below [`CLAIM_SHARDS`].
 pub fn claim_shard(key: KeyDigest) -> u64 {
     (key.0 % u128::from(CLAIM_SHARDS)) as u64
 }
 
-/// The store's key of a shard, `claims/3`.
+/// The store's key of a shard, such as `claims/3`.
 pub fn claim_key(shard: u64) -> String {
     format!("claims/{shard}")
 }
 
 derives! { record;
-    /// The claims of one shard. A key that is in here has been claimed, and
-    /// must not be dispatched for another request, unless the claim's sidecar
-    /// fenced it.
+    /// The claims of one shard. No other request may be dispatched under a key that is
+    /// in the record, unless the claim's sidecar has fenced it.
     #[derive(Default)]
     #[serde(default)]
     pub struct ClaimsRecord {
-        /// Claims of the last half hour, with their details.
+        /// Claims within [`DETAIL_RETENTION`], with their details.
         pub claims: BTreeMap<KeyDigest, ClaimEntry>,
-        /// Older ones, by the hour in which they were claimed.
+        /// Older claims, by the hour of the claim since 1970.
         pub aged: BTreeMap<u64, AgedClaims>,
     }
 }
 
-/// How a intent for a claim went in a record.
+/// The result of a claim in a record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// The record now holds the claim; it counts once the record is stored.
+    /// The record now has the claim, which is valid once the record is stored.
     Claimed,
-    /// The record held it already: an earlier write took effect, though its
-    /// answer was lost.
+    /// The record already had the claim: an earlier write took effect, although its
+    /// reply was lost.
     AlreadyMine,
-    /// Another request holds the key, or a later attempt of this one.
+    /// Another request has claimed the key, or a later attempt of this one.
     Taken(ClaimEntry),
-    /// The key was claimed longer ago than details are kept.
+    /// The key was claimed before the retention of details.
     Aged,
-    /// The record has no room; nothing may be forgotten early to make some.
+    /// The record has reached its size limit. Claims are not evicted early.
     Full,
 }
 
 impl ClaimsRecord {
-    /// Puts a intent for a claim into the record. Idempotent by the request, the
-    /// attempt and the sidecar.
+    /// Adds a claim to the record. Idempotent by request, attempt and sidecar.
     ///
-    /// A claim gives way to a later attempt of its own request, which its entry
-    /// makes only after the earlier sidecar refused it, and to a intent that
-    /// [overturns](ClaimIntent::overturns) it. Both go through the store's
-    /// conditional write, so that of two homes that overturn a claim one finds
-    /// the other's.
+    /// A claim is replaced by a later attempt of its own request, which the entry makes
+    /// only after the earlier sidecar refused it, and by an intent that
+    /// [replaces](ClaimIntent::replaces) it. Both go through the store's conditional
+    /// write, so of two homes that replace a claim one finds the other's.
     pub fn claim(
         &mut self,
         intent: &ClaimIntent,
         now: WallTime,
         retention: Duration,
     ) -> ClaimOutcome {
-        self.tidy(now, retention, intent.home);
+        self.drop_expired(now, retention, intent.home);
         if let Some(entry) = self.claims.get(&intent.key) {
-            if intent.is_met_by(entry) {
+            if intent.matches(entry) {
                 return ClaimOutcome::AlreadyMine;
             }
             if !may_replace(entry, intent) {
@@ -87,24 +84,24 @@
             }
         } else if self.is_aged(intent.key) {
             return ClaimOutcome::Aged;
-        } else if self.estimated_bytes() + ENTRY_BYTES > MOST_RECORD_BYTES {
+        } else if self.estimated_bytes() + MAX_ENTRY_BYTES > MAX_RECORD_BYTES {
             return ClaimOutcome::Full;
         }
-        self.claims.insert(intent.key, intent.entry(self.stamp(now)));
+        self.claims.insert(intent.key, intent.entry(self.claim_time(now)));
         ClaimOutcome::Claimed
     }
 
-    /// What the record says of a intent that was put into it, once it is stored.
+    /// The result of a claim that was applied, from the record as it is stored.
     pub fn outcome_of(&self, intent: &ClaimIntent) -> ClaimOutcome {
         match self.claims.get(&intent.key) {
-            Some(entry) if intent.is_met_by(entry) => ClaimOutcome::AlreadyMine,
+            Some(entry) if intent.matches(entry) => ClaimOutcome::AlreadyMine,
             Some(entry) => ClaimOutcome::Taken(entry.clone()),
             None if self.is_aged(intent.key) => ClaimOutcome::Aged,
             None => ClaimOutcome::Full,
         }
     }
 
-    /// The claim on a key, while its details are kept.
+    /// The claim on a key; `None` also if only the fact of the claim is kept.
     pub fn find(&self, key: KeyDigest) -> Option<&ClaimEntry> {
         self.claims.get(&key)
     }
@@ -118,14 +115,14 @@
         self.aged.values().any(|aged| aged.keys.contains(key))
     }
 
-    /// The most bytes that the record takes in the store.
+    /// Upper bound of the record's size in the store, in bytes.
     pub fn estimated_bytes(&self) -> usize {
-        self.claims.len() * ENTRY_BYTES + hours_bytes(self.aged.values())
+        self.claims.len() * MAX_ENTRY_BYTES + max_hours_bytes(self.aged.values())
     }
 
-    /// Drops details that are no longer kept, and hours past their retention.
-    fn tidy(&mut self, now: WallTime, retention: Duration, home: IncarnationId) {
-        let details = DETAILS_KEPT.as_millis() as u64;
+    /// Drops details older than [`DETAIL_RETENTION`], and hours past their retention.
+    fn drop_expired(&mut self, now: WallTime, retention: Duration, home: IncarnationId) {
+        let details = DETAIL_RETENTION.as_millis() as u64;
         let old = |entry: &ClaimEntry| entry.at.0.saturating_add(details) < now.0;
         let aging: Vec<_> = self
             .claims
@@ -138,14 +135,16 @@
             self.aged.entry(hour).or_default().keys.insert(key);
         }
         let retention = retention.as_millis() as u64;
-        self.aged.retain(|hour, aged| !aged.may_go(is_past(*hour, now, retention), home, now));
+        self.aged.retain(|hour, aged| {
+            !aged.may_be_dropped(is_past_retention(*hour, now, retention), home, now)
+        });
     }
 
-    /// The time to write on a claim. A home whose clock is far behind the other
-    /// claims' takes theirs, or its claim would be forgotten early.
-    fn stamp(&self, now: WallTime) -> WallTime {
+    /// The time of a new claim. A home whose clock is far behind the newest claim uses that
+    /// claim's time, as its own claim would otherwise be dropped early.
+    fn claim_time(&self, now: WallTime) -> WallTime {
         let newest = self.claims.values().map(|entry| entry.at).max().unwrap_or(now);
-        if newest.0 > now.0.saturating_add(CLOCK_MARGIN_MILLIS) { newest } else { now }
+        if newest.0 > now.0.saturating_add(MAX_CLOCK_SKEW_MS) { newest } else { now }
     }
 }
 
@@ -153,6 +152,6 @@
     if entry.request == intent.request {
         return intent.attempt > entry.attempt;
     }
-    let fenced = intent.overturns;
+    let fenced = intent.replaces;
     fenced.is_some_and(|fenced| fenced.request == entry.request && fenced.sidecar == entry.sidecar)
 }
--- a/crates/sagespool-claims/src/refusal.rs
+++ b/crates/sagespool-claims/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusing a request whose claim can't be made, without saying too much.
+//! Refusals of requests whose claim can't be made durable.
 
 use std::time::Duration;
 
@@ -8,24 +8,24 @@
 use crate::batch::ClaimVerdict;
 use crate::entry::ClaimEntry;
 
-/// Whether an earlier request under the same key can have run.
+/// Whether an earlier request with the same key can have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EarlierRun {
-    /// None can: this is the first request with the key.
+    /// No earlier request can have run.
     Excluded,
-    /// One can, as far as this home knows.
+    /// An earlier request may have run.
     Possible,
 }
 
-/// Judges while the store is out of reach whether a key that this home doesn't
-/// know can have run before.
+/// Decides, while the store is unreachable, whether a request with a key that this
+/// home has no record of can have run before.
 ///
-/// `absent_at` is when this home last saw the key's shard, without the key in
-/// it: nothing can have run under it before. `exclusive_since` is since when, by the
-/// view of this home, no other process can have taken the branch's requests:
-/// none of another region, and no entry lost, suspected or out of reach since.
-/// If that reaches back to the copy, a run would have gone through this home,
-/// and it would know.
+/// `absent_at` is the time at which this home last read the key's shard and the key
+/// was not in it: nothing ran under the key before that. Since `exclusive_since`, in
+/// this home's view, no other process can have accepted requests of the branch: no
+/// process of another region, and no entry was lost, suspected or unreachable. If
+/// `exclusive_since` is not later than `absent_at`, any run went through this home
+/// and would be recorded here.
 pub fn earlier_run(absent_at: Option<ClockTime>, exclusive_since: Option<ClockTime>) -> EarlierRun {
     match (absent_at, exclusive_since) {
         (Some(absent_at), Some(exclusive_since)) if exclusive_since <= absent_at => {
@@ -35,9 +35,10 @@
     }
 }
 
-/// The refusal of a request whose claim isn't durable. Its own dispatch never
-/// happened; but a caller that is told `not-run` would send the letter under
-/// another key, so that is said only if no earlier request of the key ran.
+/// The refusal of a request whose claim isn't durable; `None` for a claim that is
+/// durable or taken. The request itself was not dispatched, but a caller may send
+/// it again under a new key after `not-run`. So that state is returned only if no
+/// earlier request with the key can have run.
 pub fn claim_refusal(
     verdict: &ClaimVerdict,
     earlier: EarlierRun,
@@ -53,13 +54,13 @@
             let message = "too many keys of non-idempotent requests are remembered already";
             (RefusalReason::ClaimUnreachable, RunState::NotRun, message)
         }
-        ClaimVerdict::Expired => unconfirmed(earlier),
+        ClaimVerdict::Expired => unconfirmed_claim(earlier),
     };
     let retry_after = (reason == RefusalReason::ClaimUnreachable).then_some(retry_after);
     Some(RefusalNotice { reason, run_state, message: message.to_owned(), retry_after })
 }
 
-fn unconfirmed(earlier: EarlierRun) -> (RefusalReason, RunState, &'static str) {
+fn unconfirmed_claim(earlier: EarlierRun) -> (RefusalReason, RunState, &'static str) {
     let reason = RefusalReason::ClaimUnreachable;
     match earlier {
         EarlierRun::Excluded => {
@@ -76,16 +77,16 @@
     }
 }
 
-/// What to tell a request whose key is claimed by another one, once the
-/// claim's sidecar was asked. `sidecar_knows` is what that sidecar, still the
-/// same incarnation, said of the key: nothing if it is out of reach or gone.
+/// The key state for a request whose key is claimed by another one.
+/// `sidecar_state` is the reply of the claim's sidecar; `None` if the sidecar is
+/// unreachable or another incarnation.
 pub fn claimed_key_state(
     entry: &ClaimEntry,
     content: ContentDigest,
-    sidecar_knows: Option<KeyState>,
+    sidecar_state: Option<KeyState>,
 ) -> KeyState {
     if entry.content != content {
         return KeyState::OtherContent;
     }
-    sidecar_knows.unwrap_or(KeyState::Unknown { request: entry.request })
+    sidecar_state.unwrap_or(KeyState::Unknown { request: entry.request })
 }
--- a/crates/sagespool-claims/tests/claim_batch.rs
+++ b/crates/sagespool-claims/tests/claim_batch.rs
@@ -24,7 +24,7 @@
         sidecar: IncarnationId(sidecar),
         attempt: AttemptNumber(1),
         home: IncarnationId(1),
-        overturns: None,
+        replaces: None,
         time_left: Duration::from_secs(5),
     }
 }
@@ -35,9 +35,9 @@
     let mut batch = ClaimBatch::new(policy.clone());
     assert_eq!(batch.due_at(), None);
     batch.add(intent(1, 10, 100), NOW);
-    batch.add(intent(2, 11, 100), NOW.after(policy.most_delay / 2));
-    assert_eq!(batch.due_at(), Some(NOW.after(policy.most_delay)), "the first one's delay");
-    for number in 3..=policy.most_claims as u128 {
+    batch.add(intent(2, 11, 100), NOW.after(policy.max_delay / 2));
+    assert_eq!(batch.due_at(), Some(NOW.after(policy.max_delay)), "the first one's delay");
+    for number in 3..=policy.max_claims as u128 {
         batch.add(intent(number, 10 + number, 100), NOW);
     }
     assert_eq!(batch.due_at(), Some(NOW), "a full batch doesn't wait");
@@ -48,10 +48,14 @@
     let mut record = ClaimsRecord::default();
     assert!(batch.apply(&mut record, WALL));
     let answers = batch.complete_write(record, NOW);
-    assert_eq!(answers.len(), policy.most_claims);
+    assert_eq!(answers.len(), policy.max_claims);
     assert!(answers.iter().all(|answer| answer.verdict == ClaimVerdict::Durable));
     assert_eq!(batch.len(), 1, "the late one waits for the next write");
-    assert_eq!(batch.due_at(), Some(NOW.after(policy.least_gap)), "writes keep their distance");
+    assert_eq!(
+        batch.due_at(),
+        Some(NOW.after(policy.min_write_interval)),
+        "writes keep their distance"
+    );
 }
 
 /// The store takes a write and its answer is lost; meanwhile another home
@@ -67,7 +71,7 @@
     stored.claim(&intent(2, 99, 101), WALL, Duration::from_secs(3600));
     batch.apply(&mut stored, WALL);
     batch.record_failure(NOW);
-    assert!(batch.is_store_away());
+    assert!(batch.is_store_unreachable());
     let retry = batch.due_at().expect("the wishes wait");
     assert!(retry > NOW, "not at once");
     batch.begin_write(NOW);
@@ -78,7 +82,7 @@
     assert!(
         matches!(&answers[1].verdict, ClaimVerdict::Taken(entry) if entry.request == RequestId(99))
     );
-    assert!(!batch.is_store_away());
+    assert!(!batch.is_store_unreachable());
 }
 
 /// The store is away beyond a request's deadline. Its home refuses it then, and
@@ -101,7 +105,7 @@
         tries += 1;
     }
     assert!((4..20).contains(&tries), "{tries} tries in 5 s spare a store in trouble");
-    assert_eq!(batch.next_lapse(), Some(lapse));
+    assert_eq!(batch.next_expiry(), Some(lapse));
     batch.begin_write(NOW);
     let lapsed = batch.expire(now);
     assert_eq!(lapsed[0].verdict, ClaimVerdict::Expired);
@@ -116,7 +120,7 @@
     assert_eq!(batch.absent_at(KeyDigest(1)), None, "never seen");
     let mut record = ClaimsRecord::default();
     record.claim(&intent(1, 10, 100), WALL, Duration::from_secs(3600));
-    batch.read(record, NOW);
+    batch.observe_record(record, NOW);
     assert_eq!(batch.absent_at(KeyDigest(1)), None);
     assert_eq!(batch.absent_at(KeyDigest(2)), Some(NOW));
 }
@@ -266,7 +270,7 @@
         }
     }
 
-    /// An entry dispatches what is durable; a home overturns a claim that its
+    /// An entry dispatches what is durable; a home replaces a claim that its
     /// sidecar fences.
     fn hear(&mut self, home: usize, answers: Vec<ClaimResult>) {
         for ClaimResult { intent, verdict } in answers {
@@ -308,7 +312,7 @@
             let sidecar = self.incarnation(1 - place);
             let attempt = intent.attempt.next();
             let home = (intent.request.0 % 2) as usize;
-            self.homes[home].add(ClaimIntent { sidecar, attempt, overturns: None, ..intent }, NOW);
+            self.homes[home].add(ClaimIntent { sidecar, attempt, replaces: None, ..intent }, NOW);
         }
     }
 }
--- a/crates/sagespool-claims/tests/claim_record.rs
+++ b/crates/sagespool-claims/tests/claim_record.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use sagespool_claims::{
-    ClaimIntent, ClaimOutcome, ClaimsRecord, DETAILS_KEPT, FencedClaim, MOST_RECORD_BYTES,
+    ClaimIntent, ClaimOutcome, ClaimsRecord, DETAIL_RETENTION, FencedClaim, MAX_RECORD_BYTES,
 };
 use sagespool_types::{
     AttemptNumber, ContentDigest, IncarnationId, KeyDigest, RequestId, WallTime,
@@ -26,7 +26,7 @@
         sidecar: IncarnationId(sidecar),
         attempt: AttemptNumber(attempt),
         home: IncarnationId(1),
-        overturns: None,
+        replaces: None,
         time_left: Duration::from_secs(5),
     }
 }
@@ -91,7 +91,7 @@
 fn aged_claims() {
     let mut record = ClaimsRecord::default();
     record.claim(&intent(1, 10, 100, 1), START, DAY);
-    let details = DETAILS_KEPT.as_millis() as u64;
+    let details = DETAIL_RETENTION.as_millis() as u64;
     let cases = [
         (details - 1, false),
         (details + 1, true),
@@ -144,7 +144,7 @@
     let aged = later(START, 2 * HOUR);
     assert_eq!(record.claim(&wide_wish(claimed), aged, DAY), ClaimOutcome::Claimed);
     check_size(&record);
-    assert!(record.estimated_bytes() < MOST_RECORD_BYTES / 10, "details take most of the room");
+    assert!(record.estimated_bytes() < MAX_RECORD_BYTES / 10, "details take most of the room");
     assert!((0..=claimed).all(|number| record.is_claimed(wide_wish(number).key)));
 }
 
@@ -158,7 +158,7 @@
 fn check_size(record: &ClaimsRecord) {
     let text = serde_json::to_string(record).expect("a record is plain data");
     assert!(text.len() <= record.estimated_bytes(), "{} bytes", text.len());
-    assert!(record.estimated_bytes() <= MOST_RECORD_BYTES);
+    assert!(record.estimated_bytes() <= MAX_RECORD_BYTES);
     let read: ClaimsRecord = serde_json::from_str(&text).expect("what was written can be read");
     assert_eq!(read, *record);
 }
