--- a/crates/sagespool-messages/examples/message_sizes.rs
+++ b/crates/sagespool-messages/examples/message_sizes.rs
@@ -1,8 +1,8 @@
-//! Bytes of the messages between processes, as the link encodes them, without its frame of 5 bytes.
+//! Encoded sizes of messages between processes, without the link's frame of 5 bytes.
 //!
 //!     cargo run --release --locked -p sagespool-messages --example message_sizes
 
-#![allow(clippy::unwrap_used, reason = "a measurement that fails may panic")]
+#![allow(clippy::unwrap_used, reason = "an example may panic on failure")]
 
 use std::time::Duration;
 
--- a/crates/sagespool-messages/src/charges.rs
+++ b/crates/sagespool-messages/src/charges.rs
@@ -1,4 +1,4 @@
-//! Charges: what ran, as sidecars witness it, and the sealing of grants.
+//! Charges as sidecars record them, and the sealing of grants.
 
 use sagespool_types::{
     AttemptNumber, BranchName, ChargeId, GrantId, IncarnationId, KeyDigest, RequestId,
@@ -6,7 +6,7 @@
 };
 
 derives! { record;
-    /// One attempt under a charge, as its sidecar witnessed it.
+    /// One attempt under a charge, as its sidecar recorded it.
     pub struct ChargeRecord {
         /// The charge.
         pub charge: ChargeId,
@@ -14,31 +14,31 @@
         pub branch: BranchName,
         /// The request.
         pub request: RequestId,
-        /// The caller's key, if it gave one.
+        /// The caller's idempotency key, if any.
         pub key: Option<KeyDigest>,
-        /// Which attempt this was; of several under a charge the highest is billed.
+        /// The attempt; of several under a charge the highest is billed.
         pub attempt: AttemptNumber,
-        /// What it used so far, never more than was reserved.
+        /// Tokens used so far, at most the reserved amount.
         pub used: TokenCount,
-        /// False while the attempt still runs.
+        /// False while the attempt runs.
         pub ended: bool,
-        /// True if the answer came whole, so that no later attempt follows.
+        /// True if the response was complete, so that no later attempt follows.
         pub whole: bool,
     }
 }
 
 derives! { record;
-    /// A sidecar reports charges to a grant's holder until they are durable.
+    /// Charges that a sidecar reports to a grant's holder until they are durable.
     pub struct ChargeReport {
         /// The sidecar's incarnation.
         pub sidecar: IncarnationId,
-        /// Ended charges not known to be durable.
+        /// Ended charges that the holder has not confirmed as durable.
         pub charges: Vec<ChargeRecord>,
     }
 }
 
 derives! { record;
-    /// The holder's answer: these need no further report and may be forgotten.
+    /// The holder's reply: these charges need no further report and may be dropped.
     pub struct ChargesDurable {
         /// The charges that are settled in the store.
         pub charges: Vec<ChargeId>,
@@ -48,34 +48,34 @@
 derives! { record;
     /// Which charges of a grant to seal.
     pub enum SealScope {
-        /// All, whether seen or not: the grant starts nothing new anywhere.
+        /// All, seen or not: nothing new may start under the grant.
         WholeGrant,
-        /// These only: their entry is gone, and the holder wants to know what ran.
+        /// Only these: their entry is gone, and the holder needs to know what ran.
         Charges(Vec<SequenceNumber>),
     }
 }
 
 derives! { record;
-    /// A home asks a sidecar to start nothing new and to list what ran.
+    /// A home's request to a sidecar to start nothing new under a grant and to list its charges.
     pub struct SealRequest {
         /// The grant.
         pub grant: GrantId,
-        /// Which of its charges.
+        /// The charges to seal.
         pub scope: SealScope,
-        /// Who asks, and is reported to from now on.
+        /// The requesting home, which receives the charge reports from now on.
         pub reporter: IncarnationId,
     }
 }
 
 derives! { record;
-    /// A sidecar's answer to a [`SealRequest`].
+    /// A sidecar's reply to a [`SealRequest`].
     pub struct SealReply {
         /// The sidecar's incarnation.
         pub sidecar: IncarnationId,
-        /// The store's revision when this incarnation started: it can't witness for grants
-        /// made before, since its predecessor may have run some.
+        /// The store's revision when this incarnation started. For grants made before, its
+        /// list may be incomplete, since its predecessor may have run requests under them.
         pub started_at: Option<sagespool_types::StoreRevision>,
-        /// Every charge in scope that it knows, ended or running.
+        /// Every recorded charge in scope, ended or running.
         pub charges: Vec<ChargeRecord>,
     }
 }
--- a/crates/sagespool-messages/src/claims.rs
+++ b/crates/sagespool-messages/src/claims.rs
@@ -1,4 +1,4 @@
-//! Keys of callers: claims before a non-idempotent run, and what is known of a key.
+//! Claims on callers' keys before a non-idempotent run, and the state of a key.
 
 use sagespool_types::{
     AttemptNumber, BranchName, ChargeId, ContentDigest, IncarnationId, KeyDigest, RequestId,
@@ -8,26 +8,26 @@
 use crate::RefusalNotice;
 
 derives! { record;
-    /// An entry asks the home to make a claim durable before it dispatches.
+    /// An entry's request to the home to make a claim durable before dispatch.
     pub struct ClaimRequest {
         /// The request.
         pub request: RequestId,
         /// The branch.
         pub branch: BranchName,
-        /// The caller's key.
+        /// The caller's idempotency key.
         pub key: KeyDigest,
-        /// What the request asks for.
+        /// Digest of the request's target and body.
         pub content: ContentDigest,
         /// The charge it is reserved under.
         pub charge: ChargeId,
-        /// Which attempt this is.
+        /// The attempt that the claim is for.
         pub attempt: AttemptNumber,
-        /// The sidecar that alone may run it.
+        /// The only sidecar that may run it.
         pub sidecar: IncarnationId,
         /// That sidecar's upstream.
         pub upstream: UpstreamName,
-        /// True if the claim must be durable in the store before the request runs; else the home's
-        /// memory is enough.
+        /// True if the claim must be in the store before the request runs; otherwise it is
+        /// kept in the home's memory only.
         pub durable: bool,
         /// Time left until the request's deadline.
         pub time_left: std::time::Duration,
@@ -35,74 +35,74 @@
 }
 
 derives! { record;
-    /// The home's answer to a [`ClaimRequest`].
+    /// The home's reply to a [`ClaimRequest`].
     pub enum ClaimReply {
-        /// Durable: dispatch to the named sidecar and no other.
+        /// The claim is made; the request may be dispatched to the named sidecar only.
         Durable,
         /// The key is claimed already.
         Known(KeyState),
-        /// Not durable, and it never will be for this request.
+        /// The claim was not made and will not be made for this request.
         Refused(RefusalNotice),
     }
 }
 
 derives! { record;
-    /// What is known of a key.
+    /// The state of a key.
     pub enum KeyState {
-        /// It runs, or its whole answer is kept, at this sidecar.
+        /// The request runs at this sidecar, or its complete response is kept there.
         At {
             /// The sidecar.
             sidecar: IncarnationId,
             /// The request that runs under the key.
             request: RequestId,
-            /// What that request asked for.
+            /// Digest of that request's target and body.
             content: ContentDigest,
         },
-        /// It was claimed or ran, and the answer can't be had.
+        /// The key was claimed or its request ran, and the response is not available.
         Unknown {
             /// The request that ran under the key.
             request: RequestId,
         },
-        /// The same key stands for another request.
+        /// The key was used for a request with other content.
         OtherContent,
-        /// Being settled by another request now; ask again shortly.
+        /// The key's state is being determined for another request; retry shortly.
         Pending,
     }
 }
 
 derives! { record;
-    /// A home asks a sidecar what it knows of a key.
+    /// A home's query to a sidecar for the state of a key.
     pub struct KeyRequest {
         /// The service that would run it.
         pub service: ServiceName,
         /// The key.
         pub key: KeyDigest,
-        /// If set and the key is not known here, this request is refused from now on,
-        /// so that "it did not run here" stays true.
+        /// If set and the sidecar has not seen the key, it refuses this request from now on,
+        /// so that its reply stays valid.
         pub fence: Option<RequestId>,
     }
 }
 
 derives! { record;
-    /// A sidecar's answer to a [`KeyRequest`].
+    /// A sidecar's reply to a [`KeyRequest`].
     pub struct KeyReply {
         /// The sidecar's incarnation.
         pub sidecar: IncarnationId,
-        /// What it knows; nothing if it never saw the key.
+        /// The key's state; `None` if the sidecar has not seen the key.
         pub known: Option<KeyState>,
     }
 }
 
 derives! { record;
-    /// An entry tells the other entries of a request that took its upstream down.
+    /// An entry's report to the other entries of a request in flight when its upstream crashed.
     pub struct CrashReport {
-        /// What the request asked for.
+        /// Digest of the request's target and body.
         pub content: ContentDigest,
-        /// Each crash counts once, however often it is reported.
+        /// The request that was in flight; identifies repeated reports of one crash.
         pub crash: RequestId,
         /// The upstream that crashed.
         pub upstream: UpstreamName,
-        /// The attempt that it ran.
+        /// The attempt that was in flight.
         pub attempt: AttemptNumber,
     }
 }
--- a/crates/sagespool-messages/src/configuration.rs
+++ b/crates/sagespool-messages/src/configuration.rs
@@ -1,29 +1,29 @@
-//! Configuration objects, as neighbours pass them on.
+//! Configuration objects, as processes exchange them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use sagespool_types::{IncarnationId, StoreRevision, derives};
 
-/// Every object of the configuration, and nothing else, has a key that begins so.
+/// Key prefix of all configuration objects and of nothing else.
 pub const CONFIGURATION_PREFIX: &str = "configuration/";
 
-/// The object that holds the classes and services.
+/// Key of the object with the classes and services.
 pub const FLEET_OBJECT_KEY: &str = "configuration/fleet";
 
 derives! { value;
-    /// Which objects of the configuration a process follows.
+    /// The configuration objects that a process follows.
     #[serde(rename_all = "kebab-case")]
     pub enum ConfigScope {
-        /// All of them: entries.
+        /// All objects; used by entries.
         All,
-        /// The fleet's object alone: sidecars.
+        /// Only the fleet object; used by sidecars.
         Fleet,
     }
 }
 
 impl ConfigScope {
-    /// What the keys of its objects begin with.
+    /// The common prefix of the keys in this scope.
     pub fn prefix(self) -> &'static str {
         match self {
             Self::All => CONFIGURATION_PREFIX,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Whether an object is among them.
+    /// True if the object with this key is in this scope.
     pub fn covers(self, key: &str) -> bool {
         match self {
             Self::All => key.starts_with(CONFIGURATION_PREFIX),
@@ -41,60 +41,62 @@
 }
 
 derives! { record;
-    /// One object, whole, at a version of the store.
+    /// One complete object at a revision of the store.
     pub struct ConfigObject {
-        /// Its key.
+        /// The object's key in the store.
         pub key: String,
-        /// The revision of its last change; for one that is gone, a revision at which it was gone.
+        /// The revision of its last change; for a deleted object, a revision at which it was
+        /// absent.
         pub version: StoreRevision,
-        /// Its value as JSON text; nothing if it is gone.
+        /// The value as JSON text; `None` if the object was deleted.
         pub value: Option<String>,
     }
 }
 
 derives! { value;
-    /// A question for the objects that are newer than what the asker has.
+    /// A query for objects that are newer than the requester's.
     pub struct ConfigQuery {
-        /// What the asker follows.
+        /// The objects that the requester follows.
         pub scope: ConfigScope,
-        /// Only objects above this version. In the middle of a long answer this is above `complete`.
+        /// Only objects above this version are returned. Within a reply of several parts this is
+        /// above `complete`.
         pub after: StoreRevision,
-        /// The asker has every change up to here.
+        /// The requester has every change up to this revision.
         pub complete: StoreRevision,
     }
 }
 
 derives! { value;
-    /// The newest word of the store that a process knows of.
+    /// The last contact of any process with the store that a process has learned of.
     pub struct LastStoreContact {
-        /// Who had it from the store itself.
+        /// The process that the store replied to.
         pub by: IncarnationId,
-        /// How long ago, at least.
+        /// Time since that reply; a lower bound.
         pub age: Duration,
     }
 }
 
 derives! { record;
-    /// The answer to a [`ConfigQuery`], or a part of it.
+    /// The reply to a [`ConfigQuery`], or a part of it.
     pub struct ConfigReply {
-        /// The answerer has every change up to here.
+        /// The sender has every change up to this revision.
         pub as_of: StoreRevision,
-        /// Objects above `after` by their versions, the lowest first.
+        /// Objects above `after`, in ascending order of their versions.
         pub objects: Vec<ConfigObject>,
-        /// Where to go on, if this is not all.
+        /// The `after` of the next part; `None` in the last part.
         pub next: Option<StoreRevision>,
-        /// Every key that exists, in the last part and only where the answerer doesn't know all
-        /// that went away since the asker's `complete`.
+        /// Every existing key. Set in the last part only, and only if the sender doesn't have all
+        /// deletions since the requester's `complete`.
         pub present: Option<Vec<String>>,
-        /// The newest word of the store.
+        /// The last contact with the store; `None` if none is known.
         pub word: Option<LastStoreContact>,
     }
 }
 
 derives! { value;
-    /// Something changed; whoever is behind asks the sender for it.
+    /// Announces a change; receivers with older objects query the sender.
     pub struct ConfigNotice {
-        /// The sender's link.
+        /// The address of the sender's link.
         pub from: SocketAddr,
         /// The newest version that the sender has.
         pub newest: StoreRevision,
--- a/crates/sagespool-messages/src/dispatch.rs
+++ b/crates/sagespool-messages/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Running a request: the entry dispatches to a sidecar, which streams back.
+//! Dispatch of a request to a sidecar, and the events that it streams back.
 
 use std::time::Duration;
 
@@ -12,25 +12,25 @@
 derives! { record;
     /// One HTTP header.
     pub struct HeaderPair {
-        /// Its name, in lower case.
+        /// The name, in lower case.
         pub name: String,
-        /// Its value.
+        /// The value as text.
         pub value: String,
     }
 }
 
 derives! { record;
-    /// What to call on the upstream.
+    /// The call to make on the upstream.
     pub enum CallTarget {
         /// A chat completion of an engine. The sidecar always streams from the engine.
         Completion {
             /// The model.
             model: ModelName,
-            /// The most tokens the answer may have.
+            /// Maximum number of tokens in the response.
             max_tokens: u32,
-            /// The prompt's cost, fixed by the entry and paid once the request starts.
+            /// The prompt's cost in tokens, set by the entry and charged once the request starts.
             prompt_tokens: u32,
-            /// Where to go on, after a stream broke.
+            /// Where to resume after a broken stream.
             resume: Option<ResumePoint>,
         },
         /// A call of a plain service.
@@ -41,62 +41,62 @@
             path: String,
             /// Headers to pass on.
             headers: Vec<HeaderPair>,
-            /// The call's settled price, paid whole once it runs.
+            /// The call's fixed price in tokens, charged in full once it runs.
             price: u32,
         },
     }
 }
 
 derives! { record;
-    /// Where a broken stream goes on.
+    /// The position at which a broken stream is resumed.
     pub struct ResumePoint {
-        /// Tokens that the caller has.
+        /// Number of tokens that the caller has received.
         pub tokens: u32,
-        /// Their text.
+        /// The text of these tokens.
         pub text: String,
     }
 }
 
 derives! { record;
-    /// An entry asks a sidecar to run a request.
+    /// An entry's request to a sidecar to run a request.
     pub struct DispatchRequest {
         /// The request.
         pub request: RequestId,
-        /// Which attempt at it.
+        /// The attempt at the request.
         pub attempt: AttemptNumber,
-        /// The sidecar that is meant: another incarnation refuses.
+        /// The addressed sidecar; another incarnation refuses.
         pub sidecar: IncarnationId,
         /// The branch that pays.
         pub branch: BranchName,
-        /// The amount held for it; the sidecar cuts the stream there.
+        /// The reserved amount; the sidecar ends the stream when it is used up.
         pub reserved: ReservedCharge,
-        /// The caller's key, if it gave one.
+        /// The caller's idempotency key, if any.
         pub key: Option<KeyDigest>,
-        /// What the request asks for.
+        /// Digest of the request's target and body.
         pub content: ContentDigest,
-        /// True if it may never run twice.
+        /// True if the request must not run twice.
         pub non_idempotent: bool,
         /// The class.
         pub class: ClassName,
-        /// The class's priority for the engine; lower goes first.
+        /// The class's priority for the engine; lower values run first.
         pub priority: u8,
         /// Time left until the deadline.
         pub time_left: Duration,
-        /// What to call.
+        /// The call to make.
         pub target: CallTarget,
-        /// The body to send.
+        /// The body for the upstream.
         pub body: Vec<u8>,
     }
 }
 
 derives! { record;
-    /// An entry asks a sidecar for the answer to a key that runs or is kept there.
+    /// An entry's request to a sidecar for the response to a key that runs or is kept there.
     pub struct AttachRequest {
-        /// The request that attaches, for the logs.
+        /// The attaching request, for logs only.
         pub request: RequestId,
         /// The key.
         pub key: KeyDigest,
-        /// What it must have asked for.
+        /// Digest that the key's request must have.
         pub content: ContentDigest,
         /// Time left until the deadline.
         pub time_left: Duration,
@@ -104,7 +104,7 @@
 }
 
 derives! { record;
-    /// An entry gives a request up: free the upstream, bill what ran.
+    /// Cancels an attempt: the sidecar frees the upstream and charges what ran.
     pub struct CancelRequest {
         /// The request.
         pub request: RequestId,
@@ -114,20 +114,20 @@
 }
 
 derives! { value;
-    /// Why an answer ended.
+    /// Why a response ended.
     #[serde(rename_all = "kebab-case")]
     pub enum FinishReason {
-        /// The upstream finished by itself.
+        /// The upstream ended the response.
         Stop,
-        /// The most tokens asked for, or reserved, were reached.
+        /// The requested or reserved number of tokens was reached.
         Length,
     }
 }
 
 derives! { record;
-    /// What a sidecar sends back, in order; the last is an [`DispatchEvent::End`].
+    /// An event of a dispatched request, in order; the last one is [`DispatchEvent::End`].
     pub enum DispatchEvent {
-        /// The sidecar took the request and called the upstream.
+        /// The sidecar accepted the request and called the upstream.
         Started,
         /// A plain service's status and headers.
         Head {
@@ -136,30 +136,30 @@
             /// Headers.
             headers: Vec<HeaderPair>,
         },
-        /// A piece of an answer.
+        /// A part of the response.
         Piece {
-            /// The first token's place in the whole answer, from 0; bytes for a service.
+            /// Offset of the first token in the whole response, from 0; in bytes for a service.
             at: u32,
-            /// How many tokens; 0 for a service.
+            /// Number of tokens; 0 for a service.
             tokens: u32,
             /// Text of a completion or bytes of a body.
             data: Vec<u8>,
         },
-        /// The end.
+        /// The end of the attempt.
         End(DispatchEnd),
-        /// What the asker has not been told yet of the engine's prompt cache; may come anywhere
-        /// before the end.
+        /// Changes of the engine's prompt cache that this entry has not received yet; sent at
+        /// any point before the end.
         CacheNews(PrefixCacheUpdate),
-        /// How many other requests the sidecar has at its upstream at this moment, from all
-        /// entries; at the start and before the end.
+        /// Number of other requests of all entries that the sidecar has at its upstream; sent
+        /// at the start and before the end.
         Beside(u32),
     }
 }
 
 derives! { value;
-    /// The digest by which engines cache a prompt's prefix, as `docs/PLATFORM.md` has it.
+    /// The digest by which engines cache a prompt's prefix, defined in `docs/PLATFORM.md`.
     ///
-    /// Sixteen bytes on the wire, where a random number of variable length takes nineteen.
+    /// Encoded as 16 bytes; a random `u128` takes 19 bytes in variable-length encoding.
     pub struct PrefixDigest([u8; 16]);
 }
 
@@ -176,28 +176,28 @@
 }
 
 derives! { value;
-    /// A prefix, and whether its engine has it cached.
+    /// A change of one prefix in an engine's prompt cache.
     pub struct PrefixCacheEvent {
         /// The prefix.
         pub prefix: PrefixDigest,
-        /// False if it was evicted.
+        /// True if the prefix was cached, false if it was evicted.
         pub is_stored: bool,
     }
 }
 
 derives! { record;
-    /// What happened lately in an engine's prompt cache, late and with gaps.
+    /// Recent changes of an engine's prompt cache. They may be delayed and have gaps.
     pub struct PrefixCacheUpdate {
-        /// The number of the last note, counted by the sidecar; those before it count back
-        /// from there.
+        /// The sidecar's sequence number of the last entry of `notes`; the entries before it
+        /// have the preceding numbers.
         pub newest: u64,
-        /// The oldest first.
+        /// The changes, oldest first.
         pub notes: Vec<PrefixCacheEvent>,
     }
 }
 
 impl PrefixCacheUpdate {
-    /// Each note with its number.
+    /// The changes with their sequence numbers.
     pub fn numbered(&self) -> impl Iterator<Item = (u64, PrefixCacheEvent)> {
         let first = (self.newest + 1).saturating_sub(self.notes.len() as u64);
         (first..).zip(self.notes.iter().copied())
@@ -207,30 +207,30 @@
 derives! { record;
     /// How an attempt ended.
     pub enum DispatchEnd {
-        /// The answer is whole.
+        /// The response is complete.
         Whole {
-            /// What is billed.
+            /// The charge to bill.
             charge: ChargeRecord,
-            /// Why it ended.
+            /// Why the response ended.
             stop: FinishReason,
         },
         /// Refused before anything ran.
         Refused(RefusalNotice),
         /// Refused before anything ran, because the grant can't be used here (sealed, or older
-        /// than the sidecar): reserve again and come back.
+        /// than the sidecar). The entry must reserve again before a retry.
         GrantUnusable(String),
-        /// The upstream failed. `ran` is what it used, if it may have started.
+        /// The upstream failed.
         Broken {
-            /// What ran, or nothing if it surely did not start.
+            /// The charge, if the attempt may have started; `None` if it did not start.
             ran: Option<ChargeRecord>,
-            /// True if the upstream itself went down, not only this request.
+            /// True if the upstream crashed, false if only this request failed.
             crashed: bool,
-            /// For people.
+            /// Description of the failure, for people.
             detail: String,
         },
-        /// It was cancelled, or its deadline passed.
+        /// The attempt was cancelled, or its deadline passed.
         Cancelled {
-            /// What ran before, which is billed.
+            /// The charge to bill; `None` if the attempt did not start.
             ran: Option<ChargeRecord>,
         },
     }
--- a/crates/sagespool-messages/src/gateways.rs
+++ b/crates/sagespool-messages/src/gateways.rs
@@ -1,4 +1,4 @@
-//! What gateways ask each other.
+//! Requests and replies between gateways.
 
 use std::time::Duration;
 
@@ -7,58 +7,60 @@
 };
 
 derives! { record;
-    /// A question for a part of what the receiver may spend.
+    /// A request for a loan of budget that the receiver may spend.
     pub struct LendRequest {
         /// The client account.
         pub branch: BranchName,
-        /// How much the asker could use.
+        /// The amount that the borrower can use.
         pub wanted: TokenCount,
-        /// The configuration that the asker goes by. A home with an older one may not know of a
-        /// raise, and doesn't say that the total is spent.
+        /// The borrower's configuration. A home with an older one may have missed a raise of the
+        /// budget, and does not report the total as spent.
         pub version: ConfigVersion,
-        /// The run that asks.
+        /// The borrower's incarnation.
         pub borrower: IncarnationId,
-        /// The part of `wanted` that is for the time ahead, and may be less.
+        /// The part of `wanted` that is for future requests; the loan may leave it out.
         pub ahead: TokenCount,
-        /// True if the receiver is asked as the account's home, and may ask the store first.
+        /// True if the receiver is addressed as the account's home, and may query the store
+        /// before it replies.
         pub as_home: bool,
     }
 }
 
 derives! { value;
-    /// The answer to a [`LendRequest`]. What is lent counts as spent at the lender from then on,
-    /// also if the answer gets lost.
+    /// The reply to a [`LendRequest`]. The loan counts as spent at the lender, even if the reply
+    /// is lost.
     pub struct LendReply {
-        /// What the asker may spend.
+        /// The amount that the borrower may spend.
         pub lent: TokenCount,
-        /// What the account's home and its book could cover beside, where that is too little.
+        /// The amount beyond `lent` that the account's home and its stored record can cover. Set
+        /// if they don't cover all that was wanted.
         pub room: Option<TokenCount>,
     }
 }
 
 derives! { record;
-    /// What is left of an account at an instance that stops. It counts as spent there from then on, also
-    /// if the message gets lost.
+    /// The unspent amount of an account that a stopping instance returns. It counts as spent at the
+    /// sender, even if the message is lost.
     pub struct UnspentBudget {
-        /// The account.
+        /// The client account.
         pub branch: BranchName,
-        /// What the receiver may spend.
+        /// The amount that the receiver may spend.
         pub amount: TokenCount,
     }
 }
 
 derives! { value;
-    /// A question for the configuration that the receiver has in force.
+    /// A query for the configuration that the receiver has in force.
     pub struct PlanQuery {
-        /// The version that the asker has.
+        /// The requester's version.
         pub have: ConfigVersion,
     }
 }
 
 derives! { record;
-    /// The answer to a [`PlanQuery`].
+    /// The reply to a [`PlanQuery`].
     pub struct PlanReply {
-        /// The configuration as the store has it; nothing if it is no newer.
+        /// The configuration as stored; `None` if it is not newer.
         pub document: Option<String>,
     }
 }
@@ -78,7 +80,7 @@
 }
 
 derives! { record;
-    /// A call of the store that the receiver is asked to make, as the sender can't.
+    /// A call of the store that the receiver makes for a sender that can't reach the store.
     pub struct StoreCall {
         /// The method.
         pub method: StoreMethod,
@@ -86,42 +88,42 @@
         pub path: String,
         /// The body.
         pub body: Option<Vec<u8>>,
-        /// How long the store may hold the call.
+        /// Longest time for which the store may hold the call before it responds.
         pub wait: Duration,
     }
 }
 
 derives! { record;
-    /// What became of a [`StoreCall`].
+    /// The result of a [`StoreCall`].
     pub enum StoreCallReply {
-        /// The store answered.
+        /// The store responded.
         Answered {
-            /// The status.
+            /// The HTTP status.
             status: u16,
-            /// The body; nothing if it broke off.
+            /// The body; `None` if it was incomplete.
             body: Option<Vec<u8>>,
         },
-        /// The call surely didn't reach the store.
+        /// The call did not reach the store.
         NotSent,
-        /// It may have.
+        /// The call may have reached the store; no response arrived.
         Lost,
     }
 }
 
 derives! { value;
-    /// What gateways follow in the store.
+    /// The kinds of stored objects that gateways watch for changes.
     pub enum FeedKind {
         /// The configuration.
         Configuration,
-        /// The list of upstreams.
+        /// The objects of the list of upstreams.
         Upstreams,
-        /// Data centres whose upstreams get no new work.
+        /// Data centres whose upstreams receive no new requests.
         Evacuations,
     }
 }
 
 impl FeedKind {
-    /// The word that logs use.
+    /// The name in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Configuration => "configuration",
@@ -132,69 +134,69 @@
 }
 
 derives! { value;
-    /// A question for what has changed in the store, to a gateway that follows it.
+    /// A query for changes of the store, to a gateway that watches it.
     pub struct FeedQuery {
-        /// What is asked for.
+        /// The kind of objects.
         pub kind: FeedKind,
-        /// The asker knows everything up to this revision.
+        /// The requester has all changes up to this revision.
         pub after: StoreRevision,
-        /// How long the receiver may wait for a change.
+        /// Longest time for which the receiver may wait for a change before it replies.
         pub wait: Duration,
     }
 }
 
 derives! { record;
-    /// An object of the store, or its removal.
+    /// An object of the store that was changed or removed.
     pub struct ChangedObject {
-        /// Its key.
+        /// The object's key in the store.
         pub key: String,
-        /// The revision of its last change that matters.
+        /// The revision of its last relevant change.
         pub revision: StoreRevision,
-        /// Its value as the store has it; nothing if it was removed.
+        /// The value as stored; `None` if the object was removed.
         pub value: Option<String>,
     }
 }
 
 derives! { record;
-    /// The answer to a [`FeedQuery`].
+    /// The reply to a [`FeedQuery`].
     pub struct FeedReply {
-        /// Everything up to this revision is in it.
+        /// The reply covers all changes up to this revision.
         pub revision: StoreRevision,
-        /// How long ago the receiver's word was the store's; nothing if it has none.
+        /// Time since the sender's state was last confirmed by the store; `None` if it has no state.
         pub age: Option<Duration>,
-        /// True while the store doesn't answer the receiver.
+        /// True while the store doesn't respond to the sender.
         pub store_lost: bool,
-        /// True if these are all objects there are.
+        /// True if `objects` has all existing objects, false if only changes.
         pub whole: bool,
-        /// What the asker doesn't know.
+        /// The objects that the requester doesn't have yet.
         pub objects: Vec<ChangedObject>,
     }
 }
 
 derives! { record;
-    /// A question for what is known of the limits that upstreams name.
+    /// A query for rate limits that upstreams have named.
     pub struct RateLimitQuery {
-        /// The upstreams.
+        /// The upstreams to report on.
         pub upstreams: Vec<UpstreamName>,
     }
 }
 
 derives! { record;
-    /// What a gateway knows of an upstream's limit, from an answer to itself or to another one.
+    /// An upstream's rate limit, from a response to this gateway or to another one.
     pub struct UpstreamRateLimit {
         /// The upstream.
         pub upstream: UpstreamName,
-        /// Requests a second that it names; nothing if it names no limit any more.
+        /// The limit in requests per second; `None` if the upstream no longer names one.
         pub per_second: Option<f64>,
-        /// How long ago that was so.
+        /// Time since the response with this limit.
         pub age: Duration,
     }
 }
 
 derives! { record;
-    /// The answer to a [`RateLimitQuery`], without upstreams of whose limits nothing is known.
+    /// The reply to a [`RateLimitQuery`], without upstreams whose limits are unknown.
     pub struct RateLimitReply {
-        /// One word an upstream.
+        /// One entry per upstream.
         pub words: Vec<UpstreamRateLimit>,
     }
 }
--- a/crates/sagespool-messages/src/lib.rs
+++ b/crates/sagespool-messages/src/lib.rs
@@ -1,9 +1,9 @@
-//! The messages that processes of the fleet send each other.
+//! Messages between the processes of the fleet.
 //!
-//! A [`PeerRequest`] opens a stream of its own; the receiver answers with one
-//! [`PeerReply`], or, for a dispatch or an attach, with [`DispatchEvent`]s up
-//! to a final one. All are encoded by `postcard`, so a field may only be
-//! added together with a new message version of the link.
+//! Each [`PeerRequest`] opens a stream. The receiver sends one [`PeerReply`] or,
+//! for a dispatch or an attach, a sequence of [`DispatchEvent`]s that ends with
+//! [`DispatchEvent::End`]. Messages are encoded by position with `postcard`, so a
+//! field may only be added together with a new message version of the link.
 
 mod charges;
 mod claims;
--- a/crates/sagespool-messages/src/members.rs
+++ b/crates/sagespool-messages/src/members.rs
@@ -1,4 +1,4 @@
-//! Who is in the fleet, what each serves and how busy it is.
+//! Members of the fleet, their upstreams and load.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,9 +12,9 @@
     /// The role of a process.
     #[serde(rename_all = "kebab-case")]
     pub enum MemberRole {
-        /// Takes callers' requests and is home of branches.
+        /// Accepts callers' requests and acts as home of branches.
         Entry,
-        /// Stands beside one upstream.
+        /// Runs next to one upstream and forwards requests to it.
         Sidecar,
     }
 }
@@ -29,7 +29,7 @@
 }
 
 derives! { value;
-    /// The kind of an upstream.
+    /// What an upstream runs.
     #[serde(rename_all = "kebab-case")]
     pub enum UpstreamKind {
         /// A model engine.
@@ -40,92 +40,92 @@
 }
 
 derives! { record;
-    /// The upstream that a sidecar stands beside.
+    /// The upstream of a sidecar.
     pub struct ServedUpstream {
-        /// Its name.
+        /// The upstream's name.
         pub upstream: UpstreamName,
-        /// Engine or plain service.
+        /// Whether it is an engine or a plain service.
         pub kind: UpstreamKind,
         /// The service it belongs to.
         pub service: ServiceName,
-        /// The models it has loaded; empty for plain services.
+        /// The loaded models; empty for plain services.
         pub models: Vec<ModelName>,
-        /// How many requests it runs at once before it queues.
+        /// Number of requests that it runs at once; further ones are queued.
         pub capacity: u32,
-        /// Whether its sidecar found it answering.
+        /// False if the sidecar finds the upstream not responding or drained.
         pub healthy: bool,
-        /// The newest load that its sidecar knows.
+        /// The latest load report.
         pub load: LoadReport,
     }
 }
 
 derives! { value;
-    /// An upstream's load, as its sidecar saw it.
+    /// An upstream's load, as measured by its sidecar.
     #[derive(Default)]
     pub struct LoadReport {
-        /// Counted by the sidecar; a report with a lower number is older.
+        /// The sidecar's sequence number of the report; lower numbers are older.
         pub number: u64,
         /// Requests running.
         pub running: u32,
-        /// Requests waiting in the upstream.
+        /// Requests in the upstream's queue.
         pub waiting: u32,
-        /// Tokens a second it makes now, over all requests.
+        /// Current tokens per second, over all requests.
         pub tokens_per_second: u32,
-        /// Dispatches that the sidecar had taken in when this report was made.
+        /// Number of dispatches that the sidecar had accepted when it made the report.
         pub dispatched: u64,
     }
 }
 
 derives! { record;
-    /// One process, as it describes itself. Others pass it on unchanged.
+    /// A process's description of itself, forwarded unchanged by other members.
     pub struct MemberInfo {
         /// The instance's name.
         pub instance: InstanceName,
-        /// This run of it.
+        /// The run of the process.
         pub incarnation: IncarnationId,
-        /// Counted by the process itself; the higher number is the newer.
+        /// The process's sequence number of the description; higher numbers are newer.
         pub number: u64,
-        /// Its role.
+        /// Entry or sidecar.
         pub role: MemberRole,
         /// Its region.
         pub region: RegionName,
         /// Its data centre.
         pub centre: CentreName,
-        /// Where its link listens, as others reach it.
+        /// The address at which other members reach its link.
         pub address: SocketAddr,
-        /// True from the moment it is told to stop, or its instance is leaving.
+        /// True once the process was requested to stop, or its instance is leaving.
         pub leaving: bool,
-        /// The configuration it has in force.
+        /// The version of the configuration in force.
         pub config: ConfigVersion,
-        /// The store's revision when it started; a sidecar runs nothing for older grants.
+        /// The store's revision at its start; a sidecar refuses requests under older grants.
         pub started_at: Option<StoreRevision>,
-        /// What it serves, for a sidecar.
+        /// The upstream of a sidecar; `None` for an entry.
         pub serves: Option<ServedUpstream>,
     }
 }
 
 derives! { record;
-    /// Gossip: the sender, and others whose description changed lately.
+    /// Gossip: the sender's description, and others that changed recently.
     pub struct Heartbeat {
-        /// The sender.
+        /// The sender's description.
         pub from: MemberInfo,
-        /// Others, as the sender knows them, newest changes first.
+        /// Descriptions of other members, latest changes first.
         pub others: Vec<MemberInfo>,
-        /// Digest of the sender's view, to find gaps.
+        /// Digest of the sender's member list, to detect differences.
         pub view_digest: u64,
-        /// Members that the sender suspects or believes dead.
+        /// Members that the sender regards as suspected or dead.
         pub suspects: Vec<SuspectedMember>,
-        /// Digests of the slices of the sender's view, while a gap is being repaired.
+        /// Digests of the slices of the sender's member list; sent while a difference is repaired.
         pub slices: Vec<u32>,
     }
 }
 
 derives! { value;
-    /// A member that doesn't answer. It refutes the note with a higher number.
+    /// A member that doesn't reply. It refutes the suspicion with a higher `number`.
     pub struct SuspectedMember {
-        /// The member.
+        /// The member's incarnation.
         pub incarnation: IncarnationId,
-        /// The newest number of it that is known.
+        /// The highest known [`MemberInfo::number`] of the member.
         pub number: u64,
     }
 }
--- a/crates/sagespool-messages/src/operations.rs
+++ b/crates/sagespool-messages/src/operations.rs
@@ -1,4 +1,4 @@
-//! Operators' questions and orders, between processes.
+//! Operators' queries and orders, between processes.
 
 use std::time::Duration;
 
@@ -23,91 +23,93 @@
             /// The adapter.
             adapter: String,
         },
-        /// Take no new work, or take it again.
+        /// Accept no new requests (true), or accept them again (false).
         Drain(bool),
     }
 }
 
 derives! { record;
-    /// An order with its fencing number.
+    /// An engine order with its fencing number.
     pub struct OrderRequest {
         /// The command it belongs to.
         pub command: CommandId,
-        /// From the platform's object; a lower one than seen before is refused.
+        /// The fencing number from the platform's object. An order with a lower number than one
+        /// seen before is refused.
         pub fence: FenceNumber,
-        /// What to do.
+        /// The order to carry out.
         pub order: EngineOrder,
     }
 }
 
 derives! { record;
-    /// How an order went.
+    /// The result of an order.
     pub enum OrderReply {
-        /// Done.
+        /// The order was carried out.
         Done,
-        /// A newer order was seen.
+        /// Refused, because a newer order was seen.
         Stale {
-            /// The newest number seen.
+            /// The highest fencing number seen.
             newest: FenceNumber,
         },
-        /// Failed, in words.
+        /// The order failed; the text is the reason.
         Failed(String),
-        /// Nothing was done: the sidecar has started anew and hasn't read the newest order's number yet.
+        /// Nothing was done: the sidecar has restarted and hasn't read the newest fencing number yet.
         NotReady,
     }
 }
 
 derives! { record;
-    /// An operator tells a process to stop gracefully.
+    /// An operator's request to a process to stop gracefully.
     pub struct LeaveRequest {
         /// The command it belongs to.
         pub command: CommandId,
-        /// The run of the process that is meant: a message that is late must not stop its successor.
+        /// The addressed run of the process; a delayed message must not stop its successor.
         pub incarnation: IncarnationId,
     }
 }
 
 derives! { record;
-    /// A question about a process's state.
+    /// A query for a process's state.
     pub struct StatusQuery {
-        /// Only this branch, or all.
+        /// Only this branch; `None` for all.
         pub branch: Option<BranchName>,
-        /// Also list running requests, at most so many.
+        /// Maximum number of running requests to list.
         pub running: u32,
     }
 }
 
 derives! { record;
-    /// What a home holds of a branch's budget.
+    /// A process's part of a branch's budget.
     pub struct SpendStatus {
         /// The branch.
         pub branch: BranchName,
-        /// Granted to this process and not yet settled, in all.
+        /// Granted to this process and not yet settled.
         pub granted: TokenCount,
-        /// Of that: held for running requests.
+        /// The part of `granted` that is reserved for running requests.
         pub reserved: TokenCount,
-        /// Of that: charged and not yet settled in the store.
+        /// The part of `granted` that is charged and not yet settled in the store.
         pub charged: TokenCount,
-        /// The grants that it holds. What one has used only ever grows, so that a word taken before a
-        /// read of the book bounds the spend at that read from below, and one taken after it from above.
+        /// The grants that it holds. A grant's use never decreases, so a status taken before a read
+        /// of the book is a lower bound of the spend at that read, and one taken after it an upper
+        /// bound.
         pub grants: Vec<GrantUse>,
     }
 }
 
 derives! { record;
-    /// What a holder has used of one grant, whether it is settled in the store or not.
+    /// A holder's use of one grant, whether settled in the store or not.
     pub struct GrantUse {
         /// The grant.
         pub grant: GrantId,
         /// Used by requests that have ended.
         pub used: TokenCount,
-        /// Held for requests that run.
+        /// Reserved for running requests.
         pub reserved: TokenCount,
     }
 }
 
 derives! { record;
-    /// A request that runs.
+    /// A running request.
     pub struct RunningRequest {
         /// The request.
         pub request: RequestId,
@@ -117,19 +119,19 @@
         pub branch: BranchName,
         /// The class.
         pub class: ClassName,
-        /// Since when.
+        /// Time since its start.
         pub running_for: Duration,
-        /// Tokens so far.
+        /// Tokens used so far.
         pub used: TokenCount,
     }
 }
 
 derives! { record;
-    /// A process as operators see it.
+    /// A process's state, for operators.
     pub struct MemberStatus {
-        /// The process.
+        /// The process's description of itself.
         pub info: MemberInfo,
-        /// Since when it runs.
+        /// Time since its start.
         pub up_for: Duration,
         /// Requests in flight.
         pub in_flight: u32,
@@ -137,23 +139,23 @@
 }
 
 derives! { record;
-    /// A process's answer to a [`StatusQuery`].
+    /// A process's reply to a [`StatusQuery`].
     pub struct StatusReply {
-        /// When it was made, by its own wall clock.
+        /// Time of the reply, by the process's wall clock.
         pub at: WallTime,
-        /// Who answers.
+        /// The replying process.
         pub from: IncarnationId,
-        /// The newest revision of the store it has seen.
+        /// The newest revision of the store that it has seen.
         pub revision: StoreRevision,
-        /// Itself.
+        /// The replying process's own state.
         pub member: MemberStatus,
-        /// What it holds of branches' budgets.
+        /// Its parts of branches' budgets.
         pub spend: Vec<SpendStatus>,
-        /// What runs here.
+        /// Requests that run here, up to the queried number.
         pub running: Vec<RunningRequest>,
-        /// True if `running` was cut.
+        /// True if more requests run than `running` lists.
         pub running_cut: bool,
-        /// Members it knows.
+        /// The members in its member list.
         pub members: Vec<MemberInfo>,
     }
 }
--- a/crates/sagespool-messages/src/reserve.rs
+++ b/crates/sagespool-messages/src/reserve.rs
@@ -1,4 +1,4 @@
-//! Paying for a request: the entry asks the branch's home.
+//! Reservations: an entry reserves a request's cost at the branch's home.
 
 use std::time::Duration;
 
@@ -10,25 +10,25 @@
 use crate::{ChargeRecord, KeyState};
 
 derives! { record;
-    /// An entry asks a branch's home to reserve a request's greatest possible cost.
+    /// An entry's request to a branch's home to reserve a request's maximum cost.
     pub struct ReserveRequest {
         /// The request.
         pub request: RequestId,
-        /// The entry's incarnation, which will report the end.
+        /// The entry's incarnation, which reports the end of the request.
         pub entry: IncarnationId,
         /// The branch that pays.
         pub branch: BranchName,
-        /// The service or model's service that will run it.
+        /// The service that runs it; for a completion the model's service.
         pub service: ServiceName,
         /// The request's class.
         pub class: ClassName,
-        /// The caller's idempotency key, if it gave one.
+        /// The caller's idempotency key, if any.
         pub key: Option<KeyDigest>,
-        /// What the request asks for.
+        /// Digest of the request's target and body.
         pub content: ContentDigest,
-        /// True if it may never run twice.
+        /// True if the request must not run twice.
         pub non_idempotent: bool,
-        /// The greatest possible cost.
+        /// The maximum cost.
         pub amount: TokenCount,
         /// Time left until the request's deadline.
         pub time_left: Duration,
@@ -36,62 +36,62 @@
 }
 
 derives! { record;
-    /// A charge with its amount held for it.
+    /// A charge with its reserved amount.
     pub struct ReservedCharge {
         /// The charge's id.
         pub charge: ChargeId,
         /// The store's revision at which its grant was made.
         pub grant_revision: StoreRevision,
-        /// The amount held.
+        /// The reserved amount.
         pub amount: TokenCount,
     }
 }
 
 derives! { record;
-    /// The home's answer to a [`ReserveRequest`].
+    /// The home's reply to a [`ReserveRequest`].
     pub enum ReserveReply {
-        /// The request is paid for and may be dispatched.
+        /// The cost is reserved and the request may be dispatched.
         Reserved(ReservedCharge),
-        /// The same key is known already: attach, do not run.
+        /// The key is in use: attach to its request, do not run.
         Known(KeyState),
         /// Refused.
         Refused(RefusalNotice),
-        /// The receiver doesn't take requests for the branch now; ask another.
+        /// The receiver doesn't accept reservations for the branch at present; try another home.
         NotHome,
     }
 }
 
 derives! { record;
-    /// A refusal, as the caller will be told.
+    /// A refusal, as it is returned to the caller.
     pub struct RefusalNotice {
-        /// Why.
+        /// The reason, for programs.
         pub reason: RefusalReason,
         /// Whether the request ran.
         pub run_state: RunState,
-        /// For a person.
+        /// The reason as text, for people.
         pub message: String,
-        /// When to come back, if that makes sense.
+        /// Time after which a retry may succeed; `None` if a retry is of no use.
         pub retry_after: Option<Duration>,
     }
 }
 
 derives! { record;
-    /// How a reserved request ended, as the entry saw it.
+    /// How a reserved request ended, as observed by the entry.
     pub enum FinishState {
-        /// It ran; the charge says what is billed.
+        /// It ran, and this charge is billed.
         Ran(ChargeRecord),
-        /// Surely never ran: the reservation is given back whole.
+        /// It never ran; the whole reservation is released.
         NotRun,
-        /// Surely never ran, because a sidecar refused the grant (sealed, or older than the
-        /// sidecar): nothing new is to be reserved from it.
+        /// It never ran, because a sidecar refused the grant (sealed, or older than the
+        /// sidecar). Nothing new may be reserved from this grant.
         GrantUnusable,
-        /// The entry can't tell what ran; the sidecars will.
+        /// The entry has no information on what ran; the sidecars report it.
         Unknown,
     }
 }
 
 derives! { record;
-    /// An entry tells the home how a reserved request ended.
+    /// An entry's report to the home of how a reserved request ended.
     pub struct FinishReport {
         /// The request.
         pub request: RequestId,
@@ -101,42 +101,42 @@
         pub charge: ChargeId,
         /// How it ended.
         pub state: FinishState,
-        /// The caller's key, if it gave one.
+        /// The caller's idempotency key, if any.
         pub key: Option<KeyDigest>,
-        /// Tokens that upstreams spent on attempts that were lost; the operator's cost.
+        /// Tokens that upstreams spent on lost attempts. The operator bears this cost.
         pub rerun_tokens: TokenCount,
     }
 }
 
 derives! { record;
-    /// An entry gives a reservation up whose answer it never got: it went to another home, and
-    /// nothing was dispatched under it.
+    /// Releases a reservation whose reply the entry never received. The entry has used another
+    /// home, and has dispatched nothing under this reservation.
     pub struct AbandonNotice {
         /// The request.
         pub request: RequestId,
         /// The branch.
         pub branch: BranchName,
-        /// The caller's key, if it gave one.
+        /// The caller's idempotency key, if any.
         pub key: Option<KeyDigest>,
     }
 }
 
 derives! { record;
-    /// A home asks another holder for unspent grants of a branch.
+    /// A home's request to another holder for unspent grants of a branch.
     pub struct RecallRequest {
         /// The branch.
         pub branch: BranchName,
-        /// How much would help.
+        /// The amount that the home needs.
         pub wanted: TokenCount,
     }
 }
 
 derives! { record;
-    /// What a holder gave back to the book, durable before it says so.
+    /// A holder's reply to a [`RecallRequest`]; the return is durable before the reply is sent.
     pub struct RecallReply {
-        /// How much is free in the book because of this recall.
+        /// The amount that this recall returned to the stored book.
         pub returned: TokenCount,
-        /// What it still holds reserved for running requests.
+        /// The amount that it still has reserved for running requests.
         pub running: TokenCount,
     }
 }
--- a/crates/sagespool-messages/src/wire.rs
+++ b/crates/sagespool-messages/src/wire.rs
@@ -1,11 +1,11 @@
-//! The two envelopes of the link.
+//! The request and reply envelopes of the link.
 
 use sagespool_types::derives;
 
 use crate::*;
 
 derives! { record;
-    /// What one process asks of another; opens a stream.
+    /// A request between processes; each opens a stream.
     pub enum PeerRequest {
         /// Membership gossip; answered by [`PeerReply::Heartbeat`].
         Heartbeat(Heartbeat),
@@ -21,7 +21,7 @@
         Attach(AttachRequest),
         /// Entry to sidecar; answered by [`PeerReply::Done`].
         Cancel(CancelRequest),
-        /// Sidecar to the grant's holder, or to whoever sealed the grant;
+        /// Sidecar to the grant's holder, or to the home that sealed the grant;
         /// answered by [`PeerReply::ChargesDurable`].
         ReportCharges(ChargeReport),
         /// Home to sidecar; answered by [`PeerReply::Seal`].
@@ -32,23 +32,23 @@
         Recall(RecallRequest),
         /// Entry to every entry; answered by [`PeerReply::Done`].
         ReportCrash(CrashReport),
-        /// Operator's entry to sidecar; answered by [`PeerReply::Order`].
+        /// Entry to sidecar, for an operator; answered by [`PeerReply::Order`].
         Order(OrderRequest),
-        /// Anyone to anyone; answered by [`PeerReply::Status`].
+        /// Any process to any other; answered by [`PeerReply::Status`].
         Status(StatusQuery),
-        /// Entry to a home that didn't answer; answered by [`PeerReply::Done`].
+        /// Entry to a home that didn't reply; answered by [`PeerReply::Done`].
         Abandon(AbandonNotice),
-        /// Operator's entry to any process; answered by [`PeerReply::Done`] once it has begun to leave,
-        /// by [`PeerReply::Unsupported`] if it is another run of the process.
+        /// Entry to any process, for an operator; answered by [`PeerReply::Done`] once the process has
+        /// begun to leave, by [`PeerReply::Unsupported`] if it is another incarnation.
         Leave(LeaveRequest),
-        /// Anyone to anyone; answered by [`PeerReply::Configuration`], or by
-        /// [`PeerReply::Unsupported`] if the receiver doesn't have all that is asked for.
+        /// Any process to any other; answered by [`PeerReply::Configuration`], or by
+        /// [`PeerReply::Unsupported`] if the receiver doesn't have all objects of the scope.
         AskConfiguration(ConfigQuery),
-        /// Anyone to anyone; answered by [`PeerReply::Done`].
+        /// Any process to any other; answered by [`PeerReply::Done`].
         NoticeConfiguration(ConfigNotice),
         /// Gateway to gateway; answered by [`PeerReply::Lend`].
         Lend(LendRequest),
-        /// Gateway that stops to another one; answered by [`PeerReply::Done`].
+        /// Stopping gateway to another one; answered by [`PeerReply::Done`].
         ReturnRest(UnspentBudget),
         /// Gateway to gateway; answered by [`PeerReply::Plan`].
         AskPlan(PlanQuery),
@@ -62,41 +62,41 @@
 }
 
 derives! { record;
-    /// The answer to a [`PeerRequest`] that isn't answered by a stream of events.
+    /// The reply to a [`PeerRequest`] that isn't answered by a stream of events.
     pub enum PeerReply {
         /// The receiver's own heartbeat.
         Heartbeat(Heartbeat),
-        /// Whether the request is paid for.
+        /// The result of a reservation.
         Reserve(ReserveReply),
-        /// Whether the claim is durable.
+        /// The result of a claim.
         Claim(ClaimReply),
-        /// Taken in; nothing to say.
+        /// Accepted, without further data.
         Done,
-        /// Which charges need not be reported again.
+        /// Charges that need no further report.
         ChargesDurable(ChargesDurable),
-        /// What ran under a sealed grant.
+        /// The charges of a sealed grant.
         Seal(SealReply),
-        /// What is known of a key.
+        /// The state of a key at the receiver.
         Key(KeyReply),
-        /// What a holder gave back.
+        /// The amount that a holder returned.
         Recall(RecallReply),
-        /// How an order to an engine went.
+        /// The result of an order to an engine.
         Order(OrderReply),
-        /// The receiver's state, as it knows it.
+        /// The receiver's state.
         Status(StatusReply),
-        /// The receiver doesn't do this, with the reason in words.
+        /// The receiver doesn't support the request; the text is the reason.
         Unsupported(String),
-        /// Objects that are newer than the asker's.
+        /// Objects that are newer than the requester's.
         Configuration(ConfigReply),
-        /// What a gateway lends.
+        /// The amount that a gateway lends.
         Lend(LendReply),
         /// A gateway's configuration.
         Plan(PlanReply),
-        /// What became of a call of the store.
+        /// The result of a call of the store.
         StoreCall(StoreCallReply),
-        /// What has changed in the store.
+        /// Changes in the store.
         Follow(FeedReply),
-        /// What a gateway knows of upstreams' limits.
+        /// Rate limits that upstreams have named to the receiver.
         Limits(RateLimitReply),
     }
 }
