--- a/crates/sagespool-types/src/binary.rs
+++ b/crates/sagespool-types/src/binary.rs
@@ -1,7 +1,7 @@
-//! Ids in text formats as hexadecimal digits, in binary ones as bytes.
+//! Serialization of ids: hexadecimal digits in text formats, bytes in binary formats.
 
-/// Serializes an id as text where a person may read it, and as its bytes in messages between
-/// processes, where the digits would take twice the room and an allocation each.
+/// Serializes an id as text in human-readable formats and as bytes in messages between processes.
+/// There the digits would take twice the space and an allocation each.
 macro_rules! id_serde {
     ($name:ident($inner:ty)) => {
         impl ::serde::Serialize for $name {
--- a/crates/sagespool-types/src/clock.rs
+++ b/crates/sagespool-types/src/clock.rs
@@ -1,4 +1,4 @@
-//! The present time, as decisions take it.
+//! Monotonic and wall-clock time.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,16 +10,16 @@
 
 /// Monotonic time of one process, in microseconds since it started.
 ///
-/// Never sent to another process: clocks differ, so deadlines travel as the
-/// time that is left.
+/// Never sent to another process, as clocks differ. A deadline is sent as the
+/// time left until it.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct ClockTime(pub u64);
 
 impl ClockTime {
-    /// The process's monotonic time now. Decisions take it as an argument;
-    /// only the outermost layer calls this.
+    /// The process's current monotonic time. Decision code takes the time as an
+    /// argument; only the outermost layer calls this.
     pub fn now() -> Self {
         use std::sync::OnceLock;
         use std::time::Instant;
@@ -28,22 +28,22 @@
         Self(start.elapsed().as_micros() as u64)
     }
 
-    /// So many milliseconds after the start.
+    /// The time `millis` milliseconds after the process start.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1000)
     }
 
-    /// This time and a duration later.
+    /// The time `duration` later, saturating.
     pub fn after(self, duration: Duration) -> Self {
         Self(self.0.saturating_add(duration.as_micros() as u64))
     }
 
-    /// This time and a duration earlier; the start where that is before it.
+    /// The time `duration` earlier, but not before the process start.
     pub fn before(self, duration: Duration) -> Self {
         Self(self.0.saturating_sub(u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)))
     }
 
-    /// How long ago an earlier time was; zero where it is later.
+    /// The time elapsed since `earlier`; zero if `earlier` is later than this.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -55,8 +55,8 @@
     }
 }
 
-/// Wall-clock time in milliseconds since 1970, for people and logs only:
-/// no decision that must hold rests on it.
+/// Wall-clock time in milliseconds since 1970, for people and logs. No decision
+/// that must be correct depends on it alone.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -64,10 +64,10 @@
 pub struct WallTime(pub u64);
 
 impl WallTime {
-    /// The wall clock now.
+    /// The current wall-clock time; zero if the clock is before 1970.
     pub fn now() -> Self {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self(since.as_millis() as u64)
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Self(since_epoch.as_millis() as u64)
     }
 }
 
--- a/crates/sagespool-types/src/derives.rs
+++ b/crates/sagespool-types/src/derives.rs
@@ -1,9 +1,9 @@
-//! The derive sets that most types of the workspace share.
+//! Derive sets and trait implementations that many types of the workspace share.
 
-/// Gives a type one of the workspace's common derive sets.
+/// Adds one of the workspace's common derive sets to a type.
 ///
-/// `value` is for small copyable values that serve as keys, `record` for
-/// owned data that is compared, cloned and serialized.
+/// `value` is for small `Copy` types that are used as keys, `record` for owned
+/// data that is compared, cloned and serialized.
 ///
 /// ```
 /// sagespool_types::derives! { record;
@@ -30,11 +30,11 @@
     };
 }
 
-/// Lets a type that has `Display` and `FromStr` stand as its text in a JSON document.
+/// Implements the conversions from and to `String` by `FromStr` and `Display`.
 ///
-/// The type says so to serde by `#[serde(try_from = "String", into = "String")]`, as
-/// [`GrantId`](crate::GrantId) does; its `FromStr` has [`ParseError`](crate::ParseError) as its
-/// error.
+/// With `#[serde(try_from = "String", into = "String")]`, as on
+/// [`SecretHash`](crate::SecretHash), the type is serialized as its text. Its `FromStr` must
+/// have [`ParseError`](crate::ParseError) as its error.
 #[macro_export]
 macro_rules! string_conversions {
     ($name:ident) => {
@@ -54,8 +54,9 @@
     };
 }
 
-/// Newtypes of a whole number: compared as it, written as its digits, in documents a number.
-macro_rules! whole_numbers {
+/// Defines newtypes of integers: ordered as integers, displayed as decimal digits, and serialized
+/// as numbers.
+macro_rules! integer_newtypes {
     ($($(#[$doc:meta])* $name:ident($inner:ty), $wanted:literal;)*) => {$(
         $(#[$doc])*
         #[derive(
@@ -82,4 +83,4 @@
     )*};
 }
 
-pub(crate) use whole_numbers;
+pub(crate) use integer_newtypes;
--- a/crates/sagespool-types/src/digest.rs
+++ b/crates/sagespool-types/src/digest.rs
@@ -1,4 +1,4 @@
-//! Digests: of an idempotency key, of a request's content, of a secret.
+//! Digests of idempotency keys, request contents and secrets.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,7 +10,7 @@
 use crate::binary::id_serde;
 use crate::{BranchName, ParseError};
 
-macro_rules! digests {
+macro_rules! digest_newtypes {
     ($($(#[$doc:meta])* $name:ident, $wanted:literal;)*) => {$(
         $(#[$doc])*
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -35,16 +35,16 @@
     )*};
 }
 
-digests! {
-    /// Digest of a branch and its caller's idempotency key, the same in every process.
+digest_newtypes! {
+    /// Digest of a branch and a caller's idempotency key, the same in every process.
     KeyDigest, "a key digest";
-    /// Digest of what a request asks for, the same under another key or through another entry.
+    /// Digest of a request's target and body. It doesn't depend on the key or the entry.
     ContentDigest, "a content digest";
 }
 
-/// Cryptographic where callers choose the input: a caller must not be able
-/// to make its key collide with another branch's.
-fn cryptographic(parts: &[&[u8]]) -> u128 {
+/// The first 16 bytes of a SHA-256 digest. Callers choose the input, and a caller must
+/// not be able to find a key that collides with another branch's.
+fn sha256_prefix(parts: &[&[u8]]) -> u128 {
     let mut hasher = Sha256::new();
     for part in parts {
         hasher.update((part.len() as u64).to_le_bytes());
@@ -57,25 +57,25 @@
 }
 
 impl KeyDigest {
-    /// The digest of a caller's key; two branches may use the same key text.
+    /// The digest of a caller's key. The same key text of two branches gives two digests.
     pub fn of(branch: &BranchName, key: &str) -> Self {
-        Self(cryptographic(&[branch.as_str().as_bytes(), key.as_bytes()]))
+        Self(sha256_prefix(&[branch.as_str().as_bytes(), key.as_bytes()]))
     }
 }
 
 impl ContentDigest {
     /// The digest of a request's target and body.
     pub fn of(target: &str, body: &[u8]) -> Self {
-        Self(cryptographic(&[target.as_bytes(), body]))
+        Self(sha256_prefix(&[target.as_bytes(), body]))
     }
 
-    /// A fast digest for content that no caller chooses.
+    /// A fast, non-sha256_prefix digest, for content that callers can't choose.
     pub fn fast(body: &[u8]) -> Self {
         Self(XxHash3_128::oneshot(body))
     }
 }
 
-/// SHA-256 of a bearer token, in lower-case hexadecimal. The token itself is never kept.
+/// SHA-256 of a bearer token, in lower-case hexadecimal. The token itself is not stored.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct SecretHash(String);
@@ -109,9 +109,9 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let fits = text.len() == 64
+        let is_valid = text.len() == 64
             && text.chars().all(|c| c.is_ascii_digit() || ('a'..='f').contains(&c));
-        if !fits {
+        if !is_valid {
             return Err(ParseError::new(
                 "a key hash",
                 text,
--- a/crates/sagespool-types/src/ids.rs
+++ b/crates/sagespool-types/src/ids.rs
@@ -1,4 +1,4 @@
-//! Ids that processes choose for themselves.
+//! Ids and sequence numbers that processes assign without coordination.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,7 +8,7 @@
 
 use crate::ParseError;
 use crate::binary::id_serde;
-use crate::derives::whole_numbers;
+use crate::derives::integer_newtypes;
 
 macro_rules! hex_ids {
     ($($(#[$doc:meta])* $name:ident($inner:ty, $width:literal), $wanted:literal;)*) => {$(
@@ -47,27 +47,27 @@
 }
 
 hex_ids! {
-    /// One run of one process: a restarted process has another incarnation.
+    /// One run of one process; a restart gives another incarnation.
     IncarnationId(u64, "16"), "an incarnation id";
     /// One request of a caller, chosen by the entry that accepted it.
     RequestId(u128, "32"), "a request id";
-    /// One command of an operator, chosen by whoever gives it, so that giving it twice does it once.
+    /// One command of an operator, chosen by its sender, so that a repeated command has effect once.
     CommandId(u128, "32"), "a command id";
 }
 
-whole_numbers! {
-    /// The place of a charge within its grant, counted from 0.
+integer_newtypes! {
+    /// The number of a charge within its grant, counted from 0.
     SequenceNumber(u64), "a sequence number";
-    /// Which try at a request this is, counted from 1.
+    /// The number of an attempt at a request, counted from 1.
     AttemptNumber(u32), "an attempt number";
-    /// A fencing number: an order with a lower one than seen before is stale.
+    /// A fencing number; an order with a lower one than seen before is stale.
     FenceNumber(u64), "a fencing number";
 }
 
-macro_rules! counters {
+macro_rules! impl_next {
     ($($name:ident)*) => {$(
         impl $name {
-            /// The number after this one.
+            /// The next number, saturating.
             pub fn next(self) -> Self {
                 Self(self.0.saturating_add(1))
             }
@@ -75,14 +75,14 @@
     )*};
 }
 
-counters! { SequenceNumber AttemptNumber FenceNumber }
+impl_next! { SequenceNumber AttemptNumber FenceNumber }
 
 /// A grant: an amount of a branch's budget that one incarnation may spend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GrantId {
-    /// The incarnation that asked for the grant and alone may spend it.
+    /// The incarnation that requested the grant. Only it may spend from the grant.
     pub holder: IncarnationId,
-    /// Counted by the holder, so that an id is never used twice.
+    /// The holder's sequence number of the grant, so that an id is never reused.
     pub number: u64,
 }
 
@@ -130,7 +130,7 @@
 pub struct ChargeId {
     /// The grant that pays.
     pub grant: GrantId,
-    /// The place within the grant.
+    /// The number of the charge within the grant.
     pub sequence: SequenceNumber,
 }
 
--- a/crates/sagespool-types/src/lib.rs
+++ b/crates/sagespool-types/src/lib.rs
@@ -1,7 +1,7 @@
 //! Ids, sizes, rates and the common-derives macro of the sagespool fleet.
 //!
-//! Every other package names things through these newtypes, so that a token
-//! count is never mistaken for a store revision, nor a branch for a service.
+//! All other packages use these newtypes, so that the compiler tells a token count
+//! from a store revision and a branch from a service.
 //!
 //! ```
 //! use sagespool_types::{BranchName, TokenCount};
@@ -16,16 +16,15 @@
 mod clock;
 mod derives;
 mod digest;
-mod fault;
 mod ids;
 mod names;
+mod parse_error;
 mod rates;
 mod refusal;
 mod sizes;
 
 pub use clock::{ClockTime, WallTime};
 pub use digest::{ContentDigest, KeyDigest, SecretHash};
-pub use fault::ParseError;
 pub use ids::{
     AttemptNumber, ChargeId, CommandId, FenceNumber, GrantId, IncarnationId, RequestId,
     SequenceNumber,
@@ -34,6 +33,7 @@
     BranchName, CentreName, ClassName, InstanceName, ModelName, RegionName, ServiceName,
     UpstreamName,
 };
+pub use parse_error::ParseError;
 pub use rates::SendRate;
 pub use refusal::{RefusalReason, RunState};
 pub use sizes::{
--- a/crates/sagespool-types/src/names.rs
+++ b/crates/sagespool-types/src/names.rs
@@ -1,4 +1,4 @@
-//! Names that operators give: branches, services, instances and the like.
+//! Names of branches, services, instances and other objects, as operators assign them.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,18 +8,18 @@
 
 use crate::ParseError;
 
-const LONGEST_NAME: usize = 64;
-const NAME_HELP: &str = "1 to 64 characters: lower-case letters, digits, `-`, `_`, `.`, starting with a letter or digit";
+const MAX_NAME_BYTES: usize = 64;
+const NAME_FORMAT: &str = "1 to 64 characters: lower-case letters, digits, `-`, `_`, `.`, starting with a letter or digit";
 
 fn is_name(text: &str) -> bool {
-    let first_fits =
+    let has_valid_first =
         text.chars().next().is_some_and(|c| c.is_ascii_lowercase() || c.is_ascii_digit());
-    let rest_fits =
+    let has_valid_characters =
         text.chars().all(|c| c.is_ascii_lowercase() || c.is_ascii_digit() || "-_.".contains(c));
-    first_fits && rest_fits && text.len() <= LONGEST_NAME
+    has_valid_first && has_valid_characters && text.len() <= MAX_NAME_BYTES
 }
 
-macro_rules! names {
+macro_rules! name_newtypes {
     ($($(#[$doc:meta])* $name:ident, $wanted:literal;)*) => {$(
         $(#[$doc])*
         #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -38,7 +38,7 @@
 
             fn from_str(text: &str) -> Result<Self, ParseError> {
                 if !is_name(text) {
-                    return Err(ParseError::new($wanted, text, NAME_HELP));
+                    return Err(ParseError::new($wanted, text, NAME_FORMAT));
                 }
                 Ok(Self(text.into()))
             }
@@ -54,21 +54,21 @@
     )*};
 }
 
-names! {
-    /// A branch: a client account with its own prepaid budget.
+name_newtypes! {
+    /// A branch, which is a client account with its own prepaid budget.
     BranchName, "a branch name";
     /// A data centre.
     CentreName, "a data centre name";
     /// A class of requests, for example `lookup` or `batch`.
     ClassName, "a class name";
-    /// An instance of the fleet, as the instance list names it.
+    /// An instance of the fleet, as in the instance list.
     InstanceName, "an instance name";
     /// A model that engines serve.
     ModelName, "a model name";
-    /// A region: data centres that reach each other in about a millisecond.
+    /// A region: data centres with a latency of about a millisecond between them.
     RegionName, "a region name";
-    /// A service: a set of upstreams that serve the same requests.
+    /// A service: a set of equivalent upstreams.
     ServiceName, "a service name";
-    /// One upstream instance, an engine or a plain service's process.
+    /// One upstream: an engine or a process of a plain service.
     UpstreamName, "an upstream name";
 }
--- a/crates/sagespool-types/src/fault.rs
+++ b/crates/sagespool-types/src/parse_error.rs
@@ -1,25 +1,25 @@
-//! The error of reading an id, a size or a name from text.
+//! The error of parsing an id, a size or a name.
 
 use std::error::Error;
 use std::fmt;
 
-/// Text that is not a value of the wanted type.
+/// Text that can't be parsed as a value of a type.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseError {
-    /// What was wanted, for example `a branch name`.
+    /// The expected kind of value, for example `a branch name`.
     pub wanted: &'static str,
-    /// The text as it was found, cut to a readable length.
+    /// The rejected text, truncated to 64 characters.
     pub found: String,
-    /// What would have been accepted.
+    /// The accepted form.
     pub help: &'static str,
 }
 
-const SHOWN_CHARACTERS: usize = 64;
+const MAX_SHOWN_CHARACTERS: usize = 64;
 
 impl ParseError {
-    /// A fault that shows at most 64 characters of the text.
+    /// An error that keeps at most 64 characters of `found`.
     pub fn new(wanted: &'static str, found: &str, help: &'static str) -> Self {
-        let found = found.chars().take(SHOWN_CHARACTERS).collect();
+        let found = found.chars().take(MAX_SHOWN_CHARACTERS).collect();
         Self { wanted, found, help }
     }
 }
--- a/crates/sagespool-types/src/rates.rs
+++ b/crates/sagespool-types/src/rates.rs
@@ -1,4 +1,4 @@
-//! Rates that may be fractions.
+//! Fractional rates.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,25 +6,25 @@
 
 use crate::ParseError;
 
-/// Requests a second that an upstream takes: finite and not negative.
+/// Requests per second that an upstream accepts; finite and not negative.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct SendRate(f64);
 
 impl SendRate {
-    /// A rate; nothing if the number is negative or not finite.
+    /// `None` if the number is negative or not finite.
     pub fn new(per_second: f64) -> Option<Self> {
-        // Negative zero would pass the comparison and divide to negative infinity.
+        // -0.0 passes the comparison, and its reciprocal would be negative infinity.
         (per_second.is_finite() && per_second >= 0.0).then(|| Self(per_second.abs()))
     }
 
-    /// Requests a second.
+    /// The rate in requests per second.
     pub fn per_second(self) -> f64 {
         self.0
     }
 
-    /// The time between two requests at this rate, at most `longest`.
-    pub fn interval(self, longest: Duration) -> Duration {
-        let seconds = (1.0 / self.0).min(longest.as_secs_f64());
+    /// The time between two requests at this rate, at most `max`; `max` if the rate is zero.
+    pub fn interval(self, max: Duration) -> Duration {
+        let seconds = (1.0 / self.0).min(max.as_secs_f64());
         Duration::from_secs_f64(seconds)
     }
 }
--- a/crates/sagespool-types/src/refusal.rs
+++ b/crates/sagespool-types/src/refusal.rs
@@ -1,14 +1,14 @@
-//! What a caller is told when it gets no answer.
+//! Reasons and run states of refused requests, as callers receive them.
 
 use std::fmt;
 
 use crate::derives;
 
 derives! { value;
-    /// Whether a request that got no answer ran.
+    /// Whether a request without a response ran.
     #[serde(rename_all = "kebab-case")]
     pub enum RunState {
-        /// It did not run and will not: it may be sent again without doubt.
+        /// It did not run and will not; it is safe to send it again.
         NotRun,
         /// It may have run.
         Unknown,
@@ -25,32 +25,33 @@
 }
 
 derives! { value;
-    /// Why a request was refused, for programs.
+    /// The reason of a refusal, for programs.
     #[serde(rename_all = "kebab-case")]
     pub enum RefusalReason {
-        /// The branch's budget can't cover the request, fleet-wide.
+        /// The branch's budget in the whole fleet doesn't cover the request.
         BudgetExhausted,
-        /// The store is out of reach and what this side of the fleet holds can't cover the request.
+        /// The store is unreachable, and the grants on this side of a partition don't cover the
+        /// request.
         BudgetUnreachable,
-        /// A claim for a non-idempotent request can't be made durable.
+        /// The claim of a non-idempotent request can't be made durable.
         ClaimUnreachable,
-        /// The same key came with another request before.
+        /// The key was used before for a request with other content.
         KeyReused,
-        /// The request ran, or may have, and its answer isn't to be had any more.
+        /// The request ran or may have run, and its response is no longer available.
         OutcomeUnknown,
-        /// The request crashed upstreams before and is stopped fleet-wide.
+        /// The request crashed upstreams and is stopped in the whole fleet.
         Quarantined,
-        /// The deadline passed, or can't be met.
+        /// The deadline has passed or can't be met.
         DeadlineExceeded,
-        /// Too much is waiting already.
+        /// Too many requests are waiting.
         Overloaded,
         /// A limit of the branch, class or upstream is reached.
         LimitReached,
-        /// No upstream serves this now.
+        /// No upstream for the request is available.
         NoUpstream,
-        /// The upstreams tried failed.
+        /// All attempted upstreams failed.
         UpstreamFailed,
-        /// The process is leaving and takes nothing new.
+        /// The process is leaving and accepts no new requests.
         Leaving,
         /// The process has no configuration yet.
         NotReady,
@@ -75,7 +76,7 @@
         Self::NotReady,
     ];
 
-    /// The reason as programs read it.
+    /// The name of the reason in responses, logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::BudgetExhausted => "budget-exhausted",
--- a/crates/sagespool-types/src/sizes.rs
+++ b/crates/sagespool-types/src/sizes.rs
@@ -1,37 +1,40 @@
-//! Sizes, versions and rates.
+//! Counts, versions and integer rates.
 
 use std::iter::Sum;
 use std::ops::{Add, AddAssign};
 
-use crate::derives::whole_numbers;
+use crate::derives::integer_newtypes;
 
-whole_numbers! {
-    /// A number of tokens, the unit of every budget. Sums saturate.
+integer_newtypes! {
+    /// A number of tokens, the unit of all budgets. Sums saturate.
     TokenCount(u64), "a number of tokens";
     /// A number of bytes.
     ByteCount(u64), "a number of bytes";
-    /// The store's revision at which an object last changed; grows over the whole store.
+    /// A revision of the store, such as that of an object's last change. It increases with each
+    /// change of any object.
     StoreRevision(u64), "a store revision";
-    /// A version of the fleet's configuration: the store's revision of the object that holds it.
+    /// A version of the fleet's configuration: the store's revision of its object.
     ConfigVersion(u64), "a configuration version";
-    /// When a run of an upstream began, by the upstream's own clock, in milliseconds since 1970.
-    /// Two that differ are two runs; clocks step, so the larger one isn't always the later.
+    /// Start time of an upstream's run by the upstream's clock, in milliseconds since 1970.
+    /// Different values mean different runs. Clocks may step back, so a larger value isn't always
+    /// the later run.
     UpstreamStartTime(u64), "the time of an upstream's start";
-    /// One of the fixed number of books that the branches are spread over.
+    /// The number of one of the books that the branches are distributed over; the number of books
+    /// is fixed.
     BookNumber(u64), "a book number";
-    /// Requests a second.
+    /// A rate in requests per second.
     RequestRate(u64), "a number of requests a second";
-    /// Tokens a second.
+    /// A rate in tokens per second.
     TokenRate(u64), "a number of tokens a second";
 }
 
-macro_rules! sizes {
+macro_rules! impl_saturating_sums {
     ($($name:ident)*) => {$(
         impl $name {
-            /// None of it.
+            /// The value 0.
             pub const ZERO: Self = Self(0);
 
-            /// The difference, or zero where the other is larger.
+            /// The difference; zero if `other` is larger.
             pub fn saturating_sub(self, other: Self) -> Self {
                 Self(self.0.saturating_sub(other.0))
             }
@@ -59,4 +62,4 @@
     )*};
 }
 
-sizes! { TokenCount ByteCount StoreRevision ConfigVersion BookNumber RequestRate TokenRate }
+impl_saturating_sums! { TokenCount ByteCount StoreRevision ConfigVersion BookNumber RequestRate TokenRate }
--- a/crates/sagespool-types/tests/id_forms.rs
+++ b/crates/sagespool-types/tests/id_forms.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-fn survives<T: Serialize + DeserializeOwned + PartialEq>(id: &T) -> bool {
+fn round_trips<T: Serialize + DeserializeOwned + PartialEq>(id: &T) -> bool {
     let text = serde_json::to_string(id).unwrap();
     let bytes = postcard::to_allocvec(id).unwrap();
     serde_json::from_str::<T>(&text).unwrap() == *id
@@ -36,10 +36,10 @@
 quickcheck! {
     fn round_trip(one: u64, other: u128, number: u64) -> bool {
         let holder = IncarnationId(one);
-        survives(&holder)
-            && survives(&RequestId(other))
-            && survives(&KeyDigest(other))
-            && survives(&ContentDigest(other))
-            && survives(&GrantId { holder, number })
+        round_trips(&holder)
+            && round_trips(&RequestId(other))
+            && round_trips(&KeyDigest(other))
+            && round_trips(&ContentDigest(other))
+            && round_trips(&GrantId { holder, number })
     }
 }
