--- a/crates/sagespool-claims/examples/claim_bench.rs
+++ b/crates/sagespool-claims/examples/claim_bench.rs
@@ -1,5 +1,5 @@
-//! What claims cost: bytes and time by the size of a record, and store writes
-//! a claim by the rate of claims.
+//! Cost of claims: size and time by the number of claims in a record, and store
+//! writes per claim by the rate of claims.
 //!
 //! `cargo run --release -p sagespool-claims --example claim_bench`
 
@@ -14,17 +14,17 @@
 
 const DAY: Duration = Duration::from_secs(24 * 3600);
 const START: WallTime = WallTime(1_700_000_000_000);
-/// How long the store takes for a read and a write together.
+/// Time that the store takes for a read and a write together.
 const STORE_TIME: Duration = Duration::from_millis(10);
 const RUN_SECONDS: u64 = 20;
 
 fn main() {
     for (fresh, aged) in [(0, 0), (100, 0), (1000, 0), (5000, 0), (100, 10_000), (100, 60_000)] {
-        show_record(fresh, aged);
+        measure_record(fresh, aged);
     }
     for homes in [1, 10] {
         for rate in [5, 20, 100, 500, 2000] {
-            show_writes(rate, homes);
+            measure_writes(rate, homes);
         }
     }
 }
@@ -56,7 +56,7 @@
     }
 }
 
-fn show_record(fresh: usize, aged: usize) {
+fn measure_record(fresh: usize, aged: usize) {
     let mut record = ClaimsRecord::default();
     fill(&mut record, aged, START);
     let now = WallTime(START.0 + 2 * DETAIL_RETENTION.as_millis() as u64);
@@ -78,15 +78,15 @@
     );
 }
 
-/// Claims arrive evenly, at homes and shards in turn by chance; each home has a
-/// batch for each shard, and the store takes its time for each write.
-fn show_writes(rate: u64, homes: usize) {
+/// Simulates claims that arrive at a constant rate at random homes and shards. Each home has a
+/// batch per shard, and each write takes [`STORE_TIME`].
+fn measure_writes(rate: u64, homes: usize) {
     let policy = BatchPolicy::default();
     let shards = CLAIM_SHARDS as usize;
     let mut batches: Vec<_> =
         (0..homes * shards).map(|_| (ClaimBatch::new(policy.clone()), None)).collect();
     let mut writes = 0_u64;
-    let mut waited = Vec::new();
+    let mut waits = Vec::new();
     let mut arrived: Vec<Vec<ClockTime>> = vec![Vec::new(); homes * shards];
     for millis in 0..RUN_SECONDS * 1000 {
         let now = ClockTime::from_millis(millis);
@@ -101,7 +101,7 @@
             if ends.is_some_and(|ends| ends <= now) {
                 *ends = None;
                 let answered = batch.complete_write(ClaimsRecord::default(), now).len();
-                waited.extend(arrived[place].drain(..answered).map(|at| now.since(at)));
+                waits.extend(arrived[place].drain(..answered).map(|at| now.since(at)));
             }
             if batch.due_at().is_some_and(|due| due <= now) && batch.begin_write(now) {
                 writes += 1;
@@ -109,9 +109,9 @@
             }
         }
     }
-    waited.sort();
-    let claims = waited.len().max(1);
-    let median = waited.get(claims / 2).copied().unwrap_or_default();
+    waits.sort();
+    let claims = waits.len().max(1);
+    let median = waits.get(claims / 2).copied().unwrap_or_default();
     println!(
         "writes claims_s={rate} homes={homes} writes_s={:.1} writes_claim={:.2} wait_ms={}",
         writes as f64 / RUN_SECONDS as f64,
--- a/crates/sagespool-claims/src/lib.rs
+++ b/crates/sagespool-claims/src/lib.rs
@@ -20,7 +20,7 @@
 //!     AttemptNumber, ContentDigest, IncarnationId, KeyDigest, RequestId, WallTime,
 //! };
 //!
-//! let wish_of = |request: u128, sidecar: u64| ClaimIntent {
+//! let claim_of = |request: u128, sidecar: u64| ClaimIntent {
 //!     key: KeyDigest(7),
 //!     request: RequestId(request),
 //!     content: ContentDigest::of("POST /letters", b"the clarification"),
@@ -32,9 +32,9 @@
 //! };
 //! let (now, retention) = (WallTime::now(), Duration::from_secs(24 * 3600));
 //! let mut record = ClaimsRecord::default();
-//! assert_eq!(record.claim(&wish_of(1, 10), now, retention), ClaimOutcome::Claimed);
-//! assert_eq!(record.claim(&wish_of(1, 10), now, retention), ClaimOutcome::AlreadyMine);
-//! let ClaimOutcome::Taken(entry) = record.claim(&wish_of(2, 11), now, retention) else {
+//! assert_eq!(record.claim(&claim_of(1, 10), now, retention), ClaimOutcome::Claimed);
+//! assert_eq!(record.claim(&claim_of(1, 10), now, retention), ClaimOutcome::AlreadyMine);
+//! let ClaimOutcome::Taken(entry) = record.claim(&claim_of(2, 11), now, retention) else {
 //!     panic!("a second request must not run under the key");
 //! };
 //! assert_eq!(entry.sidecar, IncarnationId(10));
--- a/crates/sagespool-claims/tests/claim_batch.rs
+++ b/crates/sagespool-claims/tests/claim_batch.rs
@@ -1,4 +1,4 @@
-//! Many claims in one write, and at most one run whatever is lost.
+//! Group commit of claims, and at-most-once execution under lost messages and restarts.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 };
 
 const NOW: ClockTime = ClockTime::from_millis(1000);
-/// Steps of one run of the small world.
+/// Number of steps of one model run.
 const STEPS: usize = 120;
 const WALL: WallTime = WallTime(1_700_000_000_000);
 
@@ -36,7 +36,11 @@
     assert_eq!(batch.due_at(), None);
     batch.add(intent(1, 10, 100), NOW);
     batch.add(intent(2, 11, 100), NOW.after(policy.max_delay / 2));
-    assert_eq!(batch.due_at(), Some(NOW.after(policy.max_delay)), "the first one's delay");
+    assert_eq!(
+        batch.due_at(),
+        Some(NOW.after(policy.max_delay)),
+        "the delay counts from the first claim"
+    );
     for number in 3..=policy.max_claims as u128 {
         batch.add(intent(number, 10 + number, 100), NOW);
     }
@@ -50,19 +54,18 @@
     let answers = batch.complete_write(record, NOW);
     assert_eq!(answers.len(), policy.max_claims);
     assert!(answers.iter().all(|answer| answer.verdict == ClaimVerdict::Durable));
-    assert_eq!(batch.len(), 1, "the late one waits for the next write");
+    assert_eq!(batch.len(), 1, "a claim added during a write waits for the next one");
     assert_eq!(
         batch.due_at(),
         Some(NOW.after(policy.min_write_interval)),
-        "writes keep their distance"
+        "the minimum interval between writes"
     );
 }
 
-/// The store takes a write and its answer is lost; meanwhile another home
-/// claims one of the keys. Each caller must hear what is in the store, and a
-/// intent of a write that is believed lost must not be forgotten.
+/// The store applies a write and the reply is lost, while another home claims one of the
+/// keys. Each result must match the store, and the claims of a failed write must be retried.
 #[test]
-fn lost_answer() {
+fn lost_reply() {
     let mut batch = ClaimBatch::new(BatchPolicy::default());
     batch.add(intent(1, 10, 100), NOW);
     batch.add(intent(2, 11, 100), NOW);
@@ -72,11 +75,11 @@
     batch.apply(&mut stored, WALL);
     batch.record_failure(NOW);
     assert!(batch.is_store_unreachable());
-    let retry = batch.due_at().expect("the wishes wait");
-    assert!(retry > NOW, "not at once");
+    let retry = batch.due_at().expect("the claims wait for a retry");
+    assert!(retry > NOW, "retried after a backoff");
     batch.begin_write(NOW);
     let mut again = stored.clone();
-    assert!(!batch.apply(&mut again, WALL), "it is there already");
+    assert!(!batch.apply(&mut again, WALL), "the first write took effect");
     let answers = batch.complete_write(again, retry);
     assert_eq!(answers[0].verdict, ClaimVerdict::Durable);
     assert!(
@@ -85,30 +88,30 @@
     assert!(!batch.is_store_unreachable());
 }
 
-/// The store is away beyond a request's deadline. Its home refuses it then, and
-/// must not claim its key for it when the store is back.
+/// The store is unreachable until after a request's deadline. The home refuses the request
+/// at the deadline, and must not claim the key for it when the store is reachable again.
 #[test]
-fn lapsed_wish() {
+fn expired_claim() {
     let mut batch = ClaimBatch::new(BatchPolicy::default());
     batch.add(intent(1, 10, 100), NOW);
-    let lapse = NOW.after(Duration::from_secs(5));
+    let deadline = NOW.after(Duration::from_secs(5));
     let mut now = NOW;
     let mut tries = 0;
     for _ in 0..20 {
-        if now >= lapse {
+        if now >= deadline {
             break;
         }
         assert!(batch.expire(now).is_empty());
         batch.begin_write(now);
         batch.record_failure(now);
-        now = batch.due_at().expect("it waits");
+        now = batch.due_at().expect("the claim waits");
         tries += 1;
     }
-    assert!((4..20).contains(&tries), "{tries} tries in 5 s spare a store in trouble");
-    assert_eq!(batch.next_expiry(), Some(lapse));
+    assert!((4..20).contains(&tries), "{tries} writes in 5 s: retries back off");
+    assert_eq!(batch.next_expiry(), Some(deadline));
     batch.begin_write(NOW);
-    let lapsed = batch.expire(now);
-    assert_eq!(lapsed[0].verdict, ClaimVerdict::Expired);
+    let expired = batch.expire(now);
+    assert_eq!(expired[0].verdict, ClaimVerdict::Expired);
     let mut record = ClaimsRecord::default();
     assert!(!batch.apply(&mut record, WALL));
     assert!(batch.complete_write(record, now).is_empty());
@@ -117,7 +120,7 @@
 #[test]
 fn absent_keys() {
     let mut batch = ClaimBatch::new(BatchPolicy::default());
-    assert_eq!(batch.absent_at(KeyDigest(1)), None, "never seen");
+    assert_eq!(batch.absent_at(KeyDigest(1)), None, "no record was read");
     let mut record = ClaimsRecord::default();
     record.claim(&intent(1, 10, 100), WALL, Duration::from_secs(3600));
     batch.observe_record(record, NOW);
@@ -125,21 +128,21 @@
     assert_eq!(batch.absent_at(KeyDigest(2)), Some(NOW));
 }
 
-/// One step of a small world: two homes, two sidecars, one key, one store.
+/// One step of the model: two homes, two sidecars, one key, one store.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// A caller sends a key through a home, for a sidecar. Its entry may ask both
-    /// homes, if the first one's answer is lost.
+    /// A request is claimed at a home, for a sidecar. With `both` the entry requests the
+    /// claim from the other home too, as after a lost reply.
     Send { home: usize, both: bool, sidecar: usize },
     /// A home reads the record and sends its write.
     Write { home: usize },
-    /// The oldest write that is on its way arrives, and its answer does or not.
-    Arrive { answered: bool },
-    /// A home gives its write up; it may still arrive.
-    GiveUp { home: usize },
-    /// An entry that was paused goes on, and dispatches.
+    /// The oldest write in flight arrives; its reply is received or lost.
+    Arrive { reply_received: bool },
+    /// A home times out on its write, which may still arrive.
+    TimeOut { home: usize },
+    /// An entry dispatches the oldest durable claim, after a pause.
     Dispatch,
-    /// A sidecar restarts and forgets.
+    /// A sidecar restarts and loses its state.
     Restart { sidecar: usize },
 }
 
@@ -150,8 +153,8 @@
         match u8::arbitrary(g) % 16 {
             0..=2 => Self::Send { home: place, both: bool::arbitrary(g), sidecar },
             3..=6 => Self::Write { home: place },
-            7..=10 => Self::Arrive { answered: u8::arbitrary(g) % 4 > 0 },
-            11 => Self::GiveUp { home: place },
+            7..=10 => Self::Arrive { reply_received: u8::arbitrary(g) % 4 > 0 },
+            11 => Self::TimeOut { home: place },
             12..=14 => Self::Dispatch,
             _ => Self::Restart { sidecar },
         }
@@ -165,36 +168,37 @@
     fenced: BTreeSet<RequestId>,
 }
 
-struct FlyingWrite {
+struct InFlightWrite {
     home: usize,
     number: u64,
     based_on: u64,
     record: ClaimsRecord,
 }
 
-struct World {
+struct Model {
     stored: ClaimsRecord,
     version: u64,
     homes: [ClaimBatch; 2],
-    /// The write that each home waits for.
+    /// The number of the write whose reply each home waits for.
     awaited: [Option<u64>; 2],
-    flying: Vec<FlyingWrite>,
+    in_flight: Vec<InFlightWrite>,
     sidecars: [Sidecar; 2],
     dispatches: Vec<ClaimIntent>,
-    /// What entries have dispatched: each attempt once, however often it is told durable.
+    /// Attempts that were dispatched; each is dispatched once, even if several replies confirm
+    /// its claim.
     attempts: BTreeSet<(RequestId, AttemptNumber)>,
     requests: u128,
     runs: u32,
 }
 
-impl World {
+impl Model {
     fn new() -> Self {
         Self {
             stored: ClaimsRecord::default(),
             version: 0,
             homes: std::array::from_fn(|_| ClaimBatch::new(BatchPolicy::default())),
             awaited: [None, None],
-            flying: Vec::new(),
+            in_flight: Vec::new(),
             sidecars: Default::default(),
             dispatches: Vec::new(),
             attempts: BTreeSet::new(),
@@ -218,8 +222,8 @@
                 }
             }
             Step::Write { home } => self.write(home),
-            Step::Arrive { answered } => self.arrive(answered),
-            Step::GiveUp { home } => {
+            Step::Arrive { reply_received } => self.arrive(reply_received),
+            Step::TimeOut { home } => {
                 if self.awaited[home].take().is_some() {
                     self.homes[home].record_failure(NOW);
                 }
@@ -239,21 +243,21 @@
         let mut record = self.stored.clone();
         if !self.homes[home].apply(&mut record, WALL) {
             let answers = self.homes[home].complete_write(record, NOW);
-            return self.hear(home, answers);
+            return self.handle_results(home, answers);
         }
-        let number = self.requests + self.flying.len() as u128 + u128::from(self.version) * 1000;
+        let number = self.requests + self.in_flight.len() as u128 + u128::from(self.version) * 1000;
         let number = number as u64;
         self.awaited[home] = Some(number);
-        self.flying.push(FlyingWrite { home, number, based_on: self.version, record });
+        self.in_flight.push(InFlightWrite { home, number, based_on: self.version, record });
     }
 
-    fn arrive(&mut self, answered: bool) {
-        if self.flying.is_empty() {
+    fn arrive(&mut self, reply_received: bool) {
+        if self.in_flight.is_empty() {
             return;
         }
-        let write = self.flying.remove(0);
-        let taken = write.based_on == self.version;
-        if taken {
+        let write = self.in_flight.remove(0);
+        let accepted = write.based_on == self.version;
+        if accepted {
             self.version += 1;
             self.stored = write.record;
         }
@@ -262,17 +266,17 @@
         }
         self.awaited[write.home] = None;
         let home = write.home;
-        if taken && answered {
+        if accepted && reply_received {
             let answers = self.homes[home].complete_write(self.stored.clone(), NOW);
-            self.hear(home, answers);
+            self.handle_results(home, answers);
         } else {
             self.homes[home].record_failure(NOW);
         }
     }
 
-    /// An entry dispatches what is durable; a home replaces a claim that its
-    /// sidecar fences.
-    fn hear(&mut self, home: usize, answers: Vec<ClaimResult>) {
+    /// Queues durable claims for dispatch, and replaces an existing claim if its sidecar fences
+    /// it.
+    fn handle_results(&mut self, home: usize, answers: Vec<ClaimResult>) {
         for ClaimResult { intent, verdict } in answers {
             match verdict {
                 ClaimVerdict::Durable => self.dispatches.push(intent),
@@ -308,7 +312,7 @@
             return;
         }
         if refused {
-            // Refused for sure: the entry may try the other sidecar.
+            // The sidecar refused before running it, so the entry may try the other sidecar.
             let sidecar = self.incarnation(1 - place);
             let attempt = intent.attempt.next();
             let home = (intent.request.0 % 2) as usize;
@@ -317,17 +321,17 @@
     }
 }
 
-/// Two entries both think they are home of a branch, the store loses answers
-/// and lets writes arrive late, entries pause between claim and dispatch, and
-/// sidecars restart. However these meet, a letter goes out at most once.
+/// Two entries both act as home of a branch, replies of the store are lost, writes arrive
+/// late, entries pause between claim and dispatch, and sidecars restart. In every
+/// interleaving a request runs at most once.
 #[test]
 fn at_most_once() {
     fn runs_once(steps: Vec<Step>) -> bool {
-        let mut world = World::new();
+        let mut model = Model::new();
         for step in steps.into_iter().cycle().take(STEPS) {
-            world.step(step);
+            model.step(step);
         }
-        world.runs <= 1
+        model.runs <= 1
     }
     QuickCheck::new().tests(3000).quickcheck(runs_once as fn(Vec<Step>) -> bool);
 }
--- a/crates/sagespool-claims/tests/claim_record.rs
+++ b/crates/sagespool-claims/tests/claim_record.rs
@@ -1,4 +1,4 @@
-//! The store's record of claims.
+//! The stored record of claims: conflicts, retention and size.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 const HOUR: u64 = 3_600_000;
 const START: WallTime = WallTime(1_700_000_000_000);
 
-/// A digest that differs in both halves, as real ones do.
+/// A digest with both halves set, as the fingerprint is only the upper half.
 fn key(number: u128) -> KeyDigest {
     KeyDigest(number << 64 | number)
 }
@@ -40,14 +40,13 @@
     WallTime(start.0 + millis)
 }
 
-/// A letter is claimed and dispatched, then its entry dies. The caller comes
-/// back, and so may the claim's own home whose answer was lost. Whatever they
-/// ask for, the letter must not be dispatched for a second request, nor for the
-/// same one to a second sidecar while the first may run it.
+/// A request is claimed and dispatched, then its entry fails. The caller sends it again,
+/// and the home may retry a claim whose reply was lost. The claim must not pass to a
+/// second request, nor to a second sidecar while the first may run the request.
 #[test]
 fn claim_outcomes() {
     let cases = [
-        ("the same again after a lost answer", intent(1, 10, 100, 1), "mine"),
+        ("the same again after a lost reply", intent(1, 10, 100, 1), "mine"),
         ("another request", intent(1, 11, 100, 1), "taken"),
         ("the same request, another sidecar", intent(1, 10, 101, 1), "taken"),
         ("a later attempt of it", intent(1, 10, 101, 2), "claimed"),
@@ -73,8 +72,8 @@
     }
 }
 
-/// A second attempt was claimed; then the first attempt's claim, delayed on its
-/// way, arrives. It must not put the claim back to the first sidecar.
+/// A delayed claim of the first attempt arrives after the claim of the second one. It must
+/// not move the claim back to the first sidecar.
 #[test]
 fn late_attempt() {
     let mut record = ClaimsRecord::default();
@@ -84,9 +83,8 @@
     assert!(matches!(late, ClaimOutcome::Taken(entry) if entry.sidecar == IncarnationId(101)));
 }
 
-/// A caller comes back hours later with the key of a letter that was sent. The
-/// details are gone, but the key must still be known, until the retention and
-/// an hour's margin are over.
+/// A caller repeats a request hours later. The details of the claim have been dropped, but
+/// the key must count as claimed until the retention and a margin of one hour have passed.
 #[test]
 fn aged_claims() {
     let mut record = ClaimsRecord::default();
@@ -104,15 +102,18 @@
         assert_eq!(outcome == ClaimOutcome::Aged, aged, "after {after} ms");
         assert!(record.is_claimed(key(1)));
     }
-    let over = later(START, 28 * HOUR);
-    record.claim(&intent(2, 12, 100, 1), over, DAY);
-    record.claim(&intent(3, 13, 100, 1), later(over, HOUR + 1), DAY);
-    assert!(!record.is_claimed(key(1)), "an hour after the first home found it past");
+    let expired = later(START, 28 * HOUR);
+    record.claim(&intent(2, 12, 100, 1), expired, DAY);
+    record.claim(&intent(3, 13, 100, 1), later(expired, HOUR + 1), DAY);
+    assert!(
+        !record.is_claimed(key(1)),
+        "dropped an hour after a home first found it past its retention"
+    );
 }
 
-/// One home's clock jumps a week ahead. By its word every claim of the shard is
-/// past its retention; if that were enough, every caller who comes back would
-/// have the letter sent again. Another home's clock must agree.
+/// One home's clock jumps a week ahead, so that all claims of the shard seem past their
+/// retention. If they were dropped, a repeated request would run twice. Another home's
+/// clock must confirm that the retention has passed.
 #[test]
 fn wrong_clock() {
     let mut record = ClaimsRecord::default();
@@ -124,7 +125,7 @@
     record.claim(&other, later(START, HOUR), DAY);
     record.claim(&intent(5, 14, 100, 1), later(ahead, 2 * HOUR), DAY);
     assert!(record.is_claimed(key(1)));
-    // A clock far behind must not stamp a claim so that it is forgotten early.
+    // A claim made by a home whose clock is far behind must not be dropped early.
     let behind = WallTime(START.0 - 48 * HOUR);
     record.claim(&intent(6, 15, 100, 1), behind, DAY);
     let found = record.find(key(6)).expect("just claimed");
@@ -135,21 +136,23 @@
 fn bounded_size() {
     let mut record = ClaimsRecord::default();
     let claimed = (0..20_000)
-        .take_while(|number| record.claim(&wide_wish(*number), START, DAY) == ClaimOutcome::Claimed)
+        .take_while(|number| {
+            record.claim(&widest_claim(*number), START, DAY) == ClaimOutcome::Claimed
+        })
         .count() as u128;
-    let outcome = record.claim(&wide_wish(claimed), START, DAY);
+    let outcome = record.claim(&widest_claim(claimed), START, DAY);
     assert_eq!(outcome, ClaimOutcome::Full);
     assert!(claimed > 5000, "{claimed} claims with details");
     check_size(&record);
     let aged = later(START, 2 * HOUR);
-    assert_eq!(record.claim(&wide_wish(claimed), aged, DAY), ClaimOutcome::Claimed);
+    assert_eq!(record.claim(&widest_claim(claimed), aged, DAY), ClaimOutcome::Claimed);
     check_size(&record);
-    assert!(record.estimated_bytes() < MAX_RECORD_BYTES / 10, "details take most of the room");
-    assert!((0..=claimed).all(|number| record.is_claimed(wide_wish(number).key)));
+    assert!(record.estimated_bytes() < MAX_RECORD_BYTES / 10, "details take most of the space");
+    assert!((0..=claimed).all(|number| record.is_claimed(widest_claim(number).key)));
 }
 
-/// A intent whose parts are as long as they get.
-fn wide_wish(number: u128) -> ClaimIntent {
+/// A claim whose JSON form has the maximum length.
+fn widest_claim(number: u128) -> ClaimIntent {
     let mut intent = intent(u128::from(u64::MAX) - number, u128::MAX - number, u64::MAX, 1_000_000);
     intent.content = ContentDigest(u128::MAX);
     intent
--- a/crates/sagespool-claims/tests/key_board.rs
+++ b/crates/sagespool-claims/tests/key_board.rs
@@ -1,4 +1,4 @@
-//! A home's memory of keys, and what it may say without one.
+//! A home's key index, queries to sidecars, and refusals without a claim.
 
 use std::time::Duration;
 
@@ -21,8 +21,8 @@
     ClockTime::from_millis(seconds * 1000)
 }
 
-/// A board whose process is long past the retention of answers.
-fn old_board() -> (KeyRegistry, ClockTime) {
+/// An index of a process that has run for longer than the retention of responses.
+fn long_running_board() -> (KeyRegistry, ClockTime) {
     (KeyRegistry::new(ClockTime::default()), at(100_000))
 }
 
@@ -30,11 +30,11 @@
     KeyDecision::Attach(KeyState::At { sidecar, request: FIRST, content: CONTENT })
 }
 
-/// A caller's connection breaks and it sends the request again under its key.
-/// What it gets depends on how far the first one came; never a second run while
-/// the first runs, or its answer is kept.
+/// A caller's connection breaks and it sends the request again under its key. The decision
+/// depends on the state of the first request. It is never a second run while the first one
+/// runs or its response is kept.
 #[test]
-fn sent_again() {
+fn repeated_request() {
     type Step = fn(&KeyRegistry, ClockTime);
     let place: Step = |board, now| assert!(board.assign_sidecar(KEY, FIRST, SIDECAR, now));
     let end = |outcome: KeyOutcome| {
@@ -43,18 +43,18 @@
     let unknown = KeyDecision::Attach(KeyState::Unknown { request: FIRST });
     let pending = KeyDecision::Attach(KeyState::Pending);
     let cases: [(&str, bool, Option<KeyOutcome>, KeyDecision); 6] = [
-        ("not placed yet", false, None, pending),
+        ("without a sidecar yet", false, None, pending),
         ("running", true, None, running_at(SIDECAR)),
         ("answered", true, Some(KeyOutcome::Answered), running_at(SIDECAR)),
         ("broken", true, Some(KeyOutcome::Broken), unknown),
         ("refused before it ran", true, Some(KeyOutcome::NotRun), KeyDecision::New),
-        ("refused before it was placed", false, Some(KeyOutcome::NotRun), KeyDecision::New),
+        ("refused before it had a sidecar", false, Some(KeyOutcome::NotRun), KeyDecision::New),
     ];
-    for (case, placed, outcome, expected) in cases {
-        let (board, now) = old_board();
+    for (case, has_sidecar, outcome, expected) in cases {
+        let (board, now) = long_running_board();
         assert_eq!(board.begin(KEY, FIRST, CONTENT, now), KeyDecision::New);
-        assert_eq!(board.begin(KEY, FIRST, CONTENT, now), KeyDecision::New, "the message again");
-        if placed {
+        assert_eq!(board.begin(KEY, FIRST, CONTENT, now), KeyDecision::New, "a retransmission");
+        if has_sidecar {
             place(&board, now);
         }
         if let Some(outcome) = outcome {
@@ -67,11 +67,11 @@
     }
 }
 
-/// An entry dies with a stream open. The caller comes back through another one,
-/// which is home of the branch since a second ago and knows no key. Taking the
-/// request for a new one would run and bill it twice: the sidecars know it.
+/// An entry fails with an open stream, and the caller sends the request again through another
+/// one that has just become home and has no keys. Treated as new, the request would run and
+/// be charged twice. The sidecars must be queried instead.
 #[test]
-fn young_home() {
+fn recent_home() {
     let policy = KeyPolicy::default();
     let retention = policy.answer_retention;
     let started = at(50_000);
@@ -86,16 +86,20 @@
     let board = KeyRegistry::with_policy(policy, started);
     assert_eq!(board.begin(KEY, SECOND, CONTENT, started), KeyDecision::Unsure);
     let second = board.begin(KEY, FIRST, CONTENT, started);
-    assert_eq!(second, KeyDecision::Attach(KeyState::Pending), "one asks, the others wait");
+    assert_eq!(
+        second,
+        KeyDecision::Attach(KeyState::Pending),
+        "only one request queries the sidecars"
+    );
     board.record_found(KEY, FIRST, CONTENT, SIDECAR, started);
     assert_eq!(board.begin(KEY, SECOND, CONTENT, started), running_at(SIDECAR));
 }
 
-/// The first request waits for budget for a minute, is taken for dead, and
-/// another takes its key. When the first one comes through, it must not run.
+/// A request waits for budget beyond the pending limit, and another request takes its key.
+/// The first one must not run after that.
 #[test]
 fn overtaken_request() {
-    let (board, now) = old_board();
+    let (board, now) = long_running_board();
     let limit = KeyPolicy::default().pending_limit;
     board.begin(KEY, FIRST, CONTENT, now);
     let late = now.after(limit);
@@ -107,15 +111,15 @@
 }
 
 #[test]
-fn forgotten_keys() {
-    let (board, now) = old_board();
+fn expired_keys() {
+    let (board, now) = long_running_board();
     let retention = KeyPolicy::default().answer_retention;
     board.begin(KEY, FIRST, CONTENT, now);
     board.assign_sidecar(KEY, FIRST, SIDECAR, now);
     let ended = now.after(Duration::from_secs(60));
     board.record_outcome(KEY, FIRST, KeyOutcome::Answered, ended);
     board.expire(now.after(retention));
-    assert_eq!(board.len(), 1, "counted from the end");
+    assert_eq!(board.len(), 1, "the retention counts from the end of the request");
     assert!(board.run_ended(KEY));
     board.sidecar_gone(SIDECAR, ended);
     assert_eq!(board.find(KEY, ended), Some(KeyState::Unknown { request: FIRST }));
@@ -123,9 +127,9 @@
     assert!(board.is_empty());
 }
 
-/// Sidecars are asked for a key. "It ran nowhere" may be said only if every one
-/// that can have run it still has its memory; a restarted one, or one that is
-/// out of reach, may be the one that ran it.
+/// Sidecars are queried for a key. "Never seen" may be concluded only if every sidecar that can
+/// have run the request replied in the same incarnation. A sidecar that restarted or is
+/// unreachable may have run it.
 #[test]
 fn inquiry_verdicts() {
     let (left, right) = (IncarnationId(100), IncarnationId(101));
@@ -134,12 +138,24 @@
     let unknown = KeyState::Unknown { request: FIRST };
     let nothing = || Some(reply(left, None));
     let cases = [
-        ("none knows it", nothing(), Some(reply(right, None)), vec![], "nowhere"),
+        ("none has seen it", nothing(), Some(reply(right, None)), vec![], "nowhere"),
         ("one restarted", nothing(), Some(reply(IncarnationId(102), None)), vec![], "incomplete"),
-        ("one out of reach", nothing(), None, vec![], "incomplete"),
-        ("one went away before", nothing(), Some(reply(right, None)), vec![left], "incomplete"),
-        ("it runs", Some(reply(left, Some(at.clone()))), None, vec![], "found"),
-        ("lost here", nothing(), Some(reply(right, Some(unknown.clone()))), vec![], "found"),
+        ("one unreachable", nothing(), None, vec![], "incomplete"),
+        (
+            "one ended before the query",
+            nothing(),
+            Some(reply(right, None)),
+            vec![left],
+            "incomplete",
+        ),
+        ("running on one", Some(reply(left, Some(at.clone()))), None, vec![], "found"),
+        (
+            "response lost on one",
+            nothing(),
+            Some(reply(right, Some(unknown.clone()))),
+            vec![],
+            "found",
+        ),
     ];
     for (case, first, second, lost, expected) in cases {
         let mut lookup = KeyLookup::new([left, right], lost);
@@ -160,22 +176,30 @@
     }
     let mut lookup = KeyLookup::new([left, right], []);
     lookup.record_reply(right, &reply(right, Some(unknown)));
-    assert_eq!(lookup.verdict(), LookupOutcome::Open, "another may have the answer");
+    assert_eq!(lookup.verdict(), LookupOutcome::Open, "another sidecar may have the response");
     lookup.record_reply(left, &reply(left, Some(at.clone())));
     assert_eq!(lookup.verdict(), LookupOutcome::Found(at));
 }
 
-/// A letter is sent, its entry dies, the store goes away, and the caller tries
-/// again. Its claim can't be made. If it heard "not-run", it would send the
-/// letter under a new key, and the ministry would get two.
+/// A request runs, its entry fails, the store becomes unreachable, and the caller sends the
+/// request again. Its claim can't be made. After the reply "not-run" the caller may send the
+/// request under a new key, so that it would run twice.
 #[test]
-fn honest_refusal() {
-    let seen = Some(at(100));
+fn refusal_run_state() {
+    let read_at = Some(at(100));
     let cases = [
-        ("sole home since before the copy", earlier_run(seen, Some(at(90))), RunState::NotRun),
-        ("home only since", earlier_run(seen, Some(at(101))), RunState::Unknown),
-        ("another may be home", earlier_run(seen, None), RunState::Unknown),
-        ("the record was never seen", earlier_run(None, Some(at(90))), RunState::Unknown),
+        (
+            "exclusive home since before the read",
+            earlier_run(read_at, Some(at(90))),
+            RunState::NotRun,
+        ),
+        (
+            "exclusive home only after the read",
+            earlier_run(read_at, Some(at(101))),
+            RunState::Unknown,
+        ),
+        ("another may be home", earlier_run(read_at, None), RunState::Unknown),
+        ("the record was never read", earlier_run(None, Some(at(90))), RunState::Unknown),
     ];
     let wait = Duration::from_secs(5);
     for (case, earlier, expected) in cases {
--- a/crates/sagespool-types/tests/id_forms.rs
+++ b/crates/sagespool-types/tests/id_forms.rs
@@ -1,4 +1,4 @@
-//! Ids are text for people and bytes between processes.
+//! Ids are serialized as hexadecimal text in JSON and as bytes in postcard.
 
 #![allow(clippy::unwrap_used)]
 
