--- a/crates/sagespool-claims/src/aged.rs
+++ b/crates/sagespool-claims/src/aged.rs
@@ -51,7 +51,7 @@
     type Error = ParseError;
 
     fn try_from(text: String) -> Result<Self, ParseError> {
-        let fault = || ParseError::new("a set of claims", &text, "base64 of 8 bytes a claim");
+        let fault = || ParseError::new("a set of claims", &text, "base64 of 8 bytes per claim");
         let bytes = STANDARD_NO_PAD.decode(&text).map_err(|_| fault())?;
         let (chunks, rest) = bytes.as_chunks::<FINGERPRINT_BYTES>();
         if !rest.is_empty() {
--- a/crates/sagespool-claims/src/refusal.rs
+++ b/crates/sagespool-claims/src/refusal.rs
@@ -47,11 +47,13 @@
     let (reason, run_state, message) = match verdict {
         ClaimVerdict::Durable | ClaimVerdict::Taken(_) => return None,
         ClaimVerdict::Aged => {
-            let message = "this key was used before, and the outcome is not kept any more";
+            let message =
+                "this key was used before, and the outcome of its request is no longer stored";
             (RefusalReason::OutcomeUnknown, RunState::Unknown, message)
         }
         ClaimVerdict::Full => {
-            let message = "too many keys of non-idempotent requests are remembered already";
+            let message =
+                "too many keys of non-idempotent requests are stored; this request was not run";
             (RefusalReason::ClaimUnreachable, RunState::NotRun, message)
         }
         ClaimVerdict::Expired => unconfirmed_claim(earlier),
@@ -64,14 +66,12 @@
     let reason = RefusalReason::ClaimUnreachable;
     match earlier {
         EarlierRun::Excluded => {
-            let message =
-                "the store is out of reach, so the key could not be claimed; it was not run";
+            let message = "the store is unreachable, so the key could not be claimed; this request was not run";
             (reason, RunState::NotRun, message)
         }
         EarlierRun::Possible => {
-            let message = "the store is out of reach; this request was not run, but whether an \
-                           earlier one with the same key ran can't be told: send it again later \
-                           with the same key";
+            let message = "the store is unreachable; this request was not run, but an earlier one \
+                           with the same key may have run: send it again later with the same key";
             (reason, RunState::Unknown, message)
         }
     }
--- a/crates/sagespool-types/src/lib.rs
+++ b/crates/sagespool-types/src/lib.rs
@@ -1,4 +1,4 @@
-//! Ids, sizes, rates and the common-derives macro of the sagespool fleet.
+//! Ids, sizes, rates and common derive sets of the sagespool fleet.
 //!
 //! All other packages use these newtypes, so that the compiler tells a token count
 //! from a store revision and a branch from a service.
--- a/crates/sagespool-types/src/rates.rs
+++ b/crates/sagespool-types/src/rates.rs
@@ -40,6 +40,6 @@
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
         let number = text.trim().parse().ok().and_then(Self::new);
-        number.ok_or_else(|| ParseError::new("a rate", text, "a number of requests a second"))
+        number.ok_or_else(|| ParseError::new("a rate", text, "a number of requests per second"))
     }
 }
--- a/crates/sagespool-types/src/sizes.rs
+++ b/crates/sagespool-types/src/sizes.rs
@@ -23,9 +23,9 @@
     /// is fixed.
     BookNumber(u64), "a book number";
     /// A rate in requests per second.
-    RequestRate(u64), "a number of requests a second";
+    RequestRate(u64), "a number of requests per second";
     /// A rate in tokens per second.
-    TokenRate(u64), "a number of tokens a second";
+    TokenRate(u64), "a number of tokens per second";
 }
 
 macro_rules! impl_saturating_sums {
