--- a/crates/sagespool-claims/examples/claim_bench.rs
+++ b/crates/sagespool-claims/examples/claim_bench.rs
@@ -93,15 +93,15 @@
         let before = millis * rate / 1000;
         for _ in before..(millis + 1) * rate / 1000 {
             let intent = intent();
-            let place = fastrand::usize(..homes) * shards + claim_shard(intent.key) as usize;
-            batches[place].0.add(intent, now);
-            arrived[place].push(now);
+            let index = fastrand::usize(..homes) * shards + claim_shard(intent.key) as usize;
+            batches[index].0.add(intent, now);
+            arrived[index].push(now);
         }
-        for (place, (batch, ends)) in batches.iter_mut().enumerate() {
+        for (index, (batch, ends)) in batches.iter_mut().enumerate() {
             if ends.is_some_and(|ends| ends <= now) {
                 *ends = None;
-                let answered = batch.complete_write(ClaimsRecord::default(), now).len();
-                waits.extend(arrived[place].drain(..answered).map(|at| now.since(at)));
+                let completed = batch.complete_write(ClaimsRecord::default(), now).len();
+                waits.extend(arrived[index].drain(..completed).map(|at| now.since(at)));
             }
             if batch.due_at().is_some_and(|due| due <= now) && batch.begin_write(now) {
                 writes += 1;
--- a/crates/sagespool-claims/src/aged.rs
+++ b/crates/sagespool-claims/src/aged.rs
@@ -26,8 +26,8 @@
 impl FingerprintSet {
     pub(crate) fn insert(&mut self, key: KeyDigest) {
         let fingerprint = fingerprint_of(key);
-        if let Err(place) = self.prints.binary_search(&fingerprint) {
-            self.prints.insert(place, fingerprint);
+        if let Err(index) = self.prints.binary_search(&fingerprint) {
+            self.prints.insert(index, fingerprint);
         }
     }
 
@@ -51,11 +51,11 @@
     type Error = ParseError;
 
     fn try_from(text: String) -> Result<Self, ParseError> {
-        let fault = || ParseError::new("a set of claims", &text, "base64 of 8 bytes per claim");
-        let bytes = STANDARD_NO_PAD.decode(&text).map_err(|_| fault())?;
+        let error = || ParseError::new("a set of claims", &text, "base64 of 8 bytes per claim");
+        let bytes = STANDARD_NO_PAD.decode(&text).map_err(|_| error())?;
         let (chunks, rest) = bytes.as_chunks::<FINGERPRINT_BYTES>();
         if !rest.is_empty() {
-            return Err(fault());
+            return Err(error());
         }
         let mut prints: Vec<_> = chunks.iter().map(|chunk| u64::from_le_bytes(*chunk)).collect();
         prints.sort_unstable();
--- a/crates/sagespool-claims/tests/claim_batch.rs
+++ b/crates/sagespool-claims/tests/claim_batch.rs
@@ -51,9 +51,9 @@
     assert!(!batch.begin_write(NOW));
     let mut record = ClaimsRecord::default();
     assert!(batch.apply(&mut record, WALL));
-    let answers = batch.complete_write(record, NOW);
-    assert_eq!(answers.len(), policy.max_claims);
-    assert!(answers.iter().all(|answer| answer.verdict == ClaimVerdict::Durable));
+    let results = batch.complete_write(record, NOW);
+    assert_eq!(results.len(), policy.max_claims);
+    assert!(results.iter().all(|result| result.verdict == ClaimVerdict::Durable));
     assert_eq!(batch.len(), 1, "a claim added during a write waits for the next one");
     assert_eq!(
         batch.due_at(),
@@ -80,10 +80,10 @@
     batch.begin_write(NOW);
     let mut again = stored.clone();
     assert!(!batch.apply(&mut again, WALL), "the first write took effect");
-    let answers = batch.complete_write(again, retry);
-    assert_eq!(answers[0].verdict, ClaimVerdict::Durable);
+    let results = batch.complete_write(again, retry);
+    assert_eq!(results[0].verdict, ClaimVerdict::Durable);
     assert!(
-        matches!(&answers[1].verdict, ClaimVerdict::Taken(entry) if entry.request == RequestId(99))
+        matches!(&results[1].verdict, ClaimVerdict::Taken(entry) if entry.request == RequestId(99))
     );
     assert!(!batch.is_store_unreachable());
 }
@@ -148,13 +148,13 @@
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
-        let place = usize::from(bool::arbitrary(g));
+        let index = usize::from(bool::arbitrary(g));
         let sidecar = usize::from(bool::arbitrary(g));
         match u8::arbitrary(g) % 16 {
-            0..=2 => Self::Send { home: place, both: bool::arbitrary(g), sidecar },
-            3..=6 => Self::Write { home: place },
+            0..=2 => Self::Send { home: index, both: bool::arbitrary(g), sidecar },
+            3..=6 => Self::Write { home: index },
             7..=10 => Self::Arrive { reply_received: u8::arbitrary(g) % 4 > 0 },
-            11 => Self::TimeOut { home: place },
+            11 => Self::TimeOut { home: index },
             12..=14 => Self::Dispatch,
             _ => Self::Restart { sidecar },
         }
@@ -242,8 +242,8 @@
         }
         let mut record = self.stored.clone();
         if !self.homes[home].apply(&mut record, WALL) {
-            let answers = self.homes[home].complete_write(record, NOW);
-            return self.handle_results(home, answers);
+            let results = self.homes[home].complete_write(record, NOW);
+            return self.handle_results(home, results);
         }
         let number = self.requests + self.in_flight.len() as u128 + u128::from(self.version) * 1000;
         let number = number as u64;
@@ -267,8 +267,8 @@
         self.awaited[write.home] = None;
         let home = write.home;
         if accepted && reply_received {
-            let answers = self.homes[home].complete_write(self.stored.clone(), NOW);
-            self.handle_results(home, answers);
+            let results = self.homes[home].complete_write(self.stored.clone(), NOW);
+            self.handle_results(home, results);
         } else {
             self.homes[home].record_failure(NOW);
         }
@@ -276,14 +276,14 @@
 
     /// Queues durable claims for dispatch, and replaces an existing claim if its sidecar fences
     /// it.
-    fn handle_results(&mut self, home: usize, answers: Vec<ClaimResult>) {
-        for ClaimResult { intent, verdict } in answers {
+    fn handle_results(&mut self, home: usize, results: Vec<ClaimResult>) {
+        for ClaimResult { intent, verdict } in results {
             match verdict {
                 ClaimVerdict::Durable => self.dispatches.push(intent),
                 ClaimVerdict::Taken(entry) => {
-                    let place = (entry.sidecar.0 % 2) as usize;
-                    let same = self.incarnation(place) == entry.sidecar;
-                    let sidecar = &mut self.sidecars[place];
+                    let index = (entry.sidecar.0 % 2) as usize;
+                    let same = self.incarnation(index) == entry.sidecar;
+                    let sidecar = &mut self.sidecars[index];
                     if same && !sidecar.ran.contains(&intent.key) {
                         sidecar.fenced.insert(entry.request);
                         let fenced = FencedClaim { request: entry.request, sidecar: entry.sidecar };
@@ -303,9 +303,9 @@
         if !self.attempts.insert((intent.request, intent.attempt)) {
             return;
         }
-        let place = (intent.sidecar.0 % 2) as usize;
-        let same = self.incarnation(place) == intent.sidecar;
-        let sidecar = &mut self.sidecars[place];
+        let index = (intent.sidecar.0 % 2) as usize;
+        let same = self.incarnation(index) == intent.sidecar;
+        let sidecar = &mut self.sidecars[index];
         let refused = !same || sidecar.fenced.contains(&intent.request);
         if !refused && sidecar.ran.insert(intent.key) {
             self.runs += 1;
@@ -313,7 +313,7 @@
         }
         if refused {
             // The sidecar refused before running it, so the entry may try the other sidecar.
-            let sidecar = self.incarnation(1 - place);
+            let sidecar = self.incarnation(1 - index);
             let attempt = intent.attempt.next();
             let home = (intent.request.0 % 2) as usize;
             self.homes[home].add(ClaimIntent { sidecar, attempt, replaces: None, ..intent }, NOW);
--- a/crates/sagespool-claims/tests/crash_board.rs
+++ b/crates/sagespool-claims/tests/crash_tracker.rs
@@ -27,29 +27,29 @@
 /// duplicated and delayed.
 #[test]
 fn two_crashes() {
-    let board = CrashTracker::new();
+    let tracker = CrashTracker::new();
     let first = report(CRASHING, 1, 0);
-    assert_eq!(board.record(&first, at(0)), CrashVerdict::Suspected);
-    assert_eq!(board.record(&first, at(9)), CrashVerdict::Repeated);
-    assert!(!board.is_stopped(CRASHING));
-    assert_eq!(board.record(&report(CRASHING, 2, 1), at(10)), CrashVerdict::Stopped);
-    assert!(board.is_stopped(CRASHING));
-    assert_eq!(board.record(&report(CRASHING, 3, 2), at(11)), CrashVerdict::AlreadyStopped);
+    assert_eq!(tracker.record(&first, at(0)), CrashVerdict::Suspected);
+    assert_eq!(tracker.record(&first, at(9)), CrashVerdict::Repeated);
+    assert!(!tracker.is_stopped(CRASHING));
+    assert_eq!(tracker.record(&report(CRASHING, 2, 1), at(10)), CrashVerdict::Stopped);
+    assert!(tracker.is_stopped(CRASHING));
+    assert_eq!(tracker.record(&report(CRASHING, 3, 2), at(11)), CrashVerdict::AlreadyStopped);
 }
 
 /// Ten requests with the same content are in flight on one upstream when it crashes. That is
 /// one crash, which must not stop the content.
 #[test]
 fn one_crash() {
-    let board = CrashTracker::new();
+    let tracker = CrashTracker::new();
     let frequent = ContentDigest(1);
     let verdicts: Vec<_> =
-        (0..10).map(|request| board.record(&report(frequent, request, 0), at(0))).collect();
+        (0..10).map(|request| tracker.record(&report(frequent, request, 0), at(0))).collect();
     assert_eq!(verdicts[0], CrashVerdict::Suspected);
     assert!(verdicts[1..].iter().all(|verdict| *verdict == CrashVerdict::Repeated));
     let again = CrashReport { attempt: AttemptNumber(2), ..report(frequent, 0, 0) };
     assert_eq!(
-        board.record(&again, at(1)),
+        tracker.record(&again, at(1)),
         CrashVerdict::Stopped,
         "a second attempt is a second crash"
     );
@@ -62,13 +62,13 @@
 #[test]
 fn suspects_on_separate_upstreams() {
     let upstreams = 12;
-    let board = CrashTracker::new();
+    let tracker = CrashTracker::new();
     let contents: Vec<_> = (60..69).map(ContentDigest).collect();
     for content in &contents {
-        board.record(&report(*content, content.0, 0), at(0));
+        tracker.record(&report(*content, content.0, 0), at(0));
     }
     let others: Vec<_> = (1..upstreams).collect();
-    let rank = |content| board.rerun_rank(content, at(1)).expect("a suspect");
+    let rank = |content| tracker.rerun_rank(content, at(1)).expect("a suspect");
     let choose = |content| others[rank(content) % others.len()];
     let chosen: Vec<_> = contents.iter().map(|content| choose(*content)).collect();
     let next_crash = choose(CRASHING);
@@ -77,21 +77,21 @@
             assert_eq!(*content, CRASHING, "no other suspect on the upstream");
             let again =
                 CrashReport { attempt: AttemptNumber(2), ..report(CRASHING, 66, next_crash) };
-            assert_eq!(board.record(&again, at(5)), CrashVerdict::Stopped);
+            assert_eq!(tracker.record(&again, at(5)), CrashVerdict::Stopped);
         }
     }
     // A new content is in flight at the second crash.
     assert_eq!(
-        board.record(&report(ContentDigest(90), 90, next_crash), at(5)),
+        tracker.record(&report(ContentDigest(90), 90, next_crash), at(5)),
         CrashVerdict::Suspected
     );
     let harmless = contents.iter().filter(|content| **content != CRASHING);
     for content in harmless.chain([&ContentDigest(90)]) {
-        assert!(!board.record_success(*content));
-        assert!(!board.is_suspect(*content));
+        assert!(!tracker.record_success(*content));
+        assert!(!tracker.is_suspect(*content));
     }
-    assert_eq!(board.record(&report(contents[0], 99, 3), at(60)), CrashVerdict::Suspected);
-    let stopped: Vec<_> = board.list().into_iter().filter(|suspect| suspect.stopped).collect();
+    assert_eq!(tracker.record(&report(contents[0], 99, 3), at(60)), CrashVerdict::Suspected);
+    let stopped: Vec<_> = tracker.list().into_iter().filter(|suspect| suspect.stopped).collect();
     assert_eq!(stopped.len(), 1);
 }
 
@@ -100,48 +100,52 @@
 /// it would be stopped for a crash that it did not cause.
 #[test]
 fn kept_ranks() {
-    let board = CrashTracker::new();
+    let tracker = CrashTracker::new();
     let (before, after) = (ContentDigest(60), ContentDigest(68));
     for content in [before, CRASHING, after] {
-        board.record(&report(content, content.0, 0), at(0));
+        tracker.record(&report(content, content.0, 0), at(0));
     }
     let again = CrashReport { attempt: AttemptNumber(2), ..report(CRASHING, 66, 1) };
-    assert_eq!(board.record(&again, at(3)), CrashVerdict::Stopped);
-    assert_eq!(board.rerun_rank(before, at(3)), Some(0));
-    assert_eq!(board.rerun_rank(CRASHING, at(3)), None, "a stopped content has no rank");
-    assert_eq!(board.rerun_rank(after, at(3)), Some(2));
-    assert_eq!(board.rerun_rank(after, at(6)), Some(1), "the rank is free after the crash window");
+    assert_eq!(tracker.record(&again, at(3)), CrashVerdict::Stopped);
+    assert_eq!(tracker.rerun_rank(before, at(3)), Some(0));
+    assert_eq!(tracker.rerun_rank(CRASHING, at(3)), None, "a stopped content has no rank");
+    assert_eq!(tracker.rerun_rank(after, at(3)), Some(2));
+    assert_eq!(
+        tracker.rerun_rank(after, at(6)),
+        Some(1),
+        "the rank is free after the crash window"
+    );
     let upstream = |number| report(CRASHING, 0, number).upstream;
-    assert!(board.crashed_recently(&upstream(1), at(4)));
-    assert!(!board.crashed_recently(&upstream(1), at(6)));
-    assert!(!board.crashed_recently(&upstream(2), at(4)));
+    assert!(tracker.crashed_recently(&upstream(1), at(4)));
+    assert!(!tracker.crashed_recently(&upstream(1), at(6)));
+    assert!(!tracker.crashed_recently(&upstream(2), at(4)));
 }
 
 #[test]
 fn expired_suspicion() {
-    let board = CrashTracker::new();
-    board.record(&report(CRASHING, 1, 0), at(0));
+    let tracker = CrashTracker::new();
+    tracker.record(&report(CRASHING, 1, 0), at(0));
     let later = at(0).after(Duration::from_secs(3601));
-    assert_eq!(board.record(&report(CRASHING, 2, 1), later), CrashVerdict::Suspected);
+    assert_eq!(tracker.record(&report(CRASHING, 2, 1), later), CrashVerdict::Suspected);
 }
 
 /// A stop must outlast the entries that received the reports. A new entry without it would
 /// run the request and lose another upstream.
 #[test]
 fn stored_stop() {
-    let board = CrashTracker::new();
-    board.record(&report(CRASHING, 1, 0), at(0));
-    board.record(&report(CRASHING, 2, 1), at(10));
-    let (content, crashes) = board.unsaved().pop().expect("to be written");
+    let tracker = CrashTracker::new();
+    tracker.record(&report(CRASHING, 1, 0), at(0));
+    tracker.record(&report(CRASHING, 2, 1), at(10));
+    let (content, crashes) = tracker.unsaved().pop().expect("to be written");
     let mut record = QuarantineRecord::default();
     assert_eq!(record.stop(content, &crashes, WALL), StopOutcome::Stopped);
     assert_eq!(record.stop(content, &crashes, WALL), StopOutcome::Already, "a retry");
     let text = serde_json::to_string(&record).expect("plain data");
     let record: QuarantineRecord = serde_json::from_str(&text).expect("the same data");
-    for board in [CrashTracker::new(), board] {
-        assert!(board.apply_record(&record, at(20)).is_empty());
-        assert!(board.is_stopped(CRASHING));
-        assert!(board.unsaved().is_empty());
+    for tracker in [CrashTracker::new(), tracker] {
+        assert!(tracker.apply_record(&record, at(20)).is_empty());
+        assert!(tracker.is_stopped(CRASHING));
+        assert!(tracker.unsaved().is_empty());
     }
 }
 
@@ -150,24 +154,24 @@
 /// crashes must.
 #[test]
 fn lifted_stop() {
-    let board = CrashTracker::new();
+    let tracker = CrashTracker::new();
     let reports = [report(CRASHING, 1, 0), report(CRASHING, 2, 1)];
     for (report, second) in reports.iter().zip([0, 10]) {
-        board.record(report, at(second));
+        tracker.record(report, at(second));
     }
-    let (_, crashes) = board.unsaved().pop().expect("to be written");
+    let (_, crashes) = tracker.unsaved().pop().expect("to be written");
     let mut record = QuarantineRecord::default();
     record.stop(CRASHING, &crashes, WALL);
     assert!(record.lift(CRASHING, WALL));
     assert!(!record.lift(CRASHING, WALL));
-    board.apply_record(&record, at(20));
-    assert!(!board.is_stopped(CRASHING));
+    tracker.apply_record(&record, at(20));
+    assert!(!tracker.is_stopped(CRASHING));
     assert_eq!(record.stop(CRASHING, &crashes, WALL), StopOutcome::Lifted);
-    assert_eq!(board.record(&reports[0], at(21)), CrashVerdict::Repeated);
+    assert_eq!(tracker.record(&reports[0], at(21)), CrashVerdict::Repeated);
     assert_eq!(record.stopped().count(), 0);
-    assert_eq!(board.record(&report(CRASHING, 3, 2), at(30)), CrashVerdict::Suspected);
-    assert_eq!(board.record(&report(CRASHING, 4, 3), at(40)), CrashVerdict::Stopped);
-    let (_, crashes) = board.unsaved().pop().expect("to be written");
+    assert_eq!(tracker.record(&report(CRASHING, 3, 2), at(30)), CrashVerdict::Suspected);
+    assert_eq!(tracker.record(&report(CRASHING, 4, 3), at(40)), CrashVerdict::Stopped);
+    let (_, crashes) = tracker.unsaved().pop().expect("to be written");
     assert_eq!(record.stop(CRASHING, &crashes, WALL), StopOutcome::Stopped);
 }
 
@@ -179,12 +183,12 @@
     let frequent = ContentDigest(1);
     let (busy, idle) = (CrashTracker::new(), CrashTracker::new());
     let reports = [report(frequent, 1, 0), report(frequent, 2, 1)];
-    for board in [&busy, &idle] {
-        board.record(&reports[0], at(0));
+    for tracker in [&busy, &idle] {
+        tracker.record(&reports[0], at(0));
     }
     busy.record_success(frequent);
-    for board in [&busy, &idle] {
-        board.record(&reports[1], at(10));
+    for tracker in [&busy, &idle] {
+        tracker.record(&reports[1], at(10));
     }
     assert!(!busy.is_stopped(frequent));
     let mut record = QuarantineRecord::default();
--- a/crates/sagespool-claims/tests/key_board.rs
+++ b/crates/sagespool-claims/tests/key_registry.rs
@@ -22,7 +22,7 @@
 }
 
 /// An index of a process that has run for longer than the retention of responses.
-fn long_running_board() -> (KeyRegistry, ClockTime) {
+fn long_running_registry() -> (KeyRegistry, ClockTime) {
     (KeyRegistry::new(ClockTime::default()), at(100_000))
 }
 
@@ -36,9 +36,9 @@
 #[test]
 fn repeated_request() {
     type Step = fn(&KeyRegistry, ClockTime);
-    let place: Step = |board, now| assert!(board.assign_sidecar(KEY, FIRST, SIDECAR, now));
+    let assign: Step = |registry, now| assert!(registry.assign_sidecar(KEY, FIRST, SIDECAR, now));
     let end = |outcome: KeyOutcome| {
-        move |board: &KeyRegistry, now| board.record_outcome(KEY, FIRST, outcome, now)
+        move |registry: &KeyRegistry, now| registry.record_outcome(KEY, FIRST, outcome, now)
     };
     let unknown = KeyDecision::Attach(KeyState::Unknown { request: FIRST });
     let pending = KeyDecision::Attach(KeyState::Pending);
@@ -51,19 +51,20 @@
         ("refused before it had a sidecar", false, Some(KeyOutcome::NotRun), KeyDecision::New),
     ];
     for (case, has_sidecar, outcome, expected) in cases {
-        let (board, now) = long_running_board();
-        assert_eq!(board.begin(KEY, FIRST, CONTENT, now), KeyDecision::New);
-        assert_eq!(board.begin(KEY, FIRST, CONTENT, now), KeyDecision::New, "a retransmission");
+        let (registry, now) = long_running_registry();
+        assert_eq!(registry.begin(KEY, FIRST, CONTENT, now), KeyDecision::New);
+        assert_eq!(registry.begin(KEY, FIRST, CONTENT, now), KeyDecision::New, "a retransmission");
         if has_sidecar {
-            place(&board, now);
+            assign(&registry, now);
         }
         if let Some(outcome) = outcome {
-            end(outcome)(&board, now);
+            end(outcome)(&registry, now);
         }
-        let other = board.find(KEY, now).map(|_| board.begin(KEY, SECOND, ContentDigest(6), now));
+        let other =
+            registry.find(KEY, now).map(|_| registry.begin(KEY, SECOND, ContentDigest(6), now));
         let expected_other = KeyDecision::Attach(KeyState::OtherContent);
         assert!(other.is_none_or(|other| other == expected_other), "{case}");
-        assert_eq!(board.begin(KEY, SECOND, CONTENT, now), expected, "{case}");
+        assert_eq!(registry.begin(KEY, SECOND, CONTENT, now), expected, "{case}");
     }
 }
 
@@ -79,52 +80,52 @@
         (ClockTime::default(), KeyDecision::New),
         (started.after(Duration::from_secs(60)), KeyDecision::Unsure),
     ] {
-        let board = KeyRegistry::with_policy(policy.clone(), started);
+        let registry = KeyRegistry::with_policy(policy.clone(), started);
         let now = started.after(retention);
-        assert_eq!(board.begin_since(KEY, FIRST, CONTENT, home_since, now), expected);
+        assert_eq!(registry.begin_since(KEY, FIRST, CONTENT, home_since, now), expected);
     }
-    let board = KeyRegistry::with_policy(policy, started);
-    assert_eq!(board.begin(KEY, SECOND, CONTENT, started), KeyDecision::Unsure);
-    let second = board.begin(KEY, FIRST, CONTENT, started);
+    let registry = KeyRegistry::with_policy(policy, started);
+    assert_eq!(registry.begin(KEY, SECOND, CONTENT, started), KeyDecision::Unsure);
+    let second = registry.begin(KEY, FIRST, CONTENT, started);
     assert_eq!(
         second,
         KeyDecision::Attach(KeyState::Pending),
         "only one request queries the sidecars"
     );
-    board.record_found(KEY, FIRST, CONTENT, SIDECAR, started);
-    assert_eq!(board.begin(KEY, SECOND, CONTENT, started), running_at(SIDECAR));
+    registry.record_found(KEY, FIRST, CONTENT, SIDECAR, started);
+    assert_eq!(registry.begin(KEY, SECOND, CONTENT, started), running_at(SIDECAR));
 }
 
 /// A request waits for budget beyond the pending limit, and another request takes its key.
 /// The first one must not run after that.
 #[test]
 fn overtaken_request() {
-    let (board, now) = long_running_board();
+    let (registry, now) = long_running_registry();
     let limit = KeyPolicy::default().pending_limit;
-    board.begin(KEY, FIRST, CONTENT, now);
+    registry.begin(KEY, FIRST, CONTENT, now);
     let late = now.after(limit);
-    assert_eq!(board.begin(KEY, SECOND, CONTENT, late), KeyDecision::New);
-    assert!(!board.assign_sidecar(KEY, FIRST, SIDECAR, late));
-    board.forget(KEY, FIRST);
-    assert!(board.assign_sidecar(KEY, SECOND, SIDECAR, late));
-    assert!(!board.try_acquire(KEY, FIRST, CONTENT, late));
+    assert_eq!(registry.begin(KEY, SECOND, CONTENT, late), KeyDecision::New);
+    assert!(!registry.assign_sidecar(KEY, FIRST, SIDECAR, late));
+    registry.forget(KEY, FIRST);
+    assert!(registry.assign_sidecar(KEY, SECOND, SIDECAR, late));
+    assert!(!registry.try_acquire(KEY, FIRST, CONTENT, late));
 }
 
 #[test]
 fn expired_keys() {
-    let (board, now) = long_running_board();
+    let (registry, now) = long_running_registry();
     let retention = KeyPolicy::default().answer_retention;
-    board.begin(KEY, FIRST, CONTENT, now);
-    board.assign_sidecar(KEY, FIRST, SIDECAR, now);
+    registry.begin(KEY, FIRST, CONTENT, now);
+    registry.assign_sidecar(KEY, FIRST, SIDECAR, now);
     let ended = now.after(Duration::from_secs(60));
-    board.record_outcome(KEY, FIRST, KeyOutcome::Answered, ended);
-    board.expire(now.after(retention));
-    assert_eq!(board.len(), 1, "the retention counts from the end of the request");
-    assert!(board.run_ended(KEY));
-    board.sidecar_gone(SIDECAR, ended);
-    assert_eq!(board.find(KEY, ended), Some(KeyState::Unknown { request: FIRST }));
-    board.expire(ended.after(retention));
-    assert!(board.is_empty());
+    registry.record_outcome(KEY, FIRST, KeyOutcome::Answered, ended);
+    registry.expire(now.after(retention));
+    assert_eq!(registry.len(), 1, "the retention counts from the end of the request");
+    assert!(registry.run_ended(KEY));
+    registry.sidecar_gone(SIDECAR, ended);
+    assert_eq!(registry.find(KEY, ended), Some(KeyState::Unknown { request: FIRST }));
+    registry.expire(ended.after(retention));
+    assert!(registry.is_empty());
 }
 
 /// Sidecars are queried for a key. "Never seen" may be concluded only if every sidecar that can
--- a/crates/sagespool-messages/examples/message_sizes.rs
+++ b/crates/sagespool-messages/examples/message_sizes.rs
@@ -138,14 +138,14 @@
         grant_revision: StoreRevision(9_000_000),
         amount: TokenCount(600),
     };
-    show("reserve, answer", &PeerReply::Reserve(ReserveReply::Reserved(reserved)));
+    show("reserve, reply", &PeerReply::Reserve(ReserveReply::Reserved(reserved)));
     show("claim", &PeerRequest::Claim(claim()));
-    show("claim, answer", &PeerReply::Claim(ClaimReply::Durable));
+    show("claim, reply", &PeerReply::Claim(ClaimReply::Durable));
     show("finish", &PeerRequest::Finish(finish()));
-    show("finish, answer", &PeerReply::Done);
+    show("finish, reply", &PeerReply::Done);
     for charges in [1, 10, 100] {
         let name = format!("report of {charges} charges");
         show(&name, &PeerRequest::ReportCharges(report(charges)));
-        show(&format!("{name}, answer"), &PeerReply::ChargesDurable(durable(charges)));
+        show(&format!("{name}, reply"), &PeerReply::ChargesDurable(durable(charges)));
     }
 }
--- a/crates/sagespool-types/src/clock.rs
+++ b/crates/sagespool-types/src/clock.rs
@@ -81,7 +81,7 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let fault = |_| ParseError::new("a wall-clock time", text, "milliseconds since 1970");
-        text.parse().map(Self).map_err(fault)
+        let error = |_| ParseError::new("a wall-clock time", text, "milliseconds since 1970");
+        text.parse().map(Self).map_err(error)
     }
 }
--- a/crates/sagespool-types/src/derives.rs
+++ b/crates/sagespool-types/src/derives.rs
@@ -76,8 +76,8 @@
             type Err = $crate::ParseError;
 
             fn from_str(text: &str) -> Result<Self, $crate::ParseError> {
-                let fault = |_| $crate::ParseError::new($wanted, text, "a whole number");
-                text.parse().map(Self).map_err(fault)
+                let error = |_| $crate::ParseError::new($wanted, text, "a whole number");
+                text.parse().map(Self).map_err(error)
             }
         }
     )*};
--- a/crates/sagespool-types/src/digest.rs
+++ b/crates/sagespool-types/src/digest.rs
@@ -26,8 +26,8 @@
             type Err = ParseError;
 
             fn from_str(text: &str) -> Result<Self, ParseError> {
-                let fault = |_| ParseError::new($wanted, text, "up to 32 hexadecimal digits");
-                u128::from_str_radix(text, 16).map(Self).map_err(fault)
+                let error = |_| ParseError::new($wanted, text, "up to 32 hexadecimal digits");
+                u128::from_str_radix(text, 16).map(Self).map_err(error)
             }
         }
 
--- a/crates/sagespool-types/src/ids.rs
+++ b/crates/sagespool-types/src/ids.rs
@@ -34,11 +34,11 @@
             type Err = ParseError;
 
             fn from_str(text: &str) -> Result<Self, ParseError> {
-                let fault = || ParseError::new($wanted, text, "hexadecimal digits");
+                let error = || ParseError::new($wanted, text, "hexadecimal digits");
                 if text.is_empty() || text.starts_with('+') {
-                    return Err(fault());
+                    return Err(error());
                 }
-                <$inner>::from_str_radix(text, 16).map(Self).map_err(|_| fault())
+                <$inner>::from_str_radix(text, 16).map(Self).map_err(|_| error())
             }
         }
 
@@ -96,11 +96,11 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let fault =
+        let error =
             || ParseError::new("a grant id", text, "HOLDER-NUMBER, as `00c0ffee00c0ffee-7`");
-        let (holder, number) = text.split_once('-').ok_or_else(fault)?;
-        let holder = holder.parse().map_err(|_| fault())?;
-        let number = number.parse().map_err(|_| fault())?;
+        let (holder, number) = text.split_once('-').ok_or_else(error)?;
+        let holder = holder.parse().map_err(|_| error())?;
+        let number = number.parse().map_err(|_| error())?;
         Ok(Self { holder, number })
     }
 }
@@ -144,10 +144,10 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let fault = || ParseError::new("a charge id", text, "GRANT/SEQUENCE");
-        let (grant, sequence) = text.split_once('/').ok_or_else(fault)?;
-        let grant = grant.parse().map_err(|_| fault())?;
-        let sequence = sequence.parse().map_err(|_| fault())?;
+        let error = || ParseError::new("a charge id", text, "GRANT/SEQUENCE");
+        let (grant, sequence) = text.split_once('/').ok_or_else(error)?;
+        let grant = grant.parse().map_err(|_| error())?;
+        let sequence = sequence.parse().map_err(|_| error())?;
         Ok(Self { grant, sequence })
     }
 }
