--- a/crates/sagespool-claims/examples/claim_bench.rs
+++ b/crates/sagespool-claims/examples/claim_bench.rs
@@ -1,12 +1,12 @@
-//! What claims cost: bytes and time by the size of a record, and store writes
-//! a claim by the rate of claims.
+//! Cost of claims: size and time by the number of claims in a record, and store
+//! writes per claim by the rate of claims.
 //!
 //! `cargo run --release -p sagespool-claims --example claim_bench`
 
 use std::time::{Duration, Instant};
 
 use sagespool_claims::{
-    BatchPolicy, CLAIM_SHARDS, ClaimBatch, ClaimIntent, ClaimsRecord, DETAILS_KEPT, claim_shard,
+    BatchPolicy, CLAIM_SHARDS, ClaimBatch, ClaimIntent, ClaimsRecord, DETAIL_RETENTION, claim_shard,
 };
 use sagespool_types::{
     AttemptNumber, ClockTime, ContentDigest, IncarnationId, KeyDigest, RequestId, WallTime,
@@ -14,17 +14,17 @@
 
 const DAY: Duration = Duration::from_secs(24 * 3600);
 const START: WallTime = WallTime(1_700_000_000_000);
-/// How long the store takes for a read and a write together.
+/// Time that the store takes for a read and a write together.
 const STORE_TIME: Duration = Duration::from_millis(10);
 const RUN_SECONDS: u64 = 20;
 
 fn main() {
     for (fresh, aged) in [(0, 0), (100, 0), (1000, 0), (5000, 0), (100, 10_000), (100, 60_000)] {
-        show_record(fresh, aged);
+        measure_record(fresh, aged);
     }
     for homes in [1, 10] {
         for rate in [5, 20, 100, 500, 2000] {
-            show_writes(rate, homes);
+            measure_writes(rate, homes);
         }
     }
 }
@@ -37,7 +37,7 @@
         sidecar: IncarnationId::random(),
         attempt: AttemptNumber(1),
         home: IncarnationId(1),
-        overturns: None,
+        replaces: None,
         time_left: Duration::from_secs(10),
     }
 }
@@ -56,10 +56,10 @@
     }
 }
 
-fn show_record(fresh: usize, aged: usize) {
+fn measure_record(fresh: usize, aged: usize) {
     let mut record = ClaimsRecord::default();
     fill(&mut record, aged, START);
-    let now = WallTime(START.0 + 2 * DETAILS_KEPT.as_millis() as u64);
+    let now = WallTime(START.0 + 2 * DETAIL_RETENTION.as_millis() as u64);
     record.claim(&intent(), now, DAY);
     fill(&mut record, fresh, now);
     let timer = Instant::now();
@@ -78,30 +78,30 @@
     );
 }
 
-/// Claims arrive evenly, at homes and shards in turn by chance; each home has a
-/// batch for each shard, and the store takes its time for each write.
-fn show_writes(rate: u64, homes: usize) {
+/// Simulates claims that arrive at a constant rate at random homes and shards. Each home has a
+/// batch per shard, and each write takes [`STORE_TIME`].
+fn measure_writes(rate: u64, homes: usize) {
     let policy = BatchPolicy::default();
     let shards = CLAIM_SHARDS as usize;
     let mut batches: Vec<_> =
         (0..homes * shards).map(|_| (ClaimBatch::new(policy.clone()), None)).collect();
     let mut writes = 0_u64;
-    let mut waited = Vec::new();
+    let mut waits = Vec::new();
     let mut arrived: Vec<Vec<ClockTime>> = vec![Vec::new(); homes * shards];
     for millis in 0..RUN_SECONDS * 1000 {
         let now = ClockTime::from_millis(millis);
         let before = millis * rate / 1000;
         for _ in before..(millis + 1) * rate / 1000 {
             let intent = intent();
-            let place = fastrand::usize(..homes) * shards + claim_shard(intent.key) as usize;
-            batches[place].0.add(intent, now);
-            arrived[place].push(now);
+            let index = fastrand::usize(..homes) * shards + claim_shard(intent.key) as usize;
+            batches[index].0.add(intent, now);
+            arrived[index].push(now);
         }
-        for (place, (batch, ends)) in batches.iter_mut().enumerate() {
+        for (index, (batch, ends)) in batches.iter_mut().enumerate() {
             if ends.is_some_and(|ends| ends <= now) {
                 *ends = None;
-                let answered = batch.complete_write(ClaimsRecord::default(), now).len();
-                waited.extend(arrived[place].drain(..answered).map(|at| now.since(at)));
+                let completed = batch.complete_write(ClaimsRecord::default(), now).len();
+                waits.extend(arrived[index].drain(..completed).map(|at| now.since(at)));
             }
             if batch.due_at().is_some_and(|due| due <= now) && batch.begin_write(now) {
                 writes += 1;
@@ -109,9 +109,9 @@
             }
         }
     }
-    waited.sort();
-    let claims = waited.len().max(1);
-    let median = waited.get(claims / 2).copied().unwrap_or_default();
+    waits.sort();
+    let claims = waits.len().max(1);
+    let median = waits.get(claims / 2).copied().unwrap_or_default();
     println!(
         "writes claims_s={rate} homes={homes} writes_s={:.1} writes_claim={:.2} wait_ms={}",
         writes as f64 / RUN_SECONDS as f64,
--- a/crates/sagespool-messages/examples/message_sizes.rs
+++ b/crates/sagespool-messages/examples/message_sizes.rs
@@ -1,8 +1,8 @@
-//! Bytes of the messages between processes, as the link encodes them, without its frame of 5 bytes.
+//! Encoded sizes of messages between processes, without the link's frame of 5 bytes.
 //!
 //!     cargo run --release --locked -p sagespool-messages --example message_sizes
 
-#![allow(clippy::unwrap_used, reason = "a measurement that fails may panic")]
+#![allow(clippy::unwrap_used, reason = "an example may panic on failure")]
 
 use std::time::Duration;
 
@@ -138,14 +138,14 @@
         grant_revision: StoreRevision(9_000_000),
         amount: TokenCount(600),
     };
-    show("reserve, answer", &PeerReply::Reserve(ReserveReply::Reserved(reserved)));
+    show("reserve, reply", &PeerReply::Reserve(ReserveReply::Reserved(reserved)));
     show("claim", &PeerRequest::Claim(claim()));
-    show("claim, answer", &PeerReply::Claim(ClaimReply::Durable));
+    show("claim, reply", &PeerReply::Claim(ClaimReply::Durable));
     show("finish", &PeerRequest::Finish(finish()));
-    show("finish, answer", &PeerReply::Done);
+    show("finish, reply", &PeerReply::Done);
     for charges in [1, 10, 100] {
         let name = format!("report of {charges} charges");
         show(&name, &PeerRequest::ReportCharges(report(charges)));
-        show(&format!("{name}, answer"), &PeerReply::ChargesDurable(durable(charges)));
+        show(&format!("{name}, reply"), &PeerReply::ChargesDurable(durable(charges)));
     }
 }
