--- a/crates/sagespool-entry/src/configuration.rs
+++ b/crates/sagespool-entry/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Putting the fleet's configuration in force as it changes.
+//! Applies changes of the fleet's configuration.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 
 use crate::state::EntryState;
 
-/// Follows the configuration for the process's whole life.
+/// Follows the configuration for the lifetime of the process.
 pub(crate) async fn run_configuration(state: Arc<EntryState>) {
     let context = FollowerContext {
         members: &state.members,
@@ -26,10 +26,10 @@
     state.follower.run(context).await;
 }
 
-/// Puts one object in force, unless it is not valid.
+/// Applies one object if it is valid.
 fn apply(state: &EntryState, object: &ConfigObject) {
     let ConfigObject { key, version, value } = object;
-    // Objects come in any order, and the whole has the version of its newest.
+    // Objects arrive in any order; the configuration has the version of its newest object.
     let current = state.config.current().map(|config| config.version());
     let config_version = ConfigVersion(version.0).max(current.unwrap_or_default());
     let value = value.as_deref().map(serde_json::from_str);
@@ -90,7 +90,7 @@
     log_event!(error, "configuration-invalid", object = key, faults = faults);
 }
 
-/// Brings what branches hold back for classes to the ledger.
+/// Applies the branches' holdbacks for classes to the ledger.
 fn hold_back(state: &EntryState, object: &BranchObject) {
     for (branch, entry) in &object.branches {
         let held = entry.held_back.iter();
--- a/crates/sagespool-entry/src/heartbeats.rs
+++ b/crates/sagespool-entry/src/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats with other processes, and the instance list as their seed.
+//! Heartbeats with other members, and the instance list that seeds the membership.
 
 use std::collections::HashSet;
 use std::sync::{Arc, PoisonError};
@@ -18,7 +18,8 @@
 const LIST_WAIT: Duration = Duration::from_secs(20);
 const LIST_PAUSE: Duration = Duration::from_secs(1);
 
-/// Sends heartbeats as they fall due and keeps the routing table on the members' newest word.
+/// Sends heartbeats as they become due, and updates the routing table from the members' newest
+/// reports.
 pub(crate) async fn run_heartbeats(state: Arc<EntryState>) {
     let mut was_settled = false;
     loop {
@@ -45,8 +46,8 @@
     }
 }
 
-/// Says when the view of the fleet becomes complete, and when it is no longer: callers are refused
-/// as `not-ready` until the first.
+/// Logs when the view of the fleet becomes complete or incomplete. Until it is first complete,
+/// callers are refused as `not-ready`.
 fn note_settled(state: &EntryState, was_settled: bool, now: ClockTime) -> bool {
     let is_settled = state.members.is_settled();
     if is_settled != was_settled {
@@ -63,7 +64,7 @@
     is_settled
 }
 
-/// Brings what the members say of their upstreams to the routing table.
+/// Updates the routing table from the members' reports on their upstreams.
 pub(crate) fn refresh_upstreams(state: &EntryState) {
     let now = ClockTime::now();
     state.witnesses.observe(&state.members.members());
@@ -77,7 +78,7 @@
     state.limits.set_entries(entries as u32);
 }
 
-/// Whether an upstream may be given work, as its sidecar last said.
+/// Whether an upstream accepts requests, by its sidecar's last report.
 #[derive(Debug)]
 pub(crate) struct UpstreamUse {
     upstream: UpstreamName,
@@ -85,8 +86,8 @@
     takes_work: bool,
 }
 
-/// Takes sidecars that are gone out of the routing table, and says which upstreams may be given
-/// work, or may no longer, since it was last looked.
+/// Removes sidecars that are gone from the routing table, and logs each change of an upstream's
+/// availability.
 fn note_uses(state: &EntryState, live: &[MemberInfo]) {
     let present: HashSet<IncarnationId> = live.iter().map(|member| member.incarnation).collect();
     let mut known = state.known_sidecars.lock().unwrap_or_else(PoisonError::into_inner);
@@ -138,7 +139,7 @@
             .collect();
         let sidecars = listed.iter().filter(|listed| listed.role == MemberRole::Sidecar);
         state.witnesses.list(sidecars.map(|listed| listed.instance.clone()));
-        // The platform may say that this instance leaves before anybody told the process.
+        // The platform may list this instance as leaving before the process receives a signal.
         if state.members.apply_instance_list(&listed, ClockTime::now()) {
             state.leave();
         }
--- a/crates/sagespool-entry/src/home/books.rs
+++ b/crates/sagespool-entry/src/home/books.rs
@@ -1,4 +1,4 @@
-//! Writing books: grants asked for and charges settled, by conditional updates.
+//! Writing books with conditional updates: grants requested and charges settled.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -14,33 +14,34 @@
 
 const CONFLICT_TRIES: u32 = 20;
 const WRITER_TICK: Duration = Duration::from_millis(100);
-/// After a failed write the store is left alone for so long, unless a request waits.
+/// The pause after a failed write, unless a request waits.
 const FAILURE_PAUSE: Duration = Duration::from_millis(500);
 
-/// A book as last seen in the store, locked while it is written.
+/// A book as last seen in the store, locked during a write.
 type HeldBook = Arc<async_lock::Mutex<Option<StoredObject<BookRecord>>>>;
 
-/// Why a book is looked at.
+/// Why a book is written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum WriteCause {
-    /// Its turn has come, or something is handed back: everything that changed is written.
+    /// A scheduled write, or grants are returned at shutdown: everything that changed is written.
     Turn,
-    /// Requests wait for more than is held. The book is read anew, since a top-up may just have come,
-    /// and written only if that helps one of them: else each request refused near a budget's end
-    /// would cost a write.
+    /// Requests wait for more budget than is held. The book is read again, since a top-up may just
+    /// have been applied, and written only if that helps one of them. Otherwise each request that
+    /// is refused near the end of a budget would cost a write.
     Round,
-    /// Another home asks for what this one doesn't need. The book is read anew: the other may have
-    /// taken this home for dead and sealed its grants, which shows there and not in what was read
-    /// before; what isn't accounted for would stay in doubt, and the other would refuse for budget.
+    /// Another home recalls unspent budget. The book is read again: the other home may have taken
+    /// this one for dead and sealed its grants, which a cached copy does not show. Charges that are
+    /// not accounted for would stay in doubt, and the other home would refuse requests for lack of
+    /// budget.
     Recall,
 }
 
-/// The books as last seen in the store, each under its own lock so that one process never races
-/// itself over a book.
+/// The books as last seen in the store, each under its own lock so that writes of one process to
+/// the same book do not conflict.
 #[derive(Default)]
 pub(crate) struct BookWriter {
     books: Mutex<HashMap<BookNumber, HeldBook>>,
-    /// Told when a book is due before its turn.
+    /// Notified when a book is due before its scheduled write.
     pub(crate) due: Event,
 }
 
@@ -60,14 +61,14 @@
     Ok(stored.unwrap_or_else(empty))
 }
 
-/// Brings the book in the store up to what this home wants of it, and this home up to what is in
-/// the store. Returns once an acknowledged write or a fresh read shows the book's present state.
+/// Writes this home's changes to a book and applies the stored book to this home's ledger. Returns
+/// once an acknowledged write or a fresh read shows the present state of the book.
 ///
-/// The guard against answers lost after the write took effect: after any failure the book is read
-/// again and `apply` finds by id what an earlier write did, so nothing is granted or settled twice.
+/// Guards against a lost reply to a write that took effect: after any failure the book is read
+/// again, and `apply` finds earlier changes by id, so that nothing is granted or settled twice.
 ///
 /// # Errors
-/// What the store said, after bounded tries.
+/// The store's error, after a bounded number of tries.
 pub(crate) async fn write_book(
     state: &EntryState,
     book: BookNumber,
@@ -118,7 +119,7 @@
     Err(StoreError::Unavailable)
 }
 
-/// Writes books as they fall due, for the process's whole life.
+/// Writes books as they become due, for the lifetime of the process.
 pub(crate) async fn run_book_writer(state: Arc<EntryState>) {
     loop {
         let due = state.books.due.listen();
--- a/crates/sagespool-entry/src/home/claims.rs
+++ b/crates/sagespool-entry/src/home/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: group commits to the store before a non-idempotent request runs.
+//! Claims on idempotency keys: batched writes to the store before a non-idempotent request runs.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -21,14 +21,15 @@
 use crate::state::EntryState;
 
 const CONFLICT_TRIES: u32 = 20;
-/// A claim found taken is overturned at most so often, each time by another sidecar's word.
+/// How often a claim held by another request is replaced, each time on the reply of another
+/// sidecar.
 const OVERTURN_TRIES: u32 = 3;
 const FENCE_LIMIT: Duration = Duration::from_secs(1);
 const RETRY_AFTER: Duration = Duration::from_secs(5);
-/// How long the writer sleeps at most while wishes wait for a store that is away.
+/// The longest sleep of the writer while claims wait for an unreachable store.
 const WRITER_STEP: Duration = Duration::from_millis(50);
 
-/// The wishes for one shard of claims, and who waits for each.
+/// The pending claims of one shard, and the channel of the caller that waits for each.
 struct ClaimShard {
     batch: ClaimBatch,
     askers: HashMap<RequestId, Sender<ClaimVerdict>>,
@@ -44,14 +45,14 @@
     fn answer(&mut self, answers: Vec<sagespool_claims::ClaimResult>) {
         for answer in answers {
             if let Some(asker) = self.askers.remove(&answer.intent.request) {
-                // An asker that has gone leaves its claim standing; a retry finds it.
+                // If the waiting task is gone, its claim stays and a retry finds it.
                 let _ = asker.try_send(answer.verdict);
             }
         }
     }
 }
 
-/// The claims that wait for a write, by shard of the store.
+/// The claims that wait for a write, by shard.
 #[derive(Default)]
 pub(crate) struct ClaimWriter {
     shards: Mutex<HashMap<u64, ClaimShard>>,
@@ -63,8 +64,8 @@
     }
 }
 
-/// Places a keyed request at its sidecar: in the home's memory, and first in the store if it may
-/// never run twice.
+/// Places a keyed request at its sidecar: in the home's memory, after a claim in the store if the
+/// request is non-idempotent.
 pub async fn claim(state: &Arc<EntryState>, request: &ClaimRequest) -> ClaimReply {
     if request.durable {
         let reply = claim_durably(state, request).await;
@@ -83,7 +84,7 @@
     if let Some(known) = state.keys.find(request.key, now) {
         return ClaimReply::Known(known);
     }
-    // The home that reserved for the request can't be reached, and this one stands in for it.
+    // The home that made the reservation is unreachable, and this entry acts in its place.
     state.keys.begin(request.key, request.request, request.content, now);
     state.keys.assign_sidecar(request.key, request.request, request.sidecar, now);
     ClaimReply::Durable
@@ -113,19 +114,20 @@
     notice.unwrap_or_else(|| RefusalNotice {
         reason: RefusalReason::ClaimUnreachable,
         run_state: RunState::Unknown,
-        message: "the claim on the key couldn't be settled".into(),
+        message: "the claim on the idempotency key could not be written or ruled out".into(),
         retry_after: Some(RETRY_AFTER),
     })
 }
 
-/// What the sidecar of a claim in the way says of it.
+/// The reply of the sidecar that holds a conflicting claim.
 enum Claimant {
     NeverRan(FencedClaim),
     Says(KeyState),
 }
 
-/// Asks the sidecar that a claim names. The same incarnation that never saw the key refuses the
-/// claim's request from now on, so that the claim may be replaced; without its word it may not.
+/// Queries the sidecar that a claim names. If the same incarnation never received the key, it
+/// refuses the claim's request from now on, so the claim may be replaced. Without that reply the
+/// claim stays.
 async fn ask_claimant(state: &EntryState, request: &ClaimRequest, entry: &ClaimEntry) -> Claimant {
     let unknown = || Claimant::Says(claimed_key_state(entry, request.content, None));
     let Some(member) = state.members.find(entry.sidecar) else {
@@ -150,9 +152,9 @@
     }
 }
 
-/// Whether a letter may have gone out under a key before, as the store knows. Every sidecar that ran
-/// it may have been replaced since, so that nobody else remembers; a refusal of the letter that said
-/// `not-run` all the same would have its caller send it under another key.
+/// Whether the store shows that a non-idempotent request may have run under a key. Every sidecar
+/// that ran it may have been replaced, so that no process has it in memory. A refusal with run
+/// state `not-run` would then lead the caller to send the request again under another key.
 pub(super) async fn may_be_claimed(state: &EntryState, key: KeyDigest) -> bool {
     match state.objects.get::<ClaimsRecord>(&claim_key(claim_shard(key))).await {
         Ok(Some(stored)) => stored.value.is_claimed(key),
@@ -161,7 +163,7 @@
     }
 }
 
-/// Hands a intent to the shard's writer, and waits for its verdict.
+/// Queues a claim for the shard's writer and waits for the verdict.
 async fn wish_for(state: &Arc<EntryState>, intent: ClaimIntent) -> ClaimVerdict {
     let (asker, answer) = async_channel::bounded(1);
     let shard = claim_shard(intent.key);
@@ -178,7 +180,7 @@
     answer.recv().await.unwrap_or(ClaimVerdict::Expired)
 }
 
-/// Writes a shard's batches until no intent waits.
+/// Writes a shard's batches until no claim is pending.
 async fn run_shard(state: Arc<EntryState>, shard: u64) {
     loop {
         let step = {
@@ -211,8 +213,8 @@
     }
 }
 
-/// One conditional update for a batch. After an answer that was lost the record is read again; a
-/// claim that took effect is found there by its request's id.
+/// Writes a batch with one conditional update. If the reply to a write is lost, the record is read
+/// again; a claim that took effect is recognized by its request id.
 async fn write_batch(state: &EntryState, shard: u64) {
     let outcome = store_batch(state, shard).await;
     let mut shards = state.claims.shards();
--- a/crates/sagespool-entry/src/home/crashes.rs
+++ b/crates/sagespool-entry/src/home/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that take upstreams down: told to every entry, kept in the store.
+//! Requests that crash upstreams: reported to every entry and recorded in the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,8 +17,8 @@
 const WATCH_WAIT: Duration = Duration::from_secs(20);
 const WATCH_PAUSE: Duration = Duration::from_secs(1);
 
-/// Counts a crash here and tells every other entry, before the request may be tried again: else a
-/// caller that sends it through another entry could take down one more upstream than it must.
+/// Records a crash and reports it to every other entry before the request is retried. Otherwise a
+/// caller that resends the request through another entry could crash one more upstream.
 pub(crate) async fn spread_crash(state: &Arc<EntryState>, report: &CrashReport) {
     record_crash(state, report);
     let others = state.members.live(MemberRole::Entry, ClockTime::now());
@@ -37,7 +37,7 @@
     }
 }
 
-/// Counts a crash that this entry saw or was told of.
+/// Records a crash that this entry observed or that another entry reported.
 pub(crate) fn record_crash(state: &Arc<EntryState>, report: &CrashReport) {
     let verdict = state.crashes.record(report, ClockTime::now());
     log_event!(
@@ -53,8 +53,7 @@
     }
 }
 
-/// Clears a content whose run came through whole: it was in flight when its upstream went down, and
-/// isn't what took it down.
+/// Clears a suspect content whose run completed: it was only in flight when its upstream crashed.
 pub(crate) fn clear_suspect(state: &Arc<EntryState>, content: ContentDigest) {
     if !state.crashes.is_suspect(content) {
         return;
@@ -75,7 +74,7 @@
     }
 }
 
-/// Keeps verdicts in the store, so that they outlive every entry.
+/// Writes quarantine verdicts to the store, so that they outlive every entry.
 async fn keep_verdicts(state: Arc<EntryState>) {
     for _ in 0..STORE_TRIES {
         let kept = update_object(
@@ -103,8 +102,8 @@
     }
 }
 
-/// Follows the store's record of stopped requests: those that other entries or earlier runs
-/// stopped, and those that an operator let go again.
+/// Watches the quarantine record in the store: contents that other entries or earlier processes
+/// quarantined, and those that an operator released.
 pub(crate) async fn run_crash_watch(state: Arc<EntryState>) {
     loop {
         let Ok(listing) = state.objects.list::<QuarantineRecord>(QUARANTINE_KEY).await else {
--- a/crates/sagespool-entry/src/home/finish.rs
+++ b/crates/sagespool-entry/src/home/finish.rs
@@ -1,11 +1,11 @@
-//! The end of a request: its charge is settled, what it didn't use is free again.
+//! The end of a request: its charge is settled, and the unused part of its reservation is released.
 
 use sagespool_messages::{AbandonNotice, ChargeReport, ChargesDurable, FinishReport, FinishState};
 use sagespool_types::ClockTime;
 
 use crate::state::EntryState;
 
-/// Takes in how a reserved request ended, as its entry saw it.
+/// Applies an entry's report of how a reserved request ended.
 pub fn finish(state: &EntryState, report: &FinishReport) {
     let now = ClockTime::now();
     state.ledger.finish(report, now);
@@ -43,8 +43,8 @@
     }
 }
 
-/// Gives a reservation back whose entry went elsewhere, also one that is yet to come: the question
-/// may have waited in a paused process behind its own withdrawal.
+/// Releases a reservation whose entry went to another home. The notice also covers a reserve
+/// request that is still to come: a paused process may read the notice before the request.
 pub(crate) fn abandon(state: &EntryState, notice: &AbandonNotice) {
     state.abandoned().insert(notice.request, ClockTime::now());
     state.ledger.abandon(&notice.branch, notice.request);
@@ -54,7 +54,8 @@
     state.budget_changed.notify(usize::MAX);
 }
 
-/// Takes in what a sidecar witnessed, and says which charges are durable and need no further report.
+/// Applies a sidecar's charge report. Returns the charges that are durable and need no further
+/// report.
 pub(crate) fn take_report(state: &EntryState, report: &ChargeReport) -> ChargesDurable {
     let now = ClockTime::now();
     for record in &report.charges {
--- a/crates/sagespool-entry/src/home/keys.rs
+++ b/crates/sagespool-entry/src/home/keys.rs
@@ -1,4 +1,4 @@
-//! Keys of callers: new, running, kept or unsure.
+//! Callers' idempotency keys: new, running, answered or of unknown state.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,31 +15,32 @@
 
 const FIND_LIMIT: Duration = Duration::from_secs(1);
 const ASK_AGAIN: Duration = Duration::from_millis(250);
-/// Kept back from a request's time, so that a refusal reaches the caller before its deadline.
+/// Subtracted from a request's time so that a refusal reaches the caller before its deadline.
 const ANSWER_MARGIN: Duration = Duration::from_millis(50);
 
-/// What is to be done with a keyed request.
+/// What to do with a keyed request.
 pub(super) enum KeyStart {
     /// Run it.
     New,
-    /// Run it again: it ran before, or may have, and that answer can't be had.
+    /// Run it again: it ran or may have run before, and its answer is not available.
     Again,
-    /// Attach, or tell the caller what became of it.
+    /// Attach to the earlier run, or return its outcome.
     Known(KeyState),
     /// Refuse.
     Refused(RefusalNotice),
 }
 
-/// Takes a key for a request, unless it is known. What an earlier home of the branch was told isn't
-/// known here, however long this process has run, so only the time as the branch's home counts.
+/// Registers a key for a request, unless it is known. Only the time since this entry became the
+/// branch's home counts, not the uptime of the process: keys registered with an earlier home are
+/// not known here.
 fn begin(state: &EntryState, order: &ReserveRequest, key: KeyDigest) -> KeyDecision {
     let now = ClockTime::now();
     let since = state.members.home_since(&home_name(&order.branch), now).unwrap_or(now);
     state.keys.begin_since(key, order.request, order.content, since, now)
 }
 
-/// Looks a key up. A home younger than the retention of answers can't know what an earlier home
-/// dispatched, so it asks the sidecars, which do.
+/// Looks a key up. A home that is younger than the retention of answers lacks what an earlier home
+/// dispatched, so it queries the sidecars.
 pub(super) async fn begin_key(
     state: &EntryState,
     order: &ReserveRequest,
@@ -58,8 +59,8 @@
     }
 }
 
-/// A key placed at a sidecar may have lost its run since: the sidecar is gone, or the run broke and
-/// its entry with it. The sidecar's own word decides.
+/// Checks a key's placement with its sidecar, which decides. The run may be lost: the sidecar is
+/// gone, or the run failed together with its entry.
 async fn check_place(
     state: &EntryState,
     order: &ReserveRequest,
@@ -82,7 +83,7 @@
         Some(KeyReply { known: Some(KeyState::Unknown { request }), .. }) => {
             run_again(state, order, key, request).await
         }
-        // Placed, and not dispatched yet or never: its entry is about to tell.
+        // Placed, but not dispatched or never to be dispatched; its entry will report the outcome.
         Some(KeyReply { known: None, .. }) => KeyStart::Known(KeyState::Pending),
         Some(_) => KeyStart::Known(known),
         None if gone() => run_again(state, order, key, request).await,
@@ -90,7 +91,7 @@
     }
 }
 
-/// A run whose answer can't be had any more: it is run again if it may run twice.
+/// Handles a run whose answer is no longer available: it runs again if it is idempotent.
 async fn run_again(
     state: &EntryState,
     order: &ReserveRequest,
@@ -123,9 +124,9 @@
     }
 }
 
-/// Asks the sidecars of the service, and again those that can't be asked until they answer or are
-/// believed gone: at a sidecar's death that is a few seconds, against refusing every new key until
-/// then.
+/// Queries the sidecars of the service. Unreachable ones are queried again until they reply or are
+/// taken for gone, which is a few seconds after a sidecar's death; without the retries every new
+/// key would be refused until then.
 async fn ask_sidecars(state: &EntryState, order: &ReserveRequest, key: KeyDigest) -> KeyStart {
     let deadline = ClockTime::now().after(order.time_left.saturating_sub(ANSWER_MARGIN));
     loop {
@@ -141,7 +142,7 @@
     }
 }
 
-/// Asks every sidecar of the service at the same time.
+/// Queries every sidecar of the service in parallel.
 async fn inquire(state: &EntryState, order: &ReserveRequest, key: KeyDigest) -> LookupOutcome {
     let sidecars = state.members.live(MemberRole::Sidecar, ClockTime::now());
     let serving = sidecars.into_iter().filter(|member| {
@@ -174,16 +175,16 @@
     RefusalNotice {
         reason: RefusalReason::OutcomeUnknown,
         run_state: RunState::Unknown,
-        message: "an upstream that may be running a request with this key can't be asked".into(),
+        message: "an upstream that may be running a request with this key is unreachable".into(),
         retry_after: Some(Duration::from_secs(2)),
     }
 }
 
-/// What the sidecars' answers mean; nothing if some have to be asked again.
+/// Decides on the sidecars' replies. None if some sidecars must be queried again.
 ///
-/// One that can't be asked and isn't known to be gone may be running the request. For a request that
-/// may run twice a second run would be a second bill; for one that may not, the store's claim
-/// decides.
+/// A sidecar that is unreachable and not known to be gone may be running the request. For an
+/// idempotent request a second run would be billed twice; for a non-idempotent one the claim in the
+/// store decides.
 fn judge_inquiry(
     state: &EntryState,
     order: &ReserveRequest,
--- a/crates/sagespool-entry/src/home/mod.rs
+++ b/crates/sagespool-entry/src/home/mod.rs
@@ -1,4 +1,5 @@
-//! The home of branches: budgets, keys and claims, for this entry's callers and other entries'.
+//! The home of a branch: budgets, idempotency keys and claims, for the callers of this entry and of
+//! other entries.
 
 mod books;
 mod claims;
--- a/crates/sagespool-entry/src/home/recall.rs
+++ b/crates/sagespool-entry/src/home/recall.rs
@@ -1,4 +1,4 @@
-//! Recalling unspent grants: asking other holders, and giving back when asked.
+//! Recalling unspent grants of other holders, and returning grants that another home recalls.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,22 +13,23 @@
 
 const RECALL_LIMIT: Duration = Duration::from_secs(2);
 
-/// What a round of recalls brought.
+/// The sum of the replies to a recall.
 #[derive(Default)]
 pub(super) struct RecallSum {
-    /// What the others gave back to the book.
+    /// Amount that other holders returned to the book.
     pub(super) returned: TokenCount,
-    /// What the others have reserved for running requests.
+    /// Amount that other holders have reserved for running requests.
     pub(super) running: TokenCount,
-    /// What those that didn't answer may hold.
+    /// Amount that holders which did not reply may have.
     pub(super) unanswered: TokenCount,
 }
 
-/// The grants to ask for: those that aren't in doubt, and of the others those whose holder lives.
+/// The grants to recall: other holders' grants that are not in doubt, and those in doubt whose
+/// holder is live.
 ///
-/// Guards against refusals for what is in doubt only by mistake: a home that was cut off was taken for
-/// dead, its grants were sealed, and a sidecar that could tell what ran had restarted. After the
-/// partition it can account for them at once. One that is gone isn't waited for.
+/// Guards against a false refusal: a home behind a partition is taken for dead and its grants are
+/// sealed, while a sidecar that has the charges has restarted. After the partition the holder can
+/// account for them at once. A holder that is gone is not waited for.
 pub(super) fn to_ask(
     state: &EntryState,
     short: BudgetShortfall,
@@ -48,7 +49,7 @@
     holders
 }
 
-/// Asks every other holder of the branch's grants for what it doesn't need.
+/// Sends a recall to every other holder of the branch's grants.
 pub(super) async fn recall_others(
     state: &EntryState,
     branch: &BranchName,
@@ -92,7 +93,8 @@
     }
 }
 
-/// Gives back what this home holds of a branch and doesn't need, durable before it says so.
+/// Returns what this home holds of a branch and does not need. The return is durable before the
+/// reply is sent.
 pub(crate) async fn give_back(state: &EntryState, request: &RecallRequest) -> RecallReply {
     let returned = state.ledger.return_unspent(&request.branch, request.wanted, ClockTime::now());
     let written = write_book(state, book_of(&request.branch), WriteCause::Recall).await;
--- a/crates/sagespool-entry/src/home/recovery.rs
+++ b/crates/sagespool-entry/src/home/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovering the grants of holders that are dead, and charges whose entry is.
+//! Recovery of grants whose holder is dead, and of charges whose entry is dead.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -18,28 +18,28 @@
 use crate::state::EntryState;
 
 const TICK: Duration = Duration::from_millis(500);
-/// Cases that wait for a sidecar are asked about again this often.
+/// Interval at which recoveries that wait for a sidecar are retried.
 const RETRY: Duration = Duration::from_secs(2);
-/// Every book is looked through this often for grants whose holder nobody knows.
+/// Interval of the scan of all books for grants whose holder is unknown to every member.
 const SWEEP: Duration = Duration::from_secs(15);
 const UPDATE_LIMIT: Duration = Duration::from_secs(5);
 
-/// What the recovery's task remembers from one pass to the next.
+/// State of the recovery task between passes.
 #[derive(Default)]
 struct RecoveryDesk {
     known: HashMap<IncarnationId, MemberRole>,
-    /// Books with grants that this process has sealed and not closed.
+    /// Books with grants that this process has sealed and not yet closed.
     open_books: BTreeSet<BookNumber>,
     last_pass: ClockTime,
     last_sweep: ClockTime,
-    /// True after an entry's death, until a look through all books has succeeded.
+    /// True after an entry's death until a scan of all books has succeeded.
     sweep_wanted: bool,
 }
 
-/// Recovers for the process's whole life.
+/// Runs recovery for the lifetime of the process.
 ///
-/// Who recovers is only a matter of who tries: any number may do so at once, since seals, settled
-/// charges and closing are found by id in the book, by conditional updates.
+/// Any number of entries may recover the same grant at once: seals, settled charges and closings
+/// are found by id in the book and written with conditional updates.
 pub(crate) async fn run_recovery(state: Arc<EntryState>) {
     let mut desk = RecoveryDesk { last_sweep: ClockTime::now(), ..RecoveryDesk::default() };
     loop {
@@ -83,9 +83,9 @@
     }
 }
 
-/// Whether a grant's holder is dead as far as this process can tell. Nothing that must hold rests
-/// on it: a holder wrongly believed dead finds its grant sealed, takes another, and still accounts
-/// for what it spent.
+/// Whether this process takes a grant's holder for dead. Correctness does not depend on it: a
+/// holder that is wrongly taken for dead finds its grant sealed, requests another, and still
+/// accounts for what it spent.
 fn is_dead(state: &EntryState, holder: IncarnationId) -> bool {
     let now = ClockTime::now();
     if holder == state.incarnation {
@@ -94,12 +94,12 @@
     if state.members.is_gone(holder, now) {
         return true;
     }
-    // One that nobody here ever heard of died before this process started; time is given for word
-    // of it to come first.
+    // A holder that this entry has never seen died before this process started. Gossip is given
+    // time to report it first.
     state.members.find(holder).is_none() && now.since(state.started) >= SWEEP
 }
 
-/// Looks through the books that this entry is first in line for; false if the store didn't answer.
+/// Scans the books that this entry is responsible for. Returns false if the store did not answer.
 async fn sweep(state: &Arc<EntryState>, desk: &mut RecoveryDesk) -> bool {
     let mut whole = true;
     for book in (0..BOOK_COUNT).map(BookNumber) {
@@ -110,7 +110,7 @@
     whole
 }
 
-/// Books are spread over the live entries by their number.
+/// Whether a book falls to this entry; books are spread over the live entries by number.
 fn is_first_in_line(state: &EntryState, book: BookNumber) -> bool {
     let live = state.members.live(MemberRole::Entry, ClockTime::now());
     let mut entries: BTreeSet<IncarnationId> =
@@ -119,8 +119,8 @@
     entries.iter().nth(book.0 as usize % entries.len()) == Some(&state.incarnation)
 }
 
-/// Seals what is to be sealed in a book, and accounts for what this process has sealed; false if
-/// the store didn't answer.
+/// Seals the grants of dead holders in a book, and recovers the grants that this process has
+/// sealed. Returns false if the store did not answer.
 async fn pass_book(state: &Arc<EntryState>, desk: &mut RecoveryDesk, book: BookNumber) -> bool {
     let stored = match state.objects.get::<BookRecord>(&book_key(book)).await {
         Ok(Some(stored)) => stored,
@@ -147,7 +147,8 @@
     settle_cases(state, book, &heard).await
 }
 
-/// Marks grants as sealed, durably; returns a case for each that this process has sealed.
+/// Marks grants as sealed in the store. Returns a recovery for each grant that this process has
+/// sealed.
 async fn seal_in_book(
     state: &EntryState,
     book: BookNumber,
@@ -172,8 +173,8 @@
     Ok(cases.collect())
 }
 
-/// Settles what is accounted for, and closes or doubts what is complete; false if the store didn't
-/// answer.
+/// Settles the charges that are accounted for, and closes complete grants or marks them in doubt.
+/// Returns false if the store did not answer.
 async fn settle_cases(state: &EntryState, book: BookNumber, cases: &[GrantRecovery]) -> bool {
     let settle = |record: &mut BookRecord| {
         let mut changed = false;
@@ -211,8 +212,9 @@
     true
 }
 
-/// Ends reservations whose entry is gone or can't tell: every sidecar says what it ran under them,
-/// and starts nothing more. One that can't be asked keeps them reserved until it answers.
+/// Resolves reservations whose entry is gone or did not report the outcome: every sidecar reports
+/// what it ran under them and starts nothing more. An unreachable sidecar keeps them reserved until
+/// it replies.
 async fn resolve_orphans(state: &Arc<EntryState>, orphans: Vec<OrphanCharge>) {
     let mut by_grant: BTreeMap<(BranchName, GrantId), Vec<OrphanCharge>> = BTreeMap::new();
     for orphan in orphans {
--- a/crates/sagespool-entry/src/home/reserve.rs
+++ b/crates/sagespool-entry/src/home/reserve.rs
@@ -1,4 +1,4 @@
-//! Reserving a request's cost, and the honest refusal where the fleet can't pay.
+//! Reserving a request's maximum cost, and refusing it if the fleet's budget does not cover it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,17 +12,17 @@
 use super::rounds::{RoundResult, round_since};
 use crate::state::EntryState;
 
-/// Kept back from a request's time, so that a refusal reaches the caller before its deadline.
+/// Subtracted from a request's time so that a refusal reaches the caller before its deadline.
 const ANSWER_MARGIN: Duration = Duration::from_millis(50);
-/// How often a waiting request looks again at what others may have given back.
+/// How often a waiting request checks again whether other holders have returned budget.
 const WAIT_STEP: Duration = Duration::from_millis(150);
-/// A store that has been away for longer isn't expected back within a request's deadline.
+/// A store that has been unreachable for longer is not expected back within a request's deadline.
 const STORE_PATIENCE: Duration = Duration::from_secs(10);
-/// When to come back after a refusal because the store is away.
+/// The retry-after of a refusal caused by an unreachable store.
 const STORE_RETRY: Duration = Duration::from_secs(5);
 
-/// Reserves a request's greatest possible cost for an entry, or says what is known of its key, or
-/// refuses.
+/// Reserves a request's maximum cost for an entry, returns the known state of its key, or refuses
+/// it.
 pub async fn reserve(state: &Arc<EntryState>, order: &ReserveRequest) -> ReserveReply {
     if state.is_leaving() && order.entry != state.incarnation {
         return ReserveReply::NotHome;
@@ -57,7 +57,7 @@
     RefusalNotice {
         reason: RefusalReason::Quarantined,
         run_state: RunState::NotRun,
-        message: "this request took its upstream down more than once and is stopped".into(),
+        message: "this request crashed its upstream more than once and is quarantined".into(),
         retry_after: None,
     }
 }
@@ -92,9 +92,9 @@
     }
 }
 
-/// True if waiting would only delay the answer: nothing that still runs could give back enough, and
-/// no holder is left unasked. A store that has just gone away may be back within the deadline; one
-/// that stays away isn't waited for.
+/// True if waiting can't help: what running requests could still return is too little, and every
+/// holder has replied. A store that became unreachable only recently may be back within the
+/// deadline, so it is waited for; a longer outage is not.
 fn is_hopeless(
     state: &EntryState,
     short: &BudgetShortfall,
@@ -116,7 +116,8 @@
     .await;
 }
 
-/// The refusal that is true: a store out of reach is named instead of an empty budget.
+/// The refusal for a budget shortfall. If the store is unreachable, the refusal names that instead
+/// of an exhausted budget.
 fn refusal(
     state: &EntryState,
     order: &ReserveRequest,
@@ -128,7 +129,7 @@
             reason: RefusalReason::BudgetUnreachable,
             run_state: RunState::NotRun,
             message: format!(
-                "this side of the fleet holds too little of branch {}'s budget and can't reach the platform's store",
+                "the reachable instances hold too little of branch {}'s budget, and the platform's store is unreachable",
                 order.branch
             ),
             retry_after: Some(STORE_RETRY),
--- a/crates/sagespool-entry/src/home/rounds.rs
+++ b/crates/sagespool-entry/src/home/rounds.rs
@@ -1,4 +1,5 @@
-//! Rounds for more budget: the book, the other holders, and the book again; one at a time a branch.
+//! Acquiring more budget for a branch: write the book, recall grants of other holders, and write
+//! the book again. One acquisition at a time runs per branch.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -13,27 +14,27 @@
 use super::recall::{RecallSum, recall_others, to_ask};
 use crate::state::EntryState;
 
-/// A store that doesn't answer for so long isn't waited for in a round.
+/// How long one acquisition waits for the store.
 const BOOK_LIMIT: Duration = Duration::from_secs(3);
 
-/// What a round for more budget came to.
+/// The result of one budget acquisition.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct RoundResult {
-    /// When it began; what came later it doesn't know.
+    /// When it began. Changes after that time are not covered.
     pub(super) began: Option<ClockTime>,
-    /// True if the store couldn't be reached.
+    /// True if the store was unreachable.
     pub(super) store_away: bool,
-    /// What other holders have reserved for running requests, and may get back.
+    /// Amount that other holders have reserved for running requests, part of which may be returned.
     pub(super) others_running: TokenCount,
-    /// What holders that couldn't be asked may still have unspent.
+    /// Amount that holders which did not reply may still have unspent.
     pub(super) unanswered: TokenCount,
 }
 
-/// One branch's rounds: the newest result, locked while the next is under way.
+/// One branch's newest result, locked while the next acquisition runs.
 type BranchRound = Arc<async_lock::Mutex<RoundResult>>;
 
-/// The rounds of all branches. Requests that wait for the same branch share them: one that finds a
-/// round which began after it arrived needs none of its own.
+/// Budget acquisitions by branch. Requests that wait for the same branch share them: a request
+/// needs none of its own if one began after it arrived.
 #[derive(Default)]
 pub(crate) struct BudgetRounds {
     branches: Mutex<HashMap<BranchName, BranchRound>>,
@@ -46,7 +47,8 @@
     }
 }
 
-/// The result of a round that began at or after a moment; nothing if the deadline comes first.
+/// The result of an acquisition that began at or after `since`, running one if needed. None if the
+/// deadline passes first.
 pub(super) async fn round_since(
     state: &EntryState,
     order: &ReserveRequest,
@@ -91,7 +93,7 @@
     result
 }
 
-/// Says what a round that left its request short was decided on.
+/// Logs the amounts behind an acquisition that did not cover its request.
 fn log_short(
     state: &EntryState,
     order: &ReserveRequest,
@@ -116,8 +118,8 @@
     );
 }
 
-/// Asks the store for more, on the book as it is now: a top-up may just have come. False if the
-/// store can't be reached.
+/// Requests a larger grant in the store, on a fresh read of the book, since a top-up may just have
+/// been applied. Returns false if the store is unreachable.
 async fn ask_book(state: &EntryState, order: &ReserveRequest) -> bool {
     let written = futures_lite::future::or(
         async { Some(write_book(state, book_of(&order.branch), WriteCause::Round).await) },
--- a/crates/sagespool-entry/src/home/witnesses.rs
+++ b/crates/sagespool-entry/src/home/witnesses.rs
@@ -1,4 +1,5 @@
-//! The sidecars that can say what ran: every one heard of, gone or not.
+//! The sidecars whose seal replies are needed to account for a grant, whether they are live or
+//! gone.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,19 +14,19 @@
 
 const SEAL_LIMIT: Duration = Duration::from_secs(2);
 
-/// What is remembered of sidecars.
+/// Sidecars and instances seen so far.
 #[derive(Default)]
 struct WitnessState {
-    /// The newest run of each sidecar's instance. An older run isn't asked: the newer one says that
-    /// it started later, and so that it can't speak for what came before.
+    /// The newest incarnation of each sidecar's instance. Older ones are not queried: the newer one
+    /// replies with its later start time, which shows that it has no data from before.
     known: HashMap<InstanceName, MemberInfo>,
-    /// Sidecar instances that the platform lists.
+    /// Sidecar instances in the platform's instance list.
     listed: HashSet<InstanceName>,
 }
 
-/// The sidecars that could have run something. One that is believed gone may be cut off only, with
-/// requests running, so it is missed until it answers, or until the platform has no such instance
-/// any more. Forgetting one would free what it spent.
+/// The sidecars that may have run requests. One that is taken for gone may only be cut off by a
+/// partition, with requests running. It counts as missing until it replies, or until the platform
+/// no longer lists its instance. Dropping it earlier would release budget that it has spent.
 #[derive(Default)]
 pub(crate) struct WitnessBoard {
     state: Mutex<WitnessState>,
@@ -36,7 +37,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in who is in the fleet now.
+    /// Updates the registry from the current members.
     pub(crate) fn observe(&self, members: &[MemberInfo]) {
         let mut state = self.state();
         for member in members.iter().filter(|member| member.role == MemberRole::Sidecar) {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Takes in the sidecar instances that the platform lists.
+    /// Replaces the list of sidecar instances in the platform's instance list.
     pub(crate) fn list(&self, instances: impl Iterator<Item = InstanceName>) {
         self.state().listed = instances.collect();
     }
@@ -60,7 +61,7 @@
         self.state().listed.contains(instance)
     }
 
-    /// Listed sidecars that nobody here has heard of, as ids that never answer.
+    /// Placeholder ids, which never reply, for listed sidecars that this entry has not seen.
     fn unheard(&self) -> Vec<IncarnationId> {
         let state = self.state();
         let unheard = state.listed.iter().filter(|instance| !state.known.contains_key(*instance));
@@ -69,14 +70,14 @@
             .collect()
     }
 
-    /// All that a case has to hear.
+    /// Ids of all sidecars whose replies a recovery needs.
     pub(super) fn ids(&self) -> Vec<IncarnationId> {
         let known = self.all().into_iter().map(|member| member.incarnation);
         known.chain(self.unheard()).collect()
     }
 }
 
-/// Asks every witness of a case to seal, and takes in what they list.
+/// Sends a seal request to every known sidecar and adds the replies to the recovery.
 pub(super) async fn ask_witnesses(
     state: &Arc<EntryState>,
     case: &mut GrantRecovery,
@@ -94,7 +95,7 @@
     for task in asked {
         match task.await {
             (member, Ok(PeerReply::Seal(reply))) => {
-                // Another run answers at the address: the one that was meant won't any more.
+                // Another incarnation replies at this address, so the previous one is gone.
                 if reply.sidecar != member.incarnation {
                     case.mark_gone(member.incarnation);
                 }
--- a/crates/sagespool-entry/src/lib.rs
+++ b/crates/sagespool-entry/src/lib.rs
@@ -1,9 +1,8 @@
-//! The entry role: callers' HTTP, the home of branches, dispatch to sidecars.
+//! The entry role: HTTP for callers, the home of branches, and dispatch to sidecars.
 //!
-//! A request's way through an entry: [`caller`] checks who asks and what for,
-//! [`run`] has it paid by the branch's [`home`] (this entry or another),
-//! chooses an upstream and streams the answer back. `peers` answers what
-//! other processes ask, and `role` starts and stops it all.
+//! [`caller`] authenticates and checks a request. [`run`] reserves its cost at the branch's
+//! [`home`] (this entry or another), chooses an upstream and streams the answer back. `peers`
+//! serves requests of other processes, and `role` starts and stops everything.
 
 pub mod caller;
 mod configuration;
--- a/crates/sagespool-entry/src/peers.rs
+++ b/crates/sagespool-entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! Answering what other processes ask of an entry.
+//! Serves the requests of other processes.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::home;
 use crate::state::EntryState;
 
-/// The handler that the link calls for every request of a peer.
+/// The handler that the link calls for every peer request.
 pub(crate) fn peer_handler(state: Arc<EntryState>) -> PeerHandler {
     Arc::new(move |call: PeerCall| {
         let state = Arc::clone(&state);
@@ -26,12 +26,12 @@
     })
 }
 
-/// Reserves for an entry's request.
+/// Reserves for another entry's request.
 ///
-/// A home that was paused finds questions in its socket whose entries have long gone elsewhere. Such
-/// a question would hold its key for as long as a request may wait, and a caller that comes back
-/// with the key would be kept waiting for a run that never starts. So a key whose entry wasn't
-/// reached is free again; the reservation itself stays until its outcome is known.
+/// A home that was paused finds reserve requests in its socket whose entries have long gone to
+/// another home. Such a request would hold its key for as long as a request may wait, and a caller
+/// that retries with the key would wait for a run that never starts. So if the reply does not reach
+/// the entry, its key is released; the reservation itself stays until its outcome is known.
 async fn reserve(state: &Arc<EntryState>, order: &ReserveRequest, responder: PeerResponder) {
     let reply = home::reserve(state, order).await;
     let heard = responder.reply_heard(PeerReply::Reserve(reply)).await;
@@ -90,7 +90,7 @@
     }
 }
 
-/// This entry's state, as it knows it.
+/// This entry's status, from its own view of the fleet.
 pub(crate) fn status(state: &EntryState, query: &StatusQuery) -> StatusReply {
     StatusReply {
         at: WallTime::now(),
--- a/crates/sagespool-entry/src/role.rs
+++ b/crates/sagespool-entry/src/role.rs
@@ -15,32 +15,33 @@
 use crate::state::EntryState;
 use crate::{caller, configuration, heartbeats, home, peers, upkeep};
 
-/// How long an entry that is told to stop goes on answering at least. The balancer in front of it
-/// sends callers until it has seen `/readyz` say no; a closed port would break their connections,
-/// and a caller without a key can't come back. Until then they are refused and sent on.
+/// The minimum time for which a stopping entry keeps its port open. The load balancer in front of
+/// it sends requests until it has seen `/readyz` fail. A closed port would break their connections,
+/// and a caller without an idempotency key can't retry. Requests that arrive in this time are
+/// refused and can go to another entry.
 const BALANCER_NOTICE: Duration = Duration::from_secs(2);
 
-/// An entry that couldn't be started.
+/// An entry that could not be started.
 #[derive(Debug)]
 pub struct RoleFault {
-    /// What was being done.
+    /// The step that failed.
     pub doing: &'static str,
 }
 
 impl fmt::Display for RoleFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the entry couldn't be started: {}", self.doing)
+        write!(f, "entry could not be started: {}", self.doing)
     }
 }
 
 impl std::error::Error for RoleFault {}
 
-/// What was left when an entry stopped.
+/// What was unfinished when an entry stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StopReport {
-    /// Requests that still ran when the time limit came.
+    /// Requests that were still running at the time limit.
     pub cut: u32,
-    /// Books that couldn't be handed back to the store.
+    /// Books with grants that could not be returned in the store.
     pub unwritten_books: u32,
 }
 
@@ -54,7 +55,7 @@
     /// Starts an entry: its link, its tasks and its HTTP server.
     ///
     /// # Errors
-    /// If the certificates can't be read or an address can't be taken.
+    /// If the certificates can't be read or an address can't be bound.
     pub fn start(
         process: ProcessSettings,
         settings: EntrySettings,
@@ -62,14 +63,14 @@
         let fault = |doing| RoleFault { doing };
         let files = &process.link;
         let identity = LinkIdentity::from_files(&files.certificate, &files.key, &files.authority)
-            .change_context(fault("reading the link's certificates"))?;
+            .change_context(fault("reading the certificates of the link"))?;
         let state = Arc::new(EntryState::new(process, settings));
         let handler = peers::peer_handler(Arc::clone(&state));
         let link = LinkEndpoint::start(state.process.link.listen, identity, handler)
-            .change_context(fault("opening the link's address"))?;
+            .change_context(fault("binding the address of the link"))?;
         state.take_link(link);
         let server = caller::serve(Arc::clone(&state), state.process.http.listen)
-            .change_context(fault("opening the callers' address"))?;
+            .change_context(fault("binding the HTTP address"))?;
         start_tasks(&state);
         log_event!(
             info,
@@ -81,13 +82,13 @@
         Ok(Self { state, server })
     }
 
-    /// What the tasks share.
+    /// The state that the entry's tasks share.
     pub fn state(&self) -> &Arc<EntryState> {
         &self.state
     }
 
-    /// Resolves when the instance list shows this instance as leaving. From then on it takes nothing
-    /// new; the process is to stop.
+    /// Resolves when the instance list shows this instance as leaving or an operator stops it. The
+    /// entry then accepts nothing new, and the process should stop.
     pub async fn leave_requested(&self) {
         loop {
             let told = self.state.leave_told.listen();
@@ -98,8 +99,8 @@
         }
     }
 
-    /// Stops gracefully: nothing new, what runs may end, grants go back to their books. What still
-    /// runs at the time limit is counted and logged, never cut in silence.
+    /// Stops gracefully: accepts nothing new, waits for running requests, and returns unspent
+    /// grants to their books. Requests that still run at the time limit are counted and logged.
     pub async fn stop(self, limit: Duration) -> StopReport {
         let state = &self.state;
         state.leave();
@@ -141,7 +142,7 @@
     }
 }
 
-/// Waits for the requests of other entries that this home has reserved for.
+/// Waits until reservations of other entries' requests are settled.
 async fn wait_for_others(state: &EntryState, deadline: ClockTime) {
     loop {
         let changed = state.budget_changed.listen();
@@ -159,7 +160,7 @@
     }
 }
 
-/// Returns every unspent grant, and says how many books the store didn't take.
+/// Returns every unspent grant. Returns the number of books that could not be written.
 async fn hand_back(state: &Arc<EntryState>) -> u32 {
     state.ledger.return_all(ClockTime::now());
     let mut unwritten = 0;
--- a/crates/sagespool-entry/src/state.rs
+++ b/crates/sagespool-entry/src/state.rs
@@ -1,4 +1,4 @@
-//! What all tasks of an entry share.
+//! The state that all tasks of an entry share.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -29,7 +29,7 @@
 use crate::operator::OperatorDesk;
 use crate::run::QueueWord;
 
-/// The configuration in force; none until the first has come.
+/// The configuration in force; None until the first one has arrived.
 #[derive(Default)]
 pub struct ConfigHolder {
     current: RwLock<Option<Arc<FleetConfiguration>>>,
@@ -41,14 +41,14 @@
         self.current.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Puts a configuration in force.
+    /// Replaces the configuration in force.
     pub fn replace(&self, config: FleetConfiguration) {
         let mut current = self.current.write().unwrap_or_else(PoisonError::into_inner);
         *current = Some(Arc::new(config));
     }
 }
 
-/// Claims are remembered so long until a configuration says otherwise.
+/// How long claims are kept until a configuration sets the time.
 const DEFAULT_KEY_RETENTION: Duration = Duration::from_secs(24 * 60 * 60);
 
 fn own_description(process: &ProcessSettings, incarnation: IncarnationId) -> MemberInfo {
@@ -94,7 +94,7 @@
         .build()
 }
 
-/// What all tasks of an entry share. Each part has its own locks.
+/// The state that all tasks of an entry share. Each part has its own locks.
 pub struct EntryState {
     /// The process's settings.
     pub process: ProcessSettings,
@@ -110,36 +110,36 @@
     pub instances: InstanceClient,
     /// The configuration in force.
     pub config: ConfigHolder,
-    /// Where the configuration comes from and goes on to.
+    /// Replicates the configuration from and to other members.
     pub(crate) follower: ConfigFollower,
-    /// Who is in the fleet.
+    /// The members of the fleet.
     pub members: MemberTable,
-    /// The upstreams, as this entry sees them.
+    /// The upstreams and their load as reported to this entry.
     pub upstreams: UpstreamTable,
     /// The budgets that this entry is home of.
     pub ledger: HomeLedger,
-    /// The keys that this entry is home of.
+    /// The idempotency keys that this entry is home of.
     pub keys: KeyRegistry,
-    /// Requests that took upstreams down.
+    /// Contents of requests that crashed upstreams.
     pub crashes: CrashTracker,
-    /// Metrics.
+    /// The metrics served at `/metrics`.
     pub metrics: FleetMetrics,
-    /// Told whenever something may let a waiting reservation go on.
+    /// Notified when a waiting reservation may succeed.
     pub budget_changed: Event,
-    /// Told whenever a run ends.
+    /// Notified when a request ends.
     pub run_done: Event,
     pub(crate) books: BookWriter,
     pub(crate) claims: ClaimWriter,
     pub(crate) rounds: BudgetRounds,
     pub(crate) witnesses: WitnessBoard,
-    /// Since when the store doesn't answer, if it doesn't.
+    /// When the store's current outage began; None while it is reachable.
     store_away: Mutex<Option<ClockTime>>,
     pub(crate) operator: OperatorDesk,
     pub(crate) retries: RetryBudget,
     pub(crate) limits: RequestLimits,
     pub(crate) queue: AdmissionQueue,
     waiters: Mutex<HashMap<RequestId, Sender<QueueWord>>>,
-    /// Sidecars that the routing table knows.
+    /// Sidecars in the routing table, with their last logged availability.
     pub(crate) known_sidecars: Mutex<HashMap<IncarnationId, UpstreamUse>>,
     pub(crate) link: OnceLock<LinkEndpoint>,
     pub(crate) in_flight: AtomicU32,
@@ -149,7 +149,7 @@
 }
 
 impl EntryState {
-    /// The state of an entry that has just been started and knows nobody yet.
+    /// The state of an entry that has just started and has not contacted any member.
     pub(crate) fn new(process: ProcessSettings, settings: EntrySettings) -> Self {
         let incarnation = IncarnationId::random();
         let platform = &process.platform;
@@ -203,15 +203,15 @@
         }
     }
 
-    /// Takes the link once it listens, and tells the members its address.
+    /// Stores the link once it listens, and publishes its address to the members.
     pub(crate) fn take_link(&self, link: LinkEndpoint) {
         let address = self.process.link.advertise.unwrap_or(link.local_address());
         self.members.update_own(|own| own.address = address);
         let taken = self.link.set(link);
-        assert!(taken.is_ok(), "the link is started once");
+        assert!(taken.is_ok(), "the link is set only once");
     }
 
-    /// How long a claim is remembered.
+    /// How long a claim is kept.
     pub(crate) fn key_retention(&self) -> Duration {
         let config = self.config.current();
         config.map_or(DEFAULT_KEY_RETENTION, |config| {
@@ -224,36 +224,36 @@
         self.link.get().expect("the link is started before anything is served")
     }
 
-    /// The requests that wait in a queue, and how they are told.
+    /// The requests that wait in a queue, with the channel for their decision.
     pub(crate) fn waiters(&self) -> MutexGuard<'_, HashMap<RequestId, Sender<QueueWord>>> {
         self.waiters.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Requests whose entries went to another home, and when they said so.
+    /// Requests whose entries went to another home, and when the notice arrived.
     pub(crate) fn abandoned(&self) -> MutexGuard<'_, HashMap<RequestId, ClockTime>> {
         self.abandoned.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes whether the store answered.
+    /// Records whether a call to the store succeeded.
     pub(crate) fn note_store(&self, reached: bool, now: ClockTime) {
         let mut away = self.store_away.lock().unwrap_or_else(PoisonError::into_inner);
         *away = if reached { None } else { Some(away.unwrap_or(now)) };
     }
 
-    /// For how long the store has not answered; zero while it does.
+    /// How long the store has been unreachable; zero while it is reachable.
     pub(crate) fn store_away_for(&self, now: ClockTime) -> Duration {
         let away = *self.store_away.lock().unwrap_or_else(PoisonError::into_inner);
         away.map_or(Duration::ZERO, |since| now.since(since).max(Duration::from_millis(1)))
     }
 
-    /// Takes nothing new from now on, and tells everybody.
+    /// Marks this entry as leaving and publishes that to the members.
     pub(crate) fn leave(&self) {
         self.leaving.store(true, Ordering::Relaxed);
         self.members.update_own(|own| own.leaving = true);
         self.leave_told.notify(usize::MAX);
     }
 
-    /// True from the moment it was told to stop.
+    /// True once this entry is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
@@ -272,7 +272,7 @@
         self.run_done.notify(usize::MAX);
     }
 
-    /// Why callers can't be served now, or nothing.
+    /// Why callers can't be served now; None if they can.
     pub(crate) fn not_ready_because(&self) -> Option<&'static str> {
         if self.is_leaving() {
             return Some("leaving");
@@ -283,20 +283,20 @@
         if self.config.current().is_none() {
             return Some("no configuration yet");
         }
-        // Before it has heard of the others it would take itself for every branch's home.
+        // Without a view of the members this entry would be the home of every branch.
         if !self.members.is_settled() {
-            return Some("the fleet's members aren't known yet");
+            return Some("the view of the fleet's members is not complete yet");
         }
         None
     }
 
-    /// Whether another attempt is within the retry budget, so that failing upstreams aren't met
-    /// with a storm of repeated requests.
+    /// Whether a retry is within the retry budget, which protects failing upstreams from a retry
+    /// storm.
     pub(crate) fn may_retry(&self, service: &ServiceName) -> bool {
         self.retries.try_retry(service, ClockTime::now())
     }
 
-    /// Brings gauges up to the present before they are read.
+    /// Updates the gauges before the metrics are read.
     pub(crate) fn refresh_gauges(&self) {
         self.metrics.set_in_flight(u64::from(self.in_flight()));
         self.metrics.set_members(self.members.members().len() as u64);
--- a/crates/sagespool-entry/src/upkeep.rs
+++ b/crates/sagespool-entry/src/upkeep.rs
@@ -1,4 +1,4 @@
-//! Forgetting what has lapsed.
+//! Removal of expired state.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,11 +7,12 @@
 
 use crate::state::EntryState;
 
-/// Longer than any request takes to be answered by a home that was paused when it came.
+/// How long notices of abandoned requests are kept. Longer than a paused home may take to reply to
+/// a request.
 const ABANDONED_KEPT: Duration = Duration::from_secs(600);
 const PERIOD: Duration = Duration::from_secs(5);
 
-/// Drops lapsed keys and unused limits, for the process's whole life.
+/// Removes expired keys, unused limits and old abandon notices, for the lifetime of the process.
 pub(crate) async fn run_upkeep(state: Arc<EntryState>) {
     loop {
         smol::Timer::after(PERIOD).await;
