--- a/crates/sagespool-entry/src/caller/answer.rs
+++ b/crates/sagespool-entry/src/caller/answer.rs
@@ -1,4 +1,4 @@
-//! Answers in HTTP: whole JSON, server-sent events, or a service's own bytes.
+//! HTTP responses: a JSON document, server-sent events, or the bytes of a plain service.
 
 use std::io;
 use std::pin::Pin;
@@ -16,10 +16,10 @@
 use super::fault::{refusal_body, respond_refusal, with_request_headers};
 use crate::run::{AnswerEvent, AnswerReceiver};
 
-/// Chunks of a stream that may wait for a slow caller.
+/// Chunks of a stream buffered for a slow caller.
 const EVENT_BACKLOG: usize = 64;
 
-/// A body's bytes as they come in over a channel.
+/// A response body read from a channel.
 struct ChannelReader {
     chunks: Pin<Box<Receiver<Vec<u8>>>>,
     rest: Vec<u8>,
@@ -67,7 +67,7 @@
     RefusalNotice {
         reason: sagespool_types::RefusalReason::OutcomeUnknown,
         run_state: sagespool_types::RunState::Unknown,
-        message: "the request ended without a word about its outcome".into(),
+        message: "the request ended without reporting an outcome".into(),
         retry_after: Some(Duration::from_secs(1)),
     }
 }
@@ -80,7 +80,7 @@
     })
 }
 
-/// A whole answer, or why there is none.
+/// A complete answer, or the refusal.
 struct CollectedAnswer {
     status: u16,
     headers: Vec<HeaderPair>,
@@ -125,8 +125,8 @@
     answer
 }
 
-/// A chat completion as one JSON document. A caller that goes away before it is there drops the
-/// answers, which the run notices.
+/// Responds with a chat completion as one JSON document. If the caller disconnects earlier, the
+/// receiver is dropped, which the run detects.
 pub(super) async fn respond_whole(
     mut conn: Conn,
     call: &CompletionCall,
@@ -193,8 +193,9 @@
     lines
 }
 
-/// A chat completion as server-sent events. The status is sent with the first piece, so that a
-/// refusal before it still is a plain refusal; one after it is an event `error` with no `[DONE]`.
+/// Responds with a chat completion as server-sent events. The status is sent with the first event,
+/// so that an earlier refusal still is a plain HTTP refusal; a later one is an event `error`
+/// without a `[DONE]`.
 pub(super) async fn respond_events(
     mut conn: Conn,
     call: CompletionCall,
@@ -245,8 +246,8 @@
                 (error_lines(&notice, request, billed), true)
             }
         };
-        // A caller that went away drops the body and with it the channel; returning drops the
-        // answers, which the run notices.
+        // A disconnected caller drops the body and with it the channel. Returning drops the
+        // receiver, which the run detects.
         if sender.send(chunk).await.is_err() || last {
             return;
         }
@@ -272,7 +273,8 @@
     conn
 }
 
-/// A plain service's answer, whole: a broken one must be told from a whole one by its status.
+/// Responds with a plain service's answer once it is complete, so that an interrupted one is
+/// reported by its status.
 pub(super) async fn respond_service(
     mut conn: Conn,
     request: RequestId,
--- a/crates/sagespool-entry/src/caller/completion.rs
+++ b/crates/sagespool-entry/src/caller/completion.rs
@@ -1,4 +1,4 @@
-//! Chat completions: reading what a caller asks of a model.
+//! Parsing and checking of chat completion requests.
 
 use sagespool_settings::{FleetConfiguration, ModelEntry};
 use sagespool_types::{ContentDigest, ModelName, ServiceName, TokenCount};
@@ -7,7 +7,7 @@
 
 use super::CallFault;
 
-/// The engines' prompt caches are keyed by this much of a prompt, see docs/PLATFORM.md.
+/// Length of the prompt prefix that keys the engines' prompt caches, see docs/PLATFORM.md.
 const PREFIX_BYTES: usize = 256;
 
 #[derive(Deserialize)]
@@ -24,27 +24,27 @@
     content: String,
 }
 
-/// A checked chat completion.
+/// A checked chat completion request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CompletionCall {
-    /// The model.
+    /// The requested model.
     pub model: ModelName,
     /// The service whose engines serve it.
     pub service: ServiceName,
-    /// The most tokens the answer may have.
+    /// The maximum number of tokens in the answer.
     pub max_tokens: u32,
-    /// What the prompt costs.
+    /// The cost of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// True if the answer is wanted as server-sent events.
+    /// True if the answer is requested as server-sent events.
     pub stream: bool,
-    /// What it asks for, the same whatever its length limit or form of answer.
+    /// Digest of the messages and the model, independent of the token limit and of streaming.
     pub content: ContentDigest,
     /// The key of engines' prompt caches.
     pub prefix: u128,
 }
 
 impl CompletionCall {
-    /// The greatest possible cost.
+    /// The maximum cost.
     pub fn greatest_cost(&self) -> TokenCount {
         TokenCount(u64::from(self.prompt_tokens) + u64::from(self.max_tokens))
     }
@@ -82,7 +82,7 @@
         CallFault::new(
             trillium::Status::NotFound,
             "unknown-model",
-            format!("no model is called `{name}`"),
+            format!("there is no model `{name}`"),
             help,
         )
     };
@@ -105,10 +105,10 @@
     Ok(given as u32)
 }
 
-/// Reads and checks a chat completion.
+/// Parses and checks a chat completion request.
 ///
 /// # Errors
-/// 400 with the place of the fault in the JSON, 404 for an unknown model.
+/// 400 with the position of the error in the JSON, 404 for an unknown model.
 pub fn read_completion(
     body: &[u8],
     config: &FleetConfiguration,
@@ -136,8 +136,8 @@
     })
 }
 
-/// Without the limits and the form of the answer, so that a request that takes upstreams down is
-/// known again however it is asked.
+/// Digest without the token limit and the form of the answer, so that a request that crashes
+/// upstreams is recognized with other options too.
 fn content_of(model: &ModelName, messages: &[ChatMessage]) -> ContentDigest {
     let mut parts = Vec::new();
     for message in messages {
--- a/crates/sagespool-entry/src/caller/fault.rs
+++ b/crates/sagespool-entry/src/caller/fault.rs
@@ -1,4 +1,4 @@
-//! Errors of callers and refusals, as HTTP shows them.
+//! HTTP responses for invalid requests and refusals.
 
 use std::time::Duration;
 
@@ -7,22 +7,22 @@
 use serde_json::{Value, json};
 use trillium::{Conn, KnownHeaderName, Status};
 
-/// A request that is not accepted because of what it says or who says it. It never ran and
-/// nothing is billed.
+/// A request that is rejected for its content or its credentials. It did not run and nothing is
+/// billed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallFault {
     /// HTTP status.
     pub status: Status,
-    /// For programs, for example `malformed-json`.
+    /// Machine-readable code, for example `malformed-json`.
     pub code: &'static str,
-    /// What is wrong, for a person.
+    /// Human-readable message.
     pub message: String,
-    /// What would be accepted.
+    /// What is accepted instead.
     pub help: String,
 }
 
 impl CallFault {
-    /// A fault with a message and what would be accepted instead.
+    /// An error with a message and what is accepted instead.
     pub fn new(
         status: Status,
         code: &'static str,
@@ -32,12 +32,12 @@
         Self { status, code, message: message.into(), help: help.into() }
     }
 
-    /// A plain 400.
+    /// An error with status 400.
     pub fn bad(code: &'static str, message: impl Into<String>, help: impl Into<String>) -> Self {
         Self::new(Status::BadRequest, code, message, help)
     }
 
-    /// The fault as an HTTP response.
+    /// The error as an HTTP response.
     pub fn respond(&self, conn: Conn, request: RequestId) -> Conn {
         let body = json!({"error": {
             "type": "invalid-request",
@@ -62,7 +62,7 @@
     }
 }
 
-/// The headers that every response carries.
+/// Adds the headers that every response to a request has.
 pub(super) fn with_request_headers(conn: Conn, request: RequestId, billed: TokenCount) -> Conn {
     conn.with_response_header("sagespool-request-id", request.to_string())
         .with_response_header("sagespool-billed", billed.to_string())
@@ -86,7 +86,7 @@
     }
 }
 
-/// A refusal as the JSON that callers read.
+/// The JSON body of a refusal.
 pub(super) fn refusal_body(
     notice: &RefusalNotice,
     request: RequestId,
--- a/crates/sagespool-entry/src/caller/headers.rs
+++ b/crates/sagespool-entry/src/caller/headers.rs
@@ -1,4 +1,4 @@
-//! What callers say in headers: key, deadline, class, non-idempotent.
+//! Request headers of callers: idempotency key, deadline, class, non-idempotent flag.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 const LONGEST_KEY: usize = 255;
 
-/// The checked headers of a call.
+/// The checked headers of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallHeaders {
     /// The caller's idempotency key.
@@ -21,12 +21,12 @@
     pub class: ClassName,
     /// The class's priority; lower goes first.
     pub priority: u8,
-    /// The caller says that this request may never run twice.
+    /// True if the caller declares that the request must not run twice.
     pub non_idempotent: bool,
 }
 
-/// A header's value, if it is given. Given twice, it would be read one way here and another way by
-/// whatever stands in front or behind, so that is a fault.
+/// A header's value, if present. A repeated header is an error, since processes in front of or
+/// behind this one could read a different value.
 pub(super) fn text<'a>(
     headers: &'a Headers,
     name: &'static str,
@@ -35,8 +35,8 @@
         return Ok(None);
     };
     if values.len() > 1 {
-        let message = format!("the header {name} is given {} times", values.len());
-        return Err(CallFault::bad("repeated-header", message, "give it once"));
+        let message = format!("the header {name} appears {} times", values.len());
+        return Err(CallFault::bad("repeated-header", message, "send it once"));
     }
     let value = values.one().and_then(|value| value.as_str());
     let fault =
@@ -44,7 +44,7 @@
     value.map(|value| Some(value.trim())).ok_or_else(fault)
 }
 
-/// The idempotency key, if one is given.
+/// The idempotency key, if present.
 fn read_key(headers: &Headers) -> Result<Option<String>, CallFault> {
     let Some(key) = text(headers, "idempotency-key")? else {
         return Ok(None);
@@ -52,7 +52,7 @@
     let fits =
         !key.is_empty() && key.len() <= LONGEST_KEY && key.chars().all(|c| c.is_ascii_graphic());
     if !fits {
-        let message = format!("the idempotency key has {} characters or odd ones", key.len());
+        let message = format!("the idempotency key has {} characters or invalid ones", key.len());
         let help = format!("1 to {LONGEST_KEY} printable ASCII characters without spaces");
         return Err(CallFault::bad("idempotency-key", message, help));
     }
@@ -70,7 +70,7 @@
         let names: Vec<String> = config.classes().map(|class| class.name.to_string()).collect();
         format!("one of: {}", names.join(", "))
     };
-    let fault = || CallFault::bad("unknown-class", format!("no class is called `{name}`"), known());
+    let fault = || CallFault::bad("unknown-class", format!("there is no class `{name}`"), known());
     let name: ClassName = name.parse().map_err(|_| fault())?;
     config.class(&name).ok_or_else(fault)
 }
@@ -102,10 +102,10 @@
     }
 }
 
-/// Checks every header that the fleet reads.
+/// Checks all request headers that the fleet uses.
 ///
 /// # Errors
-/// The first header that is not acceptable.
+/// The first invalid header.
 pub fn read_headers(
     headers: &Headers,
     config: &FleetConfiguration,
--- a/crates/sagespool-entry/src/caller/identity.rs
+++ b/crates/sagespool-entry/src/caller/identity.rs
@@ -1,4 +1,4 @@
-//! Who calls: the branch behind a bearer token.
+//! Authentication: the branch of a bearer token.
 
 use sagespool_settings::FleetConfiguration;
 use sagespool_types::BranchName;
@@ -12,14 +12,15 @@
 /// The branch that the caller's key belongs to.
 ///
 /// # Errors
-/// 401 without a key, or with one that no branch has: the two are told apart only by whether a
-/// key was sent, so that nobody learns which keys exist. 400 with two.
+/// 401 without a key, or with one that no branch has. The response differs only by whether a key
+/// was sent, so that it does not reveal which keys exist. 400 with two.
 pub fn read_identity(
     headers: &Headers,
     config: &FleetConfiguration,
 ) -> Result<BranchName, CallFault> {
-    let missing =
-        || CallFault::new(Status::Unauthorized, "missing-key", "no bearer key is given", KEY_HELP);
+    let missing = || {
+        CallFault::new(Status::Unauthorized, "missing-key", "the bearer key is missing", KEY_HELP)
+    };
     let unknown = || {
         CallFault::new(Status::Unauthorized, "unknown-key", "the key is not a branch's", KEY_HELP)
     };
@@ -31,10 +32,10 @@
     config.branch_by_token(token.trim()).cloned().ok_or_else(unknown)
 }
 
-/// Checks that a caller who names a branch names its own.
+/// Checks that a branch named in the request is the caller's own.
 ///
 /// # Errors
-/// 403 if the key is another branch's, 400 if two are named.
+/// 403 if the key belongs to another branch, 400 if two branches are named.
 pub fn check_branch(headers: &Headers, branch: &BranchName) -> Result<(), CallFault> {
     let Some(named) = text(headers, "sagespool-branch")? else {
         return Ok(());
--- a/crates/sagespool-entry/src/caller/mod.rs
+++ b/crates/sagespool-entry/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! Callers' side: who asks, what for, and how answers and refusals look in HTTP.
+//! HTTP for callers: authentication, checking of requests, answers and refusals.
 
 mod answer;
 mod completion;
--- a/crates/sagespool-entry/src/caller/server.rs
+++ b/crates/sagespool-entry/src/caller/server.rs
@@ -28,14 +28,15 @@
 
 const COMPLETIONS_PATH: &str = "/v1/chat/completions";
 const SERVICES_PREFIX: &str = "/services/";
-/// A head so much over the limit is still read, to be answered; a longer one ends its connection.
+/// How far a request head may exceed the limit and still be read, so that it gets a response; a
+/// longer one closes its connection.
 const HEAD_ROOM: usize = 64 * 1024;
 
-/// Starts serving callers on the address, and returns the handle that stops it.
+/// Starts serving callers on the address, and returns the handle that stops the server.
 ///
 /// # Errors
-/// If the address can't be taken. Left to the server's own task, that would end only the task, and
-/// the process would go on as an entry that no caller reaches.
+/// If the address can't be bound. Bound in the server's own task, a failure would end only that
+/// task, and the process would go on as an entry without an HTTP port.
 pub fn serve(state: Arc<EntryState>, listen: SocketAddr) -> io::Result<ServerHandle> {
     let server = http_server(TcpListener::bind(listen)?)?;
     let head_limit = state.settings.header_limit.0 as usize;
@@ -60,7 +61,7 @@
         _ if path.starts_with(SERVICES_PREFIX) => service(state, conn, &path).await,
         _ if path.starts_with("/operator/") => crate::operator::route(state, conn).await,
         _ => {
-            let message = format!("nothing is served at {path}");
+            let message = format!("no such path: {path}");
             let help = format!("{COMPLETIONS_PATH} or {SERVICES_PREFIX}NAME/…");
             let fault = CallFault::new(Status::NotFound, "unknown-path", message, help);
             fault.respond(conn, RequestId::random())
@@ -68,7 +69,8 @@
     }
 }
 
-/// Bytes that a head takes on the connection, but for the request line's and each header's few.
+/// Bytes of a request head on the connection, except for a few of the request line and of each
+/// header.
 fn head_length(conn: &Conn) -> usize {
     let headers = conn.request_headers().iter().flat_map(|(name, values)| {
         let name = name.as_ref().len();
@@ -81,7 +83,7 @@
     if head_length(conn) <= most {
         return Ok(());
     }
-    let message = format!("the request line and headers are over {most} bytes");
+    let message = format!("the request line and headers exceed {most} bytes");
     let help = format!("at most {most} bytes; long texts belong in the body");
     Err(CallFault::new(Status::RequestHeaderFieldsTooLarge, "head-too-large", message, help))
 }
@@ -104,7 +106,7 @@
         .halt()
 }
 
-/// What every accepted call has.
+/// The parts that every accepted request has.
 struct AcceptedCall {
     request: RequestId,
     arrived: ClockTime,
@@ -114,11 +116,11 @@
     config: Arc<FleetConfiguration>,
 }
 
-/// The refusal of everything, if this entry serves nobody now. What an earlier send with the same
-/// key came to isn't known here, so a keyed request isn't told that it did not run.
+/// The refusal of every request if this entry serves no callers now. The outcome of an earlier send
+/// with the same key is not known here, so the run state of a keyed request is `unknown`.
 fn not_accepting(state: &EntryState, conn: &Conn) -> Option<sagespool_messages::RefusalNotice> {
     let (reason, message) = if state.is_leaving() {
-        (RefusalReason::Leaving, "this entry is leaving; another takes the request")
+        (RefusalReason::Leaving, "this entry is leaving; retry at another entry")
     } else if state.config.current().is_none() {
         (RefusalReason::NotReady, "this entry has no configuration yet")
     } else {
@@ -135,7 +137,7 @@
 
 async fn read_body(conn: &mut Conn, most: usize) -> Result<Vec<u8>, CallFault> {
     let too_large = || {
-        let message = format!("the body is over {most} bytes");
+        let message = format!("the body exceeds {most} bytes");
         let help = format!("at most {most} bytes");
         CallFault::new(Status::PayloadTooLarge, "body-too-large", message, help)
     };
@@ -160,7 +162,8 @@
     Ok(body)
 }
 
-/// Checks who calls and the headers, then reads the body: nobody unknown makes the entry hold one.
+/// Authenticates the caller and checks the headers before the body is read, so that unauthenticated
+/// callers can't make the entry buffer one.
 async fn accept(
     state: &EntryState,
     conn: &mut Conn,
@@ -179,24 +182,25 @@
     if conn.method() == trillium::Method::Post {
         return Ok(());
     }
-    let message = format!("{} isn't possible here", conn.method());
+    let message = format!("method {} is not allowed here", conn.method());
     Err(CallFault::new(Status::MethodNotAllowed, "method", message, "POST"))
 }
 
-/// Refuses a non-idempotent request without a key: sent again, it couldn't be told from a new one.
+/// Rejects a non-idempotent request without a key, since a repeated send could not be distinguished
+/// from a new request.
 fn check_key(headers: &CallHeaders, non_idempotent: bool) -> Result<(), CallFault> {
     if !non_idempotent || headers.key.is_some() {
         return Ok(());
     }
-    let message = "a request that may never run twice needs an idempotency key";
+    let message = "a non-idempotent request needs an idempotency key";
     Err(CallFault::bad(
         "key-needed",
         message,
-        "send `Idempotency-Key: KEY`, the same when sending again",
+        "send `Idempotency-Key: KEY`, and the same key in a retry",
     ))
 }
 
-/// What a call asks for, apart from what all calls have.
+/// The parts of a request that depend on its kind.
 struct CallWork {
     service: ServiceName,
     target: CallTarget,
--- a/crates/sagespool-entry/src/caller/service_call.rs
+++ b/crates/sagespool-entry/src/caller/service_call.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services: reading what a caller asks of one.
+//! Parsing and checking of requests to plain services.
 
 use sagespool_messages::{CallTarget, HeaderPair};
 use sagespool_settings::{FleetConfiguration, ServiceEntry};
@@ -7,10 +7,11 @@
 
 use super::CallFault;
 
-/// Headers that concern one connection, or the fleet, and are not passed on.
+/// Request headers that are not forwarded, since they concern one connection or the fleet.
 ///
-/// Nor are those that override the method: a service that honours one would run a call of another
-/// method than the one that was checked, so that a letter sent as `GET` could be sent twice.
+/// Headers that override the method are not forwarded either: a service that honours one would run
+/// another method than the one that was checked, so a non-idempotent request sent as `GET` could
+/// run twice.
 const KEPT_HEADERS: [&str; 17] = [
     "authorization",
     "connection",
@@ -31,16 +32,16 @@
     "x-method-override",
 ];
 
-/// A checked call of a plain service.
+/// A checked request to a plain service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceCall {
     /// The service.
     pub service: ServiceName,
     /// The method, path, headers and price.
     pub target: CallTarget,
-    /// What it asks for.
+    /// Digest of the name, method, path and body.
     pub content: ContentDigest,
-    /// The settled price.
+    /// The price of the request in tokens.
     pub price: u32,
 }
 
@@ -63,7 +64,7 @@
     config: &'a FleetConfiguration,
 ) -> Result<&'a ServiceEntry, CallFault> {
     let fault = || {
-        let text = format!("no plain service is called `{name}`");
+        let text = format!("there is no plain service `{name}`");
         CallFault::new(Status::NotFound, "unknown-service", text, "a service of the configuration")
     };
     let name: ServiceName = name.parse().map_err(|_| fault())?;
@@ -74,10 +75,10 @@
     Ok(service)
 }
 
-/// Reads and checks a service call. `path` is what follows the service's name, with its query.
+/// Parses and checks a service request. `path` is what follows the service's name, with its query.
 ///
 /// # Errors
-/// 404 for an unknown service or one of model engines.
+/// 404 for an unknown service or a service of model engines.
 pub fn read_service_call(
     name: &str,
     method: &str,
@@ -87,7 +88,7 @@
     config: &FleetConfiguration,
 ) -> Result<ServiceCall, CallFault> {
     let service = find_service(name, config)?;
-    // A price is at most what fits, by the configuration's check.
+    // The check of the configuration limits prices to this range.
     let price = service.price.map_or(0, |price| u32::try_from(price.0).unwrap_or(u32::MAX));
     let target = CallTarget::Service {
         method: method.to_owned(),
--- a/crates/sagespool-entry/src/run/admission.rs
+++ b/crates/sagespool-entry/src/run/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: limits, then a place among what runs, in the order that fairness gives.
+//! Admission: request limits, then a slot of the service in fair-queuing order.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,16 +11,16 @@
 use super::RequestOrder;
 use crate::state::EntryState;
 
-/// Word for a request that waits in the queue.
+/// The queue's decision on a waiting request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum QueueWord {
-    /// It runs now.
+    /// It may run now.
     Admitted,
-    /// It can't make its deadline any more.
+    /// It can't meet its deadline any more.
     Expired,
 }
 
-/// A place among what runs; dropping it lets the next one go.
+/// A running request's slot. Dropping it admits the next request.
 pub(super) struct AdmissionSlot {
     state: Arc<EntryState>,
     service: ServiceName,
@@ -62,7 +62,7 @@
     RefusalNotice { reason, run_state: RunState::NotRun, message, retry_after }
 }
 
-/// Gets a request a place, or the refusal that it gets at once.
+/// Waits for a slot for a request.
 ///
 /// # Errors
 /// A limit that is reached, a queue that is full, or a deadline that can't be met.
@@ -84,17 +84,15 @@
         .deadline(order.deadline)
         .build();
     let (sender, word) = async_channel::bounded(1);
-    // Before the offer, so that a release in between finds the waiter.
+    // Registered before the offer, so that a release in between finds the waiter.
     state.waiters().insert(order.request, sender);
     let outcome = state.queue.offer(ticket, now);
     let outcome = match outcome {
         OfferOutcome::Admitted => Ok(()),
         OfferOutcome::Queued { .. } => wait_in_queue(state, order, word).await,
-        OfferOutcome::Refused { reason, retry_after } => Err(refusal(
-            reason,
-            format!("{} has more to do than it can", order.service),
-            retry_after,
-        )),
+        OfferOutcome::Refused { reason, retry_after } => {
+            Err(refusal(reason, format!("{} is overloaded", order.service), retry_after))
+        }
     };
     state.waiters().remove(&order.request);
     if let Err(notice) = outcome {
@@ -123,14 +121,14 @@
         return Ok(());
     }
     if !state.queue.withdraw(&order.service, order.request, ClockTime::now()) && word.is_none() {
-        // Admitted in the same moment: the place goes to the next.
+        // Admitted at the same time: the slot goes to the next request.
         state.queue.ended(&order.service, order.request, ClockTime::now());
     }
-    let message = format!("{} can't run it before its deadline", order.service);
+    let message = format!("{} can't run the request before its deadline", order.service);
     Err(refusal(RefusalReason::DeadlineExceeded, message, Some(Duration::from_secs(1))))
 }
 
-/// Lets waiting requests of a service go as far as there is room.
+/// Admits waiting requests of a service while slots are free.
 pub(crate) fn release(state: &EntryState, service: &ServiceName) {
     let QueueRelease { admitted, expired } = state.queue.release(service, ClockTime::now());
     let waiters = state.waiters();
@@ -140,13 +138,13 @@
         .chain(expired.iter().map(|request| (request, QueueWord::Expired)))
     {
         if let Some(waiter) = waiters.get(request) {
-            // One that has just given up withdraws its place itself.
+            // A request that has just timed out withdraws by itself.
             let _ = waiter.try_send(word);
         }
     }
 }
 
-/// Brings the queues' limits to what the upstreams have room for.
+/// Sets the queues' limits from the upstreams' concurrency.
 pub(crate) fn refresh_limits(state: &EntryState) {
     let Some(config) = state.config.current() else {
         return;
--- a/crates/sagespool-entry/src/run/attach.rs
+++ b/crates/sagespool-entry/src/run/attach.rs
@@ -1,4 +1,4 @@
-//! Attaching to a key that runs, or whose answer is kept, at a sidecar.
+//! Attaches to the run or the kept answer of an idempotency key at a sidecar.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,11 +13,11 @@
 use super::{AnswerEvent, RequestOrder};
 use crate::state::EntryState;
 
-/// How an attach ended.
+/// Outcome of an attach.
 pub(super) enum AttachEnd {
-    /// The caller has its end.
+    /// The request has ended.
     Ended(RunEnd),
-    /// The key's state has changed meanwhile: ask the home again.
+    /// The key's state has changed: query the home again.
     AskAgain,
 }
 
@@ -25,7 +25,7 @@
     AttachEnd::Ended(RunEnd::refused(reason, run_state, message))
 }
 
-/// Brings the answer of a key that is known already, instead of a second run.
+/// Forwards the answer of a known key instead of running the request a second time.
 pub(super) async fn attach(
     state: &Arc<EntryState>,
     order: &RequestOrder,
@@ -37,19 +37,19 @@
         KeyState::OtherContent => refused(
             RefusalReason::KeyReused,
             RunState::NotRun,
-            "the same idempotency key came with another request before",
+            "the idempotency key was already used with a different request",
         ),
         KeyState::Unknown { .. } => refused(
             RefusalReason::OutcomeUnknown,
             RunState::Unknown,
-            "a request with this key ran or may have run, and its answer can't be had; it is not run again",
+            "a request with this key ran or may have run, and its answer is not available; it is not run again",
         ),
         KeyState::At { sidecar, content, .. } => {
             if content != order.content {
                 return refused(
                     RefusalReason::KeyReused,
                     RunState::NotRun,
-                    "the same idempotency key came with another request before",
+                    "the idempotency key was already used with a different request",
                 );
             }
             attach_at(state, order, answers, sidecar).await
@@ -71,7 +71,7 @@
         return refused(
             RefusalReason::DeadlineExceeded,
             RunState::Unknown,
-            "the deadline passed while the request with this key still ran",
+            "the deadline passed while the request with this key was still running",
         );
     }
     let request = AttachRequest { request: order.request, key, content: order.content, time_left };
@@ -92,7 +92,7 @@
                 return refused(
                     RefusalReason::OutcomeUnknown,
                     RunState::Unknown,
-                    "the answer of the running request broke off; ask again with the same key",
+                    "the answer of the running request was interrupted; retry with the same key",
                 );
             }
             return AttachEnd::AskAgain;
@@ -113,7 +113,7 @@
             return refused(
                 RefusalReason::OutcomeUnknown,
                 RunState::Unknown,
-                "the caller went away",
+                "the caller disconnected",
             );
         }
     }
@@ -137,7 +137,7 @@
         _ => refused(
             RefusalReason::OutcomeUnknown,
             RunState::Unknown,
-            "the running request with this key broke off; ask again with the same key",
+            "the running request with this key was interrupted; retry with the same key",
         ),
     }
 }
--- a/crates/sagespool-entry/src/run/attempt.rs
+++ b/crates/sagespool-entry/src/run/attempt.rs
@@ -1,4 +1,5 @@
-//! Attempts at a paid request: choose an upstream, dispatch, pass on, try elsewhere.
+//! Attempts at a reserved request: choose an upstream, dispatch, forward the answer, retry
+//! elsewhere.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,62 +23,63 @@
 use super::{AnswerEvent, RequestOrder, homes};
 use crate::state::EntryState;
 
-/// Attempts at one request, the first one included.
+/// Attempts per request, including the first.
 const MOST_ATTEMPTS: u32 = 4;
 const CANCEL_LIMIT: Duration = Duration::from_secs(2);
-/// How long a request waits, at a time, for an upstream to come back.
+/// Pause between checks for an available upstream.
 const UPSTREAM_PAUSE: Duration = Duration::from_millis(50);
-/// A suspect waits so long at most for others to come through.
+/// How long a suspect waits for other suspects to complete.
 const SUSPECT_PATIENCE: Duration = Duration::from_secs(2);
-/// A request waits so long at most for any upstream at all.
+/// How long a request waits for any upstream to become available.
 const UPSTREAM_PATIENCE: Duration = Duration::from_secs(3);
 
-/// How the attempts at a reserved request ended.
+/// Outcome of all attempts at a reserved request.
 pub(super) enum AttemptEnd {
-    /// The caller has the whole answer.
+    /// The caller has the complete answer.
     Whole {
-        /// What is billed.
+        /// The charge to bill.
         charge: ChargeRecord,
         /// Why it ended.
         stop: FinishReason,
     },
     /// Refused; `ran` is billed.
     Refused {
-        /// Why.
+        /// The reason.
         notice: RefusalNotice,
-        /// What ran, if anything did.
+        /// The charge of what ran, if anything did.
         ran: Option<ChargeRecord>,
     },
-    /// Nobody here can tell what ran.
+    /// Whether the request ran is unknown to this entry.
     Unsure {
-        /// What the caller is told.
+        /// The refusal for the caller.
         notice: RefusalNotice,
     },
-    /// The sidecar can't use the grant: reserve again.
+    /// The sidecar can't use the grant; the request has to be reserved again.
     GrantUnusable,
-    /// The key turned out to be claimed by another request.
+    /// The key is claimed by another request.
     Known(KeyState),
 }
 
-/// Where a request may go, given what it may have done.
+/// Where a request may be placed, depending on crashes in which it was in flight.
 enum ApartPlace {
-    /// It isn't a suspect.
+    /// Not a suspect: any upstream.
     Anywhere,
-    /// There, and nowhere else.
+    /// Only this placement.
     At(UpstreamPlacement),
-    /// Others have to come through first.
+    /// Other suspects have to complete first.
     Later,
 }
 
-/// What one dispatch came to, before it is decided what follows.
+/// Outcome of one dispatch, before the next step is decided.
 pub(super) enum DispatchOutcome {
     Ended(DispatchEnd),
-    /// The link broke; the flag says that the request surely never reached the sidecar.
+    /// The link failed; `surely_not_sent` is true if the request certainly did not reach the
+    /// sidecar.
     LinkLost {
         surely_not_sent: bool,
         detail: String,
     },
-    /// The caller went away and the request has no key.
+    /// The caller disconnected and the request has no key.
     CallerGone,
     /// The deadline passed while it ran.
     TimedOut,
@@ -92,11 +94,11 @@
     pub(super) attempt: AttemptNumber,
     pub(super) tried: Vec<IncarnationId>,
     pub(super) passage: AnswerPassage<'a>,
-    /// The newest thing known to have run.
+    /// The charge of the newest attempt that is known to have run.
     pub(super) ran: Option<ChargeRecord>,
-    /// True once an attempt may have run without anybody having told how far.
+    /// True once an attempt may have run and its usage was not reported.
     pub(super) maybe_ran: bool,
-    /// What attempts used whose work was lost.
+    /// Tokens used by attempts whose work was lost.
     pub(super) rerun_tokens: TokenCount,
 }
 
@@ -122,9 +124,9 @@
         }
     }
 
-    /// Tries until the answer is whole, or no further attempt is allowed or makes sense.
+    /// Retries until the answer is complete or no further attempt is allowed or useful.
     pub(super) async fn drive(&mut self) -> AttemptEnd {
-        let mut last_failure = String::from("no upstream took it");
+        let mut last_failure = String::from("no upstream accepted the request");
         while self.attempt.0 < MOST_ATTEMPTS {
             let placement = match self.choose().await {
                 Ok(placement) => placement,
@@ -144,7 +146,7 @@
                 Judgement::TryElsewhere(detail) => last_failure = detail,
             }
             if self.attempt.0 < MOST_ATTEMPTS && !self.state.may_retry(&self.order.service) {
-                last_failure = format!("{last_failure}; the retry budget is used up");
+                last_failure = format!("{last_failure}; the retry budget is exhausted");
                 break;
             }
         }
@@ -169,10 +171,10 @@
             .build()
     }
 
-    /// Where a request goes that was in flight when an upstream went down. Suspects run apart, each
-    /// on an upstream of its own, so that the one that takes upstreams down does so alone, and the
-    /// others come through and are cleared. While there are more suspects than upstreams the later
-    /// ones wait for the earlier, for a bounded time.
+    /// The placement of a request that was in flight when an upstream crashed. Each suspect runs on
+    /// an upstream without other suspects, so that the one that crashes upstreams does so alone,
+    /// and the others complete and are cleared. If there are more suspects than upstreams, the
+    /// later ones wait for the earlier ones, for a bounded time.
     fn place_apart(&self, waited: Duration, now: ClockTime) -> ApartPlace {
         let Some(rank) = self.state.crashes.rerun_rank(self.order.content, now) else {
             return ApartPlace::Anywhere;
@@ -201,7 +203,8 @@
         placement.map_or(ApartPlace::Anywhere, ApartPlace::At)
     }
 
-    /// An upstream to try: one not tried yet, else any, after a short wait for one to come back.
+    /// Chooses an upstream: one not tried yet, else any, after a short wait for one to become
+    /// available.
     async fn choose(&mut self) -> Result<UpstreamPlacement, AttemptEnd> {
         let started = ClockTime::now();
         loop {
@@ -225,15 +228,15 @@
             }
             self.tried.clear();
             if now.since(started) > UPSTREAM_PATIENCE {
-                let message = format!("no upstream of {} is serving", self.order.service);
+                let message = format!("no upstream of {} is available", self.order.service);
                 return Err(self.give_up(RefusalReason::NoUpstream, message));
             }
             smol::Timer::after(UPSTREAM_PAUSE).await;
         }
     }
 
-    /// A keyed request is placed at its sidecar before it is dispatched, so that a retry of the
-    /// caller through any entry finds it there instead of running it again.
+    /// Places a keyed request at its sidecar before dispatch, so that a caller's retry through any
+    /// entry finds it there instead of running it again.
     async fn claim(&mut self, placement: &UpstreamPlacement) -> Option<AttemptEnd> {
         let key = self.order.key?;
         let claim = ClaimRequest {
@@ -298,7 +301,7 @@
             DispatchOutcome::Ended(_) | DispatchOutcome::LinkLost { .. } => None,
         };
         if let Some(cause) = dropped {
-            self.note_dropped(cause, "the rest of the answer isn't waited for");
+            self.note_dropped(cause, "the rest of the answer is discarded");
             self.cancel(placement).await;
         }
         outcome
@@ -313,7 +316,7 @@
         }
     }
 
-    /// Passes a sidecar's events on until its end.
+    /// Forwards a sidecar's events until its end.
     async fn pass_on(
         &mut self,
         stream: &mut EventStream,
@@ -323,8 +326,8 @@
         let mut first_token = None;
         let mut last_piece = started;
         loop {
-            // The sidecar ends the attempt at its deadline by itself; the margin lets that word
-            // arrive, and bounds the wait for a sidecar that has gone silent.
+            // The sidecar ends the attempt at its deadline by itself. The margin leaves time for
+            // that event to arrive, and bounds the wait for a sidecar that does not respond.
             let limit = self.time_left() + Duration::from_millis(500);
             let next = futures_lite::future::or(async { Some(stream.next().await) }, async {
                 smol::Timer::after(limit).await;
@@ -345,7 +348,7 @@
                 None => {
                     return DispatchOutcome::LinkLost {
                         surely_not_sent: false,
-                        detail: "the stream ended early".into(),
+                        detail: "the stream ended before the end event".into(),
                     };
                 }
             };
@@ -376,20 +379,20 @@
                     match self.passage.take_piece(at, tokens, data).await {
                         PieceTaken::Passed => true,
                         PieceTaken::Repeated => {
-                            self.note_dropped(DropCause::Duplicate, "a piece came twice");
+                            self.note_dropped(DropCause::Duplicate, "duplicate piece");
                             true
                         }
                         PieceTaken::Gap => {
                             return DispatchOutcome::LinkLost {
                                 surely_not_sent: false,
-                                detail: "a piece is missing".into(),
+                                detail: "missing piece".into(),
                             };
                         }
                         PieceTaken::CallerGone => false,
                     }
                 }
                 DispatchEvent::End(end) if !self.is_own(&end) => {
-                    let detail = "the end of another request's answer came";
+                    let detail = "received the end of another request's answer";
                     self.note_dropped(DropCause::Crossed, detail);
                     return DispatchOutcome::LinkLost {
                         surely_not_sent: false,
@@ -404,7 +407,7 @@
         }
     }
 
-    /// True if an attempt's end is about this request's own charge.
+    /// True if an attempt's end belongs to this request's own charge.
     fn is_own(&self, end: &DispatchEnd) -> bool {
         let charge = match end {
             DispatchEnd::Whole { charge, .. } => Some(charge),
@@ -414,7 +417,7 @@
         charge.is_none_or(|charge| charge.charge == self.reserved.charge)
     }
 
-    /// Counts and logs an answer, or a part of one, that is thrown away.
+    /// Counts and logs an answer, or a part of one, that is discarded.
     fn note_dropped(&self, cause: DropCause, detail: &str) {
         self.state.metrics.dropped_answer(cause);
         let (request, attempt) = (self.order.request, self.attempt);
--- a/crates/sagespool-entry/src/run/cache_news.rs
+++ b/crates/sagespool-entry/src/run/cache_news.rs
@@ -1,10 +1,10 @@
-//! What sidecars tell of their engines' prompt caches.
+//! Reports of sidecars on their engines' prompt caches.
 
 use sagespool_messages::PrefixCacheUpdate;
 use sagespool_routing::{CacheEvent, CacheEventKind, UpstreamTable};
 use sagespool_types::{ClockTime, IncarnationId};
 
-/// Takes in what a sidecar told on the stream of a dispatch.
+/// Applies the cache changes that a sidecar reported on the stream of a dispatch.
 pub(super) fn take_cache_news(
     upstreams: &UpstreamTable,
     sidecar: IncarnationId,
--- a/crates/sagespool-entry/src/run/drive.rs
+++ b/crates/sagespool-entry/src/run/drive.rs
@@ -1,4 +1,4 @@
-//! The course of a run: reserve, then attempts, then the end is told to the home.
+//! The lifecycle of a run: reserve, make attempts, report the end to the home.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,16 +19,16 @@
 use super::{RequestOrder, homes};
 use crate::state::EntryState;
 
-/// Pieces that may wait for a slow caller before the upstream is slowed down.
+/// Pieces buffered for a slow caller before backpressure reaches the upstream.
 const ANSWER_BACKLOG: usize = 256;
-/// A grant may be refused by a sidecar that started after it was made; each further reservation
-/// comes from a newer grant, so more than a few in a row means something else is wrong.
+/// Reservations per request. A sidecar that started after a grant was made may refuse it; each
+/// further reservation comes from a newer grant, so more than a few in a row show another fault.
 const MOST_RESERVATIONS: u32 = 8;
 const PENDING_PAUSE: Duration = Duration::from_millis(20);
 
 /// How a run ended.
 pub(super) enum RunEnd {
-    /// The caller has its whole answer.
+    /// The caller has its complete answer.
     Whole {
         /// What is billed.
         billed: TokenCount,
@@ -37,7 +37,7 @@
     },
     /// The caller is refused.
     Refused {
-        /// Why, and whether it ran.
+        /// The reason, and whether the request ran.
         notice: RefusalNotice,
         /// What is billed.
         billed: TokenCount,
@@ -45,7 +45,7 @@
 }
 
 impl RunEnd {
-    /// A refusal of a request that used nothing.
+    /// A refusal of a request that used no tokens.
     pub(super) fn refused(
         reason: RefusalReason,
         run_state: RunState,
@@ -56,9 +56,10 @@
         Self::Refused { notice, billed: TokenCount::ZERO }
     }
 
-    /// The same end, where an earlier request with the same key may have run or run still. A caller
-    /// that is told `not-run` would send its letter under a new key, and it would go out twice. One
-    /// that used a key for something else before is told that this didn't run.
+    /// The same end with run state `unknown`, for a key whose earlier request may have run or may
+    /// still be running. A caller that receives `not-run` would send a non-idempotent request again
+    /// under a new key, and it would run twice. A refusal for a reused key keeps `not-run`: this
+    /// request did not run.
     fn unsure(mut self) -> Self {
         if let Self::Refused { notice, .. } = &mut self
             && notice.reason != RefusalReason::KeyReused
@@ -81,9 +82,9 @@
     }
 }
 
-/// Starts a request's run in the background and returns where its answer arrives. The run goes on
-/// when the receiver is dropped if the request has a key, since its caller may come back for the
-/// answer; otherwise it is cancelled.
+/// Starts a request's run in the background and returns the receiver of its answer. If the receiver
+/// is dropped, a run with a key continues, since the caller may retry for the answer; a run without
+/// one is cancelled.
 pub fn start_run(state: Arc<EntryState>, order: RequestOrder) -> AnswerReceiver {
     let (sender, receiver) = async_channel::bounded(ANSWER_BACKLOG);
     state.run_started();
@@ -95,7 +96,7 @@
             RunEnd::Whole { billed, stop } => AnswerEvent::Whole { billed, stop },
             RunEnd::Refused { notice, billed } => AnswerEvent::Refused { notice, billed },
         };
-        // A caller that went away takes no answer; nothing more can be done for it here.
+        // The caller may have disconnected.
         let _ = sender.send(event).await;
     })
     .detach();
@@ -153,8 +154,8 @@
     if key_taken { end.unsure() } else { end }
 }
 
-/// Reserves and runs until the caller has an end. `key_taken` is set once the key turns out to be
-/// another request's, however it goes on from there.
+/// Reserves and runs until the request has ended. `key_taken` is set once the key turns out to
+/// belong to another request, even if the run continues.
 async fn run_admitted(
     state: &Arc<EntryState>,
     order: &RequestOrder,
@@ -168,7 +169,7 @@
             return RunEnd::refused(
                 RefusalReason::DeadlineExceeded,
                 RunState::NotRun,
-                "the deadline passed before it could run",
+                "the deadline passed before the request could run",
             );
         }
         let question = order.reserve_request(state.incarnation, now);
@@ -202,21 +203,21 @@
     RunEnd::refused(
         RefusalReason::BudgetUnreachable,
         RunState::NotRun,
-        "no grant of the branch was usable at any upstream",
+        "no upstream could use any of the branch's grants",
     )
 }
 
-/// How a paid request's run ended.
+/// Outcome of a reserved request's run.
 enum ReservedEnd {
-    /// The caller has its end.
+    /// The request has ended.
     Ended(RunEnd),
     /// It has to be reserved again.
     Again,
-    /// As well, and its key is another request's.
+    /// It has to be reserved again, and its key belongs to another request.
     KeyTaken,
 }
 
-/// Runs a paid request.
+/// Runs a reserved request and reports its end to the home.
 async fn run_reserved(
     state: &Arc<EntryState>,
     order: &RequestOrder,
--- a/crates/sagespool-entry/src/run/events.rs
+++ b/crates/sagespool-entry/src/run/events.rs
@@ -1,4 +1,4 @@
-//! What a run passes on to the caller's side.
+//! Events of an answer, from a run to the HTTP response.
 
 use async_channel::Receiver;
 use sagespool_messages::{FinishReason, HeaderPair, RefusalNotice};
@@ -16,26 +16,26 @@
     },
     /// A piece of the answer, each byte once and in order.
     Piece {
-        /// Tokens in it; 0 for a plain service.
+        /// Number of tokens; 0 for a plain service.
         tokens: u32,
         /// Its bytes.
         data: Vec<u8>,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     Whole {
-        /// What is billed.
+        /// Tokens billed.
         billed: TokenCount,
         /// Why it ended.
         stop: FinishReason,
     },
-    /// There is no whole answer.
+    /// There is no complete answer.
     Refused {
-        /// Why, and whether it ran.
+        /// The reason, and whether the request ran.
         notice: RefusalNotice,
-        /// What is billed all the same.
+        /// Tokens billed nevertheless.
         billed: TokenCount,
     },
 }
 
-/// Where the caller's side takes answers from.
+/// The channel from which the HTTP response reads the answer.
 pub type AnswerReceiver = Receiver<AnswerEvent>;
--- a/crates/sagespool-entry/src/run/homes.rs
+++ b/crates/sagespool-entry/src/run/homes.rs
@@ -1,4 +1,4 @@
-//! Asking a branch's home, which may be this entry or another.
+//! Client of a branch's home, which is this entry or another.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,11 +14,11 @@
 use crate::home;
 use crate::state::EntryState;
 
-/// How often the end of a request is told to a home that doesn't answer. After that the sidecar's
-/// report tells it, which goes on until it is durable.
+/// How often the end of a request is sent to a home that does not reply. After that the sidecar's
+/// charge report, which repeats until it is durable, delivers it.
 const FINISH_TRIES: u32 = 4;
-/// A home that is paused or cut off is told for about half a minute; after that the reservation is
-/// overdue there, and the home looks into it by itself.
+/// How often an abandon notice is sent to an unresponsive home: for about half a minute. After that
+/// the reservation is overdue there, and the home resolves it by itself.
 const ABANDON_TRIES: u32 = 30;
 const ABANDON_PAUSE: Duration = Duration::from_secs(1);
 const FINISH_LIMIT: Duration = Duration::from_secs(2);
@@ -28,8 +28,8 @@
     (home.incarnation != state.incarnation).then_some(home)
 }
 
-/// Asks the branch's home to reserve. A home that can't be reached is replaced by this entry: two
-/// homes for a branch cost a second grant, never correctness, since each spends its own grants.
+/// Reserves at the branch's home. If that is unreachable, this entry acts as the home: two homes
+/// for a branch cost a second grant but are always correct, since each spends only its own grants.
 pub(super) async fn reserve(
     state: &Arc<EntryState>,
     order: &ReserveRequest,
@@ -58,7 +58,7 @@
     }
 }
 
-/// Tells a home that didn't answer that its reservation, if it made one, is not used.
+/// Notifies a home that did not reply that its reservation, if it made one, is not used.
 async fn abandon(state: Arc<EntryState>, other: MemberInfo, order: ReserveRequest) {
     let (request, branch, key) = (order.request, order.branch, order.key);
     let notice = PeerRequest::Abandon(AbandonNotice { request, branch, key });
@@ -73,7 +73,7 @@
     }
 }
 
-/// Asks whoever reserved for the request to place the claim.
+/// Places the claim at the home that made the reservation.
 pub(super) async fn claim(
     state: &Arc<EntryState>,
     reserved_at: Option<SocketAddr>,
@@ -89,7 +89,7 @@
     }
 }
 
-/// Tells whoever reserved how the request ended.
+/// Reports the end of the request to the home that made the reservation.
 pub(super) async fn finish(
     state: &EntryState,
     reserved_at: Option<SocketAddr>,
--- a/crates/sagespool-entry/src/run/judge.rs
+++ b/crates/sagespool-entry/src/run/judge.rs
@@ -1,4 +1,4 @@
-//! What follows a dispatch: the end, or another attempt elsewhere.
+//! Decides the next step after a dispatch: the end, or another attempt.
 
 use std::time::Duration;
 
@@ -9,26 +9,28 @@
 
 use super::attempt::{AttemptEnd, AttemptRun, DispatchOutcome};
 
-/// Every request in flight at a crash is reported within this time. Only then are the suspects'
-/// ranks the same everywhere, so that none runs again beside the one that took the upstream down.
+/// Every request in flight at a crash is reported within this time. Only then do all entries
+/// compute the same ranks of suspects, so that none runs again beside the one that crashed the
+/// upstream.
 const SUSPECT_PAUSE: Duration = Duration::from_millis(150);
 
-/// What follows a dispatch.
+/// The next step after a dispatch.
 pub(super) enum Judgement {
-    /// Nothing more is tried.
+    /// No further attempt.
     Ended(AttemptEnd),
-    /// Another attempt, for this reason, within the retry budget.
+    /// Another attempt, for this reason, counted against the retry budget.
     TryElsewhere(String),
-    /// Another attempt, for this reason, since the process that had the request is gone.
+    /// Another attempt, for this reason, not counted against the retry budget, since the process
+    /// that had the request is gone.
     ///
-    /// The retry budget guards upstreams that fail because they have too much to do. One that went
-    /// down, or can't be reached, takes nothing more, and loses each request in flight once. Counted
-    /// against the budget, its neighbours' requests were refused when a poisonous one crashed it.
+    /// The retry budget protects upstreams that fail under overload. One that crashed or is
+    /// unreachable receives no more load, and loses each request in flight once. When these retries
+    /// counted, requests beside one that crashed the upstream were refused.
     RunAgain(String),
 }
 
 impl AttemptRun<'_> {
-    /// The refusal that is true of what this run knows.
+    /// Ends the run with a refusal whose run state reflects the attempts so far.
     pub(super) fn give_up(&mut self, reason: RefusalReason, message: String) -> AttemptEnd {
         let run_state = match (&self.ran, self.maybe_ran) {
             (None, false) => RunState::NotRun,
@@ -42,7 +44,7 @@
         AttemptEnd::Refused { notice, ran: self.ran.take() }
     }
 
-    /// Decides what follows a dispatch's outcome.
+    /// Decides the next step after a dispatch.
     pub(super) async fn judge(
         &mut self,
         placement: &UpstreamPlacement,
@@ -57,13 +59,13 @@
                 self.note_end(placement, AttemptOutcome::Cancelled);
                 self.maybe_ran = true;
                 Judgement::Ended(
-                    self.give_up(RefusalReason::OutcomeUnknown, "the caller went away".into()),
+                    self.give_up(RefusalReason::OutcomeUnknown, "the caller disconnected".into()),
                 )
             }
             DispatchOutcome::TimedOut => {
                 self.note_end(placement, AttemptOutcome::Failed);
                 self.maybe_ran = true;
-                let message = "the deadline passed while it ran".into();
+                let message = "the deadline passed while the request was running".into();
                 Judgement::Ended(self.give_up(RefusalReason::DeadlineExceeded, message))
             }
         }
@@ -86,7 +88,7 @@
                     detail = detail
                 );
                 if self.ran.is_some() || self.maybe_ran {
-                    // Something may have run under this charge, so it can't be given back.
+                    // Something may have run under this charge, so it can't be returned.
                     self.tried.push(placement.sidecar);
                     return Judgement::TryElsewhere(detail);
                 }
@@ -99,7 +101,7 @@
             DispatchEnd::Cancelled { ran } => {
                 self.note_end(placement, AttemptOutcome::Cancelled);
                 self.keep_ran(ran);
-                let message = "it was stopped at its deadline, or cancelled".into();
+                let message = "the request was stopped at its deadline or cancelled".into();
                 Judgement::Ended(self.give_up(RefusalReason::DeadlineExceeded, message))
             }
         }
@@ -126,7 +128,7 @@
             return Judgement::Ended(self.give_up(notice.reason, notice.message));
         }
         if notice.run_state == RunState::Unknown {
-            // The sidecar knows of a run under this charge or key: nothing may be given back for it.
+            // The sidecar has a run under this charge or key, so nothing may be returned for it.
             return Judgement::Ended(AttemptEnd::Unsure { notice });
         }
         Judgement::Ended(AttemptEnd::Refused { notice, ran: None })
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Tells the routing table how an attempt ended; its first token was told when it came.
+    /// Reports an attempt's end to the routing table. Its first token was reported when it arrived.
     fn note_end(&self, placement: &UpstreamPlacement, outcome: AttemptOutcome) {
         let tokens = TokenCount(u64::from(self.passage.tokens()));
         let result = AttemptResult { first_token: None, tokens, outcome };
@@ -164,11 +166,11 @@
             smol::Timer::after(SUSPECT_PAUSE).await;
         }
         if self.state.crashes.is_stopped(self.order.content) {
-            let message = "the request took its upstream down more than once and is stopped";
+            let message = "the request crashed its upstream more than once and is quarantined";
             return Judgement::Ended(self.give_up(RefusalReason::Quarantined, message.into()));
         }
         if did_run && self.order.non_idempotent {
-            let message = format!("the upstream failed after it may have run: {detail}");
+            let message = format!("the upstream failed after the request may have run: {detail}");
             return Judgement::Ended(self.give_up(RefusalReason::OutcomeUnknown, message));
         }
         self.tried.push(placement.sidecar);
@@ -188,8 +190,8 @@
         crate::home::spread_crash(self.state, &report).await;
     }
 
-    /// The link to the sidecar broke. What isn't sure not to have arrived may be running; a request
-    /// that may never run twice isn't tried elsewhere then.
+    /// Handles a failed link to the sidecar. Unless the request certainly did not arrive, it may be
+    /// running, and a non-idempotent request is not retried.
     async fn judge_loss(
         &mut self,
         placement: &UpstreamPlacement,
@@ -203,7 +205,8 @@
         }
         self.maybe_ran = true;
         if self.order.non_idempotent {
-            let message = format!("the way to the upstream broke after it may have run: {detail}");
+            let message =
+                format!("the link to the upstream failed after the request may have run: {detail}");
             return Judgement::Ended(self.give_up(RefusalReason::OutcomeUnknown, message));
         }
         Judgement::RunAgain(detail)
--- a/crates/sagespool-entry/src/run/mod.rs
+++ b/crates/sagespool-entry/src/run/mod.rs
@@ -1,4 +1,5 @@
-//! One request's run: paid by the branch's home, tried at upstreams, its answer passed on.
+//! One request's run: reserved at the branch's home, attempted at upstreams, its answer forwarded
+//! to the caller.
 
 mod admission;
 mod attach;
--- a/crates/sagespool-entry/src/run/order.rs
+++ b/crates/sagespool-entry/src/run/order.rs
@@ -1,4 +1,4 @@
-//! What is to be run, as checked at the door.
+//! A validated request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,12 +10,12 @@
     ServiceName, TokenCount,
 };
 
-/// A caller's request, checked and ready to run.
+/// A caller's validated request, ready to run.
 #[derive(Debug, Clone, Builder)]
 pub struct RequestOrder {
-    /// The request.
+    /// The request's id.
     pub request: RequestId,
-    /// The branch that pays.
+    /// The branch that is charged.
     pub branch: BranchName,
     /// The service that runs it.
     pub service: ServiceName,
@@ -25,19 +25,19 @@
     pub priority: u8,
     /// The caller's idempotency key.
     pub key: Option<KeyDigest>,
-    /// What it asks for.
+    /// Digest of the requested content.
     pub content: ContentDigest,
-    /// True if it may never run twice.
+    /// True if it must not run twice.
     pub non_idempotent: bool,
-    /// The greatest possible cost.
+    /// The maximum cost.
     pub amount: TokenCount,
-    /// When it was taken in.
+    /// When it arrived.
     pub arrived: ClockTime,
     /// When it must be answered.
     pub deadline: ClockTime,
-    /// What to call.
+    /// The completion or service call to make.
     pub target: CallTarget,
-    /// The body.
+    /// The request body.
     pub body: Arc<Vec<u8>>,
     /// The key of engines' prompt caches.
     pub prefix: Option<u128>,
@@ -49,7 +49,7 @@
         self.deadline.since(now)
     }
 
-    /// The question to the branch's home.
+    /// The reserve request for the branch's home.
     pub fn reserve_request(&self, entry: IncarnationId, now: ClockTime) -> ReserveRequest {
         ReserveRequest {
             request: self.request,
--- a/crates/sagespool-entry/src/run/passage.rs
+++ b/crates/sagespool-entry/src/run/passage.rs
@@ -1,29 +1,29 @@
-//! Passing an answer on: each token and byte once, in order, over several attempts.
+//! Forwards an answer to the caller: each token and byte once and in order, across attempts.
 
 use async_channel::Sender;
 use sagespool_messages::{HeaderPair, ResumePoint};
 
 use super::AnswerEvent;
 
-/// What became of a piece.
+/// The result of forwarding a piece.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PieceTaken {
-    /// The caller has it.
+    /// Sent to the caller.
     Passed,
-    /// The caller had it all before.
+    /// The caller already has all of it.
     Repeated,
-    /// It lies beyond what the caller has: something is missing between.
+    /// It begins after the end of what was sent: a part in between is missing.
     Gap,
-    /// The caller is gone.
+    /// The caller has disconnected.
     CallerGone,
 }
 
-/// What the caller has of the answer so far.
+/// The part of the answer that was sent to the caller.
 pub(super) struct AnswerPassage<'a> {
     answers: &'a Sender<AnswerEvent>,
     tokens: u32,
     text: Vec<u8>,
-    /// Bytes of a plain service's answer.
+    /// Number of bytes of a plain service's answer.
     bytes: u32,
     head_sent: bool,
 }
@@ -33,12 +33,12 @@
         Self { answers, tokens: 0, text: Vec::new(), bytes: 0, head_sent: false }
     }
 
-    /// Tokens that the caller has.
+    /// Number of tokens sent to the caller.
     pub(super) fn tokens(&self) -> u32 {
         self.tokens
     }
 
-    /// Where another attempt goes on.
+    /// The point at which another attempt resumes.
     pub(super) fn resume_point(&self) -> Option<ResumePoint> {
         (self.tokens > 0).then(|| ResumePoint {
             tokens: self.tokens,
@@ -46,7 +46,7 @@
         })
     }
 
-    /// Passes a plain service's head on, once. False if the caller is gone.
+    /// Sends a plain service's status and headers once. Returns false if the caller is gone.
     pub(super) async fn take_head(&mut self, status: u16, headers: Vec<HeaderPair>) -> bool {
         if self.head_sent {
             return true;
@@ -55,8 +55,8 @@
         self.answers.send(AnswerEvent::Head { status, headers }).await.is_ok()
     }
 
-    /// Passes on what the caller doesn't have yet. A resumed or repeated attempt may start at or
-    /// before the point reached; a piece beyond it would leave a hole in the answer.
+    /// Sends the part of a piece that the caller does not have yet. A resumed or repeated attempt
+    /// may start at or before the point reached; a piece that starts after it would leave a gap.
     pub(super) async fn take_piece(&mut self, at: u32, tokens: u32, data: Vec<u8>) -> PieceTaken {
         let data = match tokens {
             0 => self.new_bytes(at, data),
@@ -77,7 +77,7 @@
         if end <= self.tokens {
             return Ok(Vec::new());
         }
-        // A piece of several tokens can't be cut inside; sidecars send one token a piece.
+        // A piece of several tokens can't be split; sidecars send one token per piece.
         if at != self.tokens {
             return Err(PieceTaken::Gap);
         }
--- a/crates/sagespool-entry/tests/passed_headers.rs
+++ b/crates/sagespool-entry/tests/passed_headers.rs
@@ -1,4 +1,4 @@
-//! What of a caller's headers reaches a plain service.
+//! Which of a caller's headers are forwarded to a plain service.
 
 #![allow(clippy::unwrap_used)]
 
@@ -57,9 +57,9 @@
 
 #[test]
 fn method_overrides() {
-    // A caller sends a letter as `GET` with a header that makes the service take it for a `POST`.
-    // The entry sees a call that may run twice, and after a broken connection tries it at another
-    // upstream: the letter goes out twice. The header must not reach the service.
+    // Guards against a non-idempotent request running twice: a caller sends it as `GET` with a
+    // header that makes the service handle it as a `POST`. The entry takes it for idempotent and
+    // retries it at another upstream after a broken connection.
     let overrides = [
         ("x-http-method-override", "POST"),
         ("X-HTTP-Method", "POST"),
