--- a/crates/sagespool-entry/src/operator.rs
+++ b/crates/sagespool-entry/src/operator.rs
@@ -1,16 +1,17 @@
-//! Operators' requests over HTTP.
+//! HTTP interface for operators.
 //!
-//! `POST /operator/line` takes one line of the operators' language. Queries are put together from what
-//! members say and the store holds; commands are recorded in the store before anything is done, so that
-//! one given again, through whichever entry, is done once. See `docs/design/OPERATIONS.md`.
+//! `POST /operator/line` accepts one line of the operators' language. Queries combine the members'
+//! replies with the store's state. Commands are recorded in the store before they are executed, so
+//! that one that is repeated, through whichever entry, is executed once. See
+//! `docs/design/OPERATIONS.md`.
 
 mod access;
-mod ask;
+mod active;
 mod basis;
 mod command;
 mod configuration;
-mod desk;
 mod edit;
+mod execute;
 mod fleet;
 mod history;
 mod leave;
@@ -18,13 +19,13 @@
 mod order_send;
 mod order_target;
 mod orders;
-mod perform;
 mod prune;
 mod record;
 mod run;
 mod spend;
-mod store;
-mod tokens;
+mod status_query;
+mod store_change;
+mod store_items;
 
 use std::sync::Arc;
 
@@ -38,12 +39,12 @@
 
 use crate::state::EntryState;
 use access::{check_operator, read_request};
-use basis::BasisDraft;
+use basis::BasisBuilder;
 
-pub(crate) use desk::OperatorDesk;
+pub(crate) use active::CommandRegistry;
 pub(crate) use leave::leave;
 
-/// Why a request of an operator isn't answered.
+/// The refusal of an operator's request.
 #[derive(Debug, Clone, PartialEq)]
 struct OperatorRefusal {
     status: Status,
@@ -67,8 +68,8 @@
     }
 }
 
-/// An answer before it says what it rests on.
-type DraftedAnswer = (AnswerBody, BasisDraft);
+/// An answer and the builder of its basis.
+type AnswerWithBasis = (AnswerBody, BasisBuilder);
 
 /// Answers an operator's request.
 pub(crate) async fn route(state: Arc<EntryState>, mut conn: Conn) -> Conn {
@@ -96,25 +97,27 @@
         .halt()
 }
 
-/// The answer, and whether it is wanted as JSON.
+/// The answer, and whether JSON is requested.
 async fn answer(
     state: &Arc<EntryState>,
     conn: &mut Conn,
 ) -> Result<(OperatorAnswer, bool), OperatorRefusal> {
     if conn.path() != LINE_PATH {
-        let message = format!("nothing is served at {}", conn.path());
+        let message = format!("no such path: {}", conn.path());
         let help = format!("POST {LINE_PATH}; see docs/OPERATORS.md");
         return Err(OperatorRefusal::new(Status::NotFound, "unknown-path", message, help));
     }
     let operator = check_operator(state, conn).inspect_err(|_| state.metrics.rejected_caller())?;
     let request = read_request(conn).await?;
     let line = parse_line(&request.line)?;
-    let (answer, draft) = match line {
-        OperatorLine::Query(query) => ask_query(state, &request.line, query).await?,
-        OperatorLine::Command(wish) => command::give(state, &operator, &request, wish).await?,
+    let (answer, basis) = match line {
+        OperatorLine::Query(query) => answer_query(state, &request.line, query).await?,
+        OperatorLine::Command(parsed) => {
+            command::submit(state, &operator, &request, parsed).await?
+        }
     };
     log_answer(&operator, &request, &answer);
-    let answer = OperatorAnswer { basis: draft.finish(state), answer };
+    let answer = OperatorAnswer { basis: basis.finish(state), answer };
     Ok((answer, request.json.unwrap_or(true)))
 }
 
@@ -131,11 +134,11 @@
     }
 }
 
-async fn ask_query(
+async fn answer_query(
     state: &Arc<EntryState>,
     line: &str,
     query: OperatorQuery,
-) -> Result<DraftedAnswer, OperatorRefusal> {
+) -> Result<AnswerWithBasis, OperatorRefusal> {
     match query {
         OperatorQuery::Spend { branches } => spend::answer(state, line, &branches).await,
         OperatorQuery::Running { branch } => fleet::running(state, line, branch).await,
@@ -150,17 +153,17 @@
         OperatorQuery::Commands => Ok(record::list(state).await),
         OperatorQuery::Command { command } => record::show(state, line, command).await,
         OperatorQuery::Help { word } => {
-            Ok((AnswerBody::Help(HelpAnswer::about(word.as_deref())), BasisDraft::begin()))
+            Ok((AnswerBody::Help(HelpAnswer::about(word.as_deref())), BasisBuilder::new()))
         }
     }
 }
 
-/// Whether a branch is known to the configuration in force here; true as well while there is none.
+/// Whether the configuration in force here has a branch; also true while there is none.
 fn is_known(state: &EntryState, branch: &BranchName) -> bool {
     state.config.current().is_none_or(|config| config.branch(branch).is_some())
 }
 
-/// A fault that points at an unknown branch in the line, with the one that may have been meant.
+/// An error that marks an unknown branch in the line and suggests the nearest name.
 fn unknown_branch(state: &EntryState, line: &str, branch: &BranchName) -> OperatorRefusal {
     let config = state.config.current();
     let names: Vec<&str> =
--- a/crates/sagespool-entry/src/operator/desk.rs
+++ b/crates/sagespool-entry/src/operator/active.rs
@@ -1,4 +1,4 @@
-//! The commands that this entry carries out now.
+//! Registry of the commands that run on this entry.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,7 +9,7 @@
 use sagespool_operations::CommandRecord;
 use sagespool_types::{ClockTime, CommandId};
 
-/// A command that this entry carries out.
+/// A command that runs on this entry.
 #[derive(Debug)]
 pub(super) struct ActiveCommand {
     record: Mutex<CommandRecord>,
@@ -18,18 +18,18 @@
 }
 
 impl ActiveCommand {
-    /// The command as this entry knows it.
+    /// A copy of the newest record.
     pub fn record(&self) -> CommandRecord {
         self.record.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Shows what has become of it.
-    pub fn show(&self, record: &CommandRecord) {
+    /// Publishes a newer record.
+    pub fn publish(&self, record: &CommandRecord) {
         *self.record.lock().unwrap_or_else(PoisonError::into_inner) = record.clone();
         self.changed.notify(usize::MAX);
     }
 
-    /// Resolves when this entry does no more about it, at the latest at a time.
+    /// Resolves when this entry has stopped executing the command, or at the deadline.
     pub async fn ended(&self, deadline: ClockTime) {
         let waited = async {
             loop {
@@ -41,27 +41,27 @@
             }
         };
         let left = deadline.since(ClockTime::now());
-        let late = async {
+        let timeout = async {
             smol::Timer::after(left).await;
         };
-        waited.or(late).await;
+        waited.or(timeout).await;
     }
 }
 
-/// The commands that this entry carries out now.
+/// The commands that run on this entry, by id.
 #[derive(Debug, Default)]
-pub(crate) struct OperatorDesk {
+pub(crate) struct CommandRegistry {
     active: Mutex<HashMap<CommandId, Arc<ActiveCommand>>>,
 }
 
-impl OperatorDesk {
-    /// A command that is being carried out here.
+impl CommandRegistry {
+    /// A command that runs on this entry.
     pub(super) fn find(&self, command: CommandId) -> Option<Arc<ActiveCommand>> {
         self.active.lock().unwrap_or_else(PoisonError::into_inner).get(&command).cloned()
     }
 
-    /// Takes a command up; nothing if it is being carried out here already. Two requests with one id
-    /// that come at the same time must not both begin.
+    /// Registers a command; None if it already runs here, so that two concurrent requests with one
+    /// id can't both start it.
     pub(super) fn begin(&self, record: &CommandRecord) -> Option<Arc<ActiveCommand>> {
         let mut active = self.active.lock().unwrap_or_else(PoisonError::into_inner);
         if active.contains_key(&record.command) {
@@ -76,7 +76,7 @@
         Some(command)
     }
 
-    /// Does no more about a command.
+    /// Removes a command and notifies its waiters.
     pub(super) fn end(&self, command: CommandId) {
         let active = self.active.lock().unwrap_or_else(PoisonError::into_inner).remove(&command);
         if let Some(active) = active {
--- a/crates/sagespool-entry/src/operator/basis.rs
+++ b/crates/sagespool-entry/src/operator/basis.rs
@@ -1,14 +1,14 @@
-//! Gathering what an answer rests on.
+//! Builder of an answer's basis: the members and the store revision it was made from.
 
 use sagespool_operations::{AnswerBasis, MemberLabel, SilentMember, StoreBasis};
 use sagespool_platform::StoreError;
 use sagespool_types::{StoreRevision, WallTime};
 
-use super::ask::MemberReplies;
+use super::status_query::MemberReplies;
 use crate::state::EntryState;
 
-/// What an answer rests on, while it is put together.
-pub(super) struct BasisDraft {
+/// Collects an answer's basis while the answer is built.
+pub(super) struct BasisBuilder {
     from: WallTime,
     store: StoreBasis,
     answered: Vec<MemberLabel>,
@@ -16,9 +16,9 @@
     notes: Vec<String>,
 }
 
-impl BasisDraft {
-    /// Nothing asked yet.
-    pub fn begin() -> Self {
+impl BasisBuilder {
+    /// An empty basis that starts now.
+    pub fn new() -> Self {
         Self {
             from: WallTime::now(),
             store: StoreBasis::NotAsked,
@@ -28,27 +28,27 @@
         }
     }
 
-    /// The store is about to be read. A revision that it has told before is one that the coming read
-    /// can't be older than.
-    pub fn store_stands_at(&mut self, revision: StoreRevision) {
+    /// Notes that the store is about to be read. `revision` was seen before, so the coming read
+    /// can't be older.
+    pub fn note_store_read(&mut self, revision: StoreRevision) {
         if matches!(self.store, StoreBasis::NotAsked) {
             self.store = StoreBasis::Read { revision };
         }
     }
 
-    /// The store couldn't be read.
-    pub fn store_silent(&mut self, error: &StoreError) {
+    /// Notes a failed read of the store.
+    pub fn note_store_error(&mut self, error: &StoreError) {
         self.store = StoreBasis::Silent { why: error.to_string() };
     }
 
-    /// Takes in a round of questions about state.
-    pub fn take_replies(&mut self, replies: &MemberReplies) {
-        self.take_round(replies.answered(), &replies.silent);
+    /// Adds a round of status queries.
+    pub fn add_replies(&mut self, replies: &MemberReplies) {
+        self.add_round(replies.answered(), &replies.silent);
     }
 
-    /// Takes in who answered a round of questions and who didn't. A member counts as having answered
-    /// only if it answered every round.
-    pub fn take_round(
+    /// Adds the members that replied to a round of queries and those that did not. A member counts
+    /// as answered only if it replied in every round.
+    pub fn add_round(
         &mut self,
         answered: impl Iterator<Item = MemberLabel>,
         silent: &[SilentMember],
@@ -70,12 +70,12 @@
         self.silent.iter().any(|silent| silent.member == *member)
     }
 
-    /// Adds what a reader has to know of the figures.
+    /// Adds a remark on how to read the figures.
     pub fn note(&mut self, note: impl Into<String>) {
         self.notes.push(note.into());
     }
 
-    /// What the answer rests on.
+    /// Finishes the basis.
     pub fn finish(mut self, state: &EntryState) -> AnswerBasis {
         self.answered.sort();
         self.silent.sort_by(|a, b| a.member.cmp(&b.member));
--- a/crates/sagespool-entry/src/operator/configuration.rs
+++ b/crates/sagespool-entry/src/operator/configuration.rs
@@ -1,4 +1,4 @@
-//! `configuration`: the store's objects, and where they are in force.
+//! `configuration`: the objects in the store, and where they are in force.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,28 +15,28 @@
 use sagespool_types::{ClockTime, ConfigVersion};
 use serde_json::Value;
 
-use super::ask::{MemberReplies, ask_members, known_members};
-use super::basis::BasisDraft;
-use super::{DraftedAnswer, OperatorRefusal, unknown_branch};
+use super::basis::BasisBuilder;
+use super::status_query::{MemberReplies, known_members, query_members};
+use super::{AnswerWithBasis, OperatorRefusal, unknown_branch};
 use crate::state::EntryState;
 
-/// How long an accepted change is given to come into force everywhere before the answer names who isn't
-/// known to have it.
-const FORCE_WAIT: Duration = Duration::from_secs(2);
-const FORCE_STEP: Duration = Duration::from_millis(100);
+/// How long an accepted change may take to be in force everywhere before the answer lists the
+/// members that are not known to have it.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(2);
+const IN_FORCE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Answers `configuration`.
 pub(super) async fn answer(
     state: &Arc<EntryState>,
     line: &str,
     place: Option<&ConfigPlace>,
-) -> Result<DraftedAnswer, OperatorRefusal> {
-    let mut draft = BasisDraft::begin();
-    draft.store_stands_at(state.objects.seen_revision());
+) -> Result<AnswerWithBasis, OperatorRefusal> {
+    let mut basis = BasisBuilder::new();
+    basis.note_store_read(state.objects.seen_revision());
     let prefix = place.map_or_else(|| CONFIGURATION_PREFIX.to_owned(), object_of);
     let listing = state.objects.list::<Value>(&prefix).await;
     if let Err(error) = &listing {
-        draft.store_silent(error);
+        basis.note_store_error(error);
     }
     let config = state.config.current();
     let shown = match place {
@@ -46,12 +46,12 @@
     let objects = listing.ok().map(|listing| object_rows(&listing));
     let entry_version = config.map(|config| config.version());
     let wanted = wanted_versions(objects.as_deref(), entry_version);
-    let (members, replies) = ask_versions(state).await;
-    draft.take_replies(&replies);
-    draft.note("a member that didn't answer is shown with the version that it last told");
+    let (members, replies) = query_versions(state).await;
+    basis.add_replies(&replies);
+    basis.note("a member that did not answer is shown with the version that it last reported");
     let in_force = in_force(wanted, &members);
     let answer = ConfigurationAnswer { entry_version, objects, in_force, shown };
-    Ok((AnswerBody::Configuration(answer), draft))
+    Ok((AnswerBody::Configuration(answer), basis))
 }
 
 fn object_of(place: &ConfigPlace) -> String {
@@ -76,7 +76,7 @@
     (branches + lists.iter().sum::<usize>()) as u64
 }
 
-/// What members have to have in force: entries everything, sidecars the classes and services.
+/// The versions that members need: entries the newest object, sidecars only the fleet object.
 fn wanted_versions(
     objects: Option<&[ConfigObjectRow]>,
     entry_version: Option<ConfigVersion>,
@@ -91,7 +91,8 @@
     }
 }
 
-/// One part of the configuration, from the store; from what is in force here while the store is away.
+/// One part of the configuration: from the store, or from the configuration in force here while the
+/// store is unreachable.
 fn show_place(
     state: &EntryState,
     line: &str,
@@ -155,10 +156,10 @@
     LineFault::at_word(line, &name, message, &known).into()
 }
 
-/// The members with the versions that they have now; with what they told last where they don't answer.
-async fn ask_versions(state: &Arc<EntryState>) -> (Vec<MemberInfo>, MemberReplies) {
+/// The members with their current versions, or the last reported ones of those that don't reply.
+async fn query_versions(state: &Arc<EntryState>) -> (Vec<MemberInfo>, MemberReplies) {
     let members = known_members(state, None);
-    let replies = ask_members(state, &members, &StatusQuery { branch: None, running: 0 }).await;
+    let replies = query_members(state, &members, &StatusQuery { branch: None, running: 0 }).await;
     (with_replies(members, &replies), replies)
 }
 
@@ -171,14 +172,14 @@
     members.into_iter().map(newest).collect()
 }
 
-/// Where an accepted change is in force, after giving it a little time: only those not known to have it
-/// are asked again.
-pub(super) async fn force_of(
+/// Where an accepted change is in force, after a bounded wait. Only members not known to have it
+/// are queried again.
+pub(super) async fn wait_in_force(
     state: &Arc<EntryState>,
     wanted: WantedVersions,
-    draft: &mut BasisDraft,
+    basis: &mut BasisBuilder,
 ) -> InForce {
-    let deadline = ClockTime::now().after(FORCE_WAIT);
+    let deadline = ClockTime::now().after(IN_FORCE_TIMEOUT);
     let query = StatusQuery { branch: None, running: 0 };
     loop {
         let mut members = known_members(state, None);
@@ -188,13 +189,13 @@
         };
         let asked: Vec<MemberInfo> =
             members.iter().filter(|info| not_known(info)).cloned().collect();
-        let replies = ask_members(state, &asked, &query).await;
+        let replies = query_members(state, &asked, &query).await;
         members = with_replies(members, &replies);
         let found = in_force(wanted, &members);
         if found.not_known().next().is_none() || ClockTime::now() >= deadline {
-            draft.take_replies(&replies);
+            basis.add_replies(&replies);
             return found;
         }
-        smol::Timer::after(FORCE_STEP).await;
+        smol::Timer::after(IN_FORCE_POLL_INTERVAL).await;
     }
 }
--- a/crates/sagespool-entry/src/operator/fleet.rs
+++ b/crates/sagespool-entry/src/operator/fleet.rs
@@ -13,38 +13,39 @@
 use sagespool_platform::StoreError;
 use sagespool_types::BranchName;
 
-use super::ask::{ask_members, known_members};
-use super::basis::BasisDraft;
-use super::{DraftedAnswer, OperatorRefusal, is_known, unknown_branch};
+use super::basis::BasisBuilder;
+use super::status_query::{known_members, query_members};
+use super::{AnswerWithBasis, OperatorRefusal, is_known, unknown_branch};
 use crate::state::EntryState;
 
-/// Requests that one sidecar lists; its answer stays far below a frame of the link.
-const MOST_LISTED: u32 = 2000;
+/// Number of requests that one sidecar lists; its reply stays far below the frame limit of the
+/// link.
+const MAX_LISTED_REQUESTS: u32 = 2000;
 
 const LOAD_NOTE: &str =
-    "running, waiting and tokens/s are as the upstream reported last, with a lag";
+    "running, waiting and tokens/s are the upstream's last report, which lags behind";
 
 /// Answers `running`.
 pub(super) async fn running(
     state: &Arc<EntryState>,
     line: &str,
     branch: Option<BranchName>,
-) -> Result<DraftedAnswer, OperatorRefusal> {
+) -> Result<AnswerWithBasis, OperatorRefusal> {
     if let Some(branch) = branch.as_ref().filter(|branch| !is_known(state, branch)) {
         return Err(unknown_branch(state, line, branch));
     }
-    let mut draft = BasisDraft::begin();
+    let mut basis = BasisBuilder::new();
     let sidecars = known_members(state, Some(MemberRole::Sidecar));
-    let query = StatusQuery { branch, running: MOST_LISTED };
-    let replies = ask_members(state, &sidecars, &query).await;
-    draft.take_replies(&replies);
-    draft.note("each sidecar speaks of its own moment; one that didn't answer may run more");
+    let query = StatusQuery { branch, running: MAX_LISTED_REQUESTS };
+    let replies = query_members(state, &sidecars, &query).await;
+    basis.add_replies(&replies);
+    basis.note("each sidecar reports its own point in time; one that did not answer may run more");
     let cut = replies.replies.iter().filter(|reply| reply.running_cut);
     let answer = RunningAnswer {
         rows: replies.replies.iter().flat_map(running_rows).collect(),
         cut: cut.map(|reply| reply.member.info.instance.clone()).collect(),
     };
-    Ok((AnswerBody::Running(answer), draft))
+    Ok((AnswerBody::Running(answer), basis))
 }
 
 fn running_rows(reply: &StatusReply) -> Vec<RunningRow> {
@@ -63,23 +64,23 @@
 }
 
 /// Answers `upstreams`.
-pub(super) async fn upstreams(state: &Arc<EntryState>) -> DraftedAnswer {
-    let mut draft = BasisDraft::begin();
+pub(super) async fn upstreams(state: &Arc<EntryState>) -> AnswerWithBasis {
+    let mut basis = BasisBuilder::new();
     let sidecars = known_members(state, Some(MemberRole::Sidecar));
-    let replies = ask_members(state, &sidecars, &StatusQuery { branch: None, running: 0 }).await;
-    draft.take_replies(&replies);
-    draft.note(LOAD_NOTE);
-    draft.store_stands_at(state.objects.seen_revision());
+    let replies = query_members(state, &sidecars, &StatusQuery { branch: None, running: 0 }).await;
+    basis.add_replies(&replies);
+    basis.note(LOAD_NOTE);
+    basis.note_store_read(state.objects.seen_revision());
     let fences = read_fences(state).await;
     if let Err(error) = &fences {
-        draft.store_silent(error);
+        basis.note_store_error(error);
     }
     let answered = replies.by_member();
     let rows = sidecars.iter().filter_map(|sidecar| {
         let reply = answered.get(&sidecar.incarnation).copied();
         upstream_row(sidecar, reply, fences.as_ref().ok())
     });
-    (AnswerBody::Upstreams(UpstreamsAnswer { rows: rows.collect() }), draft)
+    (AnswerBody::Upstreams(UpstreamsAnswer { rows: rows.collect() }), basis)
 }
 
 /// The newest order to each upstream.
@@ -91,7 +92,7 @@
     Ok(named.collect())
 }
 
-/// An upstream as its sidecar says now; as it said last where it doesn't answer.
+/// An upstream as its sidecar reports it now, or as last reported if the sidecar does not reply.
 fn upstream_row(
     sidecar: &MemberInfo,
     reply: Option<&StatusReply>,
@@ -107,7 +108,7 @@
         kind: served.kind,
         sidecar: MemberLabel::of(info),
         centre: info.centre.clone(),
-        // The instance list may know that it leaves before its sidecar does.
+        // The instance list may show it as leaving before its sidecar does.
         state: upstream_state(info, served, reply.is_some(), drain_ordered, sidecar.leaving),
         in_flight: reply.map(|reply| reply.member.in_flight),
         running: served.load.running,
@@ -119,7 +120,7 @@
     })
 }
 
-/// A sidecar shows a drained upstream as not healthy; that it was ordered to is in the store.
+/// A sidecar reports a drained upstream as unhealthy; the drain order is in the store.
 fn upstream_state(
     info: &MemberInfo,
     served: &ServedUpstream,
@@ -137,18 +138,18 @@
 }
 
 /// Answers `members`.
-pub(super) async fn members(state: &Arc<EntryState>) -> DraftedAnswer {
-    let mut draft = BasisDraft::begin();
+pub(super) async fn members(state: &Arc<EntryState>) -> AnswerWithBasis {
+    let mut basis = BasisBuilder::new();
     let members = known_members(state, None);
-    let replies = ask_members(state, &members, &StatusQuery { branch: None, running: 0 }).await;
-    draft.take_replies(&replies);
-    draft.note("these are the processes that the answering entry knows");
+    let replies = query_members(state, &members, &StatusQuery { branch: None, running: 0 }).await;
+    basis.add_replies(&replies);
+    basis.note("these are the processes in the answering entry's view");
     let answered = replies.by_member();
     let rows = members.iter().map(|member| {
         let reply = answered.get(&member.incarnation).copied();
         member_row(reply.map_or(member, |reply| &reply.member.info), reply)
     });
-    (AnswerBody::Members(MembersAnswer { rows: rows.collect() }), draft)
+    (AnswerBody::Members(MembersAnswer { rows: rows.collect() }), basis)
 }
 
 fn member_row(info: &MemberInfo, reply: Option<&StatusReply>) -> MemberRow {
@@ -163,22 +164,22 @@
     }
 }
 
-/// Answers `quarantine`, from the store: a verdict holds once it is there.
-pub(super) async fn quarantine(state: &Arc<EntryState>) -> DraftedAnswer {
-    let mut draft = BasisDraft::begin();
-    draft.store_stands_at(state.objects.seen_revision());
+/// Answers `quarantine` from the store: a verdict is in force once it is there.
+pub(super) async fn quarantine(state: &Arc<EntryState>) -> AnswerWithBasis {
+    let mut basis = BasisBuilder::new();
+    basis.note_store_read(state.objects.seen_revision());
     let rows = match state.objects.get::<QuarantineRecord>(QUARANTINE_KEY).await {
         Ok(stored) => {
             let record = stored.map(|stored| stored.value).unwrap_or_default();
             Some(quarantine_rows(&record))
         }
         Err(error) => {
-            draft.store_silent(&error);
+            basis.note_store_error(&error);
             None
         }
     };
-    draft.note("a request is stopped at some entries a moment before its verdict is in the store");
-    (AnswerBody::Quarantine(QuarantineAnswer { rows }), draft)
+    basis.note("some entries refuse a request shortly before its verdict is in the store");
+    (AnswerBody::Quarantine(QuarantineAnswer { rows }), basis)
 }
 
 fn quarantine_rows(record: &QuarantineRecord) -> Vec<QuarantineRow> {
--- a/crates/sagespool-entry/src/operator/history.rs
+++ b/crates/sagespool-entry/src/operator/history.rs
@@ -1,4 +1,4 @@
-//! `request` and `key`: what the store's claims and the sidecars know.
+//! `request` and `key`: what the claims in the store and the sidecars hold on them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,23 +13,23 @@
 use sagespool_platform::StoreError;
 use sagespool_types::{BranchName, KeyDigest, RequestId};
 
-use super::DraftedAnswer;
-use super::ask::{MemberReplies, ask_members, known_members};
-use super::basis::BasisDraft;
+use super::AnswerWithBasis;
+use super::basis::BasisBuilder;
+use super::status_query::{MemberReplies, known_members, query_members};
 use crate::state::EntryState;
 
-const MOST_LISTED: u32 = 5000;
-const ASK_LIMIT: Duration = Duration::from_secs(1);
+const MAX_LISTED_REQUESTS: u32 = 5000;
+const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Answers `request`.
-pub(super) async fn of_request(state: &Arc<EntryState>, request: RequestId) -> DraftedAnswer {
-    let mut draft = BasisDraft::begin();
+pub(super) async fn of_request(state: &Arc<EntryState>, request: RequestId) -> AnswerWithBasis {
+    let mut basis = BasisBuilder::new();
     let sidecars = known_members(state, Some(MemberRole::Sidecar));
-    let query = StatusQuery { branch: None, running: MOST_LISTED };
-    let replies = ask_members(state, &sidecars, &query).await;
-    draft.take_replies(&replies);
+    let query = StatusQuery { branch: None, running: MAX_LISTED_REQUESTS };
+    let replies = query_members(state, &sidecars, &query).await;
+    basis.add_replies(&replies);
     let mut notes = running_notes(&replies, request);
-    draft.store_stands_at(state.objects.seen_revision());
+    basis.note_store_read(state.objects.seen_revision());
     let claims = claims_of(state, request).await;
     let mut key = None;
     match &claims {
@@ -37,7 +37,7 @@
             key = found.first().map(|(key, _)| *key);
             notes.extend(found.iter().map(|(_, note)| note.clone()));
         }
-        Err(error) => draft.store_silent(error),
+        Err(error) => basis.note_store_error(error),
     }
     let is_cut = replies.replies.iter().any(|reply| reply.running_cut);
     let complete = replies.silent.is_empty() && claims.is_ok() && !is_cut;
@@ -47,7 +47,7 @@
         conclusion: conclude_request(&notes, complete),
         notes,
     };
-    (AnswerBody::History(answer), draft)
+    (AnswerBody::History(answer), basis)
 }
 
 fn running_notes(replies: &MemberReplies, request: RequestId) -> Vec<HistoryNote> {
@@ -101,14 +101,14 @@
     let text = match (runs, notes.is_empty(), complete) {
         (true, ..) => "it runs now",
         (false, false, true) => {
-            "it runs at no sidecar that this entry knows; whether it ran to its end, `key` may tell, and \
-             the processes' logs (request=ID)"
+            "it runs at no sidecar that this entry knows; `key` and the processes' logs (request=ID) may show \
+             whether it ran to its end"
         }
         (false, true, true) => {
             "it runs at no sidecar that this entry knows, and no claim of the last half hour names it; \
-             whether it ran before isn't kept beside the processes' logs (request=ID)"
+             only the processes' logs (request=ID) show whether it ran before"
         }
-        (false, _, false) => "it may run at a sidecar that didn't answer or listed only a part",
+        (false, _, false) => "it may run at a sidecar that did not answer or listed only a part",
     };
     text.to_owned()
 }
@@ -118,30 +118,30 @@
     state: &Arc<EntryState>,
     branch: &BranchName,
     key: &str,
-) -> DraftedAnswer {
-    let mut draft = BasisDraft::begin();
+) -> AnswerWithBasis {
+    let mut basis = BasisBuilder::new();
     let digest = KeyDigest::of(branch, key);
-    draft.store_stands_at(state.objects.seen_revision());
+    basis.note_store_read(state.objects.seen_revision());
     let stored = state.objects.get::<ClaimsRecord>(&claim_key(claim_shard(digest))).await;
     let mut notes = Vec::new();
     match &stored {
         Ok(stored) => {
             notes.extend(stored.iter().filter_map(|stored| claimed(&stored.value, digest)))
         }
-        Err(error) => draft.store_silent(error),
+        Err(error) => basis.note_store_error(error),
     }
     let sidecars = known_members(state, Some(MemberRole::Sidecar));
-    let words = ask_key(state, &sidecars, digest).await;
-    notes.extend(words.notes);
-    let complete = words.silent.is_empty() && stored.is_ok();
-    draft.take_round(words.answered.into_iter(), &words.silent);
+    let replies = query_key(state, &sidecars, digest).await;
+    notes.extend(replies.notes);
+    let complete = replies.silent.is_empty() && stored.is_ok();
+    basis.add_round(replies.answered.into_iter(), &replies.silent);
     let answer = HistoryAnswer {
         about: format!("key {key} of {branch}"),
         key: Some(digest),
         conclusion: conclude_key(&notes, complete),
         notes,
     };
-    (AnswerBody::History(answer), draft)
+    (AnswerBody::History(answer), basis)
 }
 
 fn claimed(record: &ClaimsRecord, key: KeyDigest) -> Option<HistoryNote> {
@@ -152,51 +152,52 @@
     record.is_claimed(key).then_some(HistoryNote { source: HistorySource::Store, fact })
 }
 
-/// What sidecars said of a key.
+/// Sidecars' replies on a key.
 #[derive(Default)]
-struct KeyWords {
+struct KeyReplies {
     notes: Vec<HistoryNote>,
     answered: Vec<MemberLabel>,
     silent: Vec<SilentMember>,
 }
 
-/// Asks every sidecar, without a fence: a question must not bar a request.
-async fn ask_key(state: &Arc<EntryState>, sidecars: &[MemberInfo], key: KeyDigest) -> KeyWords {
-    let asked = sidecars.iter().cloned().map(|sidecar| {
+/// Queries every sidecar, without a fence: a query must not block a request.
+async fn query_key(state: &Arc<EntryState>, sidecars: &[MemberInfo], key: KeyDigest) -> KeyReplies {
+    let tasks = sidecars.iter().cloned().map(|sidecar| {
         let state = Arc::clone(state);
-        smol::spawn(async move { (ask_sidecar(&state, &sidecar, key).await, sidecar) })
+        smol::spawn(async move { (query_sidecar(&state, &sidecar, key).await, sidecar) })
     });
-    let asked: Vec<_> = asked.collect();
-    let mut words = KeyWords::default();
-    for asking in asked {
-        let (answer, sidecar) = asking.await;
+    let tasks: Vec<_> = tasks.collect();
+    let mut replies = KeyReplies::default();
+    for task in tasks {
+        let (answer, sidecar) = task.await;
         let member = MemberLabel::of(&sidecar);
         match answer {
             Ok(known) => {
                 let source = HistorySource::Sidecar(sidecar.instance.clone());
                 let fact = known.and_then(key_fact);
-                words.notes.extend(fact.map(|fact| HistoryNote { source, fact }));
-                words.answered.push(member);
+                replies.notes.extend(fact.map(|fact| HistoryNote { source, fact }));
+                replies.answered.push(member);
             }
-            Err(why) => words.silent.push(SilentMember { member, why }),
+            Err(why) => replies.silent.push(SilentMember { member, why }),
         }
     }
-    words
+    replies
 }
 
-async fn ask_sidecar(
+async fn query_sidecar(
     state: &EntryState,
     sidecar: &MemberInfo,
     key: KeyDigest,
 ) -> Result<Option<KeyState>, String> {
     let Some(served) = &sidecar.serves else {
-        return Err("it hasn't told yet what it serves".to_owned());
+        return Err("it has not reported yet what it serves".to_owned());
     };
-    let question = KeyRequest { service: served.service.clone(), key, fence: None };
-    let reply = state.link().ask(sidecar.address, &PeerRequest::FindKey(question), ASK_LIMIT).await;
+    let key_request = KeyRequest { service: served.service.clone(), key, fence: None };
+    let reply =
+        state.link().ask(sidecar.address, &PeerRequest::FindKey(key_request), QUERY_TIMEOUT).await;
     match reply {
         Ok(PeerReply::Key(reply)) if reply.sidecar == sidecar.incarnation => Ok(reply.known),
-        Ok(_) => Err("another run of it answers".to_owned()),
+        Ok(_) => Err("another incarnation replied".to_owned()),
         Err(error) => Err(error.to_string()),
     }
 }
@@ -213,17 +214,17 @@
 fn conclude_key(notes: &[HistoryNote], complete: bool) -> String {
     let has_answer = notes.iter().any(|note| matches!(note.fact, HistoryFact::AnswerHere { .. }));
     let text = match (has_answer, notes.is_empty(), complete) {
-        (true, ..) => "a caller who sends the key again is given that request's answer",
+        (true, ..) => "a caller that sends the key again receives that request's answer",
         (false, false, _) => {
-            "the key was used, and no sidecar that answered has its answer: a caller who sends it again \
-             is told that the outcome is unknown, unless one that didn't answer has it"
+            "the key was used, and no sidecar that answered has its answer: a caller that sends it again \
+             is refused with an unknown outcome, unless a sidecar that did not answer has it"
         }
         (false, true, true) => {
-            "when they were asked, no claim was in the store and no sidecar that this entry knows \
-             remembered the key: a request that may never run twice had not run under it within the \
-             retention of keys; another may have run where it is forgotten"
+            "when they were queried, the store had no claim and no sidecar that this entry knows had the \
+             key: no non-idempotent request had run under it within the retention of keys; an idempotent \
+             one may have run and been dropped"
         }
-        (false, true, false) => "nothing is known of it here; who didn't answer may know it",
+        (false, true, false) => "nothing was found; a process that did not answer may have it",
     };
     text.to_owned()
 }
--- a/crates/sagespool-entry/src/operator/leave.rs
+++ b/crates/sagespool-entry/src/operator/leave.rs
@@ -1,4 +1,4 @@
-//! `stop`: telling a process to stop gracefully, and being told.
+//! `stop`: requesting a graceful stop of a process, and handling such a request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,27 +9,29 @@
 use sagespool_operations::{ItemOutcome, OutcomeState, nearest_of};
 use sagespool_types::{ClockTime, CommandId, InstanceName};
 
-use super::ask::known_members;
+use super::status_query::known_members;
 use crate::state::EntryState;
 
-const ASK_LIMIT: Duration = Duration::from_secs(1);
-/// For all tries together.
-const TRY_LIMIT: Duration = Duration::from_secs(5);
-const TRY_PAUSE: Duration = Duration::from_millis(200);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Total time for all tries.
+const STOP_TIMEOUT: Duration = Duration::from_secs(5);
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// An operator stops this process. The daemon waits for it and begins the graceful stop; what this
-/// process is asked from now on shows it as leaving.
+/// Handles an operator's stop request for this process. The daemon waits for it and begins the
+/// graceful stop; from now on replies show this process as leaving.
 pub(crate) fn leave(state: &EntryState, request: &LeaveRequest) -> PeerReply {
     if request.incarnation != state.incarnation {
-        return PeerReply::Unsupported("another run of this process is meant".to_owned());
+        return PeerReply::Unsupported(
+            "the request is for another incarnation of this process".to_owned(),
+        );
     }
     log_event!(info, "stop-ordered", command = request.command);
     state.leave();
     PeerReply::Done
 }
 
-/// Tells an instance's process to stop. The message names the run of the process that is meant, so that
-/// it can be sent again and again without stopping its successor.
+/// Requests a graceful stop of an instance's process. The request names the incarnation, so that
+/// repeating it can't stop the next one.
 pub(super) async fn stop(
     state: &Arc<EntryState>,
     command: CommandId,
@@ -46,55 +48,56 @@
     let request = LeaveRequest { command, incarnation: member.incarnation };
     if member.incarnation == state.incarnation {
         leave(state, &request);
-        return told(&member);
+        return stop_accepted(&member);
     }
-    ask_to_leave(state, &member, request).await
+    request_leave(state, &member, request).await
 }
 
-async fn ask_to_leave(
+async fn request_leave(
     state: &EntryState,
     member: &MemberInfo,
     request: LeaveRequest,
 ) -> ItemOutcome {
-    let deadline = ClockTime::now().after(TRY_LIMIT);
+    let deadline = ClockTime::now().after(STOP_TIMEOUT);
     let request = PeerRequest::Leave(request);
-    let mut may_have_got_it = false;
+    let mut may_have_arrived = false;
     loop {
-        let error = match state.link().ask(member.address, &request, ASK_LIMIT).await {
-            Ok(PeerReply::Done) => return told(member),
+        let error = match state.link().ask(member.address, &request, CALL_TIMEOUT).await {
+            Ok(PeerReply::Done) => return stop_accepted(member),
             Ok(_) => {
-                let message = "another run of the process answers; it was not told to stop";
+                let message = "another incarnation of the process replied; it was not stopped";
                 return ItemOutcome::new(OutcomeState::Failed, message);
             }
             Err(error) => error,
         };
-        may_have_got_it |= !error.surely_not_sent();
+        may_have_arrived |= !error.surely_not_sent();
         if ClockTime::now() >= deadline {
-            return not_told(&error, may_have_got_it);
+            return stop_failure(&error, may_have_arrived);
         }
-        smol::Timer::after(TRY_PAUSE).await;
+        smol::Timer::after(RETRY_PAUSE).await;
     }
 }
 
-fn told(member: &MemberInfo) -> ItemOutcome {
+fn stop_accepted(member: &MemberInfo) -> ItemOutcome {
     let message = format!(
-        "{} {} takes nothing new and ends when what it runs has ended; `members` shows its requests in \
-         flight",
+        "{} {} accepts nothing new and ends when its running requests have ended; `members` shows its requests \
+         in flight",
         member.role, member.instance
     );
     ItemOutcome::new(OutcomeState::Done, message)
 }
 
-fn not_told(error: &LinkError, may_have_got_it: bool) -> ItemOutcome {
-    if may_have_got_it {
-        let message =
-            format!("it may have been told to stop: {error}; `members` shows whether it leaves");
+fn stop_failure(error: &LinkError, may_have_arrived: bool) -> ItemOutcome {
+    if may_have_arrived {
+        let message = format!(
+            "the stop request may have arrived: {error}; `members` shows whether it is leaving"
+        );
         return ItemOutcome::new(OutcomeState::Unknown, message);
     }
-    ItemOutcome::new(OutcomeState::Failed, format!("it was not told to stop: {error}"))
+    ItemOutcome::new(OutcomeState::Failed, format!("the stop request was not delivered: {error}"))
 }
 
-/// The newest run of an instance's process.
+/// The newest incarnation of an instance.
 fn find_instance(
     state: &EntryState,
     instance: &InstanceName,
@@ -105,7 +108,7 @@
         return Ok(member.clone());
     }
     let names: Vec<&str> = members.iter().map(|member| member.instance.as_str()).collect();
-    let message = format!("this entry knows no instance `{instance}`");
+    let message = format!("there is no instance `{instance}` in this entry's view of the fleet");
     let outcome = ItemOutcome::builder()
         .state(OutcomeState::Refused)
         .message(message)
--- a/crates/sagespool-entry/src/operator/order_target.rs
+++ b/crates/sagespool-entry/src/operator/order_target.rs
@@ -1,19 +1,19 @@
-//! Which upstream an order is for.
+//! Resolving the target upstream of an order.
 
 use sagespool_messages::{EngineOrder, MemberInfo, MemberRole, UpstreamKind};
 use sagespool_operations::{ItemOutcome, OutcomeState, nearest_of};
 use sagespool_types::{ModelName, UpstreamName};
 
-use super::ask::known_members;
+use super::status_query::known_members;
 use crate::state::EntryState;
 
-/// The upstream that an order is for, and the sidecar beside it.
+/// An order's upstream and the sidecar beside it.
 pub(super) struct OrderTarget {
     pub upstream: UpstreamName,
     pub sidecar: MemberInfo,
 }
 
-/// Finds the upstream of a name, or for a drain also the one beside the instance of that name.
+/// Finds an upstream by its name, or for a drain also by the name of its sidecar's instance.
 pub(super) fn find_target(
     state: &EntryState,
     name: &str,
@@ -28,13 +28,12 @@
         let upstream = served.upstream.clone();
         is_meant.then_some(OrderTarget { upstream, sidecar: sidecar.clone() })
     });
-    // Of several runs of a sidecar the newest is the one that is there.
+    // Of several incarnations of a sidecar the newest is current.
     if let Some(target) = named.max_by_key(|target| target.sidecar.number) {
         return Ok(target);
     }
     if members.iter().any(|member| member.instance.as_str() == name) {
-        let message =
-            format!("`{name}` has no upstream to give orders to; an entry can be stopped");
+        let message = format!("`{name}` has no upstream for orders; an entry can be stopped");
         return Err(Box::new(ItemOutcome::new(OutcomeState::Refused, message)));
     }
     Err(Box::new(unknown_target(&members, name)))
@@ -45,7 +44,7 @@
     let names: Vec<&str> = upstreams.map(|served| served.upstream.as_str()).collect();
     ItemOutcome::builder()
         .state(OutcomeState::Refused)
-        .message(format!("this entry knows no upstream `{name}`"))
+        .message(format!("there is no upstream `{name}` in this entry's view of the fleet"))
         .maybe_nearest(nearest_of(name, &names))
         .build()
 }
@@ -54,14 +53,16 @@
     matches!(order, EngineOrder::Drain(_))
 }
 
-/// An order that the upstream can't take. A model that the configuration doesn't have for the upstream's service would be served to nobody.
-pub(super) fn unfit_order(
+/// The refusal of an order that does not fit the upstream. A model that the configuration does not
+/// assign to the upstream's service would receive no requests.
+pub(super) fn check_order(
     state: &EntryState,
     target: &OrderTarget,
     order: &EngineOrder,
 ) -> Option<ItemOutcome> {
     if target.sidecar.serves.as_ref()?.kind == UpstreamKind::Service && !is_drain(order) {
-        let message = format!("`{}` is a plain service and takes no such order", target.upstream);
+        let message =
+            format!("`{}` is a plain service and does not accept this order", target.upstream);
         return Some(ItemOutcome::new(OutcomeState::Refused, message));
     }
     let model: &ModelName = match order {
--- a/crates/sagespool-entry/src/operator/prune.rs
+++ b/crates/sagespool-entry/src/operator/prune.rs
@@ -1,4 +1,4 @@
-//! Forgetting old commands.
+//! Pruning of old command records.
 
 use sagespool_log::log_event;
 use sagespool_operations::{
@@ -9,15 +9,15 @@
 
 use crate::state::EntryState;
 
-/// Commands that are kept.
+/// Number of command records that are kept.
 const COMMANDS_KEPT: usize = 256;
-/// One command in so many leads to a look at how many are kept.
-const LOOK_EVERY: u128 = 16;
-const UPDATE_LIMIT: std::time::Duration = std::time::Duration::from_secs(5);
+/// One command in this many triggers a check of the number of records.
+const COMMANDS_PER_PRUNE: u128 = 16;
+const UPDATE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
 
-/// Forgets the oldest commands, once in a while.
-pub(super) async fn prune_now_and_then(state: &EntryState, command: CommandId) {
-    if !command.0.is_multiple_of(LOOK_EVERY) {
+/// Deletes the oldest command records, after one command in [`COMMANDS_PER_PRUNE`].
+pub(super) async fn prune_if_due(state: &EntryState, command: CommandId) {
+    if !command.0.is_multiple_of(COMMANDS_PER_PRUNE) {
         return;
     }
     if let Err(error) = prune(state).await {
@@ -25,7 +25,7 @@
     }
 }
 
-/// The floor first, then the records: see [`CommandFloor`].
+/// Raises the floor before it deletes records, see [`CommandFloor`].
 async fn prune(state: &EntryState) -> Result<(), StoreError> {
     let listing = state.objects.list::<CommandRecord>(COMMANDS_PREFIX).await?;
     let present = listing.items.iter().map(|(_, stored)| stored.value.command).collect();
@@ -36,7 +36,7 @@
         true => UpdateChoice::Write,
         false => UpdateChoice::Keep,
     };
-    update_object(&state.objects, COMMAND_FLOOR_KEY, UPDATE_LIMIT, raise).await?;
+    update_object(&state.objects, COMMAND_FLOOR_KEY, UPDATE_TIMEOUT, raise).await?;
     for (_, stored) in &listing.items {
         if plan.commands.contains(&stored.value.command) {
             let _ = state.objects.delete(&command_key(stored.value.command), stored.version).await;
--- a/crates/sagespool-entry/src/operator/record.rs
+++ b/crates/sagespool-entry/src/operator/record.rs
@@ -1,4 +1,4 @@
-//! The store's records of commands: reading them, and `commands` and `command`.
+//! Reading command records from the store; `commands` and `command`.
 
 use std::sync::Arc;
 
@@ -10,12 +10,12 @@
 use sagespool_types::CommandId;
 use trillium::Status;
 
-use super::basis::BasisDraft;
-use super::{DraftedAnswer, OperatorRefusal};
+use super::basis::BasisBuilder;
+use super::{AnswerWithBasis, OperatorRefusal};
 use crate::state::EntryState;
 
-/// Rows of `commands`.
-const MOST_ROWS: usize = 50;
+/// Maximum number of rows of `commands`.
+const MAX_ROWS: usize = 50;
 
 /// A command's record.
 pub(super) async fn read(
@@ -26,21 +26,21 @@
 }
 
 /// Answers `commands`.
-pub(super) async fn list(state: &Arc<EntryState>) -> DraftedAnswer {
-    let mut draft = BasisDraft::begin();
-    draft.store_stands_at(state.objects.seen_revision());
+pub(super) async fn list(state: &Arc<EntryState>) -> AnswerWithBasis {
+    let mut basis = BasisBuilder::new();
+    basis.note_store_read(state.objects.seen_revision());
     let rows = match state.objects.list::<CommandRecord>(COMMANDS_PREFIX).await {
         Ok(listing) => {
-            let records = listing.items.iter().rev().take(MOST_ROWS);
+            let records = listing.items.iter().rev().take(MAX_ROWS);
             Some(records.map(|(_, stored)| CommandSummary::of(&stored.value)).collect())
         }
         Err(error) => {
-            draft.store_silent(&error);
+            basis.note_store_error(&error);
             None
         }
     };
-    draft.note("the newest ids; older commands may be forgotten");
-    (AnswerBody::Commands(CommandsAnswer { rows }), draft)
+    basis.note("the newest ids; older commands may have been pruned");
+    (AnswerBody::Commands(CommandsAnswer { rows }), basis)
 }
 
 /// Answers `command`.
@@ -48,22 +48,21 @@
     state: &Arc<EntryState>,
     line: &str,
     command: CommandId,
-) -> Result<DraftedAnswer, OperatorRefusal> {
-    let mut draft = BasisDraft::begin();
-    draft.store_stands_at(state.objects.seen_revision());
+) -> Result<AnswerWithBasis, OperatorRefusal> {
+    let mut basis = BasisBuilder::new();
+    basis.note_store_read(state.objects.seen_revision());
     let stored = read(state, command).await.map_err(|error| unreachable(&error))?;
     let Some(stored) = stored else {
-        let message =
-            format!("no command {command} is recorded: it was never given, or is forgotten");
+        let message = format!("no command {command} is recorded: it was never sent or was pruned");
         return Err(LineFault::at_word(line, &command.to_string(), message, &[]).into());
     };
     let answer = CommandAnswer::of(&stored.value, true);
-    Ok((AnswerBody::Command(answer), draft))
+    Ok((AnswerBody::Command(answer), basis))
 }
 
-/// Nothing can be said without the store.
+/// The refusal if the store is unreachable.
 pub(super) fn unreachable(error: &StoreError) -> OperatorRefusal {
-    let message = format!("the store doesn't answer this entry: {error}");
-    let help = "ask another entry, or come back later";
+    let message = format!("the store is unreachable from this entry: {error}");
+    let help = "try another entry, or retry later";
     OperatorRefusal::new(Status::ServiceUnavailable, "store-unreachable", message, help)
 }
--- a/crates/sagespool-entry/src/operator/run.rs
+++ b/crates/sagespool-entry/src/operator/run.rs
@@ -1,8 +1,8 @@
-//! Carrying a recorded command out, item by item.
+//! Execution of a recorded command, item by item.
 //!
-//! The record's turn says who may. Whoever takes a command up raises it by a conditional update, and an
-//! executor that was only paused finds that before it changes anything more in the store: see
-//! [`CommandRun::state_in_store`] and [`super::store::change`].
+//! The turn in the record identifies the executor. A takeover raises the turn with a conditional
+//! update, and an executor that was only paused finds that before it changes anything more in the
+//! store: see [`CommandRun::read_state`] and [`super::store_change::change`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,51 +14,52 @@
 use sagespool_platform::StoreError;
 use sagespool_types::{ClockTime, StoreRevision};
 
-use super::desk::ActiveCommand;
-use super::{perform, prune, record};
+use super::active::ActiveCommand;
+use super::{execute, prune, record};
 use crate::state::EntryState;
 
-/// How long an outcome is tried to be recorded before the command is left to whoever gives it again.
-const SAVE_LIMIT: Duration = Duration::from_secs(20);
-const SAVE_PAUSE: Duration = Duration::from_millis(200);
+/// How long writing an outcome is retried before the command is left to the next entry that
+/// receives it.
+const SAVE_TIMEOUT: Duration = Duration::from_secs(20);
+const SAVE_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// A command that this entry carries out.
+/// A command that this entry executes.
 pub(super) struct CommandRun {
     pub state: Arc<EntryState>,
-    /// As this executor last wrote or read it.
+    /// The record as this executor last wrote or read it.
     pub record: CommandRecord,
     version: StoreRevision,
     active: Arc<ActiveCommand>,
 }
 
-/// What became of an item in the hands of this executor.
-pub(super) enum ItemEnd {
-    /// It has its outcome.
+/// The result of an item at this executor.
+pub(super) enum ItemResult {
+    /// The item has an outcome.
     Ended(ItemOutcome),
-    /// Another has taken the command up.
-    Relieved,
+    /// Another executor has taken the command over.
+    Superseded,
 }
 
-/// Whose a command is, by its record in the store.
+/// An executor's standing by the command's record in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum RunState {
-    /// This executor's.
-    Mine,
-    /// This executor's, and somebody wants it cancelled.
+pub(super) enum ExecutorState {
+    /// The command belongs to this executor.
+    Current,
+    /// It belongs to this executor, and its cancellation was requested.
     Cancelled,
-    /// Another has taken it up, or it is forgotten.
-    Others,
+    /// Another executor has taken it over, or it was pruned.
+    Superseded,
 }
 
-/// Whether the record is as this executor wants it.
+/// Result of writing the record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum SaveEnd {
+enum SaveOutcome {
     Saved,
-    Relieved,
-    StoreAway,
+    Superseded,
+    StoreUnreachable,
 }
 
-/// Carries a command out in a task of its own: an operator who goes away doesn't stop it.
+/// Executes a command in a separate task, which continues if the operator disconnects.
 pub(super) fn start(
     state: Arc<EntryState>,
     active: Arc<ActiveCommand>,
@@ -67,24 +68,24 @@
 ) {
     let mut run = CommandRun { state, record, version, active };
     smol::spawn(async move {
-        let end = run.carry_out().await;
+        let end = run.execute().await;
         let command = run.record.command;
-        run.active.show(&run.record);
-        run.state.operator.end(command);
-        if end == SaveEnd::StoreAway {
-            log_event!(warn, "command-left", command = command, cause = "the store is away");
+        run.active.publish(&run.record);
+        run.state.commands.end(command);
+        if end == SaveOutcome::StoreUnreachable {
+            log_event!(warn, "command-left", command = command, cause = "store unreachable");
         }
         if run.record.state() == CommandState::Ended {
-            prune::prune_now_and_then(&run.state, command).await;
+            prune::prune_if_due(&run.state, command).await;
         }
     })
     .detach();
 }
 
 impl CommandRun {
-    async fn carry_out(&mut self) -> SaveEnd {
+    async fn execute(&mut self) -> SaveOutcome {
         let admitted = self.admit().await;
-        if admitted != SaveEnd::Saved {
+        if admitted != SaveOutcome::Saved {
             return admitted;
         }
         loop {
@@ -92,105 +93,106 @@
                 return self.save(CommandRecord::cancel_rest).await;
             }
             let Some(next) = self.record.next_item() else {
-                return SaveEnd::Saved;
+                return SaveOutcome::Saved;
             };
-            let outcome = match perform::perform(self, &next).await {
-                ItemEnd::Ended(outcome) => outcome,
-                ItemEnd::Relieved => return SaveEnd::Relieved,
+            let outcome = match execute::execute_item(self, &next).await {
+                ItemResult::Ended(outcome) => outcome,
+                ItemResult::Superseded => return SaveOutcome::Superseded,
             };
             let saved = self.save(|record| record.note(next.index, outcome.clone())).await;
-            if saved != SaveEnd::Saved {
+            if saved != SaveOutcome::Saved {
                 return saved;
             }
         }
     }
 
-    /// Makes sure that the id isn't one of a command that was done and forgotten.
+    /// Checks that the id does not belong to a command that was executed and pruned.
     ///
-    /// The floor is read after the record is in the store. Whoever forgets commands raises the floor
-    /// before it deletes one, so a record that could be made anew because the old one was deleted finds
-    /// the floor raised.
-    async fn admit(&mut self) -> SaveEnd {
+    /// The floor is read after the record is in the store. Pruning raises the floor before it
+    /// deletes a record, so a record that could be created again because the old one was deleted
+    /// finds the floor raised.
+    async fn admit(&mut self) -> SaveOutcome {
         if self.record.admitted {
-            return SaveEnd::Saved;
+            return SaveOutcome::Saved;
         }
-        let deadline = ClockTime::now().after(SAVE_LIMIT);
+        let deadline = ClockTime::now().after(SAVE_TIMEOUT);
         let floor = loop {
             match self.state.objects.get::<CommandFloor>(COMMAND_FLOOR_KEY).await {
                 Ok(stored) => break stored.map(|stored| stored.value).unwrap_or_default(),
-                Err(_) if ClockTime::now() >= deadline => return SaveEnd::StoreAway,
-                Err(_) => smol::Timer::after(SAVE_PAUSE).await,
+                Err(_) if ClockTime::now() >= deadline => return SaveOutcome::StoreUnreachable,
+                Err(_) => smol::Timer::after(SAVE_RETRY_PAUSE).await,
             };
         };
         if !floor.covers(self.record.command) {
-            return SaveEnd::Saved;
+            return SaveOutcome::Saved;
         }
         self.save(CommandRecord::refuse_forgotten).await
     }
 
-    /// Whether this executor still is the one that may carry the command out, and is to.
+    /// Whether the command still belongs to this executor and is not cancelled.
     ///
     /// # Errors
     /// If the record can't be read.
-    pub async fn state_in_store(&self) -> Result<RunState, StoreError> {
+    pub async fn read_state(&self) -> Result<ExecutorState, StoreError> {
         let stored = record::read(&self.state, self.record.command).await?;
         let own = stored.filter(|stored| stored.value.executor == self.record.executor);
         Ok(match own {
-            None => RunState::Others,
-            Some(stored) if stored.value.cancel.is_some() => RunState::Cancelled,
-            Some(_) => RunState::Mine,
+            None => ExecutorState::Superseded,
+            Some(stored) if stored.value.cancel.is_some() => ExecutorState::Cancelled,
+            Some(_) => ExecutorState::Current,
         })
     }
 
-    /// Brings a change into the record in the store; making it twice must be as making it once.
-    async fn save(&mut self, change: impl Fn(&mut CommandRecord)) -> SaveEnd {
-        let deadline = ClockTime::now().after(SAVE_LIMIT);
+    /// Writes a change to the record in the store. The change must be idempotent.
+    async fn save(&mut self, change: impl Fn(&mut CommandRecord)) -> SaveOutcome {
+        let deadline = ClockTime::now().after(SAVE_TIMEOUT);
         loop {
             let mut changed = self.record.clone();
             change(&mut changed);
             if changed == self.record {
-                return SaveEnd::Saved;
+                return SaveOutcome::Saved;
             }
             match self.write(&changed).await {
-                Ok(()) => return SaveEnd::Saved,
-                Err(SaveEnd::Saved) => {}
-                Err(SaveEnd::Relieved) => return SaveEnd::Relieved,
-                Err(SaveEnd::StoreAway) if ClockTime::now() >= deadline => {
-                    // The operator who waits is told what is known, though it isn't recorded.
+                Ok(()) => return SaveOutcome::Saved,
+                Err(SaveOutcome::Saved) => {}
+                Err(SaveOutcome::Superseded) => return SaveOutcome::Superseded,
+                Err(SaveOutcome::StoreUnreachable) if ClockTime::now() >= deadline => {
+                    // The waiting operator receives the known outcome, though it is not recorded.
                     self.record = changed;
-                    return SaveEnd::StoreAway;
+                    return SaveOutcome::StoreUnreachable;
                 }
-                Err(SaveEnd::StoreAway) => {
-                    smol::Timer::after(SAVE_PAUSE).await;
+                Err(SaveOutcome::StoreUnreachable) => {
+                    smol::Timer::after(SAVE_RETRY_PAUSE).await;
                 }
             }
         }
     }
 
-    /// One try; the error says whether the record was read anew, is another's, or is out of reach.
-    async fn write(&mut self, changed: &CommandRecord) -> Result<(), SaveEnd> {
+    /// One try. The error shows whether the record was read again, belongs to another executor, or
+    /// is unreachable.
+    async fn write(&mut self, changed: &CommandRecord) -> Result<(), SaveOutcome> {
         let key = command_key(self.record.command);
         match self.state.objects.put(&key, self.version, changed).await {
             Ok(version) => {
                 self.version = version;
                 self.record = changed.clone();
-                self.active.show(&self.record);
+                self.active.publish(&self.record);
                 Ok(())
             }
-            Err(StoreError::Conflict { .. } | StoreError::Uncertain) => Err(self.read_anew().await),
-            Err(_) => Err(SaveEnd::StoreAway),
+            Err(StoreError::Conflict { .. } | StoreError::Uncertain) => Err(self.reload().await),
+            Err(_) => Err(SaveOutcome::StoreUnreachable),
         }
     }
 
-    async fn read_anew(&mut self) -> SaveEnd {
+    async fn reload(&mut self) -> SaveOutcome {
         match record::read(&self.state, self.record.command).await {
-            Err(_) => SaveEnd::StoreAway,
+            Err(_) => SaveOutcome::StoreUnreachable,
             Ok(Some(stored)) if stored.value.executor == self.record.executor => {
                 self.record = stored.value;
                 self.version = stored.version;
-                SaveEnd::Saved
+                SaveOutcome::Saved
             }
-            Ok(_) => SaveEnd::Relieved,
+            Ok(_) => SaveOutcome::Superseded,
         }
     }
 }
--- a/crates/sagespool-entry/src/operator/spend.rs
+++ b/crates/sagespool-entry/src/operator/spend.rs
@@ -1,4 +1,4 @@
-//! `spend`: holders' words, one read of each book, holders' words again.
+//! `spend`: query the holders, read each book once, and query the holders again.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,54 +12,54 @@
 use sagespool_platform::{StoreError, StoredObject};
 use sagespool_types::{BookNumber, BranchName, StoreRevision, TokenCount};
 
-use super::ask::{MemberReplies, ask_members, known_members};
-use super::basis::BasisDraft;
-use super::{DraftedAnswer, OperatorRefusal, is_known, unknown_branch};
+use super::basis::BasisBuilder;
+use super::status_query::{MemberReplies, known_members, query_members};
+use super::{AnswerWithBasis, OperatorRefusal, is_known, unknown_branch};
 use crate::state::EntryState;
 
-/// Rows of an answer to which no branch was named.
-const MOST_ROWS: usize = 1000;
+/// Maximum number of rows.
+const MAX_ROWS: usize = 1000;
 
-const MOMENT_NOTE: &str = "each row is true of the moment at which its book was read; `running` of just \
+const READ_TIME_NOTE: &str = "each row is valid at the time at which its book was read; `running` just \
                            after it";
 
 type BookRead = Result<StoredObject<BookRecord>, StoreError>;
 
 /// Answers `spend`.
 ///
-/// The order of the three steps is what makes the bounds true, see [`SpendEstimate`]: what a holder had
-/// used before the read it had surely used at the read, and what it has used and holds after the read is
-/// at least what it had used then.
+/// The order of the three steps makes the bounds valid, see [`SpendEstimate`]: what a holder had
+/// used before the read had certainly been used at the read, and what it has used and holds after
+/// the read is at least what it had used then.
 pub(super) async fn answer(
     state: &Arc<EntryState>,
     line: &str,
     branches: &[BranchName],
-) -> Result<DraftedAnswer, OperatorRefusal> {
-    let mut draft = BasisDraft::begin();
+) -> Result<AnswerWithBasis, OperatorRefusal> {
+    let mut basis = BasisBuilder::new();
     let entries = known_members(state, Some(MemberRole::Entry));
     let only = if let [branch] = branches { Some(branch.clone()) } else { None };
     let query = StatusQuery { branch: only, running: 0 };
-    let before = ask_members(state, &entries, &query).await;
-    draft.store_stands_at(state.objects.seen_revision());
+    let before = query_members(state, &entries, &query).await;
+    basis.note_store_read(state.objects.seen_revision());
     let books = read_books(state, branches).await;
-    let after = ask_members(state, &entries, &query).await;
-    draft.take_replies(&before);
-    draft.take_replies(&after);
+    let after = query_members(state, &entries, &query).await;
+    basis.add_replies(&before);
+    basis.add_replies(&after);
     for error in books.values().filter_map(|read| read.as_ref().err()) {
-        draft.store_silent(error);
+        basis.note_store_error(error);
     }
-    draft.note(MOMENT_NOTE);
+    basis.note(READ_TIME_NOTE);
     let wanted = wanted_branches(state, line, branches, &books)?;
-    let left_out = wanted.len().saturating_sub(MOST_ROWS);
-    let rows = wanted.iter().take(MOST_ROWS).map(|branch| {
+    let left_out = wanted.len().saturating_sub(MAX_ROWS);
+    let rows = wanted.iter().take(MAX_ROWS).map(|branch| {
         let read = &books[&book_of(branch)];
         row(branch, read.as_ref().ok(), &before, &after)
     });
     let answer = SpendAnswer { rows: rows.collect(), left_out: left_out as u64 };
-    Ok((AnswerBody::Spend(answer), draft))
+    Ok((AnswerBody::Spend(answer), basis))
 }
 
-/// Reads the branches' books, or all if none is named, at the same time.
+/// Reads the branches' books in parallel, or all books if no branch is named.
 async fn read_books(
     state: &Arc<EntryState>,
     branches: &[BranchName],
@@ -80,7 +80,7 @@
     books
 }
 
-/// A book that isn't there has no account yet: nothing was ever paid in.
+/// Reads a book. One that does not exist has no accounts yet.
 async fn read_book(state: &EntryState, book: BookNumber) -> BookRead {
     let stored = state.objects.get::<BookRecord>(&book_key(book)).await?;
     let empty = || StoredObject { version: StoreRevision::ZERO, value: BookRecord::default() };
@@ -137,26 +137,26 @@
         }),
         running: estimate.reserved,
         spent: estimate.spent,
-        in_doubt_grants: doubted_grants(&book.value, branch),
+        in_doubt_grants: grants_in_doubt(&book.value, branch),
     }
 }
 
-fn row_without_book(branch: &BranchName, words: &HolderWords) -> SpendRow {
+fn row_without_book(branch: &BranchName, replies: &HolderWords) -> SpendRow {
     SpendRow {
         branch: branch.clone(),
         book: None,
         running: TokenRange::at_least(TokenCount::ZERO),
-        spent: SpendEstimate::without_book(words),
+        spent: SpendEstimate::without_book(replies),
         in_doubt_grants: Vec::new(),
     }
 }
 
-fn doubted_grants(book: &BookRecord, branch: &BranchName) -> Vec<DoubtedGrant> {
+fn grants_in_doubt(book: &BookRecord, branch: &BranchName) -> Vec<DoubtedGrant> {
     let grants = book.branches.get(branch).into_iter().flat_map(|account| &account.grants);
-    let doubted = grants.filter(|(_, record)| record.is_unaccounted());
-    let doubted = doubted.map(|(grant, record)| DoubtedGrant {
+    let in_doubt = grants.filter(|(_, record)| record.is_unaccounted());
+    let in_doubt = in_doubt.map(|(grant, record)| DoubtedGrant {
         grant: *grant,
         tokens: record.unsettled_amount().saturating_sub(record.known_use()),
     });
-    doubted.collect()
+    in_doubt.collect()
 }
--- a/crates/sagespool-entry/src/operator/ask.rs
+++ b/crates/sagespool-entry/src/operator/status_query.rs
@@ -1,4 +1,4 @@
-//! Asking members for their state.
+//! Status queries to members.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,12 +14,12 @@
 use crate::peers;
 use crate::state::EntryState;
 
-/// How long a member may take.
-const ASK_LIMIT: Duration = Duration::from_secs(1);
-/// Members asked at once.
-const MOST_AT_ONCE: usize = 64;
+/// Timeout of one member's reply.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of concurrent queries.
+const MAX_CONCURRENT_QUERIES: usize = 64;
 
-/// What members said in one round of questions.
+/// Members' replies to one round of queries.
 #[derive(Debug, Default)]
 pub(super) struct MemberReplies {
     pub replies: Vec<StatusReply>,
@@ -27,18 +27,18 @@
 }
 
 impl MemberReplies {
-    /// The members that answered.
+    /// The members that replied.
     pub fn answered(&self) -> impl Iterator<Item = MemberLabel> + '_ {
         self.replies.iter().map(|reply| MemberLabel::of(&reply.member.info))
     }
 
-    /// The answers by who gave them.
+    /// The replies by member.
     pub fn by_member(&self) -> HashMap<IncarnationId, &StatusReply> {
         self.replies.iter().map(|reply| (reply.from, reply)).collect()
     }
 }
 
-/// The members of a role that this entry knows; both roles if none is named.
+/// The members of a role in this entry's view; of both roles if it is None.
 pub(super) fn known_members(state: &EntryState, role: Option<MemberRole>) -> Vec<MemberInfo> {
     let mut members = state.members.members();
     members.retain(|member| role.is_none_or(|role| member.role == role));
@@ -46,34 +46,34 @@
     members
 }
 
-/// Asks members, all at the same time.
-pub(super) async fn ask_members(
+/// Queries members in parallel.
+pub(super) async fn query_members(
     state: &Arc<EntryState>,
     members: &[MemberInfo],
     query: &StatusQuery,
 ) -> MemberReplies {
-    let turns = Arc::new(Semaphore::new(MOST_AT_ONCE));
-    let asked = members.iter().map(|member| {
+    let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_QUERIES));
+    let tasks = members.iter().map(|member| {
         let (state, member, query) = (Arc::clone(state), member.clone(), query.clone());
-        let turns = Arc::clone(&turns);
+        let permits = Arc::clone(&permits);
         smol::spawn(async move {
-            let _turn = turns.acquire().await;
-            ask_member(&state, &member, &query).await
+            let _permit = permits.acquire().await;
+            query_member(&state, &member, &query).await
         })
     });
-    let asked: Vec<_> = asked.collect();
-    let mut answer = MemberReplies::default();
-    for asking in asked {
-        match asking.await {
-            Ok(reply) => answer.replies.push(reply),
-            Err(silent) => answer.silent.push(silent),
+    let tasks: Vec<_> = tasks.collect();
+    let mut result = MemberReplies::default();
+    for task in tasks {
+        match task.await {
+            Ok(reply) => result.replies.push(reply),
+            Err(silent) => result.silent.push(silent),
         }
     }
-    answer
+    result
 }
 
-/// Asks one member. The answer of another run of the process at the same address isn't its own.
-async fn ask_member(
+/// Queries one member. A reply of another incarnation at the same address does not count.
+async fn query_member(
     state: &EntryState,
     member: &MemberInfo,
     query: &StatusQuery,
@@ -83,10 +83,10 @@
         return Ok(peers::status(state, query));
     }
     let request = PeerRequest::Status(query.clone());
-    match state.link().ask(member.address, &request, ASK_LIMIT).await {
+    match state.link().ask(member.address, &request, QUERY_TIMEOUT).await {
         Ok(PeerReply::Status(reply)) if reply.from == member.incarnation => Ok(reply),
-        Ok(PeerReply::Status(_)) => Err(silent("another run of it answers".to_owned())),
-        Ok(_) => Err(silent("it answered something else".to_owned())),
+        Ok(PeerReply::Status(_)) => Err(silent("another incarnation replied".to_owned())),
+        Ok(_) => Err(silent("it sent a reply of another type".to_owned())),
         Err(error) => Err(silent(error.to_string())),
     }
 }
--- a/crates/sagespool-entry/src/operator/tokens.rs
+++ b/crates/sagespool-entry/src/operator/store_items.rs
@@ -1,4 +1,4 @@
-//! `top-up`, `release`, `lift` and `cancel`: one change of one object each.
+//! `top-up`, `release`, `lift` and `cancel`: items that change one object in the store.
 
 use sagespool_claims::{QUARANTINE_KEY, QuarantineRecord};
 use sagespool_ledger::{
@@ -12,49 +12,51 @@
     BranchName, ClockTime, CommandId, ContentDigest, GrantId, StoreRevision, TokenCount, WallTime,
 };
 
+use super::execute::to_item_result;
 use super::is_known;
-use super::perform::end_of;
-use super::run::{CommandRun, ItemEnd};
-use super::store::{ChangeEnd, ChangeMoment, ChangeStep, change, failed};
+use super::run::{CommandRun, ItemResult};
+use super::store_change::{ChangeContext, ChangeOutcome, ChangeStep, change, store_failure};
 
 fn outcome(state: OutcomeState, message: impl Into<String>) -> ItemOutcome {
     ItemOutcome::new(state, message)
 }
 
-/// Adds prepaid tokens. The book knows the command by its id, so that it adds them once however often
-/// the item is carried out.
+/// Adds prepaid tokens. The book records the command's id, so that repeated execution adds them
+/// once.
 pub(super) async fn top_up(
     run: &CommandRun,
     branch: &BranchName,
     tokens: TokenCount,
-    mark: Option<CommandId>,
+    account_mark: Option<CommandId>,
     begun: Option<StoreRevision>,
-) -> ItemEnd {
+) -> ItemResult {
     if let Some(refusal) = unknown_branch(run, branch).await {
-        return ItemEnd::Ended(refusal);
+        return ItemResult::Ended(refusal);
     }
     let command = run.record.command;
-    let decide = |moment: ChangeMoment<'_, BookRecord>| {
-        let mut book = moment.value.cloned().unwrap_or_default();
-        if moment.may_be_made && !tells_of(book.branches.get(branch), command, mark) {
-            return ChangeStep::Stop(outcome(OutcomeState::Unknown, TOO_MANY_SINCE));
+    let decide = |context: ChangeContext<'_, BookRecord>| {
+        let mut book = context.value.cloned().unwrap_or_default();
+        if context.may_have_applied
+            && !is_conclusive(book.branches.get(branch), command, account_mark)
+        {
+            return ChangeStep::Stop(outcome(OutcomeState::Unknown, TOP_UP_UNKNOWN));
         }
         match book.top_up(command, branch, tokens) {
             TopUpOutcome::Applied => ChangeStep::Write(book, topped_up(tokens)),
             TopUpOutcome::AlreadyApplied => ChangeStep::Stop(topped_up(tokens)),
             TopUpOutcome::OtherAmount { applied } => {
-                let message = format!("this command added {applied} before, not {tokens}");
+                let message = format!("this command already added {applied}, not {tokens}");
                 ChangeStep::Stop(outcome(OutcomeState::Refused, message))
             }
         }
     };
     let end = change(run, &book_key(book_of(branch)), begun, decide).await;
     observe_book(run, branch, &end);
-    end_of(end)
+    to_item_result(end)
 }
 
-const TOO_MANY_SINCE: &str = "whether it was applied before can't be told: too many later top-ups of the \
-                              branch have been. It was not applied now; `spend` shows what is prepaid";
+const TOP_UP_UNKNOWN: &str = "whether it was applied before is unknown: the branch has had too many later \
+                              top-ups. It was not applied now; `spend` shows the prepaid total";
 
 fn topped_up(tokens: TokenCount) -> ItemOutcome {
     ItemOutcome::builder()
@@ -64,28 +66,32 @@
         .build()
 }
 
-/// Whether an account can tell if a command was applied to it.
+/// Whether an account shows if a command was applied to it.
 ///
-/// It lists its newest commands only. It can tell if it lists the command; if it still lists the one
-/// that was its newest before the command was recorded, since the list is in order; and if its list is
-/// whole, which it is if it adds up to all that was prepaid.
-fn tells_of(account: Option<&BranchAccount>, command: CommandId, mark: Option<CommandId>) -> bool {
+/// The account lists its newest commands only. It is conclusive if it lists the command; if it
+/// still lists the command that was its newest before this one was recorded, since the list is in
+/// order; or if the list is complete, which is the case if its amounts add up to the prepaid total.
+fn is_conclusive(
+    account: Option<&BranchAccount>,
+    command: CommandId,
+    account_mark: Option<CommandId>,
+) -> bool {
     let Some(account) = account else { return true };
     let lists = |wanted: CommandId| account.commands.iter().any(|listed| listed.command == wanted);
     let listed: TokenCount = account.commands.iter().map(|applied| applied.amount).sum();
-    lists(command) || mark.is_some_and(lists) || listed == account.prepaid
+    lists(command) || account_mark.is_some_and(lists) || listed == account.prepaid
 }
 
-/// Lets this entry's own ledger see the book at once, and who waits for budget with it.
-fn observe_book<R>(run: &CommandRun, branch: &BranchName, end: &ChangeEnd<BookRecord, R>) {
-    if let ChangeEnd::Written { value, version, .. } = end {
+/// Applies the new book to this entry's ledger and notifies requests that wait for budget.
+fn observe_book<R>(run: &CommandRun, branch: &BranchName, end: &ChangeOutcome<BookRecord, R>) {
+    if let ChangeOutcome::Written { value, version, .. } = end {
         run.state.ledger.observe(book_of(branch), value, *version, ClockTime::now());
         run.state.budget_changed.notify(usize::MAX);
     }
 }
 
-/// Guards against a misspelt branch that gets an account nobody spends from. The configuration in force
-/// here may lag, so the store decides.
+/// Guards against a top-up of a misspelt branch, whose account would never be used. The
+/// configuration in force here may lag, so the store decides.
 async fn unknown_branch(run: &CommandRun, branch: &BranchName) -> Option<ItemOutcome> {
     let state = &run.state;
     if state.config.current().is_some() && is_known(state, branch) {
@@ -94,7 +100,7 @@
     let key = branch_object_key(branch_shard(branch));
     let object = match state.objects.get::<BranchObject>(&key).await {
         Ok(stored) => stored.map(|stored| stored.value).unwrap_or_default(),
-        Err(error) => return Some(failed(&error, false)),
+        Err(error) => return Some(store_failure(&error, false)),
     };
     if object.branches.contains_key(branch) {
         return None;
@@ -109,23 +115,24 @@
     Some(refusal.build())
 }
 
-/// Frees what is in doubt under a grant.
+/// Releases the amount in doubt under a grant.
 pub(super) async fn release(
     run: &CommandRun,
     branch: &BranchName,
     grant: &GrantId,
     begun: Option<StoreRevision>,
-) -> ItemEnd {
-    let decide = |moment: ChangeMoment<'_, BookRecord>| {
-        let mut book = moment.value.cloned().unwrap_or_default();
+) -> ItemResult {
+    let decide = |context: ChangeContext<'_, BookRecord>| {
+        let mut book = context.value.cloned().unwrap_or_default();
         match book.release(branch, grant) {
             ReleaseOutcome::Released(tokens) => ChangeStep::Write(book, released(tokens)),
             ReleaseOutcome::NotInDoubt => {
-                let message = "its holder, or its recovery, still accounts for the grant";
+                let message =
+                    "the grant is not in doubt: its holder or its recovery still accounts for it";
                 ChangeStep::Stop(outcome(OutcomeState::Refused, message))
             }
-            ReleaseOutcome::NoSuchGrant if moment.may_be_made => {
-                let message = "the grant is outstanding no more: released, or settled";
+            ReleaseOutcome::NoSuchGrant if context.may_have_applied => {
+                let message = "the grant is no longer outstanding: it was released or settled";
                 ChangeStep::Stop(outcome(OutcomeState::Already, message))
             }
             ReleaseOutcome::NoSuchGrant => {
@@ -136,87 +143,90 @@
     };
     let end = change(run, &book_key(book_of(branch)), begun, decide).await;
     observe_book(run, branch, &end);
-    end_of(end)
+    to_item_result(end)
 }
 
 fn released(tokens: TokenCount) -> ItemOutcome {
     ItemOutcome::builder()
         .state(OutcomeState::Done)
-        .message(format!("{tokens} tokens are free again"))
+        .message(format!("{tokens} tokens released"))
         .tokens(tokens)
         .build()
 }
 
-/// Lets a stopped content run again.
+/// Releases a quarantined content.
 pub(super) async fn lift(
     run: &CommandRun,
     content: ContentDigest,
     begun: Option<StoreRevision>,
-) -> ItemEnd {
-    let decide = |moment: ChangeMoment<'_, QuarantineRecord>| {
-        let mut record = moment.value.cloned().unwrap_or_default();
+) -> ItemResult {
+    let decide = |context: ChangeContext<'_, QuarantineRecord>| {
+        let mut record = context.value.cloned().unwrap_or_default();
         let Some(entry) = record.contents.get(&content) else {
-            let message = format!("{content} is not stopped");
+            let message = format!("{content} is not quarantined");
             return ChangeStep::Stop(outcome(OutcomeState::Refused, message));
         };
         if entry.lifted {
-            return ChangeStep::Stop(outcome(OutcomeState::Already, "it was let go before"));
+            return ChangeStep::Stop(outcome(
+                OutcomeState::Already,
+                "the quarantine was lifted before",
+            ));
         }
-        // Lifted by an earlier try, it may have been stopped anew, for crashes that nobody forgave.
-        if moment.may_be_made {
+        // If an earlier try lifted it, it may have been quarantined again for new crashes.
+        if context.may_have_applied {
             let message =
-                "it may have been let go and stopped again; `quarantine` shows since when";
+                "it may have been lifted and quarantined again; `quarantine` shows since when";
             return ChangeStep::Stop(outcome(OutcomeState::Unknown, message));
         }
         record.lift(content, WallTime::now());
-        let message = "it may run again; other entries hear of it within a second or two";
+        let message = "it may run again; other entries apply this within a second or two";
         ChangeStep::Write(record, outcome(OutcomeState::Done, message))
     };
     let end = change(run, QUARANTINE_KEY, begun, decide).await;
-    if let ChangeEnd::Written { value, .. } = &end {
+    if let ChangeOutcome::Written { value, .. } = &end {
         run.state.crashes.apply_record(value, ClockTime::now());
     }
-    end_of(end)
+    to_item_result(end)
 }
 
-/// Notes that a command is to begin no further item.
-pub(super) async fn cancel(run: &CommandRun, command: CommandId) -> ItemEnd {
+/// Marks a command as cancelled, so that it starts no further item.
+pub(super) async fn cancel(run: &CommandRun, command: CommandId) -> ItemResult {
     let note = CancelNote { command: run.record.command, at: WallTime::now() };
-    let decide = |moment: ChangeMoment<'_, CommandRecord>| {
-        let Some(record) = moment.value else {
-            let message = "no such command is recorded: it was never given, or is forgotten";
+    let decide = |context: ChangeContext<'_, CommandRecord>| {
+        let Some(record) = context.value else {
+            let message = "no such command is recorded: it was never sent or was pruned";
             return ChangeStep::Stop(outcome(OutcomeState::Refused, message));
         };
         let mut record = record.clone();
         match record.ask_cancel(note.clone()) {
             CancelOutcome::Noted => {
-                let message = end_if_left(run, &mut record, moment.version);
+                let message = end_if_abandoned(run, &mut record, context.version);
                 ChangeStep::Write(record, outcome(OutcomeState::Done, message))
             }
             CancelOutcome::Already => {
                 ChangeStep::Stop(outcome(OutcomeState::Already, "it was cancelled before"))
             }
             CancelOutcome::Ended => {
-                let message = "every item of it has ended; `command ID` shows how";
+                let message = "all its items have ended; `command ID` shows their outcomes";
                 ChangeStep::Stop(outcome(OutcomeState::Refused, message))
             }
         }
     };
-    end_of(change(run, &command_key(command), None, decide).await)
+    to_item_result(change(run, &command_key(command), None, decide).await)
 }
 
-/// An executor that is gone begins no item, but doesn't say so either: its command is taken up and ended
-/// in the same write.
-fn end_if_left(
+/// An executor that is gone starts no items but does not record that either, so its command is
+/// taken over and ended in the same write.
+fn end_if_abandoned(
     run: &CommandRun,
     record: &mut CommandRecord,
     version: StoreRevision,
 ) -> &'static str {
     let executor = record.executor.incarnation;
     if !run.state.members.is_gone(executor, ClockTime::now()) {
-        return "no further item is begun; the one under way ends, and `command ID` shows how";
+        return "no further item starts; the running one completes, and `command ID` shows its outcome";
     }
     record.take_over(run.state.incarnation, version);
     record.cancel_rest();
-    "the entry that carried it out is gone; no further item is begun"
+    "the entry that executed it is gone; no further item starts"
 }
--- a/crates/sagespool-entry/src/state.rs
+++ b/crates/sagespool-entry/src/state.rs
@@ -26,7 +26,7 @@
 
 use crate::heartbeats::UpstreamUse;
 use crate::home::{BookWriter, BudgetRounds, ClaimWriter, WitnessBoard};
-use crate::operator::OperatorDesk;
+use crate::operator::CommandRegistry;
 use crate::run::QueueWord;
 
 /// The configuration in force; None until the first one has arrived.
@@ -134,7 +134,7 @@
     pub(crate) witnesses: WitnessBoard,
     /// When the store's current outage began; None while it is reachable.
     store_away: Mutex<Option<ClockTime>>,
-    pub(crate) operator: OperatorDesk,
+    pub(crate) commands: CommandRegistry,
     pub(crate) retries: RetryBudget,
     pub(crate) limits: RequestLimits,
     pub(crate) queue: AdmissionQueue,
@@ -180,7 +180,7 @@
             rounds: BudgetRounds::default(),
             witnesses: WitnessBoard::default(),
             store_away: Mutex::default(),
-            operator: OperatorDesk::default(),
+            commands: CommandRegistry::default(),
             retries: RetryBudget::new(RetryPolicy::default()),
             limits: RequestLimits::new(),
             queue: AdmissionQueue::new(queue_policy(&settings)),
