--- a/crates/sagespool-entry/src/caller/answer.rs
+++ b/crates/sagespool-entry/src/caller/answer.rs
@@ -13,17 +13,17 @@
 use trillium::{Body, Conn, HeaderName, KnownHeaderName, Status};
 
 use super::CompletionCall;
-use super::fault::{refusal_body, respond_refusal, with_request_headers};
+use super::error::{refusal_body, respond_refusal, with_request_headers};
 use crate::run::{AnswerEvent, AnswerReceiver};
 
 /// Chunks of a stream buffered for a slow caller.
-const EVENT_BACKLOG: usize = 64;
+const EVENT_BUFFER_CHUNKS: usize = 64;
 
 /// A response body read from a channel.
 struct ChannelReader {
     chunks: Pin<Box<Receiver<Vec<u8>>>>,
-    rest: Vec<u8>,
-    taken: usize,
+    chunk_bytes: Vec<u8>,
+    consumed: usize,
 }
 
 impl AsyncRead for ChannelReader {
@@ -33,26 +33,26 @@
         buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
         let reader = self.get_mut();
-        while reader.taken == reader.rest.len() {
+        while reader.consumed == reader.chunk_bytes.len() {
             match reader.chunks.as_mut().poll_next(context) {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(None) => return Poll::Ready(Ok(0)),
                 Poll::Ready(Some(chunk)) => {
-                    reader.rest = chunk;
-                    reader.taken = 0;
+                    reader.chunk_bytes = chunk;
+                    reader.consumed = 0;
                 }
             }
         }
-        let length = buffer.len().min(reader.rest.len() - reader.taken);
-        let end = reader.taken + length;
-        buffer[..length].copy_from_slice(&reader.rest[reader.taken..end]);
-        reader.taken = end;
+        let length = buffer.len().min(reader.chunk_bytes.len() - reader.consumed);
+        let end = reader.consumed + length;
+        buffer[..length].copy_from_slice(&reader.chunk_bytes[reader.consumed..end]);
+        reader.consumed = end;
         Poll::Ready(Ok(length))
     }
 }
 
 fn streaming_body(chunks: Receiver<Vec<u8>>) -> Body {
-    let reader = ChannelReader { chunks: Box::pin(chunks), rest: Vec::new(), taken: 0 };
+    let reader = ChannelReader { chunks: Box::pin(chunks), chunk_bytes: Vec::new(), consumed: 0 };
     Body::new_streaming(reader, None)
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-fn no_answer() -> RefusalNotice {
+fn missing_outcome_refusal() -> RefusalNotice {
     RefusalNotice {
         reason: sagespool_types::RefusalReason::OutcomeUnknown,
         run_state: sagespool_types::RunState::Unknown,
@@ -100,7 +100,7 @@
         headers: Vec::new(),
         data: Vec::new(),
         tokens: 0,
-        end: CollectedEnd::Refused { notice: no_answer(), billed: TokenCount::ZERO },
+        end: CollectedEnd::Refused { notice: missing_outcome_refusal(), billed: TokenCount::ZERO },
     };
     while let Ok(event) = answers.recv().await {
         match event {
@@ -210,9 +210,11 @@
             return respond_refusal(conn, &notice, request, billed);
         }
         Ok(event) => event,
-        Err(_) => return respond_refusal(conn, &no_answer(), request, TokenCount::ZERO),
+        Err(_) => {
+            return respond_refusal(conn, &missing_outcome_refusal(), request, TokenCount::ZERO);
+        }
     };
-    let (sender, chunks) = async_channel::bounded(EVENT_BACKLOG);
+    let (sender, chunks) = async_channel::bounded(EVENT_BUFFER_CHUNKS);
     smol::spawn(pump_events(call, request, first, answers, sender)).detach();
     conn.with_response_header("sagespool-request-id", request.to_string())
         .with_response_header(KnownHeaderName::ContentType, "text/event-stream")
@@ -253,7 +255,7 @@
         }
         next = answers.recv().await;
     }
-    let _ = sender.send(error_lines(&no_answer(), request, TokenCount::ZERO)).await;
+    let _ = sender.send(error_lines(&missing_outcome_refusal(), request, TokenCount::ZERO)).await;
 }
 
 fn error_lines(notice: &RefusalNotice, request: RequestId, billed: TokenCount) -> Vec<u8> {
@@ -263,9 +265,9 @@
 
 fn with_service_headers(mut conn: Conn, headers: Vec<HeaderPair>) -> Conn {
     for pair in headers {
-        let own =
+        let withheld =
             ["content-length", "transfer-encoding", "connection", "keep-alive", "date", "server"];
-        if own.contains(&pair.name.as_str()) {
+        if withheld.contains(&pair.name.as_str()) {
             continue;
         }
         conn.response_headers_mut().append(HeaderName::from(pair.name), pair.value);
--- a/crates/sagespool-entry/src/caller/completion.rs
+++ b/crates/sagespool-entry/src/caller/completion.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use twox_hash::XxHash3_128;
 
-use super::CallFault;
+use super::CallerError;
 
 /// Length of the prompt prefix that keys the engines' prompt caches, see docs/PLATFORM.md.
 const PREFIX_BYTES: usize = 256;
@@ -45,21 +45,21 @@
 
 impl CompletionCall {
     /// The maximum cost.
-    pub fn greatest_cost(&self) -> TokenCount {
+    pub fn max_cost(&self) -> TokenCount {
         TokenCount(u64::from(self.prompt_tokens) + u64::from(self.max_tokens))
     }
 }
 
 const ROLES: [&str; 4] = ["system", "user", "assistant", "tool"];
 
-fn check_messages(messages: &[ChatMessage]) -> Result<(), CallFault> {
+fn check_messages(messages: &[ChatMessage]) -> Result<(), CallerError> {
     if messages.is_empty() {
-        return Err(CallFault::bad("no-messages", "`messages` is empty", "at least one message"));
+        return Err(CallerError::bad("no-messages", "`messages` is empty", "at least one message"));
     }
     for (place, message) in messages.iter().enumerate() {
         if !ROLES.contains(&message.role.as_str()) {
             let text = format!("messages[{place}].role is `{}`", message.role);
-            return Err(CallFault::bad(
+            return Err(CallerError::bad(
                 "message-role",
                 text,
                 format!("one of: {}", ROLES.join(", ")),
@@ -67,7 +67,7 @@
         }
     }
     if messages.iter().all(|message| message.content.is_empty()) {
-        return Err(CallFault::bad("empty-prompt", "every message is empty", "some content"));
+        return Err(CallerError::bad("empty-prompt", "every message is empty", "some content"));
     }
     Ok(())
 }
@@ -75,24 +75,24 @@
 fn find_model<'a>(
     name: &str,
     config: &'a FleetConfiguration,
-) -> Result<(&'a ServiceName, &'a ModelEntry), CallFault> {
-    let fault = || {
+) -> Result<(&'a ServiceName, &'a ModelEntry), CallerError> {
+    let error = || {
         let known: Vec<String> = config.models().map(|model| model.name.to_string()).collect();
         let help = format!("one of: {}", known.join(", "));
-        CallFault::new(
+        CallerError::new(
             trillium::Status::NotFound,
             "unknown-model",
             format!("there is no model `{name}`"),
             help,
         )
     };
-    let name: ModelName = name.parse().map_err(|_| fault())?;
-    let service = config.service_of_model(&name).ok_or_else(fault)?;
-    let model = config.model(&name).ok_or_else(fault)?;
+    let name: ModelName = name.parse().map_err(|_| error())?;
+    let service = config.service_of_model(&name).ok_or_else(error)?;
+    let model = config.model(&name).ok_or_else(error)?;
     Ok((&service.name, model))
 }
 
-fn check_max_tokens(given: Option<i64>, model: &ModelEntry) -> Result<u32, CallFault> {
+fn check_max_tokens(given: Option<i64>, model: &ModelEntry) -> Result<u32, CallerError> {
     let most = model.most_tokens;
     let Some(given) = given else {
         return Ok(most);
@@ -100,7 +100,11 @@
     let fits = given >= 1 && given <= i64::from(most);
     if !fits {
         let text = format!("max_tokens is {given}");
-        return Err(CallFault::bad("max-tokens", text, format!("1 to {most} for {}", model.name)));
+        return Err(CallerError::bad(
+            "max-tokens",
+            text,
+            format!("1 to {most} for {}", model.name),
+        ));
     }
     Ok(given as u32)
 }
@@ -112,11 +116,11 @@
 pub fn read_completion(
     body: &[u8],
     config: &FleetConfiguration,
-) -> Result<CompletionCall, CallFault> {
+) -> Result<CompletionCall, CallerError> {
     let malformed = |error: serde_json::Error| {
         let place = format!("line {} column {}", error.line(), error.column());
         let text = format!("the body is not a chat completion, at {place}: {error}");
-        CallFault::bad("malformed-json", text, "an object with `model` and `messages`")
+        CallerError::bad("malformed-json", text, "an object with `model` and `messages`")
     };
     let body: CompletionBody = serde_json::from_slice(body).map_err(malformed)?;
     check_messages(&body.messages)?;
@@ -131,14 +135,14 @@
         max_tokens,
         prompt_tokens: prompt_tokens.min(u64::from(u32::MAX)) as u32,
         stream: body.stream.unwrap_or(false),
-        content: content_of(&model.name, &body.messages),
+        content: content_digest(&model.name, &body.messages),
         prefix: XxHash3_128::oneshot(prefix),
     })
 }
 
 /// Digest without the token limit and the form of the answer, so that a request that crashes
 /// upstreams is recognized with other options too.
-fn content_of(model: &ModelName, messages: &[ChatMessage]) -> ContentDigest {
+fn content_digest(model: &ModelName, messages: &[ChatMessage]) -> ContentDigest {
     let mut parts = Vec::new();
     for message in messages {
         parts.extend_from_slice(&(message.role.len() as u64).to_le_bytes());
--- a/crates/sagespool-entry/src/caller/fault.rs
+++ b/crates/sagespool-entry/src/caller/error.rs
@@ -10,7 +10,7 @@
 /// A request that is rejected for its content or its credentials. It did not run and nothing is
 /// billed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct CallFault {
+pub struct CallerError {
     /// HTTP status.
     pub status: Status,
     /// Machine-readable code, for example `malformed-json`.
@@ -21,7 +21,7 @@
     pub help: String,
 }
 
-impl CallFault {
+impl CallerError {
     /// An error with a message and what is accepted instead.
     pub fn new(
         status: Status,
--- a/crates/sagespool-entry/src/caller/headers.rs
+++ b/crates/sagespool-entry/src/caller/headers.rs
@@ -6,9 +6,9 @@
 use sagespool_types::ClassName;
 use trillium::Headers;
 
-use super::CallFault;
+use super::CallerError;
 
-const LONGEST_KEY: usize = 255;
+const MAX_KEY_LENGTH: usize = 255;
 
 /// The checked headers of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -30,31 +30,31 @@
 pub(super) fn text<'a>(
     headers: &'a Headers,
     name: &'static str,
-) -> Result<Option<&'a str>, CallFault> {
+) -> Result<Option<&'a str>, CallerError> {
     let Some(values) = headers.get_values(name) else {
         return Ok(None);
     };
     if values.len() > 1 {
         let message = format!("the header {name} appears {} times", values.len());
-        return Err(CallFault::bad("repeated-header", message, "send it once"));
+        return Err(CallerError::bad("repeated-header", message, "send it once"));
     }
     let value = values.one().and_then(|value| value.as_str());
-    let fault =
-        || CallFault::bad("header-text", format!("the header {name} is not text"), "ASCII text");
-    value.map(|value| Some(value.trim())).ok_or_else(fault)
+    let error =
+        || CallerError::bad("header-text", format!("the header {name} is not text"), "ASCII text");
+    value.map(|value| Some(value.trim())).ok_or_else(error)
 }
 
 /// The idempotency key, if present.
-fn read_key(headers: &Headers) -> Result<Option<String>, CallFault> {
+fn read_key(headers: &Headers) -> Result<Option<String>, CallerError> {
     let Some(key) = text(headers, "idempotency-key")? else {
         return Ok(None);
     };
     let fits =
-        !key.is_empty() && key.len() <= LONGEST_KEY && key.chars().all(|c| c.is_ascii_graphic());
+        !key.is_empty() && key.len() <= MAX_KEY_LENGTH && key.chars().all(|c| c.is_ascii_graphic());
     if !fits {
         let message = format!("the idempotency key has {} characters or invalid ones", key.len());
-        let help = format!("1 to {LONGEST_KEY} printable ASCII characters without spaces");
-        return Err(CallFault::bad("idempotency-key", message, help));
+        let help = format!("1 to {MAX_KEY_LENGTH} printable ASCII characters without spaces");
+        return Err(CallerError::bad("idempotency-key", message, help));
     }
     Ok(Some(key.to_owned()))
 }
@@ -62,7 +62,7 @@
 fn read_class<'a>(
     headers: &Headers,
     config: &'a FleetConfiguration,
-) -> Result<&'a ClassEntry, CallFault> {
+) -> Result<&'a ClassEntry, CallerError> {
     let Some(name) = text(headers, "sagespool-class")? else {
         return Ok(config.default_class());
     };
@@ -70,34 +70,35 @@
         let names: Vec<String> = config.classes().map(|class| class.name.to_string()).collect();
         format!("one of: {}", names.join(", "))
     };
-    let fault = || CallFault::bad("unknown-class", format!("there is no class `{name}`"), known());
-    let name: ClassName = name.parse().map_err(|_| fault())?;
-    config.class(&name).ok_or_else(fault)
+    let error =
+        || CallerError::bad("unknown-class", format!("there is no class `{name}`"), known());
+    let name: ClassName = name.parse().map_err(|_| error())?;
+    config.class(&name).ok_or_else(error)
 }
 
-fn read_deadline(headers: &Headers, class: &ClassEntry) -> Result<Duration, CallFault> {
+fn read_deadline(headers: &Headers, class: &ClassEntry) -> Result<Duration, CallerError> {
     let Some(given) = text(headers, "sagespool-deadline-ms")? else {
         return Ok(Duration::from_millis(class.deadline_ms));
     };
     let longest = class.longest_deadline_ms;
-    let fault = || {
+    let error = || {
         let message = format!("`{given}` is not a deadline of class {}", class.name);
-        CallFault::bad("deadline", message, format!("whole milliseconds from 1 to {longest}"))
+        CallerError::bad("deadline", message, format!("whole milliseconds from 1 to {longest}"))
     };
-    let millis: u64 = given.parse().map_err(|_| fault())?;
+    let millis: u64 = given.parse().map_err(|_| error())?;
     if millis == 0 || millis > longest {
-        return Err(fault());
+        return Err(error());
     }
     Ok(Duration::from_millis(millis))
 }
 
-fn read_non_idempotent(headers: &Headers) -> Result<bool, CallFault> {
+fn read_non_idempotent(headers: &Headers) -> Result<bool, CallerError> {
     match text(headers, "sagespool-non-idempotent")? {
         None | Some("false") => Ok(false),
         Some("true") => Ok(true),
         Some(other) => {
             let message = format!("sagespool-non-idempotent is `{other}`");
-            Err(CallFault::bad("non-idempotent", message, "`true` or `false`"))
+            Err(CallerError::bad("non-idempotent", message, "`true` or `false`"))
         }
     }
 }
@@ -109,7 +110,7 @@
 pub fn read_headers(
     headers: &Headers,
     config: &FleetConfiguration,
-) -> Result<CallHeaders, CallFault> {
+) -> Result<CallHeaders, CallerError> {
     let key = read_key(headers)?;
     let class = read_class(headers, config)?;
     let time_left = read_deadline(headers, class)?;
--- a/crates/sagespool-entry/src/caller/identity.rs
+++ b/crates/sagespool-entry/src/caller/identity.rs
@@ -4,7 +4,7 @@
 use sagespool_types::BranchName;
 use trillium::{Headers, Status};
 
-use super::CallFault;
+use super::CallerError;
 use super::headers::text;
 
 const KEY_HELP: &str = "send `Authorization: Bearer KEY` with the branch's key";
@@ -17,12 +17,12 @@
 pub fn read_identity(
     headers: &Headers,
     config: &FleetConfiguration,
-) -> Result<BranchName, CallFault> {
+) -> Result<BranchName, CallerError> {
     let missing = || {
-        CallFault::new(Status::Unauthorized, "missing-key", "the bearer key is missing", KEY_HELP)
+        CallerError::new(Status::Unauthorized, "missing-key", "the bearer key is missing", KEY_HELP)
     };
     let unknown = || {
-        CallFault::new(Status::Unauthorized, "unknown-key", "the key is not a branch's", KEY_HELP)
+        CallerError::new(Status::Unauthorized, "unknown-key", "the key is not a branch's", KEY_HELP)
     };
     let header = text(headers, "authorization")?.ok_or_else(missing)?;
     let (scheme, token) = header.split_once(' ').ok_or_else(missing)?;
@@ -36,7 +36,7 @@
 ///
 /// # Errors
 /// 403 if the key belongs to another branch, 400 if two branches are named.
-pub fn check_branch(headers: &Headers, branch: &BranchName) -> Result<(), CallFault> {
+pub fn check_branch(headers: &Headers, branch: &BranchName) -> Result<(), CallerError> {
     let Some(named) = text(headers, "sagespool-branch")? else {
         return Ok(());
     };
@@ -45,5 +45,5 @@
     }
     let message = format!("the key is not a key of branch `{named}`");
     let help = "leave `sagespool-branch` out, or use that branch's key";
-    Err(CallFault::new(Status::Forbidden, "other-branch", message, help))
+    Err(CallerError::new(Status::Forbidden, "other-branch", message, help))
 }
--- a/crates/sagespool-entry/src/caller/mod.rs
+++ b/crates/sagespool-entry/src/caller/mod.rs
@@ -2,14 +2,14 @@
 
 mod answer;
 mod completion;
-mod fault;
+mod error;
 mod headers;
 mod identity;
 mod server;
 mod service_call;
 
 pub use completion::{CompletionCall, read_completion};
-pub use fault::{CallFault, refusal_status};
+pub use error::{CallerError, refusal_status};
 pub use headers::{CallHeaders, read_headers};
 pub(crate) use identity::read_identity;
 pub use server::serve;
--- a/crates/sagespool-entry/src/caller/server.rs
+++ b/crates/sagespool-entry/src/caller/server.rs
@@ -18,19 +18,19 @@
 use trillium_server_common::ServerHandle;
 
 use super::answer::{respond_events, respond_service, respond_whole};
-use super::fault::respond_refusal;
+use super::error::respond_refusal;
 use super::headers::CallHeaders;
 use super::identity::{check_branch, read_identity};
 use super::service_call::read_service_call;
-use super::{CallFault, read_completion, read_headers};
-use crate::run::{RequestOrder, start_run};
+use super::{CallerError, read_completion, read_headers};
+use crate::run::{RequestSpec, start_run};
 use crate::state::EntryState;
 
 const COMPLETIONS_PATH: &str = "/v1/chat/completions";
 const SERVICES_PREFIX: &str = "/services/";
 /// How far a request head may exceed the limit and still be read, so that it gets a response; a
 /// longer one closes its connection.
-const HEAD_ROOM: usize = 64 * 1024;
+const HEAD_MARGIN: usize = 64 * 1024;
 
 /// Starts serving callers on the address, and returns the handle that stops the server.
 ///
@@ -40,7 +40,7 @@
 pub fn serve(state: Arc<EntryState>, listen: SocketAddr) -> io::Result<ServerHandle> {
     let server = http_server(TcpListener::bind(listen)?)?;
     let head_limit = state.settings.header_limit.0 as usize;
-    let http_config = HttpConfig::default().with_head_max_len(head_limit + HEAD_ROOM);
+    let http_config = HttpConfig::default().with_head_max_len(head_limit + HEAD_MARGIN);
     let handler = move |conn: Conn| {
         let state = Arc::clone(&state);
         async move { route(state, conn).await }
@@ -49,8 +49,8 @@
 }
 
 async fn route(state: Arc<EntryState>, conn: Conn) -> Conn {
-    if let Err(fault) = check_head(&conn, state.settings.header_limit.0 as usize) {
-        return fault.respond(conn, RequestId::random());
+    if let Err(error) = check_head(&conn, state.settings.header_limit.0 as usize) {
+        return error.respond(conn, RequestId::random());
     }
     let path = conn.path().to_owned();
     match path.as_str() {
@@ -63,8 +63,8 @@
         _ => {
             let message = format!("no such path: {path}");
             let help = format!("{COMPLETIONS_PATH} or {SERVICES_PREFIX}NAME/…");
-            let fault = CallFault::new(Status::NotFound, "unknown-path", message, help);
-            fault.respond(conn, RequestId::random())
+            let error = CallerError::new(Status::NotFound, "unknown-path", message, help);
+            error.respond(conn, RequestId::random())
         }
     }
 }
@@ -79,17 +79,17 @@
     conn.path().len() + conn.querystring().len() + headers.sum::<usize>()
 }
 
-fn check_head(conn: &Conn, most: usize) -> Result<(), CallFault> {
+fn check_head(conn: &Conn, most: usize) -> Result<(), CallerError> {
     if head_length(conn) <= most {
         return Ok(());
     }
     let message = format!("the request line and headers exceed {most} bytes");
     let help = format!("at most {most} bytes; long texts belong in the body");
-    Err(CallFault::new(Status::RequestHeaderFieldsTooLarge, "head-too-large", message, help))
+    Err(CallerError::new(Status::RequestHeaderFieldsTooLarge, "head-too-large", message, help))
 }
 
 fn respond_ready(state: &EntryState, conn: Conn) -> Conn {
-    match state.not_ready_because() {
+    match state.not_ready_reason() {
         None => conn.ok("ready\n").halt(),
         Some(reason) => {
             conn.with_status(Status::ServiceUnavailable).with_body(format!("{reason}\n")).halt()
@@ -118,7 +118,10 @@
 
 /// The refusal of every request if this entry serves no callers now. The outcome of an earlier send
 /// with the same key is not known here, so the run state of a keyed request is `unknown`.
-fn not_accepting(state: &EntryState, conn: &Conn) -> Option<sagespool_messages::RefusalNotice> {
+fn unavailable_refusal(
+    state: &EntryState,
+    conn: &Conn,
+) -> Option<sagespool_messages::RefusalNotice> {
     let (reason, message) = if state.is_leaving() {
         (RefusalReason::Leaving, "this entry is leaving; retry at another entry")
     } else if state.config.current().is_none() {
@@ -135,11 +138,11 @@
     })
 }
 
-async fn read_body(conn: &mut Conn, most: usize) -> Result<Vec<u8>, CallFault> {
+async fn read_body(conn: &mut Conn, most: usize) -> Result<Vec<u8>, CallerError> {
     let too_large = || {
         let message = format!("the body exceeds {most} bytes");
         let help = format!("at most {most} bytes");
-        CallFault::new(Status::PayloadTooLarge, "body-too-large", message, help)
+        CallerError::new(Status::PayloadTooLarge, "body-too-large", message, help)
     };
     let declared = conn.request_headers().get_str(KnownHeaderName::ContentLength);
     let declared: Option<usize> = declared.and_then(|length| length.parse().ok());
@@ -149,7 +152,7 @@
     let mut body = Vec::new();
     let reader = conn.request_body();
     let unread = |error| {
-        CallFault::bad(
+        CallerError::bad(
             "unreadable-body",
             format!("the body can't be read: {error}"),
             "a whole body",
@@ -169,7 +172,7 @@
     conn: &mut Conn,
     config: Arc<FleetConfiguration>,
     request: RequestId,
-) -> Result<AcceptedCall, CallFault> {
+) -> Result<AcceptedCall, CallerError> {
     let arrived = ClockTime::now();
     let branch = read_identity(conn.request_headers(), &config)?;
     check_branch(conn.request_headers(), &branch)?;
@@ -178,22 +181,22 @@
     Ok(AcceptedCall { request, arrived, branch, headers, body, config })
 }
 
-fn check_method(conn: &Conn) -> Result<(), CallFault> {
+fn check_method(conn: &Conn) -> Result<(), CallerError> {
     if conn.method() == trillium::Method::Post {
         return Ok(());
     }
     let message = format!("method {} is not allowed here", conn.method());
-    Err(CallFault::new(Status::MethodNotAllowed, "method", message, "POST"))
+    Err(CallerError::new(Status::MethodNotAllowed, "method", message, "POST"))
 }
 
 /// Rejects a non-idempotent request without a key, since a repeated send could not be distinguished
 /// from a new request.
-fn check_key(headers: &CallHeaders, non_idempotent: bool) -> Result<(), CallFault> {
+fn check_key(headers: &CallHeaders, non_idempotent: bool) -> Result<(), CallerError> {
     if !non_idempotent || headers.key.is_some() {
         return Ok(());
     }
     let message = "a non-idempotent request needs an idempotency key";
-    Err(CallFault::bad(
+    Err(CallerError::bad(
         "key-needed",
         message,
         "send `Idempotency-Key: KEY`, and the same key in a retry",
@@ -201,7 +204,7 @@
 }
 
 /// The parts of a request that depend on its kind.
-struct CallWork {
+struct CallDetails {
     service: ServiceName,
     target: CallTarget,
     content: ContentDigest,
@@ -210,32 +213,32 @@
     prefix: Option<u128>,
 }
 
-fn order_of(call: AcceptedCall, work: CallWork) -> RequestOrder {
+fn request_spec(call: AcceptedCall, details: CallDetails) -> RequestSpec {
     let key = call.headers.key.as_deref().map(|key| KeyDigest::of(&call.branch, key));
-    RequestOrder::builder()
+    RequestSpec::builder()
         .request(call.request)
         .branch(call.branch)
-        .service(work.service)
+        .service(details.service)
         .class(call.headers.class)
         .priority(call.headers.priority)
         .maybe_key(key)
-        .content(work.content)
-        .non_idempotent(work.non_idempotent)
-        .amount(work.amount)
+        .content(details.content)
+        .non_idempotent(details.non_idempotent)
+        .amount(details.amount)
         .arrived(call.arrived)
         .deadline(call.arrived.after(call.headers.time_left))
-        .target(work.target)
+        .target(details.target)
         .body(Arc::new(call.body))
-        .maybe_prefix(work.prefix)
+        .maybe_prefix(details.prefix)
         .build()
 }
 
 async fn completion(state: Arc<EntryState>, mut conn: Conn) -> Conn {
     let request = RequestId::random();
-    if let Err(fault) = check_method(&conn) {
-        return fault.respond(conn, request).with_response_header(KnownHeaderName::Allow, "POST");
+    if let Err(error) = check_method(&conn) {
+        return error.respond(conn, request).with_response_header(KnownHeaderName::Allow, "POST");
     }
-    if let Some(notice) = not_accepting(&state, &conn) {
+    if let Some(notice) = unavailable_refusal(&state, &conn) {
         return respond_refusal(conn, &notice, request, TokenCount::ZERO);
     }
     let Some(config) = state.config.current() else {
@@ -243,7 +246,7 @@
     };
     let call = match accept(&state, &mut conn, config, request).await {
         Ok(call) => call,
-        Err(fault) => return fault.respond(conn, request),
+        Err(error) => return error.respond(conn, request),
     };
     let parsed = read_completion(&call.body, &call.config).and_then(|parsed| {
         let declared =
@@ -254,10 +257,10 @@
     });
     let (parsed, non_idempotent) = match parsed {
         Ok(parsed) => parsed,
-        Err(fault) => return fault.respond(conn, request),
+        Err(error) => return error.respond(conn, request),
     };
     state.metrics.admitted(&call.headers.class, &call.branch);
-    let work = CallWork {
+    let details = CallDetails {
         service: parsed.service.clone(),
         target: CallTarget::Completion {
             model: parsed.model.clone(),
@@ -266,11 +269,11 @@
             resume: None,
         },
         content: parsed.content,
-        amount: parsed.greatest_cost(),
+        amount: parsed.max_cost(),
         non_idempotent,
         prefix: Some(parsed.prefix),
     };
-    let answers = start_run(Arc::clone(&state), order_of(call, work));
+    let answers = start_run(Arc::clone(&state), request_spec(call, details));
     if parsed.stream {
         return respond_events(conn, parsed, request, answers).await;
     }
@@ -279,7 +282,7 @@
 
 async fn service(state: Arc<EntryState>, mut conn: Conn, path: &str) -> Conn {
     let request = RequestId::random();
-    if let Some(notice) = not_accepting(&state, &conn) {
+    if let Some(notice) = unavailable_refusal(&state, &conn) {
         return respond_refusal(conn, &notice, request, TokenCount::ZERO);
     }
     let Some(config) = state.config.current() else {
@@ -287,7 +290,7 @@
     };
     let call = match accept(&state, &mut conn, config, request).await {
         Ok(call) => call,
-        Err(fault) => return fault.respond(conn, request),
+        Err(error) => return error.respond(conn, request),
     };
     let rest = path.strip_prefix(SERVICES_PREFIX).unwrap_or_default();
     let (name, inner) = rest.split_once('/').unwrap_or((rest, ""));
@@ -304,10 +307,10 @@
     });
     let (parsed, non_idempotent) = match parsed {
         Ok(parsed) => parsed,
-        Err(fault) => return fault.respond(conn, request),
+        Err(error) => return error.respond(conn, request),
     };
     state.metrics.admitted(&call.headers.class, &call.branch);
-    let work = CallWork {
+    let details = CallDetails {
         service: parsed.service,
         target: parsed.target,
         content: parsed.content,
@@ -315,6 +318,6 @@
         non_idempotent,
         prefix: None,
     };
-    let answers = start_run(Arc::clone(&state), order_of(call, work));
+    let answers = start_run(Arc::clone(&state), request_spec(call, details));
     respond_service(conn, request, answers).await
 }
--- a/crates/sagespool-entry/src/caller/service_call.rs
+++ b/crates/sagespool-entry/src/caller/service_call.rs
@@ -5,14 +5,14 @@
 use sagespool_types::{ContentDigest, ServiceName};
 use trillium::{Headers, Status};
 
-use super::CallFault;
+use super::CallerError;
 
 /// Request headers that are not forwarded, since they concern one connection or the fleet.
 ///
 /// Headers that override the method are not forwarded either: a service that honours one would run
 /// another method than the one that was checked, so a non-idempotent request sent as `GET` could
 /// run twice.
-const KEPT_HEADERS: [&str; 17] = [
+const WITHHELD_HEADERS: [&str; 17] = [
     "authorization",
     "connection",
     "content-length",
@@ -45,11 +45,11 @@
     pub price: u32,
 }
 
-fn passed_on(headers: &Headers) -> Vec<HeaderPair> {
+fn forwarded_headers(headers: &Headers) -> Vec<HeaderPair> {
     let mut pairs = Vec::new();
     for (name, values) in headers.iter() {
         let name = name.as_ref().to_ascii_lowercase();
-        if KEPT_HEADERS.contains(&name.as_str()) || name.starts_with("sagespool-") {
+        if WITHHELD_HEADERS.contains(&name.as_str()) || name.starts_with("sagespool-") {
             continue;
         }
         for value in values.iter().filter_map(|value| value.as_str()) {
@@ -62,15 +62,20 @@
 fn find_service<'a>(
     name: &str,
     config: &'a FleetConfiguration,
-) -> Result<&'a ServiceEntry, CallFault> {
-    let fault = || {
+) -> Result<&'a ServiceEntry, CallerError> {
+    let error = || {
         let text = format!("there is no plain service `{name}`");
-        CallFault::new(Status::NotFound, "unknown-service", text, "a service of the configuration")
+        CallerError::new(
+            Status::NotFound,
+            "unknown-service",
+            text,
+            "a service of the configuration",
+        )
     };
-    let name: ServiceName = name.parse().map_err(|_| fault())?;
-    let service = config.service(&name).ok_or_else(fault)?;
+    let name: ServiceName = name.parse().map_err(|_| error())?;
+    let service = config.service(&name).ok_or_else(error)?;
     if service.kind != sagespool_messages::UpstreamKind::Service {
-        return Err(fault());
+        return Err(error());
     }
     Ok(service)
 }
@@ -86,14 +91,14 @@
     headers: &Headers,
     body: &[u8],
     config: &FleetConfiguration,
-) -> Result<ServiceCall, CallFault> {
+) -> Result<ServiceCall, CallerError> {
     let service = find_service(name, config)?;
     // The check of the configuration limits prices to this range.
     let price = service.price.map_or(0, |price| u32::try_from(price.0).unwrap_or(u32::MAX));
     let target = CallTarget::Service {
         method: method.to_owned(),
         path: path.to_owned(),
-        headers: passed_on(headers),
+        headers: forwarded_headers(headers),
         price,
     };
     let content = ContentDigest::of(&format!("{name} {method} {path}"), body);
--- a/crates/sagespool-entry/src/configuration.rs
+++ b/crates/sagespool-entry/src/configuration.rs
@@ -38,9 +38,9 @@
         return;
     };
     let changed = if key == FLEET_OBJECT_KEY {
-        fleet_changed(state, config_version, value)
+        apply_fleet_object(state, config_version, value)
     } else {
-        shard_changed(state, config_version, key, value)
+        apply_branch_object(state, config_version, key, value)
     };
     let Some(config) = changed else {
         return;
@@ -54,7 +54,7 @@
     log_event!(info, "configuration-applied", object = key, version = version);
 }
 
-fn shard_changed(
+fn apply_branch_object(
     state: &EntryState,
     version: ConfigVersion,
     key: &str,
@@ -69,11 +69,11 @@
         }
         None => BranchObject::default(),
     };
-    hold_back(state, &object);
+    apply_holdbacks(state, &object);
     Some(current.with_branches(version, shard, object))
 }
 
-fn fleet_changed(
+fn apply_fleet_object(
     state: &EntryState,
     version: ConfigVersion,
     value: Option<Value>,
@@ -91,7 +91,7 @@
 }
 
 /// Applies the branches' holdbacks for classes to the ledger.
-fn hold_back(state: &EntryState, object: &BranchObject) {
+fn apply_holdbacks(state: &EntryState, object: &BranchObject) {
     for (branch, entry) in &object.branches {
         let held = entry.held_back.iter();
         let held =
--- a/crates/sagespool-entry/src/heartbeats.rs
+++ b/crates/sagespool-entry/src/heartbeats.rs
@@ -13,10 +13,10 @@
 use crate::run::refresh_limits;
 use crate::state::EntryState;
 
-const ROUND: Duration = Duration::from_millis(100);
-const BEAT_LIMIT: Duration = Duration::from_millis(900);
-const LIST_WAIT: Duration = Duration::from_secs(20);
-const LIST_PAUSE: Duration = Duration::from_secs(1);
+const TICK: Duration = Duration::from_millis(100);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(900);
+const LIST_POLL_WAIT: Duration = Duration::from_secs(20);
+const LIST_RETRY_PAUSE: Duration = Duration::from_secs(1);
 
 /// Sends heartbeats as they become due, and updates the routing table from the members' newest
 /// reports.
@@ -29,7 +29,7 @@
             let state = Arc::clone(&state);
             smol::spawn(async move {
                 let request = PeerRequest::Heartbeat(beat);
-                match state.link().ask(address, &request, BEAT_LIMIT).await {
+                match state.link().ask(address, &request, HEARTBEAT_TIMEOUT).await {
                     Ok(PeerReply::Heartbeat(reply)) => {
                         state.members.handle_reply(address, &reply, ClockTime::now());
                         state.follower.observe_member(&reply.from);
@@ -42,7 +42,7 @@
         }
         refresh_upstreams(&state);
         refresh_limits(&state);
-        smol::Timer::after(ROUND).await;
+        smol::Timer::after(TICK).await;
     }
 }
 
@@ -67,12 +67,12 @@
 /// Updates the routing table from the members' reports on their upstreams.
 pub(crate) fn refresh_upstreams(state: &EntryState) {
     let now = ClockTime::now();
-    state.witnesses.observe(&state.members.members());
+    state.seal_targets.observe(&state.members.members());
     let live = state.members.live(MemberRole::Sidecar, now);
     for member in &live {
         state.upstreams.observe(member, now);
     }
-    note_uses(state, &live);
+    update_availability(state, &live);
     let entries = state.members.live(MemberRole::Entry, now).len();
     state.upstreams.set_entries(entries as u32);
     state.limits.set_entries(entries as u32);
@@ -80,40 +80,40 @@
 
 /// Whether an upstream accepts requests, by its sidecar's last report.
 #[derive(Debug)]
-pub(crate) struct UpstreamUse {
+pub(crate) struct UpstreamAvailability {
     upstream: UpstreamName,
     /// Healthy, not drained and not leaving.
-    takes_work: bool,
+    accepts_work: bool,
 }
 
 /// Removes sidecars that are gone from the routing table, and logs each change of an upstream's
 /// availability.
-fn note_uses(state: &EntryState, live: &[MemberInfo]) {
+fn update_availability(state: &EntryState, live: &[MemberInfo]) {
     let present: HashSet<IncarnationId> = live.iter().map(|member| member.incarnation).collect();
     let mut known = state.known_sidecars.lock().unwrap_or_else(PoisonError::into_inner);
     known.retain(|sidecar, last| {
         let is_present = present.contains(sidecar);
         if !is_present {
             state.upstreams.remove(*sidecar);
-            log_use(*sidecar, &last.upstream, "gone");
+            log_availability(*sidecar, &last.upstream, "gone");
         }
         is_present
     });
     for member in live {
         let Some(served) = &member.serves else { continue };
-        let takes_work = served.healthy && !member.leaving;
+        let accepts_work = served.healthy && !member.leaving;
         let last = known.get(&member.incarnation);
-        if last.is_some_and(|last| last.takes_work == takes_work) {
+        if last.is_some_and(|last| last.accepts_work == accepts_work) {
             continue;
         }
-        let change = if takes_work { "takes-work" } else { "takes-none" };
-        log_use(member.incarnation, &served.upstream, change);
-        let newest = UpstreamUse { upstream: served.upstream.clone(), takes_work };
+        let change = if accepts_work { "takes-work" } else { "takes-none" };
+        log_availability(member.incarnation, &served.upstream, change);
+        let newest = UpstreamAvailability { upstream: served.upstream.clone(), accepts_work };
         known.insert(member.incarnation, newest);
     }
 }
 
-fn log_use(sidecar: IncarnationId, upstream: &UpstreamName, change: &str) {
+fn log_availability(sidecar: IncarnationId, upstream: &UpstreamName, change: &str) {
     log_event!(info, "upstream-changed", upstream = upstream, sidecar = sidecar, change = change);
 }
 
@@ -121,9 +121,10 @@
 pub(crate) async fn run_instance_watch(state: Arc<EntryState>) {
     let mut after = None;
     loop {
-        let wait = if state.members.is_listed_leaving() { LIST_PAUSE } else { LIST_WAIT };
+        let wait =
+            if state.members.is_listed_leaving() { LIST_RETRY_PAUSE } else { LIST_POLL_WAIT };
         let Ok(listing) = state.instances.list(after, wait).await else {
-            smol::Timer::after(LIST_PAUSE).await;
+            smol::Timer::after(LIST_RETRY_PAUSE).await;
             continue;
         };
         after = Some(listing.revision);
@@ -138,7 +139,7 @@
             })
             .collect();
         let sidecars = listed.iter().filter(|listed| listed.role == MemberRole::Sidecar);
-        state.witnesses.list(sidecars.map(|listed| listed.instance.clone()));
+        state.seal_targets.set_listed(sidecars.map(|listed| listed.instance.clone()));
         // The platform may list this instance as leaving before the process receives a signal.
         if state.members.apply_instance_list(&listed, ClockTime::now()) {
             state.leave();
--- a/crates/sagespool-entry/src/home/books.rs
+++ b/crates/sagespool-entry/src/home/books.rs
@@ -12,23 +12,23 @@
 
 use crate::state::EntryState;
 
-const CONFLICT_TRIES: u32 = 20;
+const MAX_CONFLICT_TRIES: u32 = 20;
 const WRITER_TICK: Duration = Duration::from_millis(100);
 /// The pause after a failed write, unless a request waits.
 const FAILURE_PAUSE: Duration = Duration::from_millis(500);
 
 /// A book as last seen in the store, locked during a write.
-type HeldBook = Arc<async_lock::Mutex<Option<StoredObject<BookRecord>>>>;
+type CachedBook = Arc<async_lock::Mutex<Option<StoredObject<BookRecord>>>>;
 
 /// Why a book is written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum WriteCause {
     /// A scheduled write, or grants are returned at shutdown: everything that changed is written.
-    Turn,
+    Scheduled,
     /// Requests wait for more budget than is held. The book is read again, since a top-up may just
     /// have been applied, and written only if that helps one of them. Otherwise each request that
     /// is refused near the end of a budget would cost a write.
-    Round,
+    Acquisition,
     /// Another home recalls unspent budget. The book is read again: the other home may have taken
     /// this one for dead and sealed its grants, which a cached copy does not show. Charges that are
     /// not accounted for would stay in doubt, and the other home would refuse requests for lack of
@@ -40,13 +40,13 @@
 /// the same book do not conflict.
 #[derive(Default)]
 pub(crate) struct BookWriter {
-    books: Mutex<HashMap<BookNumber, HeldBook>>,
+    books: Mutex<HashMap<BookNumber, CachedBook>>,
     /// Notified when a book is due before its scheduled write.
     pub(crate) due: Event,
 }
 
 impl BookWriter {
-    fn book(&self, book: BookNumber) -> HeldBook {
+    fn book(&self, book: BookNumber) -> CachedBook {
         let mut books = self.books.lock().unwrap_or_else(PoisonError::into_inner);
         Arc::clone(books.entry(book).or_default())
     }
@@ -74,12 +74,12 @@
     book: BookNumber,
     cause: WriteCause,
 ) -> Result<(), StoreError> {
-    let held = state.books.book(book);
-    let mut cached = held.lock().await;
-    if cause != WriteCause::Turn {
+    let entry = state.books.book(book);
+    let mut cached = entry.lock().await;
+    if cause != WriteCause::Scheduled {
         *cached = None;
     }
-    for _ in 0..CONFLICT_TRIES {
+    for _ in 0..MAX_CONFLICT_TRIES {
         let stored = match cached.take() {
             Some(stored) => stored,
             None => {
@@ -93,8 +93,10 @@
         let (base, seen) = (stored.version, state.objects.seen_revision());
         let now = ClockTime::now();
         let changed = match cause {
-            WriteCause::Round => state.ledger.apply_for_waiting(book, &mut record, base, seen, now),
-            WriteCause::Turn | WriteCause::Recall => {
+            WriteCause::Acquisition => {
+                state.ledger.apply_for_waiting(book, &mut record, base, seen, now)
+            }
+            WriteCause::Scheduled | WriteCause::Recall => {
                 state.ledger.apply(book, &mut record, base, seen, now)
             }
         };
@@ -127,8 +129,8 @@
         let writes = books.into_iter().map(|book| {
             let state = Arc::clone(&state);
             smol::spawn(async move {
-                let written = write_book(&state, book, WriteCause::Turn).await;
-                state.note_store(written.is_ok(), ClockTime::now());
+                let written = write_book(&state, book, WriteCause::Scheduled).await;
+                state.note_store_result(written.is_ok(), ClockTime::now());
                 if let Err(error) = &written {
                     log_event!(warn, "book-unwritten", book = book, error = error);
                 }
--- a/crates/sagespool-entry/src/home/claims.rs
+++ b/crates/sagespool-entry/src/home/claims.rs
@@ -20,11 +20,11 @@
 
 use crate::state::EntryState;
 
-const CONFLICT_TRIES: u32 = 20;
+const MAX_CONFLICT_TRIES: u32 = 20;
 /// How often a claim held by another request is replaced, each time on the reply of another
 /// sidecar.
-const OVERTURN_TRIES: u32 = 3;
-const FENCE_LIMIT: Duration = Duration::from_secs(1);
+const MAX_OVERTURN_TRIES: u32 = 3;
+const FENCE_TIMEOUT: Duration = Duration::from_secs(1);
 const RETRY_AFTER: Duration = Duration::from_secs(5);
 /// The longest sleep of the writer while claims wait for an unreachable store.
 const WRITER_STEP: Duration = Duration::from_millis(50);
@@ -32,21 +32,21 @@
 /// The pending claims of one shard, and the channel of the caller that waits for each.
 struct ClaimShard {
     batch: ClaimBatch,
-    askers: HashMap<RequestId, Sender<ClaimVerdict>>,
+    waiters: HashMap<RequestId, Sender<ClaimVerdict>>,
     writing: bool,
 }
 
 impl ClaimShard {
     fn new(retention: Duration) -> Self {
         let policy = BatchPolicy::builder().retention(retention).build();
-        Self { batch: ClaimBatch::new(policy), askers: HashMap::new(), writing: false }
+        Self { batch: ClaimBatch::new(policy), waiters: HashMap::new(), writing: false }
     }
 
-    fn answer(&mut self, answers: Vec<sagespool_claims::ClaimResult>) {
+    fn send_verdicts(&mut self, answers: Vec<sagespool_claims::ClaimResult>) {
         for answer in answers {
-            if let Some(asker) = self.askers.remove(&answer.intent.request) {
+            if let Some(waiter) = self.waiters.remove(&answer.intent.request) {
                 // If the waiting task is gone, its claim stays and a retry finds it.
-                let _ = asker.try_send(answer.verdict);
+                let _ = waiter.try_send(answer.verdict);
             }
         }
     }
@@ -92,12 +92,12 @@
 
 async fn claim_durably(state: &Arc<EntryState>, request: &ClaimRequest) -> ClaimReply {
     let mut intent = ClaimIntent::of(request, state.incarnation);
-    for _ in 0..OVERTURN_TRIES {
-        match wish_for(state, intent.clone()).await {
+    for _ in 0..MAX_OVERTURN_TRIES {
+        match submit_claim(state, intent.clone()).await {
             ClaimVerdict::Durable => return ClaimReply::Durable,
-            ClaimVerdict::Taken(entry) => match ask_claimant(state, request, &entry).await {
-                Claimant::NeverRan(fenced) => intent = intent.replacing(fenced),
-                Claimant::Says(known) => return ClaimReply::Known(known),
+            ClaimVerdict::Taken(entry) => match query_claimant(state, request, &entry).await {
+                ClaimantReply::NeverRan(fenced) => intent = intent.replacing(fenced),
+                ClaimantReply::Known(known) => return ClaimReply::Known(known),
             },
             verdict => return ClaimReply::Refused(refusal(state, request.key, &verdict)),
         }
@@ -120,16 +120,20 @@
 }
 
 /// The reply of the sidecar that holds a conflicting claim.
-enum Claimant {
+enum ClaimantReply {
     NeverRan(FencedClaim),
-    Says(KeyState),
+    Known(KeyState),
 }
 
 /// Queries the sidecar that a claim names. If the same incarnation never received the key, it
 /// refuses the claim's request from now on, so the claim may be replaced. Without that reply the
 /// claim stays.
-async fn ask_claimant(state: &EntryState, request: &ClaimRequest, entry: &ClaimEntry) -> Claimant {
-    let unknown = || Claimant::Says(claimed_key_state(entry, request.content, None));
+async fn query_claimant(
+    state: &EntryState,
+    request: &ClaimRequest,
+    entry: &ClaimEntry,
+) -> ClaimantReply {
+    let unknown = || ClaimantReply::Known(claimed_key_state(entry, request.content, None));
     let Some(member) = state.members.find(entry.sidecar) else {
         return unknown();
     };
@@ -137,18 +141,20 @@
     let Some(service) = service else {
         return unknown();
     };
-    let question = KeyRequest { service, key: request.key, fence: Some(entry.request) };
-    let asked =
-        state.link().ask(member.address, &PeerRequest::FindKey(question), FENCE_LIMIT).await;
-    let Ok(PeerReply::Key(reply)) = asked else {
+    let key_request = KeyRequest { service, key: request.key, fence: Some(entry.request) };
+    let reply =
+        state.link().ask(member.address, &PeerRequest::FindKey(key_request), FENCE_TIMEOUT).await;
+    let Ok(PeerReply::Key(reply)) = reply else {
         return unknown();
     };
     if reply.sidecar != entry.sidecar {
         return unknown();
     }
     match reply.known {
-        None => Claimant::NeverRan(FencedClaim { request: entry.request, sidecar: entry.sidecar }),
-        known => Claimant::Says(claimed_key_state(entry, request.content, known)),
+        None => {
+            ClaimantReply::NeverRan(FencedClaim { request: entry.request, sidecar: entry.sidecar })
+        }
+        known => ClaimantReply::Known(claimed_key_state(entry, request.content, known)),
     }
 }
 
@@ -164,24 +170,24 @@
 }
 
 /// Queues a claim for the shard's writer and waits for the verdict.
-async fn wish_for(state: &Arc<EntryState>, intent: ClaimIntent) -> ClaimVerdict {
-    let (asker, answer) = async_channel::bounded(1);
+async fn submit_claim(state: &Arc<EntryState>, intent: ClaimIntent) -> ClaimVerdict {
+    let (waiter, answer) = async_channel::bounded(1);
     let shard = claim_shard(intent.key);
     let start = {
         let mut shards = state.claims.shards();
         let entry = shards.entry(shard).or_insert_with(|| ClaimShard::new(state.key_retention()));
-        entry.askers.insert(intent.request, asker);
+        entry.waiters.insert(intent.request, waiter);
         entry.batch.add(intent, ClockTime::now());
         !std::mem::replace(&mut entry.writing, true)
     };
     if start {
-        smol::spawn(run_shard(Arc::clone(state), shard)).detach();
+        smol::spawn(write_shard(Arc::clone(state), shard)).detach();
     }
     answer.recv().await.unwrap_or(ClaimVerdict::Expired)
 }
 
 /// Writes a shard's batches until no claim is pending.
-async fn run_shard(state: Arc<EntryState>, shard: u64) {
+async fn write_shard(state: Arc<EntryState>, shard: u64) {
     loop {
         let step = {
             let mut shards = state.claims.shards();
@@ -190,7 +196,7 @@
             };
             let now = ClockTime::now();
             let lapsed = entry.batch.expire(now);
-            entry.answer(lapsed);
+            entry.send_verdicts(lapsed);
             if entry.batch.is_empty() {
                 entry.writing = false;
                 return;
@@ -224,7 +230,7 @@
     match outcome {
         Ok(record) => {
             let answers = entry.batch.complete_write(record, ClockTime::now());
-            entry.answer(answers);
+            entry.send_verdicts(answers);
         }
         Err(error) => {
             log_event!(warn, "claims-unwritten", shard = shard, error = error);
@@ -235,7 +241,7 @@
 
 async fn store_batch(state: &EntryState, shard: u64) -> Result<ClaimsRecord, StoreError> {
     let key = claim_key(shard);
-    for _ in 0..CONFLICT_TRIES {
+    for _ in 0..MAX_CONFLICT_TRIES {
         let stored = state.objects.get::<ClaimsRecord>(&key).await?;
         let empty =
             || StoredObject { version: StoreRevision::ZERO, value: ClaimsRecord::default() };
--- a/crates/sagespool-entry/src/home/crashes.rs
+++ b/crates/sagespool-entry/src/home/crashes.rs
@@ -11,26 +11,28 @@
 
 use crate::state::EntryState;
 
-const TELL_LIMIT: Duration = Duration::from_secs(1);
-const STORE_TRIES: u32 = 8;
-const STORE_LIMIT: Duration = Duration::from_secs(5);
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_STORE_TRIES: u32 = 8;
+const STORE_TIMEOUT: Duration = Duration::from_secs(5);
 const WATCH_WAIT: Duration = Duration::from_secs(20);
-const WATCH_PAUSE: Duration = Duration::from_secs(1);
+const RETRY_PAUSE: Duration = Duration::from_secs(1);
 
 /// Records a crash and reports it to every other entry before the request is retried. Otherwise a
 /// caller that resends the request through another entry could crash one more upstream.
-pub(crate) async fn spread_crash(state: &Arc<EntryState>, report: &CrashReport) {
+pub(crate) async fn broadcast_crash(state: &Arc<EntryState>, report: &CrashReport) {
     record_crash(state, report);
     let others = state.members.live(MemberRole::Entry, ClockTime::now());
-    let mut told = Vec::new();
+    let mut reports = Vec::new();
     for member in others {
         if member.incarnation == state.incarnation {
             continue;
         }
         let (link, request) = (state.link().clone(), PeerRequest::ReportCrash(report.clone()));
-        told.push(smol::spawn(async move { link.ask(member.address, &request, TELL_LIMIT).await }));
+        reports.push(smol::spawn(async move {
+            link.ask(member.address, &request, REPORT_TIMEOUT).await
+        }));
     }
-    for answer in told {
+    for answer in reports {
         if let Err(error) = answer.await {
             log_event!(warn, "crash-untold", content = report.content, error = error);
         }
@@ -49,7 +51,7 @@
         verdict = format!("{verdict:?}")
     );
     if verdict == CrashVerdict::Stopped {
-        smol::spawn(keep_verdicts(Arc::clone(state))).detach();
+        smol::spawn(store_verdicts(Arc::clone(state))).detach();
     }
 }
 
@@ -69,18 +71,18 @@
         true => UpdateChoice::Write,
         false => UpdateChoice::Keep,
     };
-    if let Err(error) = update_object(&state.objects, QUARANTINE_KEY, STORE_LIMIT, lift).await {
+    if let Err(error) = update_object(&state.objects, QUARANTINE_KEY, STORE_TIMEOUT, lift).await {
         log_event!(warn, "verdict-unlifted", content = content, error = error);
     }
 }
 
 /// Writes quarantine verdicts to the store, so that they outlive every entry.
-async fn keep_verdicts(state: Arc<EntryState>) {
-    for _ in 0..STORE_TRIES {
-        let kept = update_object(
+async fn store_verdicts(state: Arc<EntryState>) {
+    for _ in 0..MAX_STORE_TRIES {
+        let stored = update_object(
             &state.objects,
             QUARANTINE_KEY,
-            STORE_LIMIT,
+            STORE_TIMEOUT,
             |record: &mut QuarantineRecord| {
                 let mut changed = false;
                 for (content, crashes) in state.crashes.unsaved() {
@@ -91,14 +93,14 @@
             },
         )
         .await;
-        match kept {
+        match stored {
             Ok(updated) => {
                 state.crashes.apply_record(&updated.value, ClockTime::now());
                 return;
             }
             Err(error) => log_event!(warn, "verdict-unkept", error = error),
         }
-        smol::Timer::after(WATCH_PAUSE).await;
+        smol::Timer::after(RETRY_PAUSE).await;
     }
 }
 
@@ -107,7 +109,7 @@
 pub(crate) async fn run_crash_watch(state: Arc<EntryState>) {
     loop {
         let Ok(listing) = state.objects.list::<QuarantineRecord>(QUARANTINE_KEY).await else {
-            smol::Timer::after(WATCH_PAUSE).await;
+            smol::Timer::after(RETRY_PAUSE).await;
             continue;
         };
         for (_, stored) in &listing.items {
@@ -118,7 +120,7 @@
             let changes =
                 state.objects.watch::<QuarantineRecord>(QUARANTINE_KEY, after, WATCH_WAIT).await;
             let Ok(changes) = changes else {
-                smol::Timer::after(WATCH_PAUSE).await;
+                smol::Timer::after(RETRY_PAUSE).await;
                 break;
             };
             after = changes.revision;
--- a/crates/sagespool-entry/src/home/finish.rs
+++ b/crates/sagespool-entry/src/home/finish.rs
@@ -56,7 +56,7 @@
 
 /// Applies a sidecar's charge report. Returns the charges that are durable and need no further
 /// report.
-pub(crate) fn take_report(state: &EntryState, report: &ChargeReport) -> ChargesDurable {
+pub(crate) fn record_charges(state: &EntryState, report: &ChargeReport) -> ChargesDurable {
     let now = ClockTime::now();
     for record in &report.charges {
         state.ledger.note_usage(record, now);
--- a/crates/sagespool-entry/src/home/keys.rs
+++ b/crates/sagespool-entry/src/home/keys.rs
@@ -13,17 +13,17 @@
 use super::place::home_name;
 use crate::state::EntryState;
 
-const FIND_LIMIT: Duration = Duration::from_secs(1);
-const ASK_AGAIN: Duration = Duration::from_millis(250);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
+const QUERY_RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// Subtracted from a request's time so that a refusal reaches the caller before its deadline.
-const ANSWER_MARGIN: Duration = Duration::from_millis(50);
+const REFUSAL_MARGIN: Duration = Duration::from_millis(50);
 
 /// What to do with a keyed request.
 pub(super) enum KeyStart {
     /// Run it.
     New,
     /// Run it again: it ran or may have run before, and its answer is not available.
-    Again,
+    Rerun,
     /// Attach to the earlier run, or return its outcome.
     Known(KeyState),
     /// Refuse.
@@ -33,27 +33,27 @@
 /// Registers a key for a request, unless it is known. Only the time since this entry became the
 /// branch's home counts, not the uptime of the process: keys registered with an earlier home are
 /// not known here.
-fn begin(state: &EntryState, order: &ReserveRequest, key: KeyDigest) -> KeyDecision {
+fn begin(state: &EntryState, reserve_request: &ReserveRequest, key: KeyDigest) -> KeyDecision {
     let now = ClockTime::now();
-    let since = state.members.home_since(&home_name(&order.branch), now).unwrap_or(now);
-    state.keys.begin_since(key, order.request, order.content, since, now)
+    let since = state.members.home_since(&home_name(&reserve_request.branch), now).unwrap_or(now);
+    state.keys.begin_since(key, reserve_request.request, reserve_request.content, since, now)
 }
 
 /// Looks a key up. A home that is younger than the retention of answers lacks what an earlier home
 /// dispatched, so it queries the sidecars.
 pub(super) async fn begin_key(
     state: &EntryState,
-    order: &ReserveRequest,
+    reserve_request: &ReserveRequest,
     key: KeyDigest,
 ) -> KeyStart {
-    match begin(state, order, key) {
+    match begin(state, reserve_request, key) {
         KeyDecision::New => KeyStart::New,
-        KeyDecision::Unsure => ask_sidecars(state, order, key).await,
+        KeyDecision::Unsure => query_sidecars(state, reserve_request, key).await,
         KeyDecision::Attach(KeyState::Unknown { request }) => {
-            run_again(state, order, key, request).await
+            rerun(state, reserve_request, key, request).await
         }
         KeyDecision::Attach(KeyState::At { sidecar, request, content }) => {
-            check_place(state, order, key, (sidecar, request, content)).await
+            check_placement(state, reserve_request, key, (sidecar, request, content)).await
         }
         KeyDecision::Attach(known) => KeyStart::Known(known),
     }
@@ -61,64 +61,66 @@
 
 /// Checks a key's placement with its sidecar, which decides. The run may be lost: the sidecar is
 /// gone, or the run failed together with its entry.
-async fn check_place(
+async fn check_placement(
     state: &EntryState,
-    order: &ReserveRequest,
+    reserve_request: &ReserveRequest,
     key: KeyDigest,
-    place: (IncarnationId, RequestId, sagespool_types::ContentDigest),
+    placement: (IncarnationId, RequestId, sagespool_types::ContentDigest),
 ) -> KeyStart {
-    let (sidecar, request, content) = place;
+    let (sidecar, request, content) = placement;
     let known = KeyState::At { sidecar, request, content };
     let gone = || state.members.is_gone(sidecar, ClockTime::now());
     let Some(member) = state.members.find(sidecar) else {
         return if gone() {
-            run_again(state, order, key, request).await
+            rerun(state, reserve_request, key, request).await
         } else {
             KeyStart::Known(known)
         };
     };
-    let question = KeyRequest { service: order.service.clone(), key, fence: None };
-    match ask_sidecar(state, member.address, question).await {
-        Some(reply) if reply.sidecar != sidecar => run_again(state, order, key, request).await,
+    let key_request = KeyRequest { service: reserve_request.service.clone(), key, fence: None };
+    match query_sidecar(state, member.address, key_request).await {
+        Some(reply) if reply.sidecar != sidecar => {
+            rerun(state, reserve_request, key, request).await
+        }
         Some(KeyReply { known: Some(KeyState::Unknown { request }), .. }) => {
-            run_again(state, order, key, request).await
+            rerun(state, reserve_request, key, request).await
         }
         // Placed, but not dispatched or never to be dispatched; its entry will report the outcome.
         Some(KeyReply { known: None, .. }) => KeyStart::Known(KeyState::Pending),
         Some(_) => KeyStart::Known(known),
-        None if gone() => run_again(state, order, key, request).await,
+        None if gone() => rerun(state, reserve_request, key, request).await,
         None => KeyStart::Known(KeyState::Pending),
     }
 }
 
 /// Handles a run whose answer is no longer available: it runs again if it is idempotent.
-async fn run_again(
+async fn rerun(
     state: &EntryState,
-    order: &ReserveRequest,
+    reserve_request: &ReserveRequest,
     key: KeyDigest,
     lost: RequestId,
 ) -> KeyStart {
-    if order.non_idempotent {
+    if reserve_request.non_idempotent {
         return KeyStart::Known(KeyState::Unknown { request: lost });
     }
     state.keys.forget(key, lost);
-    let start = match begin(state, order, key) {
+    let start = match begin(state, reserve_request, key) {
         KeyDecision::New => KeyStart::New,
-        KeyDecision::Unsure => ask_sidecars(state, order, key).await,
+        KeyDecision::Unsure => query_sidecars(state, reserve_request, key).await,
         KeyDecision::Attach(_) => KeyStart::Known(KeyState::Pending),
     };
     match start {
-        KeyStart::New => KeyStart::Again,
+        KeyStart::New => KeyStart::Rerun,
         start => start,
     }
 }
 
-async fn ask_sidecar(
+async fn query_sidecar(
     state: &EntryState,
     address: SocketAddr,
-    question: KeyRequest,
+    key_request: KeyRequest,
 ) -> Option<KeyReply> {
-    match state.link().ask(address, &PeerRequest::FindKey(question), FIND_LIMIT).await {
+    match state.link().ask(address, &PeerRequest::FindKey(key_request), QUERY_TIMEOUT).await {
         Ok(PeerReply::Key(reply)) => Some(reply),
         _ => None,
     }
@@ -127,42 +129,50 @@
 /// Queries the sidecars of the service. Unreachable ones are queried again until they reply or are
 /// taken for gone, which is a few seconds after a sidecar's death; without the retries every new
 /// key would be refused until then.
-async fn ask_sidecars(state: &EntryState, order: &ReserveRequest, key: KeyDigest) -> KeyStart {
-    let deadline = ClockTime::now().after(order.time_left.saturating_sub(ANSWER_MARGIN));
+async fn query_sidecars(
+    state: &EntryState,
+    reserve_request: &ReserveRequest,
+    key: KeyDigest,
+) -> KeyStart {
+    let deadline = ClockTime::now().after(reserve_request.time_left.saturating_sub(REFUSAL_MARGIN));
     loop {
-        let verdict = inquire(state, order, key).await;
-        if let Some(start) = judge_inquiry(state, order, key, verdict) {
+        let verdict = inquire(state, reserve_request, key).await;
+        if let Some(start) = resolve_inquiry(state, reserve_request, key, verdict) {
             return start;
         }
         if ClockTime::now() >= deadline {
-            state.keys.forget(key, order.request);
-            return KeyStart::Refused(unasked_notice());
+            state.keys.forget(key, reserve_request.request);
+            return KeyStart::Refused(unreachable_sidecar_refusal());
         }
-        smol::Timer::after(ASK_AGAIN).await;
+        smol::Timer::after(QUERY_RETRY_PAUSE).await;
     }
 }
 
 /// Queries every sidecar of the service in parallel.
-async fn inquire(state: &EntryState, order: &ReserveRequest, key: KeyDigest) -> LookupOutcome {
+async fn inquire(
+    state: &EntryState,
+    reserve_request: &ReserveRequest,
+    key: KeyDigest,
+) -> LookupOutcome {
     let sidecars = state.members.live(MemberRole::Sidecar, ClockTime::now());
     let serving = sidecars.into_iter().filter(|member| {
-        member.serves.as_ref().is_some_and(|serves| serves.service == order.service)
+        member.serves.as_ref().is_some_and(|serves| serves.service == reserve_request.service)
     });
     let serving: Vec<_> = serving.collect();
     let ids: Vec<IncarnationId> = serving.iter().map(|member| member.incarnation).collect();
     let mut lookup = KeyLookup::new(ids, []);
-    let mut asked = Vec::new();
+    let mut tasks = Vec::new();
     for member in serving {
-        let question = KeyRequest { service: order.service.clone(), key, fence: None };
+        let key_request = KeyRequest { service: reserve_request.service.clone(), key, fence: None };
         let link = state.link().clone();
         let task = smol::spawn(async move {
-            let request = PeerRequest::FindKey(question);
-            let reply = link.ask(member.address, &request, FIND_LIMIT).await;
+            let request = PeerRequest::FindKey(key_request);
+            let reply = link.ask(member.address, &request, QUERY_TIMEOUT).await;
             (member.incarnation, reply)
         });
-        asked.push(task);
+        tasks.push(task);
     }
-    for task in asked {
+    for task in tasks {
         match task.await {
             (incarnation, Ok(PeerReply::Key(reply))) => lookup.record_reply(incarnation, &reply),
             (incarnation, _) => lookup.record_failure(incarnation),
@@ -171,7 +181,7 @@
     lookup.verdict()
 }
 
-fn unasked_notice() -> RefusalNotice {
+fn unreachable_sidecar_refusal() -> RefusalNotice {
     RefusalNotice {
         reason: RefusalReason::OutcomeUnknown,
         run_state: RunState::Unknown,
@@ -185,17 +195,17 @@
 /// A sidecar that is unreachable and not known to be gone may be running the request. For an
 /// idempotent request a second run would be billed twice; for a non-idempotent one the claim in the
 /// store decides.
-fn judge_inquiry(
+fn resolve_inquiry(
     state: &EntryState,
-    order: &ReserveRequest,
+    reserve_request: &ReserveRequest,
     key: KeyDigest,
     verdict: LookupOutcome,
 ) -> Option<KeyStart> {
     let now = ClockTime::now();
     let mut start = KeyStart::New;
     let silent = match verdict {
-        LookupOutcome::Found(KeyState::Unknown { .. }) if !order.non_idempotent => {
-            start = KeyStart::Again;
+        LookupOutcome::Found(KeyState::Unknown { .. }) if !reserve_request.non_idempotent => {
+            start = KeyStart::Rerun;
             Vec::new()
         }
         LookupOutcome::Found(known) => {
@@ -208,10 +218,10 @@
         LookupOutcome::Incomplete(silent) => silent,
     };
     let unsure = silent.iter().any(|incarnation| !state.members.is_gone(*incarnation, now));
-    if unsure && !order.non_idempotent {
+    if unsure && !reserve_request.non_idempotent {
         return None;
     }
-    match state.keys.try_acquire(key, order.request, order.content, now) {
+    match state.keys.try_acquire(key, reserve_request.request, reserve_request.content, now) {
         true => Some(start),
         false => Some(KeyStart::Known(KeyState::Pending)),
     }
--- a/crates/sagespool-entry/src/home/recall.rs
+++ b/crates/sagespool-entry/src/home/recall.rs
@@ -11,7 +11,7 @@
 use super::books::{WriteCause, write_book};
 use crate::state::EntryState;
 
-const RECALL_LIMIT: Duration = Duration::from_secs(2);
+const RECALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The sum of the replies to a recall.
 #[derive(Default)]
@@ -30,16 +30,16 @@
 /// Guards against a false refusal: a home behind a partition is taken for dead and its grants are
 /// sealed, while a sidecar that has the charges has restarted. After the partition the holder can
 /// account for them at once. A holder that is gone is not waited for.
-pub(super) fn to_ask(
+pub(super) fn grants_to_recall(
     state: &EntryState,
-    short: BudgetShortfall,
+    shortfall: BudgetShortfall,
 ) -> Vec<(GrantId, IncarnationId, TokenCount)> {
     let now = ClockTime::now();
     let lives = |holder: IncarnationId| {
         state.members.find(holder).is_some() && !state.members.is_gone(holder, now)
     };
-    let doubted = short.grants_in_doubt.into_iter().filter(|(_, holder, _)| lives(*holder));
-    short.other_grants.into_iter().chain(doubted).collect()
+    let in_doubt = shortfall.grants_in_doubt.into_iter().filter(|(_, holder, _)| lives(*holder));
+    shortfall.other_grants.into_iter().chain(in_doubt).collect()
 }
 
 fn holders(others: &[(GrantId, IncarnationId, TokenCount)]) -> Vec<IncarnationId> {
@@ -58,7 +58,7 @@
 ) -> RecallSum {
     let request = PeerRequest::Recall(RecallRequest { branch: branch.clone(), wanted });
     let mut sum = RecallSum::default();
-    let mut asked = Vec::new();
+    let mut tasks = Vec::new();
     for holder in holders(others) {
         let held = others.iter().filter(|(_, other, _)| *other == holder);
         let held: TokenCount = held.map(|(_, _, rest)| *rest).sum();
@@ -67,10 +67,10 @@
             continue;
         };
         let (link, request) = (state.link().clone(), request.clone());
-        let task = smol::spawn(async move { ask_holder(&link, member.address, &request).await });
-        asked.push((held, task));
+        let task = smol::spawn(async move { recall_from(&link, member.address, &request).await });
+        tasks.push((held, task));
     }
-    for (held, reply) in asked {
+    for (held, reply) in tasks {
         match reply.await {
             Some(reply) => {
                 sum.returned += reply.returned;
@@ -82,12 +82,12 @@
     sum
 }
 
-async fn ask_holder(
+async fn recall_from(
     link: &sagespool_link::LinkEndpoint,
     address: SocketAddr,
     request: &PeerRequest,
 ) -> Option<RecallReply> {
-    match link.ask(address, request, RECALL_LIMIT).await {
+    match link.ask(address, request, RECALL_TIMEOUT).await {
         Ok(PeerReply::Recall(reply)) => Some(reply),
         _ => None,
     }
@@ -95,7 +95,7 @@
 
 /// Returns what this home holds of a branch and does not need. The return is durable before the
 /// reply is sent.
-pub(crate) async fn give_back(state: &EntryState, request: &RecallRequest) -> RecallReply {
+pub(crate) async fn handle_recall(state: &EntryState, request: &RecallRequest) -> RecallReply {
     let returned = state.ledger.return_unspent(&request.branch, request.wanted, ClockTime::now());
     let written = write_book(state, book_of(&request.branch), WriteCause::Recall).await;
     let running = state.ledger.returnable(&request.branch);
--- a/crates/sagespool-entry/src/home/recovery.rs
+++ b/crates/sagespool-entry/src/home/recovery.rs
@@ -14,26 +14,26 @@
     BookNumber, BranchName, ChargeId, ClockTime, GrantId, IncarnationId, StoreRevision,
 };
 
-use super::witnesses::ask_witnesses;
+use super::seal_targets::request_seals;
 use crate::state::EntryState;
 
 const TICK: Duration = Duration::from_millis(500);
 /// Interval at which recoveries that wait for a sidecar are retried.
-const RETRY: Duration = Duration::from_secs(2);
+const RETRY_INTERVAL: Duration = Duration::from_secs(2);
 /// Interval of the scan of all books for grants whose holder is unknown to every member.
-const SWEEP: Duration = Duration::from_secs(15);
-const UPDATE_LIMIT: Duration = Duration::from_secs(5);
+const SCAN_INTERVAL: Duration = Duration::from_secs(15);
+const UPDATE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// State of the recovery task between passes.
 #[derive(Default)]
-struct RecoveryDesk {
+struct RecoveryTracker {
     known: HashMap<IncarnationId, MemberRole>,
     /// Books with grants that this process has sealed and not yet closed.
     open_books: BTreeSet<BookNumber>,
     last_pass: ClockTime,
-    last_sweep: ClockTime,
+    last_scan: ClockTime,
     /// True after an entry's death until a scan of all books has succeeded.
-    sweep_wanted: bool,
+    scan_wanted: bool,
 }
 
 /// Runs recovery for the lifetime of the process.
@@ -41,41 +41,42 @@
 /// Any number of entries may recover the same grant at once: seals, settled charges and closings
 /// are found by id in the book and written with conditional updates.
 pub(crate) async fn run_recovery(state: Arc<EntryState>) {
-    let mut desk = RecoveryDesk { last_sweep: ClockTime::now(), ..RecoveryDesk::default() };
+    let mut tracker = RecoveryTracker { last_scan: ClockTime::now(), ..RecoveryTracker::default() };
     loop {
         smol::Timer::after(TICK).await;
-        note_gone(&state, &mut desk).await;
+        handle_gone_members(&state, &mut tracker).await;
         let overdue = state.ledger.overdue(ClockTime::now());
         resolve_orphans(&state, overdue).await;
         let now = ClockTime::now();
-        if desk.sweep_wanted || now.since(desk.last_sweep) >= SWEEP {
-            desk.last_sweep = now;
-            desk.sweep_wanted = !sweep(&state, &mut desk).await;
+        if tracker.scan_wanted || now.since(tracker.last_scan) >= SCAN_INTERVAL {
+            tracker.last_scan = now;
+            tracker.scan_wanted = !scan_books(&state, &mut tracker).await;
         }
-        if !desk.open_books.is_empty() && now.since(desk.last_pass) >= RETRY {
-            desk.last_pass = now;
-            for book in desk.open_books.clone() {
-                pass_book(&state, &mut desk, book).await;
+        if !tracker.open_books.is_empty() && now.since(tracker.last_pass) >= RETRY_INTERVAL {
+            tracker.last_pass = now;
+            for book in tracker.open_books.clone() {
+                recover_book(&state, &mut tracker, book).await;
             }
         }
     }
 }
 
-async fn note_gone(state: &Arc<EntryState>, desk: &mut RecoveryDesk) {
+async fn handle_gone_members(state: &Arc<EntryState>, tracker: &mut RecoveryTracker) {
     let now = ClockTime::now();
     for member in state.members.members() {
-        desk.known.insert(member.incarnation, member.role);
+        tracker.known.insert(member.incarnation, member.role);
     }
     let is_gone = |incarnation: &IncarnationId| state.members.is_gone(*incarnation, now);
-    let gone: Vec<_> = desk.known.iter().filter(|(incarnation, _)| is_gone(incarnation)).collect();
+    let gone: Vec<_> =
+        tracker.known.iter().filter(|(incarnation, _)| is_gone(incarnation)).collect();
     let gone: Vec<_> = gone.into_iter().map(|(incarnation, role)| (*incarnation, *role)).collect();
     for (incarnation, role) in gone {
-        desk.known.remove(&incarnation);
+        tracker.known.remove(&incarnation);
         log_event!(info, "member-gone", incarnation = incarnation, role = role);
         match role {
             MemberRole::Sidecar => state.keys.sidecar_gone(incarnation, now),
             MemberRole::Entry => {
-                desk.sweep_wanted = true;
+                tracker.scan_wanted = true;
                 let orphans = state.ledger.entry_gone(incarnation, now);
                 resolve_orphans(state, orphans).await;
             }
@@ -96,22 +97,22 @@
     }
     // A holder that this entry has never seen died before this process started. Gossip is given
     // time to report it first.
-    state.members.find(holder).is_none() && now.since(state.started) >= SWEEP
+    state.members.find(holder).is_none() && now.since(state.started) >= SCAN_INTERVAL
 }
 
 /// Scans the books that this entry is responsible for. Returns false if the store did not answer.
-async fn sweep(state: &Arc<EntryState>, desk: &mut RecoveryDesk) -> bool {
-    let mut whole = true;
+async fn scan_books(state: &Arc<EntryState>, tracker: &mut RecoveryTracker) -> bool {
+    let mut complete = true;
     for book in (0..BOOK_COUNT).map(BookNumber) {
-        if is_first_in_line(state, book) {
-            whole &= pass_book(state, desk, book).await;
+        if is_responsible(state, book) {
+            complete &= recover_book(state, tracker, book).await;
         }
     }
-    whole
+    complete
 }
 
 /// Whether a book falls to this entry; books are spread over the live entries by number.
-fn is_first_in_line(state: &EntryState, book: BookNumber) -> bool {
+fn is_responsible(state: &EntryState, book: BookNumber) -> bool {
     let live = state.members.live(MemberRole::Entry, ClockTime::now());
     let mut entries: BTreeSet<IncarnationId> =
         live.into_iter().map(|member| member.incarnation).collect();
@@ -121,30 +122,34 @@
 
 /// Seals the grants of dead holders in a book, and recovers the grants that this process has
 /// sealed. Returns false if the store did not answer.
-async fn pass_book(state: &Arc<EntryState>, desk: &mut RecoveryDesk, book: BookNumber) -> bool {
+async fn recover_book(
+    state: &Arc<EntryState>,
+    tracker: &mut RecoveryTracker,
+    book: BookNumber,
+) -> bool {
     let stored = match state.objects.get::<BookRecord>(&book_key(book)).await {
         Ok(Some(stored)) => stored,
         Ok(None) => return true,
         Err(_) => return false,
     };
     let to_seal = stored.value.grants_to_seal(|holder| is_dead(state, holder));
-    let mine = stored.value.grants_sealed_by(state.incarnation);
-    if to_seal.is_empty() && mine.is_empty() {
-        desk.open_books.remove(&book);
+    let own_sealed = stored.value.grants_sealed_by(state.incarnation);
+    if to_seal.is_empty() && own_sealed.is_empty() {
+        tracker.open_books.remove(&book);
         return true;
     }
-    let Ok(cases) = seal_in_book(state, book, &to_seal).await else {
+    let Ok(recoveries) = seal_in_book(state, book, &to_seal).await else {
         return false;
     };
-    desk.open_books.insert(book);
-    let mut heard = Vec::new();
-    for mut case in cases {
-        let (grant, scope) = (case.grant, SealScope::WholeGrant);
+    tracker.open_books.insert(book);
+    let mut queried = Vec::new();
+    for mut recovery in recoveries {
+        let (grant, scope) = (recovery.grant, SealScope::WholeGrant);
         let request = SealRequest { grant, scope, reporter: state.incarnation };
-        ask_witnesses(state, &mut case, &request).await;
-        heard.push(case);
+        request_seals(state, &mut recovery, &request).await;
+        queried.push(recovery);
     }
-    settle_cases(state, book, &heard).await
+    settle_recoveries(state, book, &queried).await
 }
 
 /// Marks grants as sealed in the store. Returns a recovery for each grant that this process has
@@ -162,28 +167,33 @@
         }
         if changed { UpdateChoice::Write } else { UpdateChoice::Keep }
     };
-    let updated = update_object(&state.objects, &book_key(book), UPDATE_LIMIT, seal).await?;
+    let updated = update_object(&state.objects, &book_key(book), UPDATE_TIMEOUT, seal).await?;
     state.ledger.observe(book, &updated.value, updated.version, ClockTime::now());
-    let cases = updated.value.grants_sealed_by(own).into_iter().map(|(branch, grant)| {
+    let recoveries = updated.value.grants_sealed_by(own).into_iter().map(|(branch, grant)| {
         let account = updated.value.branches.get(&branch);
         let record = account.and_then(|account| account.grants.get(&grant));
         let asked_at = record.map_or(StoreRevision::ZERO, |record| record.asked_at);
-        GrantRecovery::new(branch, grant, asked_at, state.witnesses.ids())
+        GrantRecovery::new(branch, grant, asked_at, state.seal_targets.ids())
     });
-    Ok(cases.collect())
+    Ok(recoveries.collect())
 }
 
 /// Settles the charges that are accounted for, and closes complete grants or marks them in doubt.
 /// Returns false if the store did not answer.
-async fn settle_cases(state: &EntryState, book: BookNumber, cases: &[GrantRecovery]) -> bool {
+async fn settle_recoveries(
+    state: &EntryState,
+    book: BookNumber,
+    recoveries: &[GrantRecovery],
+) -> bool {
     let settle = |record: &mut BookRecord| {
         let mut changed = false;
-        for case in cases {
-            changed |= record.apply_recovery(&case.branch, &case.grant, &case.verdict());
+        for recovery in recoveries {
+            changed |=
+                record.apply_recovery(&recovery.branch, &recovery.grant, &recovery.verdict());
         }
         if changed { UpdateChoice::Write } else { UpdateChoice::Keep }
     };
-    let updated = update_object(&state.objects, &book_key(book), UPDATE_LIMIT, settle).await;
+    let updated = update_object(&state.objects, &book_key(book), UPDATE_TIMEOUT, settle).await;
     let updated = match updated {
         Ok(updated) => updated,
         Err(error) => {
@@ -193,18 +203,18 @@
     };
     state.ledger.observe(book, &updated.value, updated.version, ClockTime::now());
     state.budget_changed.notify(usize::MAX);
-    for case in cases {
-        let verdict = match case.verdict() {
+    for recovery in recoveries {
+        let verdict = match recovery.verdict() {
             RecoveryVerdict::Close(_) => "closed",
             RecoveryVerdict::Wait(_) => "waiting",
             RecoveryVerdict::InDoubt(_) => "in-doubt",
         };
-        let missing = case.missing().count();
+        let missing = recovery.missing().count();
         log_event!(
             info,
             "grant-recovery",
-            grant = case.grant,
-            branch = case.branch,
+            grant = recovery.grant,
+            branch = recovery.branch,
             verdict = verdict,
             missing = missing
         );
@@ -227,16 +237,16 @@
         let sequences = charges.iter().map(|charge| charge.sequence).collect();
         let scope = SealScope::Charges(sequences);
         let request = SealRequest { grant, scope, reporter: state.incarnation };
-        let mut case = GrantRecovery::new(branch, grant, since, state.witnesses.ids());
-        ask_witnesses(state, &mut case, &request).await;
-        let resolved = state.ledger.resolve_recovery(&case, &charges);
+        let mut recovery = GrantRecovery::new(branch, grant, since, state.seal_targets.ids());
+        request_seals(state, &mut recovery, &request).await;
+        let resolved = state.ledger.resolve_recovery(&recovery, &charges);
         log_event!(
             info,
             "orphans-asked",
             grant = grant,
             count = charges.len(),
             resolved = resolved,
-            missing = case.missing().count()
+            missing = recovery.missing().count()
         );
     }
     state.budget_changed.notify(usize::MAX);
--- a/crates/sagespool-entry/src/home/reserve.rs
+++ b/crates/sagespool-entry/src/home/reserve.rs
@@ -7,46 +7,46 @@
 use sagespool_messages::{RefusalNotice, ReserveReply, ReserveRequest};
 use sagespool_types::{ClockTime, RefusalReason, RunState, TokenCount};
 
+use super::acquisition::{AcquisitionResult, acquisition_since};
 use super::claims::may_be_claimed;
 use super::keys::{KeyStart, begin_key};
-use super::rounds::{RoundResult, round_since};
 use crate::state::EntryState;
 
 /// Subtracted from a request's time so that a refusal reaches the caller before its deadline.
-const ANSWER_MARGIN: Duration = Duration::from_millis(50);
+const REFUSAL_MARGIN: Duration = Duration::from_millis(50);
 /// How often a waiting request checks again whether other holders have returned budget.
 const WAIT_STEP: Duration = Duration::from_millis(150);
 /// A store that has been unreachable for longer is not expected back within a request's deadline.
-const STORE_PATIENCE: Duration = Duration::from_secs(10);
+const STORE_OUTAGE_LIMIT: Duration = Duration::from_secs(10);
 /// The retry-after of a refusal caused by an unreachable store.
-const STORE_RETRY: Duration = Duration::from_secs(5);
+const STORE_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// Reserves a request's maximum cost for an entry, returns the known state of its key, or refuses
 /// it.
-pub async fn reserve(state: &Arc<EntryState>, order: &ReserveRequest) -> ReserveReply {
-    if state.is_leaving() && order.entry != state.incarnation {
+pub async fn reserve(state: &Arc<EntryState>, reserve_request: &ReserveRequest) -> ReserveReply {
+    if state.is_leaving() && reserve_request.entry != state.incarnation {
         return ReserveReply::NotHome;
     }
-    if state.crashes.is_stopped(order.content) {
+    if state.crashes.is_stopped(reserve_request.content) {
         return ReserveReply::Refused(quarantined());
     }
     let mut ran_before = false;
-    if let Some(key) = order.key {
-        match begin_key(state, order, key).await {
+    if let Some(key) = reserve_request.key {
+        match begin_key(state, reserve_request, key).await {
             KeyStart::New => {}
-            KeyStart::Again => ran_before = true,
+            KeyStart::Rerun => ran_before = true,
             KeyStart::Known(known) => return ReserveReply::Known(known),
             KeyStart::Refused(notice) => return ReserveReply::Refused(notice),
         }
     }
-    let mut reply = wait_for_budget(state, order).await;
-    if state.abandoned().contains_key(&order.request) {
-        state.ledger.abandon(&order.branch, order.request);
+    let mut reply = wait_for_budget(state, reserve_request).await;
+    if state.abandoned().contains_key(&reserve_request.request) {
+        state.ledger.abandon(&reserve_request.branch, reserve_request.request);
         return ReserveReply::NotHome;
     }
-    if let (ReserveReply::Refused(notice), Some(key)) = (&mut reply, order.key) {
-        state.keys.forget(key, order.request);
-        if ran_before || (order.non_idempotent && may_be_claimed(state, key).await) {
+    if let (ReserveReply::Refused(notice), Some(key)) = (&mut reply, reserve_request.key) {
+        state.keys.forget(key, reserve_request.request);
+        if ran_before || (reserve_request.non_idempotent && may_be_claimed(state, key).await) {
             notice.run_state = RunState::Unknown;
         }
     }
@@ -62,30 +62,31 @@
     }
 }
 
-async fn wait_for_budget(state: &EntryState, order: &ReserveRequest) -> ReserveReply {
+async fn wait_for_budget(state: &EntryState, reserve_request: &ReserveRequest) -> ReserveReply {
     let arrived = ClockTime::now();
-    let deadline = arrived.after(order.time_left.saturating_sub(ANSWER_MARGIN));
+    let deadline = arrived.after(reserve_request.time_left.saturating_sub(REFUSAL_MARGIN));
     let mut since = arrived;
-    if let ReserveDecision::Reserved(reserved) = state.ledger.reserve(order, arrived) {
+    if let ReserveDecision::Reserved(reserved) = state.ledger.reserve(reserve_request, arrived) {
         return ReserveReply::Reserved(reserved);
     }
     loop {
         let changed = state.budget_changed.listen();
-        let round = round_since(state, order, since, deadline).await;
+        let acquisition = acquisition_since(state, reserve_request, since, deadline).await;
         let now = ClockTime::now();
-        let short = match state.ledger.reserve(order, now) {
+        let shortfall = match state.ledger.reserve(reserve_request, now) {
             ReserveDecision::Reserved(reserved) => return ReserveReply::Reserved(reserved),
-            ReserveDecision::Insufficient(short) => short,
+            ReserveDecision::Insufficient(shortfall) => shortfall,
         };
-        let Some(round) = round else {
-            return ReserveReply::Refused(refusal(state, order, &short, now));
+        let Some(acquisition) = acquisition else {
+            return ReserveReply::Refused(refusal(state, reserve_request, &shortfall, now));
         };
-        if now >= deadline || is_hopeless(state, &short, &round, now) {
-            return ReserveReply::Refused(refusal(state, order, &short, now));
+        if now >= deadline || cannot_succeed(state, &shortfall, &acquisition, now) {
+            return ReserveReply::Refused(refusal(state, reserve_request, &shortfall, now));
         }
         wait_step(changed, deadline).await;
-        let own_only = round.others_running + round.unanswered == TokenCount::ZERO;
-        let needs_store = short.missing == TokenCount::ZERO || round.store_away || !own_only;
+        let own_only = acquisition.others_running + acquisition.unanswered == TokenCount::ZERO;
+        let needs_store =
+            shortfall.missing == TokenCount::ZERO || acquisition.store_unreachable || !own_only;
         if needs_store {
             since = ClockTime::now();
         }
@@ -95,17 +96,18 @@
 /// True if waiting can't help: what running requests could still return is too little, and every
 /// holder has replied. A store that became unreachable only recently may be back within the
 /// deadline, so it is waited for; a longer outage is not.
-fn is_hopeless(
+fn cannot_succeed(
     state: &EntryState,
-    short: &BudgetShortfall,
-    round: &RoundResult,
+    shortfall: &BudgetShortfall,
+    acquisition: &AcquisitionResult,
     now: ClockTime,
 ) -> bool {
-    let may_come = short.returnable + round.others_running + round.unanswered;
-    if round.store_away {
-        return short.returnable < short.missing && state.store_away_for(now) >= STORE_PATIENCE;
+    let expected = shortfall.returnable + acquisition.others_running + acquisition.unanswered;
+    if acquisition.store_unreachable {
+        return shortfall.returnable < shortfall.missing
+            && state.store_outage(now) >= STORE_OUTAGE_LIMIT;
     }
-    short.missing > may_come
+    shortfall.missing > expected
 }
 
 async fn wait_step(changed: event_listener::EventListener, deadline: ClockTime) {
@@ -120,19 +122,19 @@
 /// of an exhausted budget.
 fn refusal(
     state: &EntryState,
-    order: &ReserveRequest,
-    short: &BudgetShortfall,
+    reserve_request: &ReserveRequest,
+    shortfall: &BudgetShortfall,
     now: ClockTime,
 ) -> RefusalNotice {
-    if state.store_away_for(now) > Duration::ZERO {
+    if state.store_outage(now) > Duration::ZERO {
         return RefusalNotice {
             reason: RefusalReason::BudgetUnreachable,
             run_state: RunState::NotRun,
             message: format!(
                 "the reachable instances hold too little of branch {}'s budget, and the platform's store is unreachable",
-                order.branch
+                reserve_request.branch
             ),
-            retry_after: Some(STORE_RETRY),
+            retry_after: Some(STORE_RETRY_AFTER),
         };
     }
     RefusalNotice {
@@ -140,7 +142,7 @@
         run_state: RunState::NotRun,
         message: format!(
             "the request may cost {} tokens, {} more than branch {} has left",
-            order.amount, short.missing, order.branch
+            reserve_request.amount, shortfall.missing, reserve_request.branch
         ),
         retry_after: None,
     }
--- a/crates/sagespool-entry/src/home/witnesses.rs
+++ b/crates/sagespool-entry/src/home/seal_targets.rs
@@ -12,11 +12,11 @@
 
 use crate::state::EntryState;
 
-const SEAL_LIMIT: Duration = Duration::from_secs(2);
+const SEAL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Sidecars and instances seen so far.
 #[derive(Default)]
-struct WitnessState {
+struct SealTargetState {
     /// The newest incarnation of each sidecar's instance. Older ones are not queried: the newer one
     /// replies with its later start time, which shows that it has no data from before.
     known: HashMap<InstanceName, MemberInfo>,
@@ -28,12 +28,12 @@
 /// partition, with requests running. It counts as missing until it replies, or until the platform
 /// no longer lists its instance. Dropping it earlier would release budget that it has spent.
 #[derive(Default)]
-pub(crate) struct WitnessBoard {
-    state: Mutex<WitnessState>,
+pub(crate) struct SealTargetRegistry {
+    state: Mutex<SealTargetState>,
 }
 
-impl WitnessBoard {
-    fn state(&self) -> MutexGuard<'_, WitnessState> {
+impl SealTargetRegistry {
+    fn state(&self) -> MutexGuard<'_, SealTargetState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -49,7 +49,7 @@
     }
 
     /// Replaces the list of sidecar instances in the platform's instance list.
-    pub(crate) fn list(&self, instances: impl Iterator<Item = InstanceName>) {
+    pub(crate) fn set_listed(&self, instances: impl Iterator<Item = InstanceName>) {
         self.state().listed = instances.collect();
     }
 
@@ -62,10 +62,10 @@
     }
 
     /// Placeholder ids, which never reply, for listed sidecars that this entry has not seen.
-    fn unheard(&self) -> Vec<IncarnationId> {
+    fn unseen(&self) -> Vec<IncarnationId> {
         let state = self.state();
-        let unheard = state.listed.iter().filter(|instance| !state.known.contains_key(*instance));
-        unheard
+        let unseen = state.listed.iter().filter(|instance| !state.known.contains_key(*instance));
+        unseen
             .map(|instance| IncarnationId(XxHash3_64::oneshot(instance.as_str().as_bytes())))
             .collect()
     }
@@ -73,38 +73,38 @@
     /// Ids of all sidecars whose replies a recovery needs.
     pub(super) fn ids(&self) -> Vec<IncarnationId> {
         let known = self.all().into_iter().map(|member| member.incarnation);
-        known.chain(self.unheard()).collect()
+        known.chain(self.unseen()).collect()
     }
 }
 
 /// Sends a seal request to every known sidecar and adds the replies to the recovery.
-pub(super) async fn ask_witnesses(
+pub(super) async fn request_seals(
     state: &Arc<EntryState>,
-    case: &mut GrantRecovery,
+    recovery: &mut GrantRecovery,
     request: &SealRequest,
 ) {
-    let mut asked = Vec::new();
-    for member in state.witnesses.all() {
+    let mut tasks = Vec::new();
+    for member in state.seal_targets.all() {
         let (state, request) = (Arc::clone(state), PeerRequest::Seal(request.clone()));
         let task = smol::spawn(async move {
-            let reply = state.link().ask(member.address, &request, SEAL_LIMIT).await;
+            let reply = state.link().ask(member.address, &request, SEAL_TIMEOUT).await;
             (member, reply)
         });
-        asked.push(task);
+        tasks.push(task);
     }
-    for task in asked {
+    for task in tasks {
         match task.await {
             (member, Ok(PeerReply::Seal(reply))) => {
                 // Another incarnation replies at this address, so the previous one is gone.
                 if reply.sidecar != member.incarnation {
-                    case.mark_gone(member.incarnation);
+                    recovery.mark_gone(member.incarnation);
                 }
-                case.take_reply(&reply);
+                recovery.take_reply(&reply);
             }
             (member, _) => {
                 let gone = state.members.is_gone(member.incarnation, ClockTime::now());
-                if gone && !state.witnesses.is_listed(&member.instance) {
-                    case.mark_gone(member.incarnation);
+                if gone && !state.seal_targets.is_listed(&member.instance) {
+                    recovery.mark_gone(member.incarnation);
                 }
             }
         }
--- a/crates/sagespool-entry/src/lib.rs
+++ b/crates/sagespool-entry/src/lib.rs
@@ -6,6 +6,7 @@
 
 pub mod caller;
 mod configuration;
+mod expiry;
 mod heartbeats;
 pub mod home;
 mod operator;
@@ -13,7 +14,6 @@
 mod role;
 pub mod run;
 mod state;
-mod upkeep;
 
-pub use role::{EntryRole, RoleFault, StopReport};
+pub use role::{EntryError, EntryRole, StopReport};
 pub use state::EntryState;
--- a/crates/sagespool-entry/src/peers.rs
+++ b/crates/sagespool-entry/src/peers.rs
@@ -16,8 +16,8 @@
     Arc::new(move |call: PeerCall| {
         let state = Arc::clone(&state);
         Box::pin(async move {
-            if let PeerRequest::Reserve(order) = call.request {
-                reserve(&state, &order, call.responder).await;
+            if let PeerRequest::Reserve(reserve_request) = call.request {
+                reserve(&state, &reserve_request, call.responder).await;
                 return;
             }
             let reply = answer(&state, call.request).await;
@@ -32,11 +32,15 @@
 /// another home. Such a request would hold its key for as long as a request may wait, and a caller
 /// that retries with the key would wait for a run that never starts. So if the reply does not reach
 /// the entry, its key is released; the reservation itself stays until its outcome is known.
-async fn reserve(state: &Arc<EntryState>, order: &ReserveRequest, responder: PeerResponder) {
-    let reply = home::reserve(state, order).await;
-    let heard = responder.reply_heard(PeerReply::Reserve(reply)).await;
-    if let (false, Some(key)) = (heard, order.key) {
-        state.keys.release(key, order.request);
+async fn reserve(
+    state: &Arc<EntryState>,
+    reserve_request: &ReserveRequest,
+    responder: PeerResponder,
+) {
+    let reply = home::reserve(state, reserve_request).await;
+    let delivered = responder.reply_heard(PeerReply::Reserve(reply)).await;
+    if let (false, Some(key)) = (delivered, reserve_request.key) {
+        state.keys.release(key, reserve_request.request);
     }
 }
 
@@ -50,16 +54,20 @@
             }
             PeerReply::Heartbeat(reply)
         }
-        PeerRequest::Reserve(order) => PeerReply::Reserve(home::reserve(state, &order).await),
+        PeerRequest::Reserve(reserve_request) => {
+            PeerReply::Reserve(home::reserve(state, &reserve_request).await)
+        }
         PeerRequest::Claim(claim) => PeerReply::Claim(home::claim(state, &claim).await),
         PeerRequest::Finish(report) => {
             home::finish(state, &report);
             PeerReply::Done
         }
         PeerRequest::ReportCharges(report) => {
-            PeerReply::ChargesDurable(home::take_report(state, &report))
+            PeerReply::ChargesDurable(home::record_charges(state, &report))
+        }
+        PeerRequest::Recall(request) => {
+            PeerReply::Recall(home::handle_recall(state, &request).await)
         }
-        PeerRequest::Recall(request) => PeerReply::Recall(home::give_back(state, &request).await),
         PeerRequest::ReportCrash(report) => {
             home::record_crash(state, &report);
             PeerReply::Done
--- a/crates/sagespool-entry/src/role.rs
+++ b/crates/sagespool-entry/src/role.rs
@@ -13,28 +13,28 @@
 use trillium_server_common::ServerHandle;
 
 use crate::state::EntryState;
-use crate::{caller, configuration, heartbeats, home, peers, upkeep};
+use crate::{caller, configuration, expiry, heartbeats, home, peers};
 
 /// The minimum time for which a stopping entry keeps its port open. The load balancer in front of
 /// it sends requests until it has seen `/readyz` fail. A closed port would break their connections,
 /// and a caller without an idempotency key can't retry. Requests that arrive in this time are
 /// refused and can go to another entry.
-const BALANCER_NOTICE: Duration = Duration::from_secs(2);
+const LOAD_BALANCER_DELAY: Duration = Duration::from_secs(2);
 
 /// An entry that could not be started.
 #[derive(Debug)]
-pub struct RoleFault {
+pub struct EntryError {
     /// The step that failed.
-    pub doing: &'static str,
+    pub step: &'static str,
 }
 
-impl fmt::Display for RoleFault {
+impl fmt::Display for EntryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "entry could not be started: {}", self.doing)
+        write!(f, "entry could not be started: {}", self.step)
     }
 }
 
-impl std::error::Error for RoleFault {}
+impl std::error::Error for EntryError {}
 
 /// What was unfinished when an entry stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -59,18 +59,18 @@
     pub fn start(
         process: ProcessSettings,
         settings: EntrySettings,
-    ) -> Result<Self, Report<RoleFault>> {
-        let fault = |doing| RoleFault { doing };
+    ) -> Result<Self, Report<EntryError>> {
+        let error = |step| EntryError { step };
         let files = &process.link;
         let identity = LinkIdentity::from_files(&files.certificate, &files.key, &files.authority)
-            .change_context(fault("reading the certificates of the link"))?;
+            .change_context(error("reading the certificates of the link"))?;
         let state = Arc::new(EntryState::new(process, settings));
         let handler = peers::peer_handler(Arc::clone(&state));
         let link = LinkEndpoint::start(state.process.link.listen, identity, handler)
-            .change_context(fault("binding the address of the link"))?;
-        state.take_link(link);
+            .change_context(error("binding the address of the link"))?;
+        state.set_link(link);
         let server = caller::serve(Arc::clone(&state), state.process.http.listen)
-            .change_context(fault("binding the HTTP address"))?;
+            .change_context(error("binding the HTTP address"))?;
         start_tasks(&state);
         log_event!(
             info,
@@ -91,11 +91,11 @@
     /// entry then accepts nothing new, and the process should stop.
     pub async fn leave_requested(&self) {
         loop {
-            let told = self.state.leave_told.listen();
+            let leaving = self.state.leave_event.listen();
             if self.state.is_leaving() {
                 return;
             }
-            told.await;
+            leaving.await;
         }
     }
 
@@ -105,11 +105,11 @@
         let state = &self.state;
         state.leave();
         let deadline = ClockTime::now().after(limit);
-        smol::Timer::after(BALANCER_NOTICE.min(limit)).await;
-        wait_for_runs(state, deadline).await;
-        wait_for_others(state, deadline).await;
+        smol::Timer::after(LOAD_BALANCER_DELAY.min(limit)).await;
+        wait_for_requests(state, deadline).await;
+        wait_for_reservations(state, deadline).await;
         let cut = state.in_flight();
-        let unwritten_books = hand_back(state).await;
+        let unwritten_books = return_grants(state).await;
         log_event!(info, "entry-stopped", cut = cut, unwritten_books = unwritten_books);
         self.server.shut_down().await;
         state.link().close().await;
@@ -124,12 +124,12 @@
     smol::spawn(home::run_book_writer(Arc::clone(state))).detach();
     smol::spawn(home::run_recovery(Arc::clone(state))).detach();
     smol::spawn(home::run_crash_watch(Arc::clone(state))).detach();
-    smol::spawn(upkeep::run_upkeep(Arc::clone(state))).detach();
+    smol::spawn(expiry::run_expiry(Arc::clone(state))).detach();
 }
 
-async fn wait_for_runs(state: &EntryState, deadline: ClockTime) {
+async fn wait_for_requests(state: &EntryState, deadline: ClockTime) {
     loop {
-        let done = state.run_done.listen();
+        let done = state.request_done.listen();
         let now = ClockTime::now();
         if state.in_flight() == 0 || now >= deadline {
             return;
@@ -143,7 +143,7 @@
 }
 
 /// Waits until reservations of other entries' requests are settled.
-async fn wait_for_others(state: &EntryState, deadline: ClockTime) {
+async fn wait_for_reservations(state: &EntryState, deadline: ClockTime) {
     loop {
         let changed = state.budget_changed.listen();
         let reserved: TokenCount =
@@ -161,12 +161,12 @@
 }
 
 /// Returns every unspent grant. Returns the number of books that could not be written.
-async fn hand_back(state: &Arc<EntryState>) -> u32 {
+async fn return_grants(state: &Arc<EntryState>) -> u32 {
     state.ledger.return_all(ClockTime::now());
     let mut unwritten = 0;
     for book in (0..BOOK_COUNT).map(BookNumber) {
         if state.ledger.holds_grants(book)
-            && home::write_book(state, book, home::WriteCause::Turn).await.is_err()
+            && home::write_book(state, book, home::WriteCause::Scheduled).await.is_err()
         {
             unwritten += 1;
         }
--- a/crates/sagespool-entry/src/run/admission.rs
+++ b/crates/sagespool-entry/src/run/admission.rs
@@ -8,12 +8,12 @@
 use sagespool_settings::LimitEntry;
 use sagespool_types::{ClockTime, RefusalReason, RequestId, RunState, ServiceName};
 
-use super::RequestOrder;
+use super::RequestSpec;
 use crate::state::EntryState;
 
 /// The queue's decision on a waiting request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum QueueWord {
+pub(crate) enum QueueDecision {
     /// It may run now.
     Admitted,
     /// It can't meet its deadline any more.
@@ -44,16 +44,16 @@
     Some(LimitRule { scope, running, requests_per_second })
 }
 
-fn rules(state: &EntryState, order: &RequestOrder) -> (Vec<LimitRule>, u32) {
+fn rules(state: &EntryState, spec: &RequestSpec) -> (Vec<LimitRule>, u32) {
     let Some(config) = state.config.current() else {
         return (Vec::new(), 1);
     };
-    let branch = config.branch(&order.branch);
-    let class = config.class(&order.class);
+    let branch = config.branch(&spec.branch);
+    let class = config.class(&spec.class);
     let of_branch =
-        branch.and_then(|entry| rule(LimitScope::Branch(order.branch.clone()), entry.limits));
+        branch.and_then(|entry| rule(LimitScope::Branch(spec.branch.clone()), entry.limits));
     let of_class =
-        class.and_then(|entry| rule(LimitScope::Class(order.class.clone()), entry.limits));
+        class.and_then(|entry| rule(LimitScope::Class(spec.class.clone()), entry.limits));
     let weight = branch.map_or(1, |entry| entry.weight);
     (of_branch.into_iter().chain(of_class).collect(), weight)
 }
@@ -68,63 +68,63 @@
 /// A limit that is reached, a queue that is full, or a deadline that can't be met.
 pub(super) async fn admit(
     state: &Arc<EntryState>,
-    order: &RequestOrder,
+    spec: &RequestSpec,
 ) -> Result<AdmissionSlot, RefusalNotice> {
     let now = ClockTime::now();
-    let (rules, weight) = rules(state, order);
+    let (rules, weight) = rules(state, spec);
     if let Err(limit) = state.limits.admit(&rules, now) {
         return Err(refusal(limit.reason(), limit.to_string(), Some(limit.retry_after)));
     }
     let ticket = QueueTicket::builder()
-        .request(order.request)
-        .service(order.service.clone())
-        .branch(order.branch.clone())
+        .request(spec.request)
+        .service(spec.service.clone())
+        .branch(spec.branch.clone())
         .weight(weight)
-        .priority(order.priority)
-        .deadline(order.deadline)
+        .priority(spec.priority)
+        .deadline(spec.deadline)
         .build();
-    let (sender, word) = async_channel::bounded(1);
+    let (sender, decision) = async_channel::bounded(1);
     // Registered before the offer, so that a release in between finds the waiter.
-    state.waiters().insert(order.request, sender);
+    state.waiters().insert(spec.request, sender);
     let outcome = state.queue.offer(ticket, now);
     let outcome = match outcome {
         OfferOutcome::Admitted => Ok(()),
-        OfferOutcome::Queued { .. } => wait_in_queue(state, order, word).await,
+        OfferOutcome::Queued { .. } => wait_in_queue(state, spec, decision).await,
         OfferOutcome::Refused { reason, retry_after } => {
-            Err(refusal(reason, format!("{} is overloaded", order.service), retry_after))
+            Err(refusal(reason, format!("{} is overloaded", spec.service), retry_after))
         }
     };
-    state.waiters().remove(&order.request);
+    state.waiters().remove(&spec.request);
     if let Err(notice) = outcome {
         state.limits.ended(&rules);
         return Err(notice);
     }
-    state.retries.count_request(&order.service, now);
+    state.retries.count_request(&spec.service, now);
     let waited = ClockTime::now().since(now);
-    state.metrics.observe_queue_wait(&order.class, &order.branch, waited);
-    let (service, request) = (order.service.clone(), order.request);
+    state.metrics.observe_queue_wait(&spec.class, &spec.branch, waited);
+    let (service, request) = (spec.service.clone(), spec.request);
     Ok(AdmissionSlot { state: Arc::clone(state), service, request, rules })
 }
 
 async fn wait_in_queue(
     state: &EntryState,
-    order: &RequestOrder,
-    word: async_channel::Receiver<QueueWord>,
+    spec: &RequestSpec,
+    decision: async_channel::Receiver<QueueDecision>,
 ) -> Result<(), RefusalNotice> {
-    let left = order.time_left(ClockTime::now());
-    let word = futures_lite::future::or(async { word.recv().await.ok() }, async {
+    let left = spec.time_left(ClockTime::now());
+    let decision = futures_lite::future::or(async { decision.recv().await.ok() }, async {
         smol::Timer::after(left).await;
         None
     })
     .await;
-    if word == Some(QueueWord::Admitted) {
+    if decision == Some(QueueDecision::Admitted) {
         return Ok(());
     }
-    if !state.queue.withdraw(&order.service, order.request, ClockTime::now()) && word.is_none() {
+    if !state.queue.withdraw(&spec.service, spec.request, ClockTime::now()) && decision.is_none() {
         // Admitted at the same time: the slot goes to the next request.
-        state.queue.ended(&order.service, order.request, ClockTime::now());
+        state.queue.ended(&spec.service, spec.request, ClockTime::now());
     }
-    let message = format!("{} can't run the request before its deadline", order.service);
+    let message = format!("{} can't run the request before its deadline", spec.service);
     Err(refusal(RefusalReason::DeadlineExceeded, message, Some(Duration::from_secs(1))))
 }
 
@@ -132,14 +132,14 @@
 pub(crate) fn release(state: &EntryState, service: &ServiceName) {
     let QueueRelease { admitted, expired } = state.queue.release(service, ClockTime::now());
     let waiters = state.waiters();
-    for (request, word) in admitted
+    for (request, decision) in admitted
         .iter()
-        .map(|request| (request, QueueWord::Admitted))
-        .chain(expired.iter().map(|request| (request, QueueWord::Expired)))
+        .map(|request| (request, QueueDecision::Admitted))
+        .chain(expired.iter().map(|request| (request, QueueDecision::Expired)))
     {
         if let Some(waiter) = waiters.get(request) {
             // A request that has just timed out withdraws by itself.
-            let _ = waiter.try_send(word);
+            let _ = waiter.try_send(decision);
         }
     }
 }
--- a/crates/sagespool-entry/src/run/attempt.rs
+++ b/crates/sagespool-entry/src/run/attempt.rs
@@ -17,21 +17,21 @@
 use sagespool_routing::{PlacementQuery, UpstreamPlacement};
 use sagespool_types::{AttemptNumber, ClockTime, IncarnationId, RefusalReason, TokenCount};
 
-use super::cache_news::take_cache_news;
-use super::judge::Judgement;
-use super::passage::{AnswerPassage, PieceTaken};
-use super::{AnswerEvent, RequestOrder, homes};
+use super::cache_updates::apply_cache_updates;
+use super::forwarder::{AnswerForwarder, PieceOutcome};
+use super::next_step::NextStep;
+use super::{AnswerEvent, RequestSpec, home_client};
 use crate::state::EntryState;
 
 /// Attempts per request, including the first.
-const MOST_ATTEMPTS: u32 = 4;
-const CANCEL_LIMIT: Duration = Duration::from_secs(2);
+const MAX_ATTEMPTS: u32 = 4;
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause between checks for an available upstream.
-const UPSTREAM_PAUSE: Duration = Duration::from_millis(50);
+const UPSTREAM_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a suspect waits for other suspects to complete.
-const SUSPECT_PATIENCE: Duration = Duration::from_secs(2);
+const SUSPECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a request waits for any upstream to become available.
-const UPSTREAM_PATIENCE: Duration = Duration::from_secs(3);
+const UPSTREAM_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Outcome of all attempts at a reserved request.
 pub(super) enum AttemptEnd {
@@ -50,7 +50,7 @@
         ran: Option<ChargeRecord>,
     },
     /// Whether the request ran is unknown to this entry.
-    Unsure {
+    OutcomeUnknown {
         /// The refusal for the caller.
         notice: RefusalNotice,
     },
@@ -61,13 +61,13 @@
 }
 
 /// Where a request may be placed, depending on crashes in which it was in flight.
-enum ApartPlace {
+enum SuspectPlacement {
     /// Not a suspect: any upstream.
     Anywhere,
     /// Only this placement.
     At(UpstreamPlacement),
     /// Other suspects have to complete first.
-    Later,
+    Wait,
 }
 
 /// Outcome of one dispatch, before the next step is decided.
@@ -88,12 +88,12 @@
 /// The attempts at one reserved request.
 pub(super) struct AttemptRun<'a> {
     pub(super) state: &'a Arc<EntryState>,
-    pub(super) order: &'a RequestOrder,
+    pub(super) spec: &'a RequestSpec,
     pub(super) reserved: ReservedCharge,
     reserved_at: Option<SocketAddr>,
     pub(super) attempt: AttemptNumber,
     pub(super) tried: Vec<IncarnationId>,
-    pub(super) passage: AnswerPassage<'a>,
+    pub(super) forwarder: AnswerForwarder<'a>,
     /// The charge of the newest attempt that is known to have run.
     pub(super) ran: Option<ChargeRecord>,
     /// True once an attempt may have run and its usage was not reported.
@@ -105,19 +105,19 @@
 impl<'a> AttemptRun<'a> {
     pub(super) fn new(
         state: &'a Arc<EntryState>,
-        order: &'a RequestOrder,
+        spec: &'a RequestSpec,
         answers: &'a Sender<AnswerEvent>,
         reserved: ReservedCharge,
         reserved_at: Option<SocketAddr>,
     ) -> Self {
         Self {
             state,
-            order,
+            spec,
             reserved,
             reserved_at,
             attempt: AttemptNumber(0),
             tried: Vec::new(),
-            passage: AnswerPassage::new(answers),
+            forwarder: AnswerForwarder::new(answers),
             ran: None,
             maybe_ran: false,
             rerun_tokens: TokenCount::ZERO,
@@ -125,9 +125,9 @@
     }
 
     /// Retries until the answer is complete or no further attempt is allowed or useful.
-    pub(super) async fn drive(&mut self) -> AttemptEnd {
+    pub(super) async fn attempt_all(&mut self) -> AttemptEnd {
         let mut last_failure = String::from("no upstream accepted the request");
-        while self.attempt.0 < MOST_ATTEMPTS {
+        while self.attempt.0 < MAX_ATTEMPTS {
             let placement = match self.choose().await {
                 Ok(placement) => placement,
                 Err(end) => return end,
@@ -137,37 +137,37 @@
                 return end;
             }
             let outcome = self.dispatch(&placement).await;
-            match self.judge(&placement, outcome).await {
-                Judgement::Ended(end) => return end,
-                Judgement::RunAgain(detail) => {
+            match self.next_step(&placement, outcome).await {
+                NextStep::Ended(end) => return end,
+                NextStep::RetryUncounted(detail) => {
                     last_failure = detail;
                     continue;
                 }
-                Judgement::TryElsewhere(detail) => last_failure = detail,
+                NextStep::Retry(detail) => last_failure = detail,
             }
-            if self.attempt.0 < MOST_ATTEMPTS && !self.state.may_retry(&self.order.service) {
+            if self.attempt.0 < MAX_ATTEMPTS && !self.state.may_retry(&self.spec.service) {
                 last_failure = format!("{last_failure}; the retry budget is exhausted");
                 break;
             }
         }
-        self.give_up(RefusalReason::UpstreamFailed, last_failure)
+        self.end_refused(RefusalReason::UpstreamFailed, last_failure)
     }
 
     fn time_left(&self) -> Duration {
-        self.order.time_left(ClockTime::now())
+        self.spec.time_left(ClockTime::now())
     }
 
     fn query(&self) -> PlacementQuery {
-        let model = match &self.order.target {
+        let model = match &self.spec.target {
             CallTarget::Completion { model, .. } => Some(model.clone()),
             CallTarget::Service { .. } => None,
         };
         PlacementQuery::builder()
-            .service(self.order.service.clone())
+            .service(self.spec.service.clone())
             .maybe_model(model)
-            .maybe_prefix(self.order.prefix)
+            .maybe_prefix(self.spec.prefix)
             .exclude(self.tried.clone())
-            .may_probe(!self.order.non_idempotent)
+            .may_probe(!self.spec.non_idempotent)
             .build()
     }
 
@@ -175,32 +175,32 @@
     /// an upstream without other suspects, so that the one that crashes upstreams does so alone,
     /// and the others complete and are cleared. If there are more suspects than upstreams, the
     /// later ones wait for the earlier ones, for a bounded time.
-    fn place_apart(&self, waited: Duration, now: ClockTime) -> ApartPlace {
-        let Some(rank) = self.state.crashes.rerun_rank(self.order.content, now) else {
-            return ApartPlace::Anywhere;
+    fn place_suspect(&self, waited: Duration, now: ClockTime) -> SuspectPlacement {
+        let Some(rank) = self.state.crashes.rerun_rank(self.spec.content, now) else {
+            return SuspectPlacement::Anywhere;
         };
         let mut sidecars = self.state.members.live(MemberRole::Sidecar, now);
         sidecars.retain(|member| {
             let serves = member.serves.as_ref();
             let may_serve = serves.is_some_and(|serves| {
                 let is_down = self.state.crashes.crashed_recently(&serves.upstream, now);
-                serves.service == self.order.service && serves.healthy && !is_down
+                serves.service == self.spec.service && serves.healthy && !is_down
             });
             may_serve && !self.tried.contains(&member.incarnation)
         });
         sidecars.sort_by(|one, other| one.instance.cmp(&other.instance));
-        if rank >= sidecars.len() && waited < SUSPECT_PATIENCE {
-            return ApartPlace::Later;
+        if rank >= sidecars.len() && waited < SUSPECT_TIMEOUT {
+            return SuspectPlacement::Wait;
         }
         let Some(chosen) = sidecars.get(rank % sidecars.len().max(1)) else {
-            return ApartPlace::Anywhere;
+            return SuspectPlacement::Anywhere;
         };
         let chosen = chosen.incarnation;
         let mut query = self.query();
         let others = sidecars.iter().map(|member| member.incarnation);
         query.exclude.extend(others.filter(|incarnation| *incarnation != chosen));
         let placement = self.state.upstreams.choose(&query, now);
-        placement.map_or(ApartPlace::Anywhere, ApartPlace::At)
+        placement.map_or(SuspectPlacement::Anywhere, SuspectPlacement::At)
     }
 
     /// Chooses an upstream: one not tried yet, else any, after a short wait for one to become
@@ -209,49 +209,49 @@
         let started = ClockTime::now();
         loop {
             let now = ClockTime::now();
-            if self.order.time_left(now).is_zero() {
+            if self.spec.time_left(now).is_zero() {
                 return Err(
-                    self.give_up(RefusalReason::DeadlineExceeded, "the deadline passed".into())
+                    self.end_refused(RefusalReason::DeadlineExceeded, "the deadline passed".into())
                 );
             }
-            match self.place_apart(now.since(started), now) {
-                ApartPlace::At(placement) => return Ok(placement),
-                ApartPlace::Anywhere => {
+            match self.place_suspect(now.since(started), now) {
+                SuspectPlacement::At(placement) => return Ok(placement),
+                SuspectPlacement::Anywhere => {
                     if let Some(placement) = self.state.upstreams.choose(&self.query(), now) {
                         return Ok(placement);
                     }
                 }
-                ApartPlace::Later => {
-                    smol::Timer::after(UPSTREAM_PAUSE).await;
+                SuspectPlacement::Wait => {
+                    smol::Timer::after(UPSTREAM_POLL_INTERVAL).await;
                     continue;
                 }
             }
             self.tried.clear();
-            if now.since(started) > UPSTREAM_PATIENCE {
-                let message = format!("no upstream of {} is available", self.order.service);
-                return Err(self.give_up(RefusalReason::NoUpstream, message));
+            if now.since(started) > UPSTREAM_TIMEOUT {
+                let message = format!("no upstream of {} is available", self.spec.service);
+                return Err(self.end_refused(RefusalReason::NoUpstream, message));
             }
-            smol::Timer::after(UPSTREAM_PAUSE).await;
+            smol::Timer::after(UPSTREAM_POLL_INTERVAL).await;
         }
     }
 
     /// Places a keyed request at its sidecar before dispatch, so that a caller's retry through any
     /// entry finds it there instead of running it again.
     async fn claim(&mut self, placement: &UpstreamPlacement) -> Option<AttemptEnd> {
-        let key = self.order.key?;
+        let key = self.spec.key?;
         let claim = ClaimRequest {
-            request: self.order.request,
-            branch: self.order.branch.clone(),
+            request: self.spec.request,
+            branch: self.spec.branch.clone(),
             key,
-            content: self.order.content,
+            content: self.spec.content,
             charge: self.reserved.charge,
             attempt: self.attempt,
             sidecar: placement.sidecar,
             upstream: placement.upstream.clone(),
-            durable: self.order.non_idempotent,
+            durable: self.spec.non_idempotent,
             time_left: self.time_left(),
         };
-        match homes::claim(self.state, self.reserved_at, &claim).await {
+        match home_client::claim(self.state, self.reserved_at, &claim).await {
             ClaimReply::Durable => None,
             ClaimReply::Known(known) => Some(AttemptEnd::Known(known)),
             ClaimReply::Refused(notice) => {
@@ -261,24 +261,24 @@
     }
 
     fn request(&self, placement: &UpstreamPlacement) -> DispatchRequest {
-        let mut target = self.order.target.clone();
+        let mut target = self.spec.target.clone();
         if let CallTarget::Completion { resume, .. } = &mut target {
-            *resume = self.passage.resume_point();
+            *resume = self.forwarder.resume_point();
         }
         DispatchRequest {
-            request: self.order.request,
+            request: self.spec.request,
             attempt: self.attempt,
             sidecar: placement.sidecar,
-            branch: self.order.branch.clone(),
+            branch: self.spec.branch.clone(),
             reserved: self.reserved.clone(),
-            key: self.order.key,
-            content: self.order.content,
-            non_idempotent: self.order.non_idempotent,
-            class: self.order.class.clone(),
-            priority: self.order.priority,
+            key: self.spec.key,
+            content: self.spec.content,
+            non_idempotent: self.spec.non_idempotent,
+            class: self.spec.class.clone(),
+            priority: self.spec.priority,
             time_left: self.time_left(),
             target,
-            body: self.order.body.as_ref().clone(),
+            body: self.spec.body.as_ref().clone(),
         }
     }
 
@@ -294,7 +294,7 @@
                 return DispatchOutcome::LinkLost { surely_not_sent, detail: error.to_string() };
             }
         };
-        let outcome = self.pass_on(&mut stream, placement, started).await;
+        let outcome = self.forward_events(&mut stream, placement, started).await;
         let dropped = match outcome {
             DispatchOutcome::CallerGone => Some(DropCause::CallerGone),
             DispatchOutcome::TimedOut => Some(DropCause::Late),
@@ -308,16 +308,16 @@
     }
 
     async fn cancel(&self, placement: &UpstreamPlacement) {
-        let cancel = CancelRequest { request: self.order.request, attempt: self.attempt };
+        let cancel = CancelRequest { request: self.spec.request, attempt: self.attempt };
         let request = PeerRequest::Cancel(cancel);
-        let told = self.state.link().ask(placement.address, &request, CANCEL_LIMIT).await;
-        if let Err(error) = told {
-            log_event!(warn, "cancel-untold", request = self.order.request, error = error);
+        let sent = self.state.link().ask(placement.address, &request, CANCEL_TIMEOUT).await;
+        if let Err(error) = sent {
+            log_event!(warn, "cancel-untold", request = self.spec.request, error = error);
         }
     }
 
     /// Forwards a sidecar's events until its end.
-    async fn pass_on(
+    async fn forward_events(
         &mut self,
         stream: &mut EventStream,
         placement: &UpstreamPlacement,
@@ -356,7 +356,7 @@
             let taken = match event {
                 DispatchEvent::Started => true,
                 DispatchEvent::CacheNews(news) => {
-                    take_cache_news(&self.state.upstreams, placement.sidecar, &news, now);
+                    apply_cache_updates(&self.state.upstreams, placement.sidecar, &news, now);
                     true
                 }
                 DispatchEvent::Beside(count) => {
@@ -364,11 +364,11 @@
                     true
                 }
                 DispatchEvent::Head { status, headers } => {
-                    self.passage.take_head(status, headers).await
+                    self.forwarder.forward_head(status, headers).await
                 }
                 DispatchEvent::Piece { at, tokens, data } => {
                     if tokens > 0 {
-                        self.observe_piece(
+                        self.observe_tokens(
                             &mut first_token,
                             &mut last_piece,
                             placement,
@@ -376,19 +376,19 @@
                             now,
                         );
                     }
-                    match self.passage.take_piece(at, tokens, data).await {
-                        PieceTaken::Passed => true,
-                        PieceTaken::Repeated => {
+                    match self.forwarder.forward_piece(at, tokens, data).await {
+                        PieceOutcome::Passed => true,
+                        PieceOutcome::Repeated => {
                             self.note_dropped(DropCause::Duplicate, "duplicate piece");
                             true
                         }
-                        PieceTaken::Gap => {
+                        PieceOutcome::Gap => {
                             return DispatchOutcome::LinkLost {
                                 surely_not_sent: false,
                                 detail: "missing piece".into(),
                             };
                         }
-                        PieceTaken::CallerGone => false,
+                        PieceOutcome::CallerGone => false,
                     }
                 }
                 DispatchEvent::End(end) if !self.is_own(&end) => {
@@ -401,7 +401,7 @@
                 }
                 DispatchEvent::End(end) => return DispatchOutcome::Ended(end),
             };
-            if !taken && self.order.key.is_none() {
+            if !taken && self.spec.key.is_none() {
                 return DispatchOutcome::CallerGone;
             }
         }
@@ -420,7 +420,7 @@
     /// Counts and logs an answer, or a part of one, that is discarded.
     fn note_dropped(&self, cause: DropCause, detail: &str) {
         self.state.metrics.dropped_answer(cause);
-        let (request, attempt) = (self.order.request, self.attempt);
+        let (request, attempt) = (self.spec.request, self.attempt);
         log_event!(
             warn,
             "answer-dropped",
@@ -431,7 +431,7 @@
         );
     }
 
-    fn observe_piece(
+    fn observe_tokens(
         &self,
         first_token: &mut Option<Duration>,
         last_piece: &mut ClockTime,
@@ -442,16 +442,12 @@
         if first_token.is_none() {
             let waited = now.since(started);
             *first_token = Some(waited);
-            let whole_wait = now.since(self.order.arrived);
-            self.state.metrics.observe_first_token(
-                &self.order.class,
-                &self.order.branch,
-                whole_wait,
-            );
+            let whole_wait = now.since(self.spec.arrived);
+            self.state.metrics.observe_first_token(&self.spec.class, &self.spec.branch, whole_wait);
             self.state.upstreams.first_token(placement, waited, now);
         } else {
             let gap = now.since(*last_piece);
-            self.state.metrics.observe_between_tokens(&self.order.class, &self.order.branch, gap);
+            self.state.metrics.observe_between_tokens(&self.spec.class, &self.spec.branch, gap);
         }
         *last_piece = now;
     }
--- a/crates/sagespool-entry/src/run/cache_news.rs
+++ b/crates/sagespool-entry/src/run/cache_updates.rs
@@ -5,7 +5,7 @@
 use sagespool_types::{ClockTime, IncarnationId};
 
 /// Applies the cache changes that a sidecar reported on the stream of a dispatch.
-pub(super) fn take_cache_news(
+pub(super) fn apply_cache_updates(
     upstreams: &UpstreamTable,
     sidecar: IncarnationId,
     news: &PrefixCacheUpdate,
--- a/crates/sagespool-entry/src/run/passage.rs
+++ b/crates/sagespool-entry/src/run/forwarder.rs
@@ -7,7 +7,7 @@
 
 /// The result of forwarding a piece.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum PieceTaken {
+pub(super) enum PieceOutcome {
     /// Sent to the caller.
     Passed,
     /// The caller already has all of it.
@@ -19,7 +19,7 @@
 }
 
 /// The part of the answer that was sent to the caller.
-pub(super) struct AnswerPassage<'a> {
+pub(super) struct AnswerForwarder<'a> {
     answers: &'a Sender<AnswerEvent>,
     tokens: u32,
     text: Vec<u8>,
@@ -28,7 +28,7 @@
     head_sent: bool,
 }
 
-impl<'a> AnswerPassage<'a> {
+impl<'a> AnswerForwarder<'a> {
     pub(super) fn new(answers: &'a Sender<AnswerEvent>) -> Self {
         Self { answers, tokens: 0, text: Vec::new(), bytes: 0, head_sent: false }
     }
@@ -47,7 +47,7 @@
     }
 
     /// Sends a plain service's status and headers once. Returns false if the caller is gone.
-    pub(super) async fn take_head(&mut self, status: u16, headers: Vec<HeaderPair>) -> bool {
+    pub(super) async fn forward_head(&mut self, status: u16, headers: Vec<HeaderPair>) -> bool {
         if self.head_sent {
             return true;
         }
@@ -57,38 +57,43 @@
 
     /// Sends the part of a piece that the caller does not have yet. A resumed or repeated attempt
     /// may start at or before the point reached; a piece that starts after it would leave a gap.
-    pub(super) async fn take_piece(&mut self, at: u32, tokens: u32, data: Vec<u8>) -> PieceTaken {
+    pub(super) async fn forward_piece(
+        &mut self,
+        at: u32,
+        tokens: u32,
+        data: Vec<u8>,
+    ) -> PieceOutcome {
         let data = match tokens {
             0 => self.new_bytes(at, data),
             _ => self.new_text(at, tokens, data),
         };
         match data {
-            Ok(data) if data.is_empty() => PieceTaken::Repeated,
+            Ok(data) if data.is_empty() => PieceOutcome::Repeated,
             Ok(data) => match self.answers.send(AnswerEvent::Piece { tokens, data }).await {
-                Ok(()) => PieceTaken::Passed,
-                Err(_) => PieceTaken::CallerGone,
+                Ok(()) => PieceOutcome::Passed,
+                Err(_) => PieceOutcome::CallerGone,
             },
             Err(taken) => taken,
         }
     }
 
-    fn new_text(&mut self, at: u32, tokens: u32, data: Vec<u8>) -> Result<Vec<u8>, PieceTaken> {
+    fn new_text(&mut self, at: u32, tokens: u32, data: Vec<u8>) -> Result<Vec<u8>, PieceOutcome> {
         let end = at.saturating_add(tokens);
         if end <= self.tokens {
             return Ok(Vec::new());
         }
         // A piece of several tokens can't be split; sidecars send one token per piece.
         if at != self.tokens {
-            return Err(PieceTaken::Gap);
+            return Err(PieceOutcome::Gap);
         }
         self.tokens = end;
         self.text.extend_from_slice(&data);
         Ok(data)
     }
 
-    fn new_bytes(&mut self, at: u32, data: Vec<u8>) -> Result<Vec<u8>, PieceTaken> {
+    fn new_bytes(&mut self, at: u32, data: Vec<u8>) -> Result<Vec<u8>, PieceOutcome> {
         if at > self.bytes {
-            return Err(PieceTaken::Gap);
+            return Err(PieceOutcome::Gap);
         }
         let known = (self.bytes - at) as usize;
         let new = data.get(known..).unwrap_or_default().to_vec();
--- a/crates/sagespool-entry/src/run/homes.rs
+++ b/crates/sagespool-entry/src/run/home_client.rs
@@ -16,12 +16,12 @@
 
 /// How often the end of a request is sent to a home that does not reply. After that the sidecar's
 /// charge report, which repeats until it is durable, delivers it.
-const FINISH_TRIES: u32 = 4;
+const MAX_FINISH_TRIES: u32 = 4;
 /// How often an abandon notice is sent to an unresponsive home: for about half a minute. After that
 /// the reservation is overdue there, and the home resolves it by itself.
-const ABANDON_TRIES: u32 = 30;
+const MAX_ABANDON_TRIES: u32 = 30;
 const ABANDON_PAUSE: Duration = Duration::from_secs(1);
-const FINISH_LIMIT: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 fn other_home(state: &EntryState, branch: &BranchName) -> Option<MemberInfo> {
     let home = state.members.home_of(&home::home_name(branch), ClockTime::now())?;
@@ -32,41 +32,44 @@
 /// for a branch cost a second grant but are always correct, since each spends only its own grants.
 pub(super) async fn reserve(
     state: &Arc<EntryState>,
-    order: &ReserveRequest,
+    reserve_request: &ReserveRequest,
 ) -> (ReserveReply, Option<SocketAddr>) {
-    let Some(other) = other_home(state, &order.branch) else {
-        return (home::reserve(state, order).await, None);
+    let Some(other) = other_home(state, &reserve_request.branch) else {
+        return (home::reserve(state, reserve_request).await, None);
     };
-    let request = PeerRequest::Reserve(order.clone());
-    match state.link().ask(other.address, &request, order.time_left).await {
-        Ok(PeerReply::Reserve(ReserveReply::NotHome)) => (home::reserve(state, order).await, None),
+    let request = PeerRequest::Reserve(reserve_request.clone());
+    match state.link().ask(other.address, &request, reserve_request.time_left).await {
+        Ok(PeerReply::Reserve(ReserveReply::NotHome)) => {
+            (home::reserve(state, reserve_request).await, None)
+        }
         Ok(PeerReply::Reserve(reply)) => (reply, Some(other.address)),
-        Ok(_) => (home::reserve(state, order).await, None),
+        Ok(_) => (home::reserve(state, reserve_request).await, None),
         Err(error) => {
             log_event!(
                 warn,
                 "home-unreachable",
                 home = other.instance,
-                branch = order.branch,
+                branch = reserve_request.branch,
                 error = error
             );
             if !error.surely_not_sent() {
-                smol::spawn(abandon(Arc::clone(state), other, order.clone())).detach();
+                smol::spawn(abandon(Arc::clone(state), other, reserve_request.clone())).detach();
             }
-            (home::reserve(state, order).await, None)
+            (home::reserve(state, reserve_request).await, None)
         }
     }
 }
 
 /// Notifies a home that did not reply that its reservation, if it made one, is not used.
-async fn abandon(state: Arc<EntryState>, other: MemberInfo, order: ReserveRequest) {
-    let (request, branch, key) = (order.request, order.branch, order.key);
+async fn abandon(state: Arc<EntryState>, other: MemberInfo, reserve_request: ReserveRequest) {
+    let (request, branch, key) =
+        (reserve_request.request, reserve_request.branch, reserve_request.key);
     let notice = PeerRequest::Abandon(AbandonNotice { request, branch, key });
-    for _ in 0..ABANDON_TRIES {
+    for _ in 0..MAX_ABANDON_TRIES {
         if state.members.is_gone(other.incarnation, ClockTime::now()) {
             return;
         }
-        if state.link().ask(other.address, &notice, FINISH_LIMIT).await.is_ok() {
+        if state.link().ask(other.address, &notice, CALL_TIMEOUT).await.is_ok() {
             return;
         }
         smol::Timer::after(ABANDON_PAUSE).await;
@@ -100,9 +103,9 @@
         return;
     };
     let request = PeerRequest::Finish(report.clone());
-    for _ in 0..FINISH_TRIES {
-        let told = state.link().ask(address, &request, FINISH_LIMIT).await;
-        if told.is_ok() {
+    for _ in 0..MAX_FINISH_TRIES {
+        let sent = state.link().ask(address, &request, CALL_TIMEOUT).await;
+        if sent.is_ok() {
             return;
         }
         smol::Timer::after(Duration::from_millis(200)).await;
--- a/crates/sagespool-entry/src/run/drive.rs
+++ b/crates/sagespool-entry/src/run/lifecycle.rs
@@ -16,14 +16,14 @@
 use super::attach::{AttachEnd, attach};
 use super::attempt::{AttemptEnd, AttemptRun};
 use super::events::{AnswerEvent, AnswerReceiver};
-use super::{RequestOrder, homes};
+use super::{RequestSpec, home_client};
 use crate::state::EntryState;
 
 /// Pieces buffered for a slow caller before backpressure reaches the upstream.
-const ANSWER_BACKLOG: usize = 256;
+const ANSWER_BUFFER_EVENTS: usize = 256;
 /// Reservations per request. A sidecar that started after a grant was made may refuse it; each
 /// further reservation comes from a newer grant, so more than a few in a row show another fault.
-const MOST_RESERVATIONS: u32 = 8;
+const MAX_RESERVATIONS: u32 = 8;
 const PENDING_PAUSE: Duration = Duration::from_millis(20);
 
 /// How a run ended.
@@ -51,7 +51,7 @@
         run_state: RunState,
         message: impl Into<String>,
     ) -> Self {
-        let retry_after = retry_hint(reason);
+        let retry_after = retry_after_for(reason);
         let notice = RefusalNotice { reason, run_state, message: message.into(), retry_after };
         Self::Refused { notice, billed: TokenCount::ZERO }
     }
@@ -60,7 +60,7 @@
     /// still be running. A caller that receives `not-run` would send a non-idempotent request again
     /// under a new key, and it would run twice. A refusal for a reused key keeps `not-run`: this
     /// request did not run.
-    fn unsure(mut self) -> Self {
+    fn with_unknown_run_state(mut self) -> Self {
         if let Self::Refused { notice, .. } = &mut self
             && notice.reason != RefusalReason::KeyReused
         {
@@ -70,7 +70,7 @@
     }
 }
 
-fn retry_hint(reason: RefusalReason) -> Option<Duration> {
+fn retry_after_for(reason: RefusalReason) -> Option<Duration> {
     match reason {
         RefusalReason::NoUpstream | RefusalReason::UpstreamFailed => Some(Duration::from_secs(1)),
         RefusalReason::Overloaded | RefusalReason::LimitReached => Some(Duration::from_secs(1)),
@@ -85,13 +85,13 @@
 /// Starts a request's run in the background and returns the receiver of its answer. If the receiver
 /// is dropped, a run with a key continues, since the caller may retry for the answer; a run without
 /// one is cancelled.
-pub fn start_run(state: Arc<EntryState>, order: RequestOrder) -> AnswerReceiver {
-    let (sender, receiver) = async_channel::bounded(ANSWER_BACKLOG);
-    state.run_started();
+pub fn start_run(state: Arc<EntryState>, spec: RequestSpec) -> AnswerReceiver {
+    let (sender, receiver) = async_channel::bounded(ANSWER_BUFFER_EVENTS);
+    state.request_started();
     smol::spawn(async move {
-        let end = drive(&state, &order, &sender).await;
-        report_end(&state, &order, &end);
-        state.run_ended();
+        let end = run_request(&state, &spec, &sender).await;
+        report_end(&state, &spec, &end);
+        state.request_ended();
         let event = match end {
             RunEnd::Whole { billed, stop } => AnswerEvent::Whole { billed, stop },
             RunEnd::Refused { notice, billed } => AnswerEvent::Refused { notice, billed },
@@ -103,30 +103,30 @@
     receiver
 }
 
-fn report_end(state: &EntryState, order: &RequestOrder, end: &RunEnd) {
-    let took = ClockTime::now().since(order.arrived);
+fn report_end(state: &EntryState, spec: &RequestSpec, end: &RunEnd) {
+    let took = ClockTime::now().since(spec.arrived);
     let millis = took.as_millis();
     match end {
         RunEnd::Whole { billed, .. } => {
-            state.metrics.observe_whole(&order.class, &order.branch, took);
-            state.metrics.billed(&order.branch, *billed);
+            state.metrics.observe_whole(&spec.class, &spec.branch, took);
+            state.metrics.billed(&spec.branch, *billed);
             log_event!(
                 debug,
                 "request-answered",
-                request = order.request,
-                branch = order.branch,
+                request = spec.request,
+                branch = spec.branch,
                 billed = billed,
                 millis = millis
             );
         }
         RunEnd::Refused { notice, billed } => {
-            state.metrics.refused(notice.reason, &order.branch);
-            state.metrics.billed(&order.branch, *billed);
+            state.metrics.refused(notice.reason, &spec.branch);
+            state.metrics.billed(&spec.branch, *billed);
             log_event!(
                 info,
                 "request-refused",
-                request = order.request,
-                branch = order.branch,
+                request = spec.request,
+                branch = spec.branch,
                 reason = notice.reason,
                 run_state = notice.run_state,
                 billed = billed,
@@ -137,57 +137,57 @@
     }
 }
 
-async fn drive(
+async fn run_request(
     state: &Arc<EntryState>,
-    order: &RequestOrder,
+    spec: &RequestSpec,
     answers: &Sender<AnswerEvent>,
 ) -> RunEnd {
-    let _slot = match admit(state, order).await {
+    let _slot = match admit(state, spec).await {
         Ok(slot) => slot,
         Err(notice) => {
             let end = RunEnd::Refused { notice, billed: TokenCount::ZERO };
-            return if order.key.is_some() { end.unsure() } else { end };
+            return if spec.key.is_some() { end.with_unknown_run_state() } else { end };
         }
     };
     let mut key_taken = false;
-    let end = run_admitted(state, order, answers, &mut key_taken).await;
-    if key_taken { end.unsure() } else { end }
+    let end = run_admitted(state, spec, answers, &mut key_taken).await;
+    if key_taken { end.with_unknown_run_state() } else { end }
 }
 
 /// Reserves and runs until the request has ended. `key_taken` is set once the key turns out to
 /// belong to another request, even if the run continues.
 async fn run_admitted(
     state: &Arc<EntryState>,
-    order: &RequestOrder,
+    spec: &RequestSpec,
     answers: &Sender<AnswerEvent>,
     key_taken: &mut bool,
 ) -> RunEnd {
     let mut reservations = 0;
-    while reservations < MOST_RESERVATIONS {
+    while reservations < MAX_RESERVATIONS {
         let now = ClockTime::now();
-        if order.time_left(now).is_zero() {
+        if spec.time_left(now).is_zero() {
             return RunEnd::refused(
                 RefusalReason::DeadlineExceeded,
                 RunState::NotRun,
                 "the deadline passed before the request could run",
             );
         }
-        let question = order.reserve_request(state.incarnation, now);
-        let (reply, reserved_at) = homes::reserve(state, &question).await;
+        let reserve_request = spec.reserve_request(state.incarnation, now);
+        let (reply, reserved_at) = home_client::reserve(state, &reserve_request).await;
         match reply {
             ReserveReply::Reserved(reserved) => {
                 reservations += 1;
-                match run_reserved(state, order, answers, reserved, reserved_at).await {
+                match run_reserved(state, spec, answers, reserved, reserved_at).await {
                     ReservedEnd::Ended(end) => return end,
-                    ReservedEnd::Again => {}
+                    ReservedEnd::Retry => {}
                     ReservedEnd::KeyTaken => *key_taken = true,
                 }
             }
             ReserveReply::Known(known) => {
                 *key_taken = true;
-                match attach(state, order, answers, known).await {
+                match attach(state, spec, answers, known).await {
                     AttachEnd::Ended(end) => return end,
-                    AttachEnd::AskAgain => {
+                    AttachEnd::Retry => {
                         smol::Timer::after(PENDING_PAUSE).await;
                     }
                 }
@@ -212,7 +212,7 @@
     /// The request has ended.
     Ended(RunEnd),
     /// It has to be reserved again.
-    Again,
+    Retry,
     /// It has to be reserved again, and its key belongs to another request.
     KeyTaken,
 }
@@ -220,21 +220,21 @@
 /// Runs a reserved request and reports its end to the home.
 async fn run_reserved(
     state: &Arc<EntryState>,
-    order: &RequestOrder,
+    spec: &RequestSpec,
     answers: &Sender<AnswerEvent>,
     reserved: ReservedCharge,
     reserved_at: Option<SocketAddr>,
 ) -> ReservedEnd {
     let charge = reserved.charge;
-    let mut run = AttemptRun::new(state, order, answers, reserved, reserved_at);
-    let end = run.drive().await;
+    let mut run = AttemptRun::new(state, spec, answers, reserved, reserved_at);
+    let end = run.attempt_all().await;
     let rerun_tokens = run.rerun_tokens;
     let finish = |finish_state: FinishState| FinishReport {
-        request: order.request,
-        branch: order.branch.clone(),
+        request: spec.request,
+        branch: spec.branch.clone(),
         charge,
         state: finish_state,
-        key: order.key,
+        key: spec.key,
         rerun_tokens,
     };
     let (report, end) = match end {
@@ -247,19 +247,19 @@
             let state = ran.map_or(FinishState::NotRun, FinishState::Ran);
             (finish(state), ReservedEnd::Ended(RunEnd::Refused { notice, billed }))
         }
-        AttemptEnd::Unsure { notice } => {
+        AttemptEnd::OutcomeUnknown { notice } => {
             let end = RunEnd::Refused { notice, billed: TokenCount::ZERO };
             (finish(FinishState::Unknown), ReservedEnd::Ended(end))
         }
-        AttemptEnd::GrantUnusable => (finish(FinishState::GrantUnusable), ReservedEnd::Again),
+        AttemptEnd::GrantUnusable => (finish(FinishState::GrantUnusable), ReservedEnd::Retry),
         AttemptEnd::Known(known) => {
-            homes::finish(state, reserved_at, &finish(FinishState::NotRun)).await;
-            return match attach(state, order, answers, known).await {
+            home_client::finish(state, reserved_at, &finish(FinishState::NotRun)).await;
+            return match attach(state, spec, answers, known).await {
                 AttachEnd::Ended(end) => ReservedEnd::Ended(end),
-                AttachEnd::AskAgain => ReservedEnd::KeyTaken,
+                AttachEnd::Retry => ReservedEnd::KeyTaken,
             };
         }
     };
-    homes::finish(state, reserved_at, &report).await;
+    home_client::finish(state, reserved_at, &report).await;
     end
 }
--- a/crates/sagespool-entry/src/run/mod.rs
+++ b/crates/sagespool-entry/src/run/mod.rs
@@ -4,15 +4,15 @@
 mod admission;
 mod attach;
 mod attempt;
-mod cache_news;
-mod drive;
+mod cache_updates;
 mod events;
-mod homes;
-mod judge;
-mod order;
-mod passage;
+mod forwarder;
+mod home_client;
+mod lifecycle;
+mod next_step;
+mod spec;
 
-pub(crate) use admission::{QueueWord, refresh_limits};
-pub use drive::start_run;
+pub(crate) use admission::{QueueDecision, refresh_limits};
 pub use events::{AnswerEvent, AnswerReceiver};
-pub use order::RequestOrder;
+pub use lifecycle::start_run;
+pub use spec::RequestSpec;
--- a/crates/sagespool-entry/src/run/order.rs
+++ b/crates/sagespool-entry/src/run/spec.rs
@@ -12,7 +12,7 @@
 
 /// A caller's validated request, ready to run.
 #[derive(Debug, Clone, Builder)]
-pub struct RequestOrder {
+pub struct RequestSpec {
     /// The request's id.
     pub request: RequestId,
     /// The branch that is charged.
@@ -43,7 +43,7 @@
     pub prefix: Option<u128>,
 }
 
-impl RequestOrder {
+impl RequestSpec {
     /// Time left until the deadline; zero once it has passed.
     pub fn time_left(&self, now: ClockTime) -> Duration {
         self.deadline.since(now)
--- a/crates/sagespool-entry/src/state.rs
+++ b/crates/sagespool-entry/src/state.rs
@@ -24,10 +24,10 @@
 };
 use sagespool_types::{ClockTime, ConfigVersion, IncarnationId, RequestId, ServiceName, WallTime};
 
-use crate::heartbeats::UpstreamUse;
-use crate::home::{BookWriter, BudgetRounds, ClaimWriter, WitnessBoard};
+use crate::heartbeats::UpstreamAvailability;
+use crate::home::{BookWriter, BudgetAcquisitions, ClaimWriter, SealTargetRegistry};
 use crate::operator::CommandRegistry;
-use crate::run::QueueWord;
+use crate::run::QueueDecision;
 
 /// The configuration in force; None until the first one has arrived.
 #[derive(Default)]
@@ -51,7 +51,7 @@
 /// How long claims are kept until a configuration sets the time.
 const DEFAULT_KEY_RETENTION: Duration = Duration::from_secs(24 * 60 * 60);
 
-fn own_description(process: &ProcessSettings, incarnation: IncarnationId) -> MemberInfo {
+fn own_member_info(process: &ProcessSettings, incarnation: IncarnationId) -> MemberInfo {
     MemberInfo {
         instance: process.instance.clone(),
         incarnation,
@@ -127,25 +127,25 @@
     /// Notified when a waiting reservation may succeed.
     pub budget_changed: Event,
     /// Notified when a request ends.
-    pub run_done: Event,
+    pub request_done: Event,
     pub(crate) books: BookWriter,
     pub(crate) claims: ClaimWriter,
-    pub(crate) rounds: BudgetRounds,
-    pub(crate) witnesses: WitnessBoard,
+    pub(crate) acquisitions: BudgetAcquisitions,
+    pub(crate) seal_targets: SealTargetRegistry,
     /// When the store's current outage began; None while it is reachable.
-    store_away: Mutex<Option<ClockTime>>,
+    store_failing_since: Mutex<Option<ClockTime>>,
     pub(crate) commands: CommandRegistry,
     pub(crate) retries: RetryBudget,
     pub(crate) limits: RequestLimits,
     pub(crate) queue: AdmissionQueue,
-    waiters: Mutex<HashMap<RequestId, Sender<QueueWord>>>,
+    waiters: Mutex<HashMap<RequestId, Sender<QueueDecision>>>,
     /// Sidecars in the routing table, with their last logged availability.
-    pub(crate) known_sidecars: Mutex<HashMap<IncarnationId, UpstreamUse>>,
+    pub(crate) known_sidecars: Mutex<HashMap<IncarnationId, UpstreamAvailability>>,
     pub(crate) link: OnceLock<LinkEndpoint>,
     pub(crate) in_flight: AtomicU32,
     abandoned: Mutex<HashMap<RequestId, ClockTime>>,
     pub(crate) leaving: AtomicBool,
-    pub(crate) leave_told: Event,
+    pub(crate) leave_event: Event,
 }
 
 impl EntryState {
@@ -161,7 +161,7 @@
                 .build(),
         );
         let instances = InstanceClient::new(platform.instance_list, token);
-        let own = own_description(&process, incarnation);
+        let own = own_member_info(&process, incarnation);
         let members = MemberTable::new(own, MembershipPolicy::default(), incarnation.0);
         members.add_seeds(&process.peers, ClockTime::now());
         Self {
@@ -174,12 +174,12 @@
             crashes: CrashTracker::new(),
             metrics: FleetMetrics::new(),
             budget_changed: Event::new(),
-            run_done: Event::new(),
+            request_done: Event::new(),
             books: BookWriter::default(),
             claims: ClaimWriter::default(),
-            rounds: BudgetRounds::default(),
-            witnesses: WitnessBoard::default(),
-            store_away: Mutex::default(),
+            acquisitions: BudgetAcquisitions::default(),
+            seal_targets: SealTargetRegistry::default(),
+            store_failing_since: Mutex::default(),
             commands: CommandRegistry::default(),
             retries: RetryBudget::new(RetryPolicy::default()),
             limits: RequestLimits::new(),
@@ -190,7 +190,7 @@
             in_flight: AtomicU32::new(0),
             abandoned: Mutex::default(),
             leaving: AtomicBool::new(false),
-            leave_told: Event::new(),
+            leave_event: Event::new(),
             config: ConfigHolder::default(),
             follower: ConfigFollower::new(ConfigScope::All, incarnation, ClockTime::now()),
             started: ClockTime::now(),
@@ -204,11 +204,11 @@
     }
 
     /// Stores the link once it listens, and publishes its address to the members.
-    pub(crate) fn take_link(&self, link: LinkEndpoint) {
+    pub(crate) fn set_link(&self, link: LinkEndpoint) {
         let address = self.process.link.advertise.unwrap_or(link.local_address());
         self.members.update_own(|own| own.address = address);
-        let taken = self.link.set(link);
-        assert!(taken.is_ok(), "the link is set only once");
+        let result = self.link.set(link);
+        assert!(result.is_ok(), "the link is set only once");
     }
 
     /// How long a claim is kept.
@@ -225,7 +225,7 @@
     }
 
     /// The requests that wait in a queue, with the channel for their decision.
-    pub(crate) fn waiters(&self) -> MutexGuard<'_, HashMap<RequestId, Sender<QueueWord>>> {
+    pub(crate) fn waiters(&self) -> MutexGuard<'_, HashMap<RequestId, Sender<QueueDecision>>> {
         self.waiters.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -235,22 +235,24 @@
     }
 
     /// Records whether a call to the store succeeded.
-    pub(crate) fn note_store(&self, reached: bool, now: ClockTime) {
-        let mut away = self.store_away.lock().unwrap_or_else(PoisonError::into_inner);
-        *away = if reached { None } else { Some(away.unwrap_or(now)) };
+    pub(crate) fn note_store_result(&self, reached: bool, now: ClockTime) {
+        let mut failing_since =
+            self.store_failing_since.lock().unwrap_or_else(PoisonError::into_inner);
+        *failing_since = if reached { None } else { Some(failing_since.unwrap_or(now)) };
     }
 
     /// How long the store has been unreachable; zero while it is reachable.
-    pub(crate) fn store_away_for(&self, now: ClockTime) -> Duration {
-        let away = *self.store_away.lock().unwrap_or_else(PoisonError::into_inner);
-        away.map_or(Duration::ZERO, |since| now.since(since).max(Duration::from_millis(1)))
+    pub(crate) fn store_outage(&self, now: ClockTime) -> Duration {
+        let failing_since =
+            *self.store_failing_since.lock().unwrap_or_else(PoisonError::into_inner);
+        failing_since.map_or(Duration::ZERO, |since| now.since(since).max(Duration::from_millis(1)))
     }
 
     /// Marks this entry as leaving and publishes that to the members.
     pub(crate) fn leave(&self) {
         self.leaving.store(true, Ordering::Relaxed);
         self.members.update_own(|own| own.leaving = true);
-        self.leave_told.notify(usize::MAX);
+        self.leave_event.notify(usize::MAX);
     }
 
     /// True once this entry is leaving.
@@ -263,17 +265,17 @@
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    pub(crate) fn run_started(&self) {
+    pub(crate) fn request_started(&self) {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
     }
 
-    pub(crate) fn run_ended(&self) {
+    pub(crate) fn request_ended(&self) {
         self.in_flight.fetch_sub(1, Ordering::Relaxed);
-        self.run_done.notify(usize::MAX);
+        self.request_done.notify(usize::MAX);
     }
 
     /// Why callers can't be served now; None if they can.
-    pub(crate) fn not_ready_because(&self) -> Option<&'static str> {
+    pub(crate) fn not_ready_reason(&self) -> Option<&'static str> {
         if self.is_leaving() {
             return Some("leaving");
         }
--- a/crates/sagespool-entry/tests/passed_headers.rs
+++ b/crates/sagespool-entry/tests/forwarded_headers.rs
@@ -23,7 +23,7 @@
     FleetConfiguration::build(ConfigVersion(1), fleet, [&BranchObject::default()])
 }
 
-fn passed_on(headers: &[(&'static str, &'static str)]) -> Vec<(String, String)> {
+fn forwarded_headers(headers: &[(&'static str, &'static str)]) -> Vec<(String, String)> {
     let mut given = Headers::new();
     for (name, value) in headers {
         given.append(*name, *value);
@@ -36,23 +36,23 @@
 
 #[test]
 fn own_headers() {
-    let passed = passed_on(&[("accept", "text/html"), ("X-Case", "1"), ("x-case", "2")]);
+    let forwarded = forwarded_headers(&[("accept", "text/html"), ("X-Case", "1"), ("x-case", "2")]);
     let wanted = [("accept", "text/html"), ("x-case", "1"), ("x-case", "2")];
-    let mut passed: Vec<_> = passed.iter().map(|(name, value)| (&**name, &**value)).collect();
-    passed.sort_unstable();
-    assert_eq!(passed, wanted);
+    let mut forwarded: Vec<_> = forwarded.iter().map(|(name, value)| (&**name, &**value)).collect();
+    forwarded.sort_unstable();
+    assert_eq!(forwarded, wanted);
 }
 
 #[test]
-fn kept_headers() {
-    let kept = [
+fn withheld_headers() {
+    let withheld = [
         ("authorization", "Bearer secret"),
         ("connection", "close"),
         ("idempotency-key", "bid-7"),
         ("sagespool-class", "only"),
         ("transfer-encoding", "chunked"),
     ];
-    assert_eq!(passed_on(&kept), []);
+    assert_eq!(forwarded_headers(&withheld), []);
 }
 
 #[test]
@@ -65,5 +65,5 @@
         ("X-HTTP-Method", "POST"),
         ("x-method-override", "POST"),
     ];
-    assert_eq!(passed_on(&overrides), []);
+    assert_eq!(forwarded_headers(&overrides), []);
 }
