--- a/crates/sagespool-entry/src/home/crashes.rs
+++ b/crates/sagespool-entry/src/home/crashes.rs
@@ -72,7 +72,7 @@
         false => UpdateChoice::Keep,
     };
     if let Err(error) = update_object(&state.objects, QUARANTINE_KEY, STORE_TIMEOUT, lift).await {
-        log_event!(warn, "verdict-unlifted", content = content, error = error);
+        log_event!(warn, "quarantine-lift-failed", content = content, error = error);
     }
 }
 
@@ -98,7 +98,7 @@
                 state.crashes.apply_record(&updated.value, ClockTime::now());
                 return;
             }
-            Err(error) => log_event!(warn, "verdict-unkept", error = error),
+            Err(error) => log_event!(warn, "quarantine-write-failed", error = error),
         }
         smol::Timer::after(RETRY_PAUSE).await;
     }
--- a/crates/sagespool-entry/src/home/recovery.rs
+++ b/crates/sagespool-entry/src/home/recovery.rs
@@ -242,7 +242,7 @@
         let resolved = state.ledger.resolve_recovery(&recovery, &charges);
         log_event!(
             info,
-            "orphans-asked",
+            "orphan-recovery",
             grant = grant,
             count = charges.len(),
             resolved = resolved,
--- a/crates/sagespool-entry/src/operator/prune.rs
+++ b/crates/sagespool-entry/src/operator/prune.rs
@@ -21,7 +21,7 @@
         return;
     }
     if let Err(error) = prune(state).await {
-        log_event!(warn, "commands-unpruned", cause = error);
+        log_event!(warn, "command-pruning-failed", cause = error);
     }
 }
 
--- a/crates/sagespool-entry/src/run/attempt.rs
+++ b/crates/sagespool-entry/src/run/attempt.rs
@@ -312,7 +312,7 @@
         let request = PeerRequest::Cancel(cancel);
         let sent = self.state.link().ask(placement.address, &request, CANCEL_TIMEOUT).await;
         if let Err(error) = sent {
-            log_event!(warn, "cancel-untold", request = self.spec.request, error = error);
+            log_event!(warn, "cancel-failed", request = self.spec.request, error = error);
         }
     }
 
--- a/crates/sagespool-entry/src/run/home_client.rs
+++ b/crates/sagespool-entry/src/run/home_client.rs
@@ -110,5 +110,5 @@
         }
         smol::Timer::after(Duration::from_millis(200)).await;
     }
-    log_event!(warn, "finish-untold", request = report.request, charge = report.charge);
+    log_event!(warn, "finish-report-failed", request = report.request, charge = report.charge);
 }
