--- a/crates/sagespool-entry/src/home/books.rs
+++ b/crates/sagespool-entry/src/home/books.rs
@@ -132,7 +132,7 @@
                 let written = write_book(&state, book, WriteCause::Scheduled).await;
                 state.note_store_result(written.is_ok(), ClockTime::now());
                 if let Err(error) = &written {
-                    log_event!(warn, "book-unwritten", book = book, error = error);
+                    log_event!(warn, "book-write-failed", book = book, error = error);
                 }
                 written.is_ok()
             })
--- a/crates/sagespool-entry/src/home/claims.rs
+++ b/crates/sagespool-entry/src/home/claims.rs
@@ -23,7 +23,7 @@
 const MAX_CONFLICT_TRIES: u32 = 20;
 /// How often a claim held by another request is replaced, each time on the reply of another
 /// sidecar.
-const MAX_OVERTURN_TRIES: u32 = 3;
+const MAX_REPLACE_TRIES: u32 = 3;
 const FENCE_TIMEOUT: Duration = Duration::from_secs(1);
 const RETRY_AFTER: Duration = Duration::from_secs(5);
 /// The longest sleep of the writer while claims wait for an unreachable store.
@@ -42,11 +42,11 @@
         Self { batch: ClaimBatch::new(policy), waiters: HashMap::new(), writing: false }
     }
 
-    fn send_verdicts(&mut self, answers: Vec<sagespool_claims::ClaimResult>) {
-        for answer in answers {
-            if let Some(waiter) = self.waiters.remove(&answer.intent.request) {
+    fn send_verdicts(&mut self, results: Vec<sagespool_claims::ClaimResult>) {
+        for result in results {
+            if let Some(waiter) = self.waiters.remove(&result.intent.request) {
                 // If the waiting task is gone, its claim stays and a retry finds it.
-                let _ = waiter.try_send(answer.verdict);
+                let _ = waiter.try_send(result.verdict);
             }
         }
     }
@@ -92,7 +92,7 @@
 
 async fn claim_durably(state: &Arc<EntryState>, request: &ClaimRequest) -> ClaimReply {
     let mut intent = ClaimIntent::of(request, state.incarnation);
-    for _ in 0..MAX_OVERTURN_TRIES {
+    for _ in 0..MAX_REPLACE_TRIES {
         match submit_claim(state, intent.clone()).await {
             ClaimVerdict::Durable => return ClaimReply::Durable,
             ClaimVerdict::Taken(entry) => match query_claimant(state, request, &entry).await {
@@ -171,7 +171,7 @@
 
 /// Queues a claim for the shard's writer and waits for the verdict.
 async fn submit_claim(state: &Arc<EntryState>, intent: ClaimIntent) -> ClaimVerdict {
-    let (waiter, answer) = async_channel::bounded(1);
+    let (waiter, result) = async_channel::bounded(1);
     let shard = claim_shard(intent.key);
     let start = {
         let mut shards = state.claims.shards();
@@ -183,7 +183,7 @@
     if start {
         smol::spawn(write_shard(Arc::clone(state), shard)).detach();
     }
-    answer.recv().await.unwrap_or(ClaimVerdict::Expired)
+    result.recv().await.unwrap_or(ClaimVerdict::Expired)
 }
 
 /// Writes a shard's batches until no claim is pending.
@@ -195,8 +195,8 @@
                 return;
             };
             let now = ClockTime::now();
-            let lapsed = entry.batch.expire(now);
-            entry.send_verdicts(lapsed);
+            let expired = entry.batch.expire(now);
+            entry.send_verdicts(expired);
             if entry.batch.is_empty() {
                 entry.writing = false;
                 return;
@@ -229,11 +229,11 @@
     };
     match outcome {
         Ok(record) => {
-            let answers = entry.batch.complete_write(record, ClockTime::now());
-            entry.send_verdicts(answers);
+            let results = entry.batch.complete_write(record, ClockTime::now());
+            entry.send_verdicts(results);
         }
         Err(error) => {
-            log_event!(warn, "claims-unwritten", shard = shard, error = error);
+            log_event!(warn, "claim-write-failed", shard = shard, error = error);
             entry.batch.record_failure(ClockTime::now());
         }
     }
--- a/crates/sagespool-entry/src/home/keys.rs
+++ b/crates/sagespool-entry/src/home/keys.rs
@@ -136,8 +136,8 @@
 ) -> KeyStart {
     let deadline = ClockTime::now().after(reserve_request.time_left.saturating_sub(REFUSAL_MARGIN));
     loop {
-        let verdict = inquire(state, reserve_request, key).await;
-        if let Some(start) = resolve_inquiry(state, reserve_request, key, verdict) {
+        let verdict = look_up(state, reserve_request, key).await;
+        if let Some(start) = resolve_lookup(state, reserve_request, key, verdict) {
             return start;
         }
         if ClockTime::now() >= deadline {
@@ -149,7 +149,7 @@
 }
 
 /// Queries every sidecar of the service in parallel.
-async fn inquire(
+async fn look_up(
     state: &EntryState,
     reserve_request: &ReserveRequest,
     key: KeyDigest,
@@ -195,7 +195,7 @@
 /// A sidecar that is unreachable and not known to be gone may be running the request. For an
 /// idempotent request a second run would be billed twice; for a non-idempotent one the claim in the
 /// store decides.
-fn resolve_inquiry(
+fn resolve_lookup(
     state: &EntryState,
     reserve_request: &ReserveRequest,
     key: KeyDigest,
--- a/crates/sagespool-entry/src/operator/run.rs
+++ b/crates/sagespool-entry/src/operator/run.rs
@@ -73,7 +73,7 @@
         run.active.publish(&run.record);
         run.state.commands.end(command);
         if end == SaveOutcome::StoreUnreachable {
-            log_event!(warn, "command-left", command = command, cause = "store unreachable");
+            log_event!(warn, "command-abandoned", command = command, cause = "store unreachable");
         }
         if run.record.state() == CommandState::Ended {
             prune::prune_if_due(&run.state, command).await;
--- a/crates/sagespool-entry/src/peers.rs
+++ b/crates/sagespool-entry/src/peers.rs
@@ -78,7 +78,9 @@
         }
         PeerRequest::Status(query) => PeerReply::Status(status(state, &query)),
         PeerRequest::Leave(request) => crate::operator::leave(state, &request),
-        PeerRequest::AskConfiguration(ask) => state.follower.handle_query(&ask, ClockTime::now()),
+        PeerRequest::AskConfiguration(query) => {
+            state.follower.handle_query(&query, ClockTime::now())
+        }
         PeerRequest::NoticeConfiguration(notice) => {
             state.follower.handle_notice(&notice);
             PeerReply::Done
--- a/crates/sagespool-entry/src/run/attempt.rs
+++ b/crates/sagespool-entry/src/run/attempt.rs
@@ -355,8 +355,8 @@
             let now = ClockTime::now();
             let taken = match event {
                 DispatchEvent::Started => true,
-                DispatchEvent::CacheNews(news) => {
-                    apply_cache_updates(&self.state.upstreams, placement.sidecar, &news, now);
+                DispatchEvent::CacheNews(update) => {
+                    apply_cache_updates(&self.state.upstreams, placement.sidecar, &update, now);
                     true
                 }
                 DispatchEvent::Beside(count) => {
--- a/crates/sagespool-entry/src/run/cache_updates.rs
+++ b/crates/sagespool-entry/src/run/cache_updates.rs
@@ -8,15 +8,15 @@
 pub(super) fn apply_cache_updates(
     upstreams: &UpstreamTable,
     sidecar: IncarnationId,
-    news: &PrefixCacheUpdate,
+    update: &PrefixCacheUpdate,
     now: ClockTime,
 ) {
-    for (number, note) in news.numbered() {
-        let kind = match note.is_stored {
+    for (number, change) in update.numbered() {
+        let kind = match change.is_stored {
             true => CacheEventKind::Stored,
             false => CacheEventKind::Evicted,
         };
-        let event = CacheEvent { number, kind, prefix: note.prefix.into() };
+        let event = CacheEvent { number, kind, prefix: change.prefix.into() };
         upstreams.cache_event(sidecar, &event, now);
     }
 }
