--- a/crates/sagespool-entry/src/caller/answer.rs
+++ b/crates/sagespool-entry/src/caller/answer.rs
@@ -1,4 +1,4 @@
-//! Answers in HTTP: whole JSON, server-sent events, or a service's own bytes.
+//! HTTP responses: a JSON document, server-sent events, or the bytes of a plain service.
 
 use std::io;
 use std::pin::Pin;
@@ -13,17 +13,17 @@
 use trillium::{Body, Conn, HeaderName, KnownHeaderName, Status};
 
 use super::CompletionCall;
-use super::fault::{refusal_body, respond_refusal, with_request_headers};
+use super::error::{refusal_body, respond_refusal, with_request_headers};
 use crate::run::{AnswerEvent, AnswerReceiver};
 
-/// Chunks of a stream that may wait for a slow caller.
-const EVENT_BACKLOG: usize = 64;
+/// Chunks of a stream buffered for a slow caller.
+const EVENT_BUFFER_CHUNKS: usize = 64;
 
-/// A body's bytes as they come in over a channel.
+/// A response body read from a channel.
 struct ChannelReader {
     chunks: Pin<Box<Receiver<Vec<u8>>>>,
-    rest: Vec<u8>,
-    taken: usize,
+    chunk_bytes: Vec<u8>,
+    consumed: usize,
 }
 
 impl AsyncRead for ChannelReader {
@@ -33,26 +33,26 @@
         buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
         let reader = self.get_mut();
-        while reader.taken == reader.rest.len() {
+        while reader.consumed == reader.chunk_bytes.len() {
             match reader.chunks.as_mut().poll_next(context) {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(None) => return Poll::Ready(Ok(0)),
                 Poll::Ready(Some(chunk)) => {
-                    reader.rest = chunk;
-                    reader.taken = 0;
+                    reader.chunk_bytes = chunk;
+                    reader.consumed = 0;
                 }
             }
         }
-        let length = buffer.len().min(reader.rest.len() - reader.taken);
-        let end = reader.taken + length;
-        buffer[..length].copy_from_slice(&reader.rest[reader.taken..end]);
-        reader.taken = end;
+        let length = buffer.len().min(reader.chunk_bytes.len() - reader.consumed);
+        let end = reader.consumed + length;
+        buffer[..length].copy_from_slice(&reader.chunk_bytes[reader.consumed..end]);
+        reader.consumed = end;
         Poll::Ready(Ok(length))
     }
 }
 
 fn streaming_body(chunks: Receiver<Vec<u8>>) -> Body {
-    let reader = ChannelReader { chunks: Box::pin(chunks), rest: Vec::new(), taken: 0 };
+    let reader = ChannelReader { chunks: Box::pin(chunks), chunk_bytes: Vec::new(), consumed: 0 };
     Body::new_streaming(reader, None)
 }
 
@@ -63,11 +63,11 @@
     }
 }
 
-fn no_answer() -> RefusalNotice {
+fn missing_outcome_refusal() -> RefusalNotice {
     RefusalNotice {
         reason: sagespool_types::RefusalReason::OutcomeUnknown,
         run_state: sagespool_types::RunState::Unknown,
-        message: "the request ended without a word about its outcome".into(),
+        message: "the request ended without reporting an outcome".into(),
         retry_after: Some(Duration::from_secs(1)),
     }
 }
@@ -80,7 +80,7 @@
     })
 }
 
-/// A whole answer, or why there is none.
+/// A complete answer, or the refusal.
 struct CollectedAnswer {
     status: u16,
     headers: Vec<HeaderPair>,
@@ -100,7 +100,7 @@
         headers: Vec::new(),
         data: Vec::new(),
         tokens: 0,
-        end: CollectedEnd::Refused { notice: no_answer(), billed: TokenCount::ZERO },
+        end: CollectedEnd::Refused { notice: missing_outcome_refusal(), billed: TokenCount::ZERO },
     };
     while let Ok(event) = answers.recv().await {
         match event {
@@ -125,8 +125,8 @@
     answer
 }
 
-/// A chat completion as one JSON document. A caller that goes away before it is there drops the
-/// answers, which the run notices.
+/// Responds with a chat completion as one JSON document. If the caller disconnects earlier, the
+/// receiver is dropped, which the run detects.
 pub(super) async fn respond_whole(
     mut conn: Conn,
     call: &CompletionCall,
@@ -193,8 +193,9 @@
     lines
 }
 
-/// A chat completion as server-sent events. The status is sent with the first piece, so that a
-/// refusal before it still is a plain refusal; one after it is an event `error` with no `[DONE]`.
+/// Responds with a chat completion as server-sent events. The status is sent with the first event,
+/// so that an earlier refusal still is a plain HTTP refusal; a later one is an event `error`
+/// without a `[DONE]`.
 pub(super) async fn respond_events(
     mut conn: Conn,
     call: CompletionCall,
@@ -209,9 +210,11 @@
             return respond_refusal(conn, &notice, request, billed);
         }
         Ok(event) => event,
-        Err(_) => return respond_refusal(conn, &no_answer(), request, TokenCount::ZERO),
+        Err(_) => {
+            return respond_refusal(conn, &missing_outcome_refusal(), request, TokenCount::ZERO);
+        }
     };
-    let (sender, chunks) = async_channel::bounded(EVENT_BACKLOG);
+    let (sender, chunks) = async_channel::bounded(EVENT_BUFFER_CHUNKS);
     smol::spawn(pump_events(call, request, first, answers, sender)).detach();
     conn.with_response_header("sagespool-request-id", request.to_string())
         .with_response_header(KnownHeaderName::ContentType, "text/event-stream")
@@ -245,14 +248,14 @@
                 (error_lines(&notice, request, billed), true)
             }
         };
-        // A caller that went away drops the body and with it the channel; returning drops the
-        // answers, which the run notices.
+        // A disconnected caller drops the body and with it the channel. Returning drops the
+        // receiver, which the run detects.
         if sender.send(chunk).await.is_err() || last {
             return;
         }
         next = answers.recv().await;
     }
-    let _ = sender.send(error_lines(&no_answer(), request, TokenCount::ZERO)).await;
+    let _ = sender.send(error_lines(&missing_outcome_refusal(), request, TokenCount::ZERO)).await;
 }
 
 fn error_lines(notice: &RefusalNotice, request: RequestId, billed: TokenCount) -> Vec<u8> {
@@ -262,9 +265,9 @@
 
 fn with_service_headers(mut conn: Conn, headers: Vec<HeaderPair>) -> Conn {
     for pair in headers {
-        let own =
+        let withheld =
             ["content-length", "transfer-encoding", "connection", "keep-alive", "date", "server"];
-        if own.contains(&pair.name.as_str()) {
+        if withheld.contains(&pair.name.as_str()) {
             continue;
         }
         conn.response_headers_mut().append(HeaderName::from(pair.name), pair.value);
@@ -272,7 +275,8 @@
     conn
 }
 
-/// A plain service's answer, whole: a broken one must be told from a whole one by its status.
+/// Responds with a plain service's answer once it is complete, so that an interrupted one is
+/// reported by its status.
 pub(super) async fn respond_service(
     mut conn: Conn,
     request: RequestId,
--- a/crates/sagespool-entry/src/caller/service_call.rs
+++ b/crates/sagespool-entry/src/caller/service_call.rs
@@ -1,17 +1,18 @@
-//! Calls of plain services: reading what a caller asks of one.
+//! Parsing and checking of requests to plain services.
 
 use sagespool_messages::{CallTarget, HeaderPair};
 use sagespool_settings::{FleetConfiguration, ServiceEntry};
 use sagespool_types::{ContentDigest, ServiceName};
 use trillium::{Headers, Status};
 
-use super::CallFault;
+use super::CallerError;
 
-/// Headers that concern one connection, or the fleet, and are not passed on.
+/// Request headers that are not forwarded, since they concern one connection or the fleet.
 ///
-/// Nor are those that override the method: a service that honours one would run a call of another
-/// method than the one that was checked, so that a letter sent as `GET` could be sent twice.
-const KEPT_HEADERS: [&str; 17] = [
+/// Headers that override the method are not forwarded either: a service that honours one would run
+/// another method than the one that was checked, so a non-idempotent request sent as `GET` could
+/// run twice.
+const WITHHELD_HEADERS: [&str; 17] = [
     "authorization",
     "connection",
     "content-length",
@@ -31,24 +32,24 @@
     "x-method-override",
 ];
 
-/// A checked call of a plain service.
+/// A checked request to a plain service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceCall {
     /// The service.
     pub service: ServiceName,
     /// The method, path, headers and price.
     pub target: CallTarget,
-    /// What it asks for.
+    /// Digest of the name, method, path and body.
     pub content: ContentDigest,
-    /// The settled price.
+    /// The price of the request in tokens.
     pub price: u32,
 }
 
-fn passed_on(headers: &Headers) -> Vec<HeaderPair> {
+fn forwarded_headers(headers: &Headers) -> Vec<HeaderPair> {
     let mut pairs = Vec::new();
     for (name, values) in headers.iter() {
         let name = name.as_ref().to_ascii_lowercase();
-        if KEPT_HEADERS.contains(&name.as_str()) || name.starts_with("sagespool-") {
+        if WITHHELD_HEADERS.contains(&name.as_str()) || name.starts_with("sagespool-") {
             continue;
         }
         for value in values.iter().filter_map(|value| value.as_str()) {
@@ -61,23 +62,28 @@
 fn find_service<'a>(
     name: &str,
     config: &'a FleetConfiguration,
-) -> Result<&'a ServiceEntry, CallFault> {
-    let fault = || {
-        let text = format!("no plain service is called `{name}`");
-        CallFault::new(Status::NotFound, "unknown-service", text, "a service of the configuration")
+) -> Result<&'a ServiceEntry, CallerError> {
+    let error = || {
+        let text = format!("there is no plain service `{name}`");
+        CallerError::new(
+            Status::NotFound,
+            "unknown-service",
+            text,
+            "a service of the configuration",
+        )
     };
-    let name: ServiceName = name.parse().map_err(|_| fault())?;
-    let service = config.service(&name).ok_or_else(fault)?;
+    let name: ServiceName = name.parse().map_err(|_| error())?;
+    let service = config.service(&name).ok_or_else(error)?;
     if service.kind != sagespool_messages::UpstreamKind::Service {
-        return Err(fault());
+        return Err(error());
     }
     Ok(service)
 }
 
-/// Reads and checks a service call. `path` is what follows the service's name, with its query.
+/// Parses and checks a service request. `path` is what follows the service's name, with its query.
 ///
 /// # Errors
-/// 404 for an unknown service or one of model engines.
+/// 404 for an unknown service or a service of model engines.
 pub fn read_service_call(
     name: &str,
     method: &str,
@@ -85,14 +91,14 @@
     headers: &Headers,
     body: &[u8],
     config: &FleetConfiguration,
-) -> Result<ServiceCall, CallFault> {
+) -> Result<ServiceCall, CallerError> {
     let service = find_service(name, config)?;
-    // A price is at most what fits, by the configuration's check.
+    // The check of the configuration limits prices to this range.
     let price = service.price.map_or(0, |price| u32::try_from(price.0).unwrap_or(u32::MAX));
     let target = CallTarget::Service {
         method: method.to_owned(),
         path: path.to_owned(),
-        headers: passed_on(headers),
+        headers: forwarded_headers(headers),
         price,
     };
     let content = ContentDigest::of(&format!("{name} {method} {path}"), body);
--- a/crates/sagespool-entry/src/home/books.rs
+++ b/crates/sagespool-entry/src/home/books.rs
@@ -1,4 +1,4 @@
-//! Writing books: grants asked for and charges settled, by conditional updates.
+//! Writing books with conditional updates: grants requested and charges settled.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,40 +12,41 @@
 
 use crate::state::EntryState;
 
-const CONFLICT_TRIES: u32 = 20;
+const MAX_CONFLICT_TRIES: u32 = 20;
 const WRITER_TICK: Duration = Duration::from_millis(100);
-/// After a failed write the store is left alone for so long, unless a request waits.
+/// The pause after a failed write, unless a request waits.
 const FAILURE_PAUSE: Duration = Duration::from_millis(500);
 
-/// A book as last seen in the store, locked while it is written.
-type HeldBook = Arc<async_lock::Mutex<Option<StoredObject<BookRecord>>>>;
+/// A book as last seen in the store, locked during a write.
+type CachedBook = Arc<async_lock::Mutex<Option<StoredObject<BookRecord>>>>;
 
-/// Why a book is looked at.
+/// Why a book is written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum WriteCause {
-    /// Its turn has come, or something is handed back: everything that changed is written.
-    Turn,
-    /// Requests wait for more than is held. The book is read anew, since a top-up may just have come,
-    /// and written only if that helps one of them: else each request refused near a budget's end
-    /// would cost a write.
-    Round,
-    /// Another home asks for what this one doesn't need. The book is read anew: the other may have
-    /// taken this home for dead and sealed its grants, which shows there and not in what was read
-    /// before; what isn't accounted for would stay in doubt, and the other would refuse for budget.
+    /// A scheduled write, or grants are returned at shutdown: everything that changed is written.
+    Scheduled,
+    /// Requests wait for more budget than is held. The book is read again, since a top-up may just
+    /// have been applied, and written only if that helps one of them. Otherwise each request that
+    /// is refused near the end of a budget would cost a write.
+    Acquisition,
+    /// Another home recalls unspent budget. The book is read again: the other home may have taken
+    /// this one for dead and sealed its grants, which a cached copy does not show. Charges that are
+    /// not accounted for would stay in doubt, and the other home would refuse requests for lack of
+    /// budget.
     Recall,
 }
 
-/// The books as last seen in the store, each under its own lock so that one process never races
-/// itself over a book.
+/// The books as last seen in the store, each under its own lock so that writes of one process to
+/// the same book do not conflict.
 #[derive(Default)]
 pub(crate) struct BookWriter {
-    books: Mutex<HashMap<BookNumber, HeldBook>>,
-    /// Told when a book is due before its turn.
+    books: Mutex<HashMap<BookNumber, CachedBook>>,
+    /// Notified when a book is due before its scheduled write.
     pub(crate) due: Event,
 }
 
 impl BookWriter {
-    fn book(&self, book: BookNumber) -> HeldBook {
+    fn book(&self, book: BookNumber) -> CachedBook {
         let mut books = self.books.lock().unwrap_or_else(PoisonError::into_inner);
         Arc::clone(books.entry(book).or_default())
     }
@@ -60,25 +61,25 @@
     Ok(stored.unwrap_or_else(empty))
 }
 
-/// Brings the book in the store up to what this home wants of it, and this home up to what is in
-/// the store. Returns once an acknowledged write or a fresh read shows the book's present state.
+/// Writes this home's changes to a book and applies the stored book to this home's ledger. Returns
+/// once an acknowledged write or a fresh read shows the present state of the book.
 ///
-/// The guard against answers lost after the write took effect: after any failure the book is read
-/// again and `apply` finds by id what an earlier write did, so nothing is granted or settled twice.
+/// Guards against a lost reply to a write that took effect: after any failure the book is read
+/// again, and `apply` finds earlier changes by id, so that nothing is granted or settled twice.
 ///
 /// # Errors
-/// What the store said, after bounded tries.
+/// The store's error, after a bounded number of tries.
 pub(crate) async fn write_book(
     state: &EntryState,
     book: BookNumber,
     cause: WriteCause,
 ) -> Result<(), StoreError> {
-    let held = state.books.book(book);
-    let mut cached = held.lock().await;
-    if cause != WriteCause::Turn {
+    let entry = state.books.book(book);
+    let mut cached = entry.lock().await;
+    if cause != WriteCause::Scheduled {
         *cached = None;
     }
-    for _ in 0..CONFLICT_TRIES {
+    for _ in 0..MAX_CONFLICT_TRIES {
         let stored = match cached.take() {
             Some(stored) => stored,
             None => {
@@ -92,8 +93,10 @@
         let (base, seen) = (stored.version, state.objects.seen_revision());
         let now = ClockTime::now();
         let changed = match cause {
-            WriteCause::Round => state.ledger.apply_for_waiting(book, &mut record, base, seen, now),
-            WriteCause::Turn | WriteCause::Recall => {
+            WriteCause::Acquisition => {
+                state.ledger.apply_for_waiting(book, &mut record, base, seen, now)
+            }
+            WriteCause::Scheduled | WriteCause::Recall => {
                 state.ledger.apply(book, &mut record, base, seen, now)
             }
         };
@@ -118,7 +121,7 @@
     Err(StoreError::Unavailable)
 }
 
-/// Writes books as they fall due, for the process's whole life.
+/// Writes books as they become due, for the lifetime of the process.
 pub(crate) async fn run_book_writer(state: Arc<EntryState>) {
     loop {
         let due = state.books.due.listen();
@@ -126,10 +129,10 @@
         let writes = books.into_iter().map(|book| {
             let state = Arc::clone(&state);
             smol::spawn(async move {
-                let written = write_book(&state, book, WriteCause::Turn).await;
-                state.note_store(written.is_ok(), ClockTime::now());
+                let written = write_book(&state, book, WriteCause::Scheduled).await;
+                state.note_store_result(written.is_ok(), ClockTime::now());
                 if let Err(error) = &written {
-                    log_event!(warn, "book-unwritten", book = book, error = error);
+                    log_event!(warn, "book-write-failed", book = book, error = error);
                 }
                 written.is_ok()
             })
--- a/crates/sagespool-entry/src/home/claims.rs
+++ b/crates/sagespool-entry/src/home/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: group commits to the store before a non-idempotent request runs.
+//! Claims on idempotency keys: batched writes to the store before a non-idempotent request runs.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -20,38 +20,39 @@
 
 use crate::state::EntryState;
 
-const CONFLICT_TRIES: u32 = 20;
-/// A claim found taken is overturned at most so often, each time by another sidecar's word.
-const OVERTURN_TRIES: u32 = 3;
-const FENCE_LIMIT: Duration = Duration::from_secs(1);
+const MAX_CONFLICT_TRIES: u32 = 20;
+/// How often a claim held by another request is replaced, each time on the reply of another
+/// sidecar.
+const MAX_REPLACE_TRIES: u32 = 3;
+const FENCE_TIMEOUT: Duration = Duration::from_secs(1);
 const RETRY_AFTER: Duration = Duration::from_secs(5);
-/// How long the writer sleeps at most while wishes wait for a store that is away.
+/// The longest sleep of the writer while claims wait for an unreachable store.
 const WRITER_STEP: Duration = Duration::from_millis(50);
 
-/// The wishes for one shard of claims, and who waits for each.
+/// The pending claims of one shard, and the channel of the caller that waits for each.
 struct ClaimShard {
     batch: ClaimBatch,
-    askers: HashMap<RequestId, Sender<ClaimVerdict>>,
+    waiters: HashMap<RequestId, Sender<ClaimVerdict>>,
     writing: bool,
 }
 
 impl ClaimShard {
     fn new(retention: Duration) -> Self {
         let policy = BatchPolicy::builder().retention(retention).build();
-        Self { batch: ClaimBatch::new(policy), askers: HashMap::new(), writing: false }
+        Self { batch: ClaimBatch::new(policy), waiters: HashMap::new(), writing: false }
     }
 
-    fn answer(&mut self, answers: Vec<sagespool_claims::ClaimResult>) {
-        for answer in answers {
-            if let Some(asker) = self.askers.remove(&answer.intent.request) {
-                // An asker that has gone leaves its claim standing; a retry finds it.
-                let _ = asker.try_send(answer.verdict);
+    fn send_verdicts(&mut self, results: Vec<sagespool_claims::ClaimResult>) {
+        for result in results {
+            if let Some(waiter) = self.waiters.remove(&result.intent.request) {
+                // If the waiting task is gone, its claim stays and a retry finds it.
+                let _ = waiter.try_send(result.verdict);
             }
         }
     }
 }
 
-/// The claims that wait for a write, by shard of the store.
+/// The claims that wait for a write, by shard.
 #[derive(Default)]
 pub(crate) struct ClaimWriter {
     shards: Mutex<HashMap<u64, ClaimShard>>,
@@ -63,8 +64,8 @@
     }
 }
 
-/// Places a keyed request at its sidecar: in the home's memory, and first in the store if it may
-/// never run twice.
+/// Places a keyed request at its sidecar: in the home's memory, after a claim in the store if the
+/// request is non-idempotent.
 pub async fn claim(state: &Arc<EntryState>, request: &ClaimRequest) -> ClaimReply {
     if request.durable {
         let reply = claim_durably(state, request).await;
@@ -83,7 +84,7 @@
     if let Some(known) = state.keys.find(request.key, now) {
         return ClaimReply::Known(known);
     }
-    // The home that reserved for the request can't be reached, and this one stands in for it.
+    // The home that made the reservation is unreachable, and this entry acts in its place.
     state.keys.begin(request.key, request.request, request.content, now);
     state.keys.assign_sidecar(request.key, request.request, request.sidecar, now);
     ClaimReply::Durable
@@ -91,12 +92,12 @@
 
 async fn claim_durably(state: &Arc<EntryState>, request: &ClaimRequest) -> ClaimReply {
     let mut intent = ClaimIntent::of(request, state.incarnation);
-    for _ in 0..OVERTURN_TRIES {
-        match wish_for(state, intent.clone()).await {
+    for _ in 0..MAX_REPLACE_TRIES {
+        match submit_claim(state, intent.clone()).await {
             ClaimVerdict::Durable => return ClaimReply::Durable,
-            ClaimVerdict::Taken(entry) => match ask_claimant(state, request, &entry).await {
-                Claimant::NeverRan(fenced) => intent = intent.replacing(fenced),
-                Claimant::Says(known) => return ClaimReply::Known(known),
+            ClaimVerdict::Taken(entry) => match query_claimant(state, request, &entry).await {
+                ClaimantReply::NeverRan(fenced) => intent = intent.replacing(fenced),
+                ClaimantReply::Known(known) => return ClaimReply::Known(known),
             },
             verdict => return ClaimReply::Refused(refusal(state, request.key, &verdict)),
         }
@@ -113,21 +114,26 @@
     notice.unwrap_or_else(|| RefusalNotice {
         reason: RefusalReason::ClaimUnreachable,
         run_state: RunState::Unknown,
-        message: "the claim on the key couldn't be settled".into(),
+        message: "the claim on the idempotency key could not be written or ruled out".into(),
         retry_after: Some(RETRY_AFTER),
     })
 }
 
-/// What the sidecar of a claim in the way says of it.
-enum Claimant {
+/// The reply of the sidecar that holds a conflicting claim.
+enum ClaimantReply {
     NeverRan(FencedClaim),
-    Says(KeyState),
+    Known(KeyState),
 }
 
-/// Asks the sidecar that a claim names. The same incarnation that never saw the key refuses the
-/// claim's request from now on, so that the claim may be replaced; without its word it may not.
-async fn ask_claimant(state: &EntryState, request: &ClaimRequest, entry: &ClaimEntry) -> Claimant {
-    let unknown = || Claimant::Says(claimed_key_state(entry, request.content, None));
+/// Queries the sidecar that a claim names. If the same incarnation never received the key, it
+/// refuses the claim's request from now on, so the claim may be replaced. Without that reply the
+/// claim stays.
+async fn query_claimant(
+    state: &EntryState,
+    request: &ClaimRequest,
+    entry: &ClaimEntry,
+) -> ClaimantReply {
+    let unknown = || ClaimantReply::Known(claimed_key_state(entry, request.content, None));
     let Some(member) = state.members.find(entry.sidecar) else {
         return unknown();
     };
@@ -135,24 +141,26 @@
     let Some(service) = service else {
         return unknown();
     };
-    let question = KeyRequest { service, key: request.key, fence: Some(entry.request) };
-    let asked =
-        state.link().ask(member.address, &PeerRequest::FindKey(question), FENCE_LIMIT).await;
-    let Ok(PeerReply::Key(reply)) = asked else {
+    let key_request = KeyRequest { service, key: request.key, fence: Some(entry.request) };
+    let reply =
+        state.link().ask(member.address, &PeerRequest::FindKey(key_request), FENCE_TIMEOUT).await;
+    let Ok(PeerReply::Key(reply)) = reply else {
         return unknown();
     };
     if reply.sidecar != entry.sidecar {
         return unknown();
     }
     match reply.known {
-        None => Claimant::NeverRan(FencedClaim { request: entry.request, sidecar: entry.sidecar }),
-        known => Claimant::Says(claimed_key_state(entry, request.content, known)),
+        None => {
+            ClaimantReply::NeverRan(FencedClaim { request: entry.request, sidecar: entry.sidecar })
+        }
+        known => ClaimantReply::Known(claimed_key_state(entry, request.content, known)),
     }
 }
 
-/// Whether a letter may have gone out under a key before, as the store knows. Every sidecar that ran
-/// it may have been replaced since, so that nobody else remembers; a refusal of the letter that said
-/// `not-run` all the same would have its caller send it under another key.
+/// Whether the store shows that a non-idempotent request may have run under a key. Every sidecar
+/// that ran it may have been replaced, so that no process has it in memory. A refusal with run
+/// state `not-run` would then lead the caller to send the request again under another key.
 pub(super) async fn may_be_claimed(state: &EntryState, key: KeyDigest) -> bool {
     match state.objects.get::<ClaimsRecord>(&claim_key(claim_shard(key))).await {
         Ok(Some(stored)) => stored.value.is_claimed(key),
@@ -161,25 +169,25 @@
     }
 }
 
-/// Hands a intent to the shard's writer, and waits for its verdict.
-async fn wish_for(state: &Arc<EntryState>, intent: ClaimIntent) -> ClaimVerdict {
-    let (asker, answer) = async_channel::bounded(1);
+/// Queues a claim for the shard's writer and waits for the verdict.
+async fn submit_claim(state: &Arc<EntryState>, intent: ClaimIntent) -> ClaimVerdict {
+    let (waiter, result) = async_channel::bounded(1);
     let shard = claim_shard(intent.key);
     let start = {
         let mut shards = state.claims.shards();
         let entry = shards.entry(shard).or_insert_with(|| ClaimShard::new(state.key_retention()));
-        entry.askers.insert(intent.request, asker);
+        entry.waiters.insert(intent.request, waiter);
         entry.batch.add(intent, ClockTime::now());
         !std::mem::replace(&mut entry.writing, true)
     };
     if start {
-        smol::spawn(run_shard(Arc::clone(state), shard)).detach();
+        smol::spawn(write_shard(Arc::clone(state), shard)).detach();
     }
-    answer.recv().await.unwrap_or(ClaimVerdict::Expired)
+    result.recv().await.unwrap_or(ClaimVerdict::Expired)
 }
 
-/// Writes a shard's batches until no intent waits.
-async fn run_shard(state: Arc<EntryState>, shard: u64) {
+/// Writes a shard's batches until no claim is pending.
+async fn write_shard(state: Arc<EntryState>, shard: u64) {
     loop {
         let step = {
             let mut shards = state.claims.shards();
@@ -187,8 +195,8 @@
                 return;
             };
             let now = ClockTime::now();
-            let lapsed = entry.batch.expire(now);
-            entry.answer(lapsed);
+            let expired = entry.batch.expire(now);
+            entry.send_verdicts(expired);
             if entry.batch.is_empty() {
                 entry.writing = false;
                 return;
@@ -211,8 +219,8 @@
     }
 }
 
-/// One conditional update for a batch. After an answer that was lost the record is read again; a
-/// claim that took effect is found there by its request's id.
+/// Writes a batch with one conditional update. If the reply to a write is lost, the record is read
+/// again; a claim that took effect is recognized by its request id.
 async fn write_batch(state: &EntryState, shard: u64) {
     let outcome = store_batch(state, shard).await;
     let mut shards = state.claims.shards();
@@ -221,11 +229,11 @@
     };
     match outcome {
         Ok(record) => {
-            let answers = entry.batch.complete_write(record, ClockTime::now());
-            entry.answer(answers);
+            let results = entry.batch.complete_write(record, ClockTime::now());
+            entry.send_verdicts(results);
         }
         Err(error) => {
-            log_event!(warn, "claims-unwritten", shard = shard, error = error);
+            log_event!(warn, "claim-write-failed", shard = shard, error = error);
             entry.batch.record_failure(ClockTime::now());
         }
     }
@@ -233,7 +241,7 @@
 
 async fn store_batch(state: &EntryState, shard: u64) -> Result<ClaimsRecord, StoreError> {
     let key = claim_key(shard);
-    for _ in 0..CONFLICT_TRIES {
+    for _ in 0..MAX_CONFLICT_TRIES {
         let stored = state.objects.get::<ClaimsRecord>(&key).await?;
         let empty =
             || StoredObject { version: StoreRevision::ZERO, value: ClaimsRecord::default() };
--- a/crates/sagespool-entry/src/home/witnesses.rs
+++ b/crates/sagespool-entry/src/home/seal_targets.rs
@@ -1,4 +1,5 @@
-//! The sidecars that can say what ran: every one heard of, gone or not.
+//! The sidecars whose seal replies are needed to account for a grant, whether they are live or
+//! gone.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,32 +12,32 @@
 
 use crate::state::EntryState;
 
-const SEAL_LIMIT: Duration = Duration::from_secs(2);
+const SEAL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What is remembered of sidecars.
+/// Sidecars and instances seen so far.
 #[derive(Default)]
-struct WitnessState {
-    /// The newest run of each sidecar's instance. An older run isn't asked: the newer one says that
-    /// it started later, and so that it can't speak for what came before.
+struct SealTargetState {
+    /// The newest incarnation of each sidecar's instance. Older ones are not queried: the newer one
+    /// replies with its later start time, which shows that it has no data from before.
     known: HashMap<InstanceName, MemberInfo>,
-    /// Sidecar instances that the platform lists.
+    /// Sidecar instances in the platform's instance list.
     listed: HashSet<InstanceName>,
 }
 
-/// The sidecars that could have run something. One that is believed gone may be cut off only, with
-/// requests running, so it is missed until it answers, or until the platform has no such instance
-/// any more. Forgetting one would free what it spent.
+/// The sidecars that may have run requests. One that is taken for gone may only be cut off by a
+/// partition, with requests running. It counts as missing until it replies, or until the platform
+/// no longer lists its instance. Dropping it earlier would release budget that it has spent.
 #[derive(Default)]
-pub(crate) struct WitnessBoard {
-    state: Mutex<WitnessState>,
+pub(crate) struct SealTargetRegistry {
+    state: Mutex<SealTargetState>,
 }
 
-impl WitnessBoard {
-    fn state(&self) -> MutexGuard<'_, WitnessState> {
+impl SealTargetRegistry {
+    fn state(&self) -> MutexGuard<'_, SealTargetState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in who is in the fleet now.
+    /// Updates the registry from the current members.
     pub(crate) fn observe(&self, members: &[MemberInfo]) {
         let mut state = self.state();
         for member in members.iter().filter(|member| member.role == MemberRole::Sidecar) {
@@ -47,8 +48,8 @@
         }
     }
 
-    /// Takes in the sidecar instances that the platform lists.
-    pub(crate) fn list(&self, instances: impl Iterator<Item = InstanceName>) {
+    /// Replaces the list of sidecar instances in the platform's instance list.
+    pub(crate) fn set_listed(&self, instances: impl Iterator<Item = InstanceName>) {
         self.state().listed = instances.collect();
     }
 
@@ -60,50 +61,50 @@
         self.state().listed.contains(instance)
     }
 
-    /// Listed sidecars that nobody here has heard of, as ids that never answer.
-    fn unheard(&self) -> Vec<IncarnationId> {
+    /// Placeholder ids, which never reply, for listed sidecars that this entry has not seen.
+    fn unseen(&self) -> Vec<IncarnationId> {
         let state = self.state();
-        let unheard = state.listed.iter().filter(|instance| !state.known.contains_key(*instance));
-        unheard
+        let unseen = state.listed.iter().filter(|instance| !state.known.contains_key(*instance));
+        unseen
             .map(|instance| IncarnationId(XxHash3_64::oneshot(instance.as_str().as_bytes())))
             .collect()
     }
 
-    /// All that a case has to hear.
+    /// Ids of all sidecars whose replies a recovery needs.
     pub(super) fn ids(&self) -> Vec<IncarnationId> {
         let known = self.all().into_iter().map(|member| member.incarnation);
-        known.chain(self.unheard()).collect()
+        known.chain(self.unseen()).collect()
     }
 }
 
-/// Asks every witness of a case to seal, and takes in what they list.
-pub(super) async fn ask_witnesses(
+/// Sends a seal request to every known sidecar and adds the replies to the recovery.
+pub(super) async fn request_seals(
     state: &Arc<EntryState>,
-    case: &mut GrantRecovery,
+    recovery: &mut GrantRecovery,
     request: &SealRequest,
 ) {
-    let mut asked = Vec::new();
-    for member in state.witnesses.all() {
+    let mut tasks = Vec::new();
+    for member in state.seal_targets.all() {
         let (state, request) = (Arc::clone(state), PeerRequest::Seal(request.clone()));
         let task = smol::spawn(async move {
-            let reply = state.link().ask(member.address, &request, SEAL_LIMIT).await;
+            let reply = state.link().ask(member.address, &request, SEAL_TIMEOUT).await;
             (member, reply)
         });
-        asked.push(task);
+        tasks.push(task);
     }
-    for task in asked {
+    for task in tasks {
         match task.await {
             (member, Ok(PeerReply::Seal(reply))) => {
-                // Another run answers at the address: the one that was meant won't any more.
+                // Another incarnation replies at this address, so the previous one is gone.
                 if reply.sidecar != member.incarnation {
-                    case.mark_gone(member.incarnation);
+                    recovery.mark_gone(member.incarnation);
                 }
-                case.take_reply(&reply);
+                recovery.take_reply(&reply);
             }
             (member, _) => {
                 let gone = state.members.is_gone(member.incarnation, ClockTime::now());
-                if gone && !state.witnesses.is_listed(&member.instance) {
-                    case.mark_gone(member.incarnation);
+                if gone && !state.seal_targets.is_listed(&member.instance) {
+                    recovery.mark_gone(member.incarnation);
                 }
             }
         }
--- a/crates/sagespool-entry/src/role.rs
+++ b/crates/sagespool-entry/src/role.rs
@@ -13,34 +13,35 @@
 use trillium_server_common::ServerHandle;
 
 use crate::state::EntryState;
-use crate::{caller, configuration, heartbeats, home, peers, upkeep};
+use crate::{caller, configuration, expiry, heartbeats, home, peers};
 
-/// How long an entry that is told to stop goes on answering at least. The balancer in front of it
-/// sends callers until it has seen `/readyz` say no; a closed port would break their connections,
-/// and a caller without a key can't come back. Until then they are refused and sent on.
-const BALANCER_NOTICE: Duration = Duration::from_secs(2);
+/// The minimum time for which a stopping entry keeps its port open. The load balancer in front of
+/// it sends requests until it has seen `/readyz` fail. A closed port would break their connections,
+/// and a caller without an idempotency key can't retry. Requests that arrive in this time are
+/// refused and can go to another entry.
+const LOAD_BALANCER_DELAY: Duration = Duration::from_secs(2);
 
-/// An entry that couldn't be started.
+/// An entry that could not be started.
 #[derive(Debug)]
-pub struct RoleFault {
-    /// What was being done.
-    pub doing: &'static str,
+pub struct EntryError {
+    /// The step that failed.
+    pub step: &'static str,
 }
 
-impl fmt::Display for RoleFault {
+impl fmt::Display for EntryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the entry couldn't be started: {}", self.doing)
+        write!(f, "entry could not be started: {}", self.step)
     }
 }
 
-impl std::error::Error for RoleFault {}
+impl std::error::Error for EntryError {}
 
-/// What was left when an entry stopped.
+/// What was unfinished when an entry stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StopReport {
-    /// Requests that still ran when the time limit came.
+    /// Requests that were still running at the time limit.
     pub cut: u32,
-    /// Books that couldn't be handed back to the store.
+    /// Books with grants that could not be returned in the store.
     pub unwritten_books: u32,
 }
 
@@ -54,22 +55,22 @@
     /// Starts an entry: its link, its tasks and its HTTP server.
     ///
     /// # Errors
-    /// If the certificates can't be read or an address can't be taken.
+    /// If the certificates can't be read or an address can't be bound.
     pub fn start(
         process: ProcessSettings,
         settings: EntrySettings,
-    ) -> Result<Self, Report<RoleFault>> {
-        let fault = |doing| RoleFault { doing };
+    ) -> Result<Self, Report<EntryError>> {
+        let error = |step| EntryError { step };
         let files = &process.link;
         let identity = LinkIdentity::from_files(&files.certificate, &files.key, &files.authority)
-            .change_context(fault("reading the link's certificates"))?;
+            .change_context(error("reading the certificates of the link"))?;
         let state = Arc::new(EntryState::new(process, settings));
         let handler = peers::peer_handler(Arc::clone(&state));
         let link = LinkEndpoint::start(state.process.link.listen, identity, handler)
-            .change_context(fault("opening the link's address"))?;
-        state.take_link(link);
+            .change_context(error("binding the address of the link"))?;
+        state.set_link(link);
         let server = caller::serve(Arc::clone(&state), state.process.http.listen)
-            .change_context(fault("opening the callers' address"))?;
+            .change_context(error("binding the HTTP address"))?;
         start_tasks(&state);
         log_event!(
             info,
@@ -81,34 +82,34 @@
         Ok(Self { state, server })
     }
 
-    /// What the tasks share.
+    /// The state that the entry's tasks share.
     pub fn state(&self) -> &Arc<EntryState> {
         &self.state
     }
 
-    /// Resolves when the instance list shows this instance as leaving. From then on it takes nothing
-    /// new; the process is to stop.
+    /// Resolves when the instance list shows this instance as leaving or an operator stops it. The
+    /// entry then accepts nothing new, and the process should stop.
     pub async fn leave_requested(&self) {
         loop {
-            let told = self.state.leave_told.listen();
+            let leaving = self.state.leave_event.listen();
             if self.state.is_leaving() {
                 return;
             }
-            told.await;
+            leaving.await;
         }
     }
 
-    /// Stops gracefully: nothing new, what runs may end, grants go back to their books. What still
-    /// runs at the time limit is counted and logged, never cut in silence.
+    /// Stops gracefully: accepts nothing new, waits for running requests, and returns unspent
+    /// grants to their books. Requests that still run at the time limit are counted and logged.
     pub async fn stop(self, limit: Duration) -> StopReport {
         let state = &self.state;
         state.leave();
         let deadline = ClockTime::now().after(limit);
-        smol::Timer::after(BALANCER_NOTICE.min(limit)).await;
-        wait_for_runs(state, deadline).await;
-        wait_for_others(state, deadline).await;
+        smol::Timer::after(LOAD_BALANCER_DELAY.min(limit)).await;
+        wait_for_requests(state, deadline).await;
+        wait_for_reservations(state, deadline).await;
         let cut = state.in_flight();
-        let unwritten_books = hand_back(state).await;
+        let unwritten_books = return_grants(state).await;
         log_event!(info, "entry-stopped", cut = cut, unwritten_books = unwritten_books);
         self.server.shut_down().await;
         state.link().close().await;
@@ -123,12 +124,12 @@
     smol::spawn(home::run_book_writer(Arc::clone(state))).detach();
     smol::spawn(home::run_recovery(Arc::clone(state))).detach();
     smol::spawn(home::run_crash_watch(Arc::clone(state))).detach();
-    smol::spawn(upkeep::run_upkeep(Arc::clone(state))).detach();
+    smol::spawn(expiry::run_expiry(Arc::clone(state))).detach();
 }
 
-async fn wait_for_runs(state: &EntryState, deadline: ClockTime) {
+async fn wait_for_requests(state: &EntryState, deadline: ClockTime) {
     loop {
-        let done = state.run_done.listen();
+        let done = state.request_done.listen();
         let now = ClockTime::now();
         if state.in_flight() == 0 || now >= deadline {
             return;
@@ -141,8 +142,8 @@
     }
 }
 
-/// Waits for the requests of other entries that this home has reserved for.
-async fn wait_for_others(state: &EntryState, deadline: ClockTime) {
+/// Waits until reservations of other entries' requests are settled.
+async fn wait_for_reservations(state: &EntryState, deadline: ClockTime) {
     loop {
         let changed = state.budget_changed.listen();
         let reserved: TokenCount =
@@ -159,13 +160,13 @@
     }
 }
 
-/// Returns every unspent grant, and says how many books the store didn't take.
-async fn hand_back(state: &Arc<EntryState>) -> u32 {
+/// Returns every unspent grant. Returns the number of books that could not be written.
+async fn return_grants(state: &Arc<EntryState>) -> u32 {
     state.ledger.return_all(ClockTime::now());
     let mut unwritten = 0;
     for book in (0..BOOK_COUNT).map(BookNumber) {
         if state.ledger.holds_grants(book)
-            && home::write_book(state, book, home::WriteCause::Turn).await.is_err()
+            && home::write_book(state, book, home::WriteCause::Scheduled).await.is_err()
         {
             unwritten += 1;
         }
--- a/crates/sagespool-entry/src/run/attempt.rs
+++ b/crates/sagespool-entry/src/run/attempt.rs
@@ -1,4 +1,5 @@
-//! Attempts at a paid request: choose an upstream, dispatch, pass on, try elsewhere.
+//! Attempts at a reserved request: choose an upstream, dispatch, forward the answer, retry
+//! elsewhere.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,68 +17,69 @@
 use sagespool_routing::{PlacementQuery, UpstreamPlacement};
 use sagespool_types::{AttemptNumber, ClockTime, IncarnationId, RefusalReason, TokenCount};
 
-use super::cache_news::take_cache_news;
-use super::judge::Judgement;
-use super::passage::{AnswerPassage, PieceTaken};
-use super::{AnswerEvent, RequestOrder, homes};
+use super::cache_updates::apply_cache_updates;
+use super::forwarder::{AnswerForwarder, PieceOutcome};
+use super::next_step::NextStep;
+use super::{AnswerEvent, RequestSpec, home_client};
 use crate::state::EntryState;
 
-/// Attempts at one request, the first one included.
-const MOST_ATTEMPTS: u32 = 4;
-const CANCEL_LIMIT: Duration = Duration::from_secs(2);
-/// How long a request waits, at a time, for an upstream to come back.
-const UPSTREAM_PAUSE: Duration = Duration::from_millis(50);
-/// A suspect waits so long at most for others to come through.
-const SUSPECT_PATIENCE: Duration = Duration::from_secs(2);
-/// A request waits so long at most for any upstream at all.
-const UPSTREAM_PATIENCE: Duration = Duration::from_secs(3);
+/// Attempts per request, including the first.
+const MAX_ATTEMPTS: u32 = 4;
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause between checks for an available upstream.
+const UPSTREAM_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// How long a suspect waits for other suspects to complete.
+const SUSPECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a request waits for any upstream to become available.
+const UPSTREAM_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How the attempts at a reserved request ended.
+/// Outcome of all attempts at a reserved request.
 pub(super) enum AttemptEnd {
-    /// The caller has the whole answer.
+    /// The caller has the complete answer.
     Whole {
-        /// What is billed.
+        /// The charge to bill.
         charge: ChargeRecord,
         /// Why it ended.
         stop: FinishReason,
     },
     /// Refused; `ran` is billed.
     Refused {
-        /// Why.
+        /// The reason.
         notice: RefusalNotice,
-        /// What ran, if anything did.
+        /// The charge of what ran, if anything did.
         ran: Option<ChargeRecord>,
     },
-    /// Nobody here can tell what ran.
-    Unsure {
-        /// What the caller is told.
+    /// Whether the request ran is unknown to this entry.
+    OutcomeUnknown {
+        /// The refusal for the caller.
         notice: RefusalNotice,
     },
-    /// The sidecar can't use the grant: reserve again.
+    /// The sidecar can't use the grant; the request has to be reserved again.
     GrantUnusable,
-    /// The key turned out to be claimed by another request.
+    /// The key is claimed by another request.
     Known(KeyState),
 }
 
-/// Where a request may go, given what it may have done.
-enum ApartPlace {
-    /// It isn't a suspect.
+/// Where a request may be placed, depending on crashes in which it was in flight.
+enum SuspectPlacement {
+    /// Not a suspect: any upstream.
     Anywhere,
-    /// There, and nowhere else.
+    /// Only this placement.
     At(UpstreamPlacement),
-    /// Others have to come through first.
-    Later,
+    /// Other suspects have to complete first.
+    Wait,
 }
 
-/// What one dispatch came to, before it is decided what follows.
+/// Outcome of one dispatch, before the next step is decided.
 pub(super) enum DispatchOutcome {
     Ended(DispatchEnd),
-    /// The link broke; the flag says that the request surely never reached the sidecar.
+    /// The link failed; `surely_not_sent` is true if the request certainly did not reach the
+    /// sidecar.
     LinkLost {
         surely_not_sent: bool,
         detail: String,
     },
-    /// The caller went away and the request has no key.
+    /// The caller disconnected and the request has no key.
     CallerGone,
     /// The deadline passed while it ran.
     TimedOut,
@@ -86,46 +88,46 @@
 /// The attempts at one reserved request.
 pub(super) struct AttemptRun<'a> {
     pub(super) state: &'a Arc<EntryState>,
-    pub(super) order: &'a RequestOrder,
+    pub(super) spec: &'a RequestSpec,
     pub(super) reserved: ReservedCharge,
     reserved_at: Option<SocketAddr>,
     pub(super) attempt: AttemptNumber,
     pub(super) tried: Vec<IncarnationId>,
-    pub(super) passage: AnswerPassage<'a>,
-    /// The newest thing known to have run.
+    pub(super) forwarder: AnswerForwarder<'a>,
+    /// The charge of the newest attempt that is known to have run.
     pub(super) ran: Option<ChargeRecord>,
-    /// True once an attempt may have run without anybody having told how far.
+    /// True once an attempt may have run and its usage was not reported.
     pub(super) maybe_ran: bool,
-    /// What attempts used whose work was lost.
+    /// Tokens used by attempts whose work was lost.
     pub(super) rerun_tokens: TokenCount,
 }
 
 impl<'a> AttemptRun<'a> {
     pub(super) fn new(
         state: &'a Arc<EntryState>,
-        order: &'a RequestOrder,
+        spec: &'a RequestSpec,
         answers: &'a Sender<AnswerEvent>,
         reserved: ReservedCharge,
         reserved_at: Option<SocketAddr>,
     ) -> Self {
         Self {
             state,
-            order,
+            spec,
             reserved,
             reserved_at,
             attempt: AttemptNumber(0),
             tried: Vec::new(),
-            passage: AnswerPassage::new(answers),
+            forwarder: AnswerForwarder::new(answers),
             ran: None,
             maybe_ran: false,
             rerun_tokens: TokenCount::ZERO,
         }
     }
 
-    /// Tries until the answer is whole, or no further attempt is allowed or makes sense.
-    pub(super) async fn drive(&mut self) -> AttemptEnd {
-        let mut last_failure = String::from("no upstream took it");
-        while self.attempt.0 < MOST_ATTEMPTS {
+    /// Retries until the answer is complete or no further attempt is allowed or useful.
+    pub(super) async fn attempt_all(&mut self) -> AttemptEnd {
+        let mut last_failure = String::from("no upstream accepted the request");
+        while self.attempt.0 < MAX_ATTEMPTS {
             let placement = match self.choose().await {
                 Ok(placement) => placement,
                 Err(end) => return end,
@@ -135,120 +137,121 @@
                 return end;
             }
             let outcome = self.dispatch(&placement).await;
-            match self.judge(&placement, outcome).await {
-                Judgement::Ended(end) => return end,
-                Judgement::RunAgain(detail) => {
+            match self.next_step(&placement, outcome).await {
+                NextStep::Ended(end) => return end,
+                NextStep::RetryUncounted(detail) => {
                     last_failure = detail;
                     continue;
                 }
-                Judgement::TryElsewhere(detail) => last_failure = detail,
+                NextStep::Retry(detail) => last_failure = detail,
             }
-            if self.attempt.0 < MOST_ATTEMPTS && !self.state.may_retry(&self.order.service) {
-                last_failure = format!("{last_failure}; the retry budget is used up");
+            if self.attempt.0 < MAX_ATTEMPTS && !self.state.may_retry(&self.spec.service) {
+                last_failure = format!("{last_failure}; the retry budget is exhausted");
                 break;
             }
         }
-        self.give_up(RefusalReason::UpstreamFailed, last_failure)
+        self.end_refused(RefusalReason::UpstreamFailed, last_failure)
     }
 
     fn time_left(&self) -> Duration {
-        self.order.time_left(ClockTime::now())
+        self.spec.time_left(ClockTime::now())
     }
 
     fn query(&self) -> PlacementQuery {
-        let model = match &self.order.target {
+        let model = match &self.spec.target {
             CallTarget::Completion { model, .. } => Some(model.clone()),
             CallTarget::Service { .. } => None,
         };
         PlacementQuery::builder()
-            .service(self.order.service.clone())
+            .service(self.spec.service.clone())
             .maybe_model(model)
-            .maybe_prefix(self.order.prefix)
+            .maybe_prefix(self.spec.prefix)
             .exclude(self.tried.clone())
-            .may_probe(!self.order.non_idempotent)
+            .may_probe(!self.spec.non_idempotent)
             .build()
     }
 
-    /// Where a request goes that was in flight when an upstream went down. Suspects run apart, each
-    /// on an upstream of its own, so that the one that takes upstreams down does so alone, and the
-    /// others come through and are cleared. While there are more suspects than upstreams the later
-    /// ones wait for the earlier, for a bounded time.
-    fn place_apart(&self, waited: Duration, now: ClockTime) -> ApartPlace {
-        let Some(rank) = self.state.crashes.rerun_rank(self.order.content, now) else {
-            return ApartPlace::Anywhere;
+    /// The placement of a request that was in flight when an upstream crashed. Each suspect runs on
+    /// an upstream without other suspects, so that the one that crashes upstreams does so alone,
+    /// and the others complete and are cleared. If there are more suspects than upstreams, the
+    /// later ones wait for the earlier ones, for a bounded time.
+    fn place_suspect(&self, waited: Duration, now: ClockTime) -> SuspectPlacement {
+        let Some(rank) = self.state.crashes.rerun_rank(self.spec.content, now) else {
+            return SuspectPlacement::Anywhere;
         };
         let mut sidecars = self.state.members.live(MemberRole::Sidecar, now);
         sidecars.retain(|member| {
             let serves = member.serves.as_ref();
             let may_serve = serves.is_some_and(|serves| {
                 let is_down = self.state.crashes.crashed_recently(&serves.upstream, now);
-                serves.service == self.order.service && serves.healthy && !is_down
+                serves.service == self.spec.service && serves.healthy && !is_down
             });
             may_serve && !self.tried.contains(&member.incarnation)
         });
         sidecars.sort_by(|one, other| one.instance.cmp(&other.instance));
-        if rank >= sidecars.len() && waited < SUSPECT_PATIENCE {
-            return ApartPlace::Later;
+        if rank >= sidecars.len() && waited < SUSPECT_TIMEOUT {
+            return SuspectPlacement::Wait;
         }
         let Some(chosen) = sidecars.get(rank % sidecars.len().max(1)) else {
-            return ApartPlace::Anywhere;
+            return SuspectPlacement::Anywhere;
         };
         let chosen = chosen.incarnation;
         let mut query = self.query();
         let others = sidecars.iter().map(|member| member.incarnation);
         query.exclude.extend(others.filter(|incarnation| *incarnation != chosen));
         let placement = self.state.upstreams.choose(&query, now);
-        placement.map_or(ApartPlace::Anywhere, ApartPlace::At)
+        placement.map_or(SuspectPlacement::Anywhere, SuspectPlacement::At)
     }
 
-    /// An upstream to try: one not tried yet, else any, after a short wait for one to come back.
+    /// Chooses an upstream: one not tried yet, else any, after a short wait for one to become
+    /// available.
     async fn choose(&mut self) -> Result<UpstreamPlacement, AttemptEnd> {
         let started = ClockTime::now();
         loop {
             let now = ClockTime::now();
-            if self.order.time_left(now).is_zero() {
+            if self.spec.time_left(now).is_zero() {
                 return Err(
-                    self.give_up(RefusalReason::DeadlineExceeded, "the deadline passed".into())
+                    self.end_refused(RefusalReason::DeadlineExceeded, "the deadline passed".into())
                 );
             }
-            match self.place_apart(now.since(started), now) {
-                ApartPlace::At(placement) => return Ok(placement),
-                ApartPlace::Anywhere => {
+            match self.place_suspect(now.since(started), now) {
+                SuspectPlacement::At(placement) => return Ok(placement),
+                SuspectPlacement::Anywhere => {
                     if let Some(placement) = self.state.upstreams.choose(&self.query(), now) {
                         return Ok(placement);
                     }
                 }
-                ApartPlace::Later => {
-                    smol::Timer::after(UPSTREAM_PAUSE).await;
+                SuspectPlacement::Wait => {
+                    smol::Timer::after(UPSTREAM_POLL_INTERVAL).await;
                     continue;
                 }
             }
             self.tried.clear();
-            if now.since(started) > UPSTREAM_PATIENCE {
-                let message = format!("no upstream of {} is serving", self.order.service);
-                return Err(self.give_up(RefusalReason::NoUpstream, message));
+            if now.since(started) > UPSTREAM_TIMEOUT {
+                let message = format!("no upstream of {} is available", self.spec.service);
+                return Err(self.end_refused(RefusalReason::NoUpstream, message));
             }
-            smol::Timer::after(UPSTREAM_PAUSE).await;
+            smol::Timer::after(UPSTREAM_POLL_INTERVAL).await;
         }
     }
 
-    /// A keyed request is placed at its sidecar before it is dispatched, so that a retry of the
-    /// caller through any entry finds it there instead of running it again.
+    /// Places a keyed request at its sidecar before dispatch, so that a caller's retry through any
+    /// entry finds it there instead of running it again.
     async fn claim(&mut self, placement: &UpstreamPlacement) -> Option<AttemptEnd> {
-        let key = self.order.key?;
+        let key = self.spec.key?;
         let claim = ClaimRequest {
-            request: self.order.request,
-            branch: self.order.branch.clone(),
+            request: self.spec.request,
+            branch: self.spec.branch.clone(),
             key,
-            content: self.order.content,
+            content: self.spec.content,
             charge: self.reserved.charge,
             attempt: self.attempt,
             sidecar: placement.sidecar,
             upstream: placement.upstream.clone(),
-            durable: self.order.non_idempotent,
+            durable: self.spec.non_idempotent,
             time_left: self.time_left(),
         };
-        match homes::claim(self.state, self.reserved_at, &claim).await {
+        match home_client::claim(self.state, self.reserved_at, &claim).await {
             ClaimReply::Durable => None,
             ClaimReply::Known(known) => Some(AttemptEnd::Known(known)),
             ClaimReply::Refused(notice) => {
@@ -258,24 +261,24 @@
     }
 
     fn request(&self, placement: &UpstreamPlacement) -> DispatchRequest {
-        let mut target = self.order.target.clone();
+        let mut target = self.spec.target.clone();
         if let CallTarget::Completion { resume, .. } = &mut target {
-            *resume = self.passage.resume_point();
+            *resume = self.forwarder.resume_point();
         }
         DispatchRequest {
-            request: self.order.request,
+            request: self.spec.request,
             attempt: self.attempt,
             sidecar: placement.sidecar,
-            branch: self.order.branch.clone(),
+            branch: self.spec.branch.clone(),
             reserved: self.reserved.clone(),
-            key: self.order.key,
-            content: self.order.content,
-            non_idempotent: self.order.non_idempotent,
-            class: self.order.class.clone(),
-            priority: self.order.priority,
+            key: self.spec.key,
+            content: self.spec.content,
+            non_idempotent: self.spec.non_idempotent,
+            class: self.spec.class.clone(),
+            priority: self.spec.priority,
             time_left: self.time_left(),
             target,
-            body: self.order.body.as_ref().clone(),
+            body: self.spec.body.as_ref().clone(),
         }
     }
 
@@ -291,30 +294,30 @@
                 return DispatchOutcome::LinkLost { surely_not_sent, detail: error.to_string() };
             }
         };
-        let outcome = self.pass_on(&mut stream, placement, started).await;
+        let outcome = self.forward_events(&mut stream, placement, started).await;
         let dropped = match outcome {
             DispatchOutcome::CallerGone => Some(DropCause::CallerGone),
             DispatchOutcome::TimedOut => Some(DropCause::Late),
             DispatchOutcome::Ended(_) | DispatchOutcome::LinkLost { .. } => None,
         };
         if let Some(cause) = dropped {
-            self.note_dropped(cause, "the rest of the answer isn't waited for");
+            self.note_dropped(cause, "the rest of the answer is discarded");
             self.cancel(placement).await;
         }
         outcome
     }
 
     async fn cancel(&self, placement: &UpstreamPlacement) {
-        let cancel = CancelRequest { request: self.order.request, attempt: self.attempt };
+        let cancel = CancelRequest { request: self.spec.request, attempt: self.attempt };
         let request = PeerRequest::Cancel(cancel);
-        let told = self.state.link().ask(placement.address, &request, CANCEL_LIMIT).await;
-        if let Err(error) = told {
-            log_event!(warn, "cancel-untold", request = self.order.request, error = error);
+        let sent = self.state.link().ask(placement.address, &request, CANCEL_TIMEOUT).await;
+        if let Err(error) = sent {
+            log_event!(warn, "cancel-failed", request = self.spec.request, error = error);
         }
     }
 
-    /// Passes a sidecar's events on until its end.
-    async fn pass_on(
+    /// Forwards a sidecar's events until its end.
+    async fn forward_events(
         &mut self,
         stream: &mut EventStream,
         placement: &UpstreamPlacement,
@@ -323,8 +326,8 @@
         let mut first_token = None;
         let mut last_piece = started;
         loop {
-            // The sidecar ends the attempt at its deadline by itself; the margin lets that word
-            // arrive, and bounds the wait for a sidecar that has gone silent.
+            // The sidecar ends the attempt at its deadline by itself. The margin leaves time for
+            // that event to arrive, and bounds the wait for a sidecar that does not respond.
             let limit = self.time_left() + Duration::from_millis(500);
             let next = futures_lite::future::or(async { Some(stream.next().await) }, async {
                 smol::Timer::after(limit).await;
@@ -345,15 +348,15 @@
                 None => {
                     return DispatchOutcome::LinkLost {
                         surely_not_sent: false,
-                        detail: "the stream ended early".into(),
+                        detail: "the stream ended before the end event".into(),
                     };
                 }
             };
             let now = ClockTime::now();
             let taken = match event {
                 DispatchEvent::Started => true,
-                DispatchEvent::CacheNews(news) => {
-                    take_cache_news(&self.state.upstreams, placement.sidecar, &news, now);
+                DispatchEvent::CacheNews(update) => {
+                    apply_cache_updates(&self.state.upstreams, placement.sidecar, &update, now);
                     true
                 }
                 DispatchEvent::Beside(count) => {
@@ -361,11 +364,11 @@
                     true
                 }
                 DispatchEvent::Head { status, headers } => {
-                    self.passage.take_head(status, headers).await
+                    self.forwarder.forward_head(status, headers).await
                 }
                 DispatchEvent::Piece { at, tokens, data } => {
                     if tokens > 0 {
-                        self.observe_piece(
+                        self.observe_tokens(
                             &mut first_token,
                             &mut last_piece,
                             placement,
@@ -373,23 +376,23 @@
                             now,
                         );
                     }
-                    match self.passage.take_piece(at, tokens, data).await {
-                        PieceTaken::Passed => true,
-                        PieceTaken::Repeated => {
-                            self.note_dropped(DropCause::Duplicate, "a piece came twice");
+                    match self.forwarder.forward_piece(at, tokens, data).await {
+                        PieceOutcome::Passed => true,
+                        PieceOutcome::Repeated => {
+                            self.note_dropped(DropCause::Duplicate, "duplicate piece");
                             true
                         }
-                        PieceTaken::Gap => {
+                        PieceOutcome::Gap => {
                             return DispatchOutcome::LinkLost {
                                 surely_not_sent: false,
-                                detail: "a piece is missing".into(),
+                                detail: "missing piece".into(),
                             };
                         }
-                        PieceTaken::CallerGone => false,
+                        PieceOutcome::CallerGone => false,
                     }
                 }
                 DispatchEvent::End(end) if !self.is_own(&end) => {
-                    let detail = "the end of another request's answer came";
+                    let detail = "received the end of another request's answer";
                     self.note_dropped(DropCause::Crossed, detail);
                     return DispatchOutcome::LinkLost {
                         surely_not_sent: false,
@@ -398,13 +401,13 @@
                 }
                 DispatchEvent::End(end) => return DispatchOutcome::Ended(end),
             };
-            if !taken && self.order.key.is_none() {
+            if !taken && self.spec.key.is_none() {
                 return DispatchOutcome::CallerGone;
             }
         }
     }
 
-    /// True if an attempt's end is about this request's own charge.
+    /// True if an attempt's end belongs to this request's own charge.
     fn is_own(&self, end: &DispatchEnd) -> bool {
         let charge = match end {
             DispatchEnd::Whole { charge, .. } => Some(charge),
@@ -414,10 +417,10 @@
         charge.is_none_or(|charge| charge.charge == self.reserved.charge)
     }
 
-    /// Counts and logs an answer, or a part of one, that is thrown away.
+    /// Counts and logs an answer, or a part of one, that is discarded.
     fn note_dropped(&self, cause: DropCause, detail: &str) {
         self.state.metrics.dropped_answer(cause);
-        let (request, attempt) = (self.order.request, self.attempt);
+        let (request, attempt) = (self.spec.request, self.attempt);
         log_event!(
             warn,
             "answer-dropped",
@@ -428,7 +431,7 @@
         );
     }
 
-    fn observe_piece(
+    fn observe_tokens(
         &self,
         first_token: &mut Option<Duration>,
         last_piece: &mut ClockTime,
@@ -439,16 +442,12 @@
         if first_token.is_none() {
             let waited = now.since(started);
             *first_token = Some(waited);
-            let whole_wait = now.since(self.order.arrived);
-            self.state.metrics.observe_first_token(
-                &self.order.class,
-                &self.order.branch,
-                whole_wait,
-            );
+            let whole_wait = now.since(self.spec.arrived);
+            self.state.metrics.observe_first_token(&self.spec.class, &self.spec.branch, whole_wait);
             self.state.upstreams.first_token(placement, waited, now);
         } else {
             let gap = now.since(*last_piece);
-            self.state.metrics.observe_between_tokens(&self.order.class, &self.order.branch, gap);
+            self.state.metrics.observe_between_tokens(&self.spec.class, &self.spec.branch, gap);
         }
         *last_piece = now;
     }
--- a/crates/sagespool-entry/src/run/passage.rs
+++ b/crates/sagespool-entry/src/run/forwarder.rs
@@ -1,44 +1,44 @@
-//! Passing an answer on: each token and byte once, in order, over several attempts.
+//! Forwards an answer to the caller: each token and byte once and in order, across attempts.
 
 use async_channel::Sender;
 use sagespool_messages::{HeaderPair, ResumePoint};
 
 use super::AnswerEvent;
 
-/// What became of a piece.
+/// The result of forwarding a piece.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum PieceTaken {
-    /// The caller has it.
+pub(super) enum PieceOutcome {
+    /// Sent to the caller.
     Passed,
-    /// The caller had it all before.
+    /// The caller already has all of it.
     Repeated,
-    /// It lies beyond what the caller has: something is missing between.
+    /// It begins after the end of what was sent: a part in between is missing.
     Gap,
-    /// The caller is gone.
+    /// The caller has disconnected.
     CallerGone,
 }
 
-/// What the caller has of the answer so far.
-pub(super) struct AnswerPassage<'a> {
+/// The part of the answer that was sent to the caller.
+pub(super) struct AnswerForwarder<'a> {
     answers: &'a Sender<AnswerEvent>,
     tokens: u32,
     text: Vec<u8>,
-    /// Bytes of a plain service's answer.
+    /// Number of bytes of a plain service's answer.
     bytes: u32,
     head_sent: bool,
 }
 
-impl<'a> AnswerPassage<'a> {
+impl<'a> AnswerForwarder<'a> {
     pub(super) fn new(answers: &'a Sender<AnswerEvent>) -> Self {
         Self { answers, tokens: 0, text: Vec::new(), bytes: 0, head_sent: false }
     }
 
-    /// Tokens that the caller has.
+    /// Number of tokens sent to the caller.
     pub(super) fn tokens(&self) -> u32 {
         self.tokens
     }
 
-    /// Where another attempt goes on.
+    /// The point at which another attempt resumes.
     pub(super) fn resume_point(&self) -> Option<ResumePoint> {
         (self.tokens > 0).then(|| ResumePoint {
             tokens: self.tokens,
@@ -46,8 +46,8 @@
         })
     }
 
-    /// Passes a plain service's head on, once. False if the caller is gone.
-    pub(super) async fn take_head(&mut self, status: u16, headers: Vec<HeaderPair>) -> bool {
+    /// Sends a plain service's status and headers once. Returns false if the caller is gone.
+    pub(super) async fn forward_head(&mut self, status: u16, headers: Vec<HeaderPair>) -> bool {
         if self.head_sent {
             return true;
         }
@@ -55,40 +55,45 @@
         self.answers.send(AnswerEvent::Head { status, headers }).await.is_ok()
     }
 
-    /// Passes on what the caller doesn't have yet. A resumed or repeated attempt may start at or
-    /// before the point reached; a piece beyond it would leave a hole in the answer.
-    pub(super) async fn take_piece(&mut self, at: u32, tokens: u32, data: Vec<u8>) -> PieceTaken {
+    /// Sends the part of a piece that the caller does not have yet. A resumed or repeated attempt
+    /// may start at or before the point reached; a piece that starts after it would leave a gap.
+    pub(super) async fn forward_piece(
+        &mut self,
+        at: u32,
+        tokens: u32,
+        data: Vec<u8>,
+    ) -> PieceOutcome {
         let data = match tokens {
             0 => self.new_bytes(at, data),
             _ => self.new_text(at, tokens, data),
         };
         match data {
-            Ok(data) if data.is_empty() => PieceTaken::Repeated,
+            Ok(data) if data.is_empty() => PieceOutcome::Repeated,
             Ok(data) => match self.answers.send(AnswerEvent::Piece { tokens, data }).await {
-                Ok(()) => PieceTaken::Passed,
-                Err(_) => PieceTaken::CallerGone,
+                Ok(()) => PieceOutcome::Passed,
+                Err(_) => PieceOutcome::CallerGone,
             },
             Err(taken) => taken,
         }
     }
 
-    fn new_text(&mut self, at: u32, tokens: u32, data: Vec<u8>) -> Result<Vec<u8>, PieceTaken> {
+    fn new_text(&mut self, at: u32, tokens: u32, data: Vec<u8>) -> Result<Vec<u8>, PieceOutcome> {
         let end = at.saturating_add(tokens);
         if end <= self.tokens {
             return Ok(Vec::new());
         }
-        // A piece of several tokens can't be cut inside; sidecars send one token a piece.
+        // A piece of several tokens can't be split; sidecars send one token per piece.
         if at != self.tokens {
-            return Err(PieceTaken::Gap);
+            return Err(PieceOutcome::Gap);
         }
         self.tokens = end;
         self.text.extend_from_slice(&data);
         Ok(data)
     }
 
-    fn new_bytes(&mut self, at: u32, data: Vec<u8>) -> Result<Vec<u8>, PieceTaken> {
+    fn new_bytes(&mut self, at: u32, data: Vec<u8>) -> Result<Vec<u8>, PieceOutcome> {
         if at > self.bytes {
-            return Err(PieceTaken::Gap);
+            return Err(PieceOutcome::Gap);
         }
         let known = (self.bytes - at) as usize;
         let new = data.get(known..).unwrap_or_default().to_vec();
--- a/crates/sagespool-entry/src/run/mod.rs
+++ b/crates/sagespool-entry/src/run/mod.rs
@@ -1,17 +1,18 @@
-//! One request's run: paid by the branch's home, tried at upstreams, its answer passed on.
+//! One request's run: reserved at the branch's home, attempted at upstreams, its answer forwarded
+//! to the caller.
 
 mod admission;
 mod attach;
 mod attempt;
-mod cache_news;
-mod drive;
+mod cache_updates;
 mod events;
-mod homes;
-mod judge;
-mod order;
-mod passage;
+mod forwarder;
+mod home_client;
+mod lifecycle;
+mod next_step;
+mod spec;
 
-pub(crate) use admission::{QueueWord, refresh_limits};
-pub use drive::start_run;
+pub(crate) use admission::{QueueDecision, refresh_limits};
 pub use events::{AnswerEvent, AnswerReceiver};
-pub use order::RequestOrder;
+pub use lifecycle::start_run;
+pub use spec::RequestSpec;
--- a/crates/sagespool-entry/tests/passed_headers.rs
+++ b/crates/sagespool-entry/tests/forwarded_headers.rs
@@ -1,4 +1,4 @@
-//! What of a caller's headers reaches a plain service.
+//! Which of a caller's headers are forwarded to a plain service.
 
 #![allow(clippy::unwrap_used)]
 
@@ -23,7 +23,7 @@
     FleetConfiguration::build(ConfigVersion(1), fleet, [&BranchObject::default()])
 }
 
-fn passed_on(headers: &[(&'static str, &'static str)]) -> Vec<(String, String)> {
+fn forwarded_headers(headers: &[(&'static str, &'static str)]) -> Vec<(String, String)> {
     let mut given = Headers::new();
     for (name, value) in headers {
         given.append(*name, *value);
@@ -36,34 +36,34 @@
 
 #[test]
 fn own_headers() {
-    let passed = passed_on(&[("accept", "text/html"), ("X-Case", "1"), ("x-case", "2")]);
+    let forwarded = forwarded_headers(&[("accept", "text/html"), ("X-Case", "1"), ("x-case", "2")]);
     let wanted = [("accept", "text/html"), ("x-case", "1"), ("x-case", "2")];
-    let mut passed: Vec<_> = passed.iter().map(|(name, value)| (&**name, &**value)).collect();
-    passed.sort_unstable();
-    assert_eq!(passed, wanted);
+    let mut forwarded: Vec<_> = forwarded.iter().map(|(name, value)| (&**name, &**value)).collect();
+    forwarded.sort_unstable();
+    assert_eq!(forwarded, wanted);
 }
 
 #[test]
-fn kept_headers() {
-    let kept = [
+fn withheld_headers() {
+    let withheld = [
         ("authorization", "Bearer secret"),
         ("connection", "close"),
         ("idempotency-key", "bid-7"),
         ("sagespool-class", "only"),
         ("transfer-encoding", "chunked"),
     ];
-    assert_eq!(passed_on(&kept), []);
+    assert_eq!(forwarded_headers(&withheld), []);
 }
 
 #[test]
 fn method_overrides() {
-    // A caller sends a letter as `GET` with a header that makes the service take it for a `POST`.
-    // The entry sees a call that may run twice, and after a broken connection tries it at another
-    // upstream: the letter goes out twice. The header must not reach the service.
+    // Guards against a non-idempotent request running twice: a caller sends it as `GET` with a
+    // header that makes the service handle it as a `POST`. The entry takes it for idempotent and
+    // retries it at another upstream after a broken connection.
     let overrides = [
         ("x-http-method-override", "POST"),
         ("X-HTTP-Method", "POST"),
         ("x-method-override", "POST"),
     ];
-    assert_eq!(passed_on(&overrides), []);
+    assert_eq!(forwarded_headers(&overrides), []);
 }
