--- a/crates/sagespool-cli/src/line_client.rs
+++ b/crates/sagespool-cli/src/line_client.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use futures_lite::FutureExt;
-use sagespool_operations::{FaultReply, LINE_PATH, LineRequest, OperatorAnswer, OperatorFault};
+use sagespool_operations::{ErrorReply, LINE_PATH, LineRequest, OperatorAnswer, OperatorError};
 use trillium_client::{Client, Status};
 
 /// Beside a command's own waiting time: asking members, reading the store, putting in force.
@@ -16,7 +16,7 @@
     /// An entry answered.
     Answer(Box<OperatorAnswer>),
     /// An entry refused.
-    Refused(Box<OperatorFault>),
+    Refused(Box<OperatorError>),
     /// No entry answered.
     NoAnswer {
         /// Each entry, and why not.
@@ -30,7 +30,7 @@
 enum EntryEnd {
     Answer(Box<OperatorAnswer>),
     /// A refusal; another entry may do better with some.
-    Refused(Box<OperatorFault>),
+    Refused(Box<OperatorError>),
     Silent {
         why: String,
         may_have_come: bool,
@@ -121,7 +121,7 @@
         if let Ok(answer) = serde_json::from_str(text) {
             return EntryEnd::Answer(Box::new(answer));
         }
-    } else if let Ok(reply) = serde_json::from_str::<FaultReply>(text) {
+    } else if let Ok(reply) = serde_json::from_str::<ErrorReply>(text) {
         return EntryEnd::Refused(Box::new(reply.error));
     }
     let status = status.map_or_else(|| "no status".to_owned(), |status| status.to_string());
@@ -130,6 +130,6 @@
 }
 
 /// An entry that has no configuration, is leaving, or can't reach the store says nothing of others.
-fn may_differ_elsewhere(fault: &OperatorFault) -> bool {
+fn may_differ_elsewhere(fault: &OperatorError) -> bool {
     ["not-ready", "leaving", "store-unreachable"].contains(&fault.code.as_str())
 }
--- a/crates/sagespool-cli/src/operate.rs
+++ b/crates/sagespool-cli/src/operate.rs
@@ -7,7 +7,7 @@
 use error_stack::Report;
 use gumdrop::Options;
 use sagespool_operations::{
-    AnswerBody, CommandState, HelpAnswer, LineFault, LineRequest, OperatorAnswer, OperatorFault,
+    AnswerBody, CommandState, HelpAnswer, LineError, LineRequest, OperatorAnswer, OperatorError,
     OperatorLine, OperatorQuery, nearest_of, new_command_id, parse_line, render_answer,
 };
 use sagespool_types::{ClockTime, CommandId, ParseError, WallTime};
@@ -123,7 +123,7 @@
 }
 
 /// A first word that begins no line may be meant for a command that works on files.
-fn suggest_local(mut fault: LineFault) -> LineFault {
+fn suggest_local(mut fault: LineError) -> LineError {
     let first = fault.line.split_whitespace().next().unwrap_or_default();
     if fault.at.start == 0 && fault.nearest.is_none() {
         fault.nearest = nearest_of(first, &LOCAL_COMMANDS);
@@ -202,11 +202,11 @@
     match end {
         LineEnd::Answer(answer) => {
             show_answer(options, &answer);
-            let is_good = match &answer.answer {
-                AnswerBody::Command(answer) if command.is_some() => answer.is_good(),
+            let is_success = match &answer.answer {
+                AnswerBody::Command(answer) if command.is_some() => answer.is_success(),
                 _ => true,
             };
-            if is_good { 0 } else { NOT_GOOD }
+            if is_success { 0 } else { NOT_GOOD }
         }
         LineEnd::Refused(fault) => {
             show_fault(options, &fault);
@@ -216,7 +216,7 @@
         LineEnd::NoAnswer { tried, may_have_come } => {
             let message = format!("no entry answered\n  {}", tried.join("\n  "));
             let help = "check the addresses, or try another entry";
-            show_fault(options, &OperatorFault::new("no-answer", message, help));
+            show_fault(options, &OperatorError::new("no-answer", message, help));
             again_hint(command, may_have_come);
             NO_ANSWER
         }
@@ -238,7 +238,7 @@
     }
 }
 
-fn show_fault(options: &OperateOptions, fault: &OperatorFault) {
+fn show_fault(options: &OperateOptions, fault: &OperatorError) {
     if options.json {
         let value = serde_json::json!({"error": fault});
         println!("{value:#}");
--- a/crates/sagespool-daemon/tests/desk/mod.rs
+++ b/crates/sagespool-daemon/tests/desk/mod.rs
@@ -11,8 +11,8 @@
 
 use sagespool_ledger::{BookRecord, BranchAccount, book_key, book_of};
 use sagespool_operations::{
-    AnswerBody, CommandAnswer, CommandRecord, FaultReply, ItemOutcome, OperatorAnswer,
-    OperatorFault, OutcomeState, SpendAnswer, command_key,
+    AnswerBody, CommandAnswer, CommandRecord, ErrorReply, ItemOutcome, OperatorAnswer,
+    OperatorError, OutcomeState, SpendAnswer, command_key,
 };
 use sagespool_testkit::fleet::{FleetOptions, RunningFleet, find_binaries, read_deployment};
 use sagespool_types::{BranchName, ClockTime, CommandId};
@@ -63,8 +63,8 @@
         }
     }
 
-    pub fn fault(&self) -> OperatorFault {
-        let reply: FaultReply =
+    pub fn fault(&self) -> OperatorError {
+        let reply: ErrorReply =
             serde_json::from_str(&self.stdout).unwrap_or_else(|error| panic!("{error}: {self:?}"));
         reply.error
     }
--- a/crates/sagespool-entry/src/operator.rs
+++ b/crates/sagespool-entry/src/operator.rs
@@ -31,7 +31,7 @@
 
 use sagespool_log::log_event;
 use sagespool_operations::{
-    AnswerBody, FaultReply, HelpAnswer, LINE_PATH, LineRequest, OperatorAnswer, OperatorFault,
+    AnswerBody, ErrorReply, HelpAnswer, LINE_PATH, LineRequest, OperatorAnswer, OperatorError,
     OperatorLine, OperatorQuery, parse_line, render_answer,
 };
 use sagespool_types::BranchName;
@@ -48,7 +48,7 @@
 #[derive(Debug, Clone, PartialEq)]
 struct OperatorRefusal {
     status: Status,
-    fault: Box<OperatorFault>,
+    fault: Box<OperatorError>,
 }
 
 impl OperatorRefusal {
@@ -58,12 +58,12 @@
         message: impl Into<String>,
         help: impl Into<String>,
     ) -> Self {
-        Self { status, fault: Box::new(OperatorFault::new(code, message, help)) }
+        Self { status, fault: Box::new(OperatorError::new(code, message, help)) }
     }
 }
 
-impl From<sagespool_operations::LineFault> for OperatorRefusal {
-    fn from(fault: sagespool_operations::LineFault) -> Self {
+impl From<sagespool_operations::LineError> for OperatorRefusal {
+    fn from(fault: sagespool_operations::LineError) -> Self {
         Self { status: Status::BadRequest, fault: Box::new(fault.into()) }
     }
 }
@@ -83,7 +83,7 @@
             respond(conn, Status::Ok, "text/plain; charset=utf-8", text)
         }
         Err(refusal) => {
-            let reply = FaultReply { error: *refusal.fault };
+            let reply = ErrorReply { error: *refusal.fault };
             let text = serde_json::to_string(&reply).expect("a fault is plain data");
             respond(conn, refusal.status, "application/json", text)
         }
@@ -169,5 +169,5 @@
     let names: Vec<&str> =
         config.iter().flat_map(|config| config.branches()).map(|(name, _)| name.as_str()).collect();
     let message = format!("there is no branch `{branch}`");
-    sagespool_operations::LineFault::at_word(line, branch.as_str(), message, &names).into()
+    sagespool_operations::LineError::at_word(line, branch.as_str(), message, &names).into()
 }
--- a/crates/sagespool-entry/src/operator/command.rs
+++ b/crates/sagespool-entry/src/operator/command.rs
@@ -6,7 +6,7 @@
 use sagespool_ledger::{BookRecord, book_key, book_of};
 use sagespool_operations::{
     AnswerBody, CommandAnswer, CommandItem, CommandRecord, CommandState, LineRequest,
-    OperatorCommand, WantedVersions, command_key, id_time, new_command_id,
+    OperatorCommand, RequiredVersions, command_id_time, command_key, new_command_id,
 };
 use sagespool_platform::{StoreError, StoredObject};
 use sagespool_settings::FLEET_OBJECT_KEY;
@@ -57,13 +57,13 @@
 }
 
 /// The configuration versions that a command's edits created, by the role that has to apply them.
-fn changed_versions(record: &CommandRecord) -> Option<WantedVersions> {
-    let mut wanted = WantedVersions::default();
+fn changed_versions(record: &CommandRecord) -> Option<RequiredVersions> {
+    let mut wanted = RequiredVersions::default();
     for item in &record.items {
         let (CommandItem::Edit(edit), Some(outcome)) = (&item.item, &item.outcome) else {
             continue;
         };
-        if !outcome.state.is_good() {
+        if !outcome.state.is_success() {
             continue;
         }
         wanted.entries = wanted.entries.max(outcome.version);
@@ -171,7 +171,7 @@
 
     fn check_time(&self) -> Result<(), OperatorRefusal> {
         let latest = WallTime::now().0.saturating_add(MAX_ID_AHEAD.as_millis() as u64);
-        if id_time(self.command).0 <= latest {
+        if command_id_time(self.command).0 <= latest {
             return Ok(());
         }
         let message = format!("the id {} begins with a time too far in the future", self.command);
--- a/crates/sagespool-entry/src/operator/configuration.rs
+++ b/crates/sagespool-entry/src/operator/configuration.rs
@@ -5,8 +5,8 @@
 
 use sagespool_messages::{MemberInfo, StatusQuery};
 use sagespool_operations::{
-    AnswerBody, ConfigObjectRow, ConfigPlace, ConfigurationAnswer, InForce, LineFault, ShownPlace,
-    WantedVersions, in_force,
+    AnswerBody, ConfigObjectRow, ConfigRollout, ConfigSection, ConfigurationAnswer, LineError,
+    RequiredVersions, ShownSection, config_rollout,
 };
 use sagespool_platform::{ObjectListing, StoreError};
 use sagespool_settings::{
@@ -29,7 +29,7 @@
 pub(super) async fn answer(
     state: &Arc<EntryState>,
     line: &str,
-    place: Option<&ConfigPlace>,
+    place: Option<&ConfigSection>,
 ) -> Result<AnswerWithBasis, OperatorRefusal> {
     let mut basis = BasisBuilder::new();
     basis.note_store_read(state.objects.seen_revision());
@@ -49,15 +49,15 @@
     let (members, replies) = query_versions(state).await;
     basis.add_replies(&replies);
     basis.note("a member that did not answer is shown with the version that it last reported");
-    let in_force = in_force(wanted, &members);
+    let in_force = config_rollout(wanted, &members);
     let answer = ConfigurationAnswer { entry_version, objects, in_force, shown };
     Ok((AnswerBody::Configuration(answer), basis))
 }
 
-fn object_of(place: &ConfigPlace) -> String {
+fn object_of(place: &ConfigSection) -> String {
     match place {
-        ConfigPlace::Branch(branch) => branch_object_key(branch_shard(branch)),
-        ConfigPlace::Class(_) | ConfigPlace::Service(_) => FLEET_OBJECT_KEY.to_owned(),
+        ConfigSection::Branch(branch) => branch_object_key(branch_shard(branch)),
+        ConfigSection::Class(_) | ConfigSection::Service(_) => FLEET_OBJECT_KEY.to_owned(),
     }
 }
 
@@ -80,12 +80,12 @@
 fn wanted_versions(
     objects: Option<&[ConfigObjectRow]>,
     entry_version: Option<ConfigVersion>,
-) -> WantedVersions {
+) -> RequiredVersions {
     let Some(objects) = objects else {
-        return WantedVersions { entries: entry_version, sidecars: None };
+        return RequiredVersions { entries: entry_version, sidecars: None };
     };
     let fleet = objects.iter().find(|object| object.key == FLEET_OBJECT_KEY);
-    WantedVersions {
+    RequiredVersions {
         entries: objects.iter().map(|object| ConfigVersion(object.version.0)).max(),
         sidecars: fleet.map(|object| ConfigVersion(object.version.0)),
     }
@@ -96,9 +96,9 @@
 fn show_place(
     state: &EntryState,
     line: &str,
-    place: &ConfigPlace,
+    place: &ConfigSection,
     listing: &Result<ObjectListing<Value>, StoreError>,
-) -> Result<ShownPlace, OperatorRefusal> {
+) -> Result<ShownSection, OperatorRefusal> {
     let stored = listing.as_ref().ok().map(|listing| {
         let key = object_of(place);
         listing.items.iter().find(|(listed, _)| *listed == key).map(|(_, stored)| stored)
@@ -113,39 +113,39 @@
             .and_then(|config| Some((value_in_force(place, &config)?, config.version()))),
     };
     let (value, version) = found.ok_or_else(|| unknown_place(state, line, place))?;
-    Ok(ShownPlace { place: place.to_string(), version, value })
+    Ok(ShownSection { place: place.to_string(), version, value })
 }
 
-fn value_in(place: &ConfigPlace, object: &Value) -> Option<Value> {
+fn value_in(place: &ConfigSection, object: &Value) -> Option<Value> {
     let named = |list: &str, name: &str| {
         let items = object[list].as_array()?;
         items.iter().find(|item| item["name"] == name).cloned()
     };
     match place {
-        ConfigPlace::Branch(branch) => object["branches"].get(branch.as_str()).cloned(),
-        ConfigPlace::Class(class) => named("classes", class.as_str()),
-        ConfigPlace::Service(service) => named("services", service.as_str()),
+        ConfigSection::Branch(branch) => object["branches"].get(branch.as_str()).cloned(),
+        ConfigSection::Class(class) => named("classes", class.as_str()),
+        ConfigSection::Service(service) => named("services", service.as_str()),
     }
 }
 
-fn value_in_force(place: &ConfigPlace, config: &FleetConfiguration) -> Option<Value> {
+fn value_in_force(place: &ConfigSection, config: &FleetConfiguration) -> Option<Value> {
     let value = match place {
-        ConfigPlace::Branch(branch) => serde_json::to_value(config.branch(branch)?),
-        ConfigPlace::Class(class) => serde_json::to_value(config.class(class)?),
-        ConfigPlace::Service(service) => serde_json::to_value(config.service(service)?),
+        ConfigSection::Branch(branch) => serde_json::to_value(config.branch(branch)?),
+        ConfigSection::Class(class) => serde_json::to_value(config.class(class)?),
+        ConfigSection::Service(service) => serde_json::to_value(config.service(service)?),
     };
     value.ok()
 }
 
-fn unknown_place(state: &EntryState, line: &str, place: &ConfigPlace) -> OperatorRefusal {
+fn unknown_place(state: &EntryState, line: &str, place: &ConfigSection) -> OperatorRefusal {
     let config = state.config.current();
     let (kind, name, known) = match place {
-        ConfigPlace::Branch(branch) => return unknown_branch(state, line, branch),
-        ConfigPlace::Class(class) => {
+        ConfigSection::Branch(branch) => return unknown_branch(state, line, branch),
+        ConfigSection::Class(class) => {
             let classes = config.iter().flat_map(|config| config.classes());
             ("class", class.to_string(), classes.map(|class| class.name.to_string()).collect())
         }
-        ConfigPlace::Service(service) => {
+        ConfigSection::Service(service) => {
             let services = config.iter().flat_map(|config| config.services());
             let names: Vec<String> = services.map(|service| service.name.to_string()).collect();
             ("service", service.to_string(), names)
@@ -153,7 +153,7 @@
     };
     let known: Vec<&str> = known.iter().map(String::as_str).collect();
     let message = format!("there is no {kind} `{name}`");
-    LineFault::at_word(line, &name, message, &known).into()
+    LineError::at_word(line, &name, message, &known).into()
 }
 
 /// The members with their current versions, or the last reported ones of those that don't reply.
@@ -176,14 +176,14 @@
 /// are queried again.
 pub(super) async fn wait_in_force(
     state: &Arc<EntryState>,
-    wanted: WantedVersions,
+    wanted: RequiredVersions,
     basis: &mut BasisBuilder,
-) -> InForce {
+) -> ConfigRollout {
     let deadline = ClockTime::now().after(IN_FORCE_TIMEOUT);
     let query = StatusQuery { branch: None, running: 0 };
     loop {
         let mut members = known_members(state, None);
-        let known = in_force(wanted, &members);
+        let known = config_rollout(wanted, &members);
         let not_known = |member: &MemberInfo| {
             known.not_known().any(|other| other.member.incarnation == member.incarnation)
         };
@@ -191,7 +191,7 @@
             members.iter().filter(|info| not_known(info)).cloned().collect();
         let replies = query_members(state, &asked, &query).await;
         members = with_replies(members, &replies);
-        let found = in_force(wanted, &members);
+        let found = config_rollout(wanted, &members);
         if found.not_known().next().is_none() || ClockTime::now() >= deadline {
             basis.add_replies(&replies);
             return found;
--- a/crates/sagespool-entry/src/operator/edit.rs
+++ b/crates/sagespool-entry/src/operator/edit.rs
@@ -4,7 +4,7 @@
 use std::sync::{Mutex, PoisonError};
 
 use sagespool_operations::{
-    COMMANDS_PREFIX, CommandItem, CommandRecord, ConfigEdit, EditRefusal, FieldChange, ItemOutcome,
+    COMMANDS_PREFIX, CommandItem, CommandRecord, ConfigEdit, EditError, FieldChange, ItemOutcome,
     OutcomeState,
 };
 use sagespool_settings::{
@@ -106,7 +106,7 @@
     ItemOutcome::builder().state(state).message(message).version(version).build()
 }
 
-fn refused(refusal: &EditRefusal, may_have_applied: bool) -> ItemOutcome {
+fn refused(refusal: &EditError, may_have_applied: bool) -> ItemOutcome {
     let state = if may_have_applied { OutcomeState::Unknown } else { OutcomeState::Refused };
     ItemOutcome::builder()
         .state(state)
@@ -225,7 +225,7 @@
         // The changes of an earlier executor may be unknown to the one that took the command over.
         let is_change = is_newer
             && (outcome.state == OutcomeState::Done
-                || outcome.state.is_good() && !outcome.changes.is_empty());
+                || outcome.state.is_success() && !outcome.changes.is_empty());
         is_change.then(|| EarlierChange {
             version: outcome.version,
             by: by.clone(),
--- a/crates/sagespool-entry/src/operator/load_turn.rs
+++ b/crates/sagespool-entry/src/operator/load_turn.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sagespool_operations::{FenceHolder, ItemOutcome, LOAD_TURN_KEY, LoadTurn, OutcomeState};
+use sagespool_operations::{FenceHolder, ItemOutcome, LOAD_LEASE_KEY, LoadLease, OutcomeState};
 use sagespool_platform::{UpdateChoice, update_object};
 use sagespool_types::{ClockTime, WallTime};
 
@@ -17,14 +17,14 @@
 pub(super) async fn acquire_turn(run: &CommandRun, holder: FenceHolder) -> Result<(), ItemResult> {
     let deadline = ClockTime::now().after(TURN_TIMEOUT);
     loop {
-        let decide = |context: ChangeContext<'_, LoadTurn>| {
-            let mut turn = context.value.cloned().unwrap_or_default();
-            match turn.take(holder, WallTime::now()) {
-                true => ChangeStep::Write(turn, true),
+        let decide = |context: ChangeContext<'_, LoadLease>| {
+            let mut lease = context.value.cloned().unwrap_or_default();
+            match lease.try_acquire(holder, WallTime::now()) {
+                true => ChangeStep::Write(lease, true),
                 false => ChangeStep::Stop(false),
             }
         };
-        match change(run, LOAD_TURN_KEY, None, decide).await {
+        match change(run, LOAD_LEASE_KEY, None, decide).await {
             ChangeOutcome::Written { .. } | ChangeOutcome::Stopped(true) => return Ok(()),
             ChangeOutcome::Stopped(false) => {}
             ChangeOutcome::Superseded => return Err(ItemResult::Superseded),
@@ -49,11 +49,11 @@
     }
 }
 
-/// Releases the turn. A turn that can't be released expires.
+/// Releases the lease. A lease that can't be released expires.
 pub(super) async fn release_turn(run: &CommandRun, holder: FenceHolder) {
-    let release = |turn: &mut LoadTurn| match turn.release(holder) {
+    let release = |lease: &mut LoadLease| match lease.release(holder) {
         true => UpdateChoice::Write,
         false => UpdateChoice::Keep,
     };
-    let _ = update_object(&run.state.objects, LOAD_TURN_KEY, RELEASE_TIMEOUT, release).await;
+    let _ = update_object(&run.state.objects, LOAD_LEASE_KEY, RELEASE_TIMEOUT, release).await;
 }
--- a/crates/sagespool-entry/src/operator/orders.rs
+++ b/crates/sagespool-entry/src/operator/orders.rs
@@ -102,7 +102,7 @@
         if context.may_have_applied && renewal == 0 && context.value.is_some_and(is_other_item) {
             return ChangeStep::Stop(Err(ItemOutcome::new(OutcomeState::Unknown, ORDER_UNKNOWN)));
         }
-        match FenceRecord::next(context.value, holder, order) {
+        match FenceRecord::with_order(context.value, holder, order) {
             Some(record) => ChangeStep::Write(record.clone(), Ok(record.number)),
             None => ChangeStep::Stop(Ok(context.value.map_or(FenceNumber(0), |held| held.number))),
         }
--- a/crates/sagespool-entry/src/operator/record.rs
+++ b/crates/sagespool-entry/src/operator/record.rs
@@ -4,7 +4,7 @@
 
 use sagespool_operations::{
     AnswerBody, COMMANDS_PREFIX, CommandAnswer, CommandRecord, CommandSummary, CommandsAnswer,
-    LineFault, command_key,
+    LineError, command_key,
 };
 use sagespool_platform::{StoreError, StoredObject};
 use sagespool_types::CommandId;
@@ -54,7 +54,7 @@
     let stored = read(state, command).await.map_err(|error| unreachable(&error))?;
     let Some(stored) = stored else {
         let message = format!("no command {command} is recorded: it was never sent or was pruned");
-        return Err(LineFault::at_word(line, &command.to_string(), message, &[]).into());
+        return Err(LineError::at_word(line, &command.to_string(), message, &[]).into());
     };
     let answer = CommandAnswer::of(&stored.value, true);
     Ok((AnswerBody::Command(answer), basis))
--- a/crates/sagespool-entry/src/operator/run.rs
+++ b/crates/sagespool-entry/src/operator/run.rs
@@ -90,7 +90,7 @@
         }
         loop {
             if self.record.cancel.is_some() {
-                return self.save(CommandRecord::cancel_rest).await;
+                return self.save(CommandRecord::cancel_remaining).await;
             }
             let Some(next) = self.record.next_item() else {
                 return SaveOutcome::Saved;
@@ -99,7 +99,7 @@
                 ItemResult::Ended(outcome) => outcome,
                 ItemResult::Superseded => return SaveOutcome::Superseded,
             };
-            let saved = self.save(|record| record.note(next.index, outcome.clone())).await;
+            let saved = self.save(|record| record.set_outcome(next.index, outcome.clone())).await;
             if saved != SaveOutcome::Saved {
                 return saved;
             }
@@ -126,7 +126,7 @@
         if !floor.covers(self.record.command) {
             return SaveOutcome::Saved;
         }
-        self.save(CommandRecord::refuse_forgotten).await
+        self.save(CommandRecord::refuse_pruned).await
     }
 
     /// Whether the command still belongs to this executor and is not cancelled.
--- a/crates/sagespool-entry/src/operator/spend.rs
+++ b/crates/sagespool-entry/src/operator/spend.rs
@@ -6,7 +6,7 @@
 use sagespool_ledger::{BookRecord, book_key, book_of};
 use sagespool_messages::{MemberRole, StatusQuery};
 use sagespool_operations::{
-    AnswerBody, BookFigures, DoubtedGrant, HolderWords, SpendAnswer, SpendEstimate, SpendRow,
+    AnswerBody, BookFigures, GrantInDoubt, HolderUsage, SpendAnswer, SpendEstimate, SpendRow,
     TokenRange,
 };
 use sagespool_platform::{StoreError, StoredObject};
@@ -119,8 +119,8 @@
     before: &MemberReplies,
     after: &MemberReplies,
 ) -> SpendRow {
-    let before = HolderWords::of(branch, &before.replies);
-    let after = HolderWords::of(branch, &after.replies);
+    let before = HolderUsage::of(branch, &before.replies);
+    let after = HolderUsage::of(branch, &after.replies);
     let Some(book) = book else {
         return row_without_book(branch, &after);
     };
@@ -141,7 +141,7 @@
     }
 }
 
-fn row_without_book(branch: &BranchName, replies: &HolderWords) -> SpendRow {
+fn row_without_book(branch: &BranchName, replies: &HolderUsage) -> SpendRow {
     SpendRow {
         branch: branch.clone(),
         book: None,
@@ -151,10 +151,10 @@
     }
 }
 
-fn grants_in_doubt(book: &BookRecord, branch: &BranchName) -> Vec<DoubtedGrant> {
+fn grants_in_doubt(book: &BookRecord, branch: &BranchName) -> Vec<GrantInDoubt> {
     let grants = book.branches.get(branch).into_iter().flat_map(|account| &account.grants);
     let in_doubt = grants.filter(|(_, record)| record.is_unaccounted());
-    let in_doubt = in_doubt.map(|(grant, record)| DoubtedGrant {
+    let in_doubt = in_doubt.map(|(grant, record)| GrantInDoubt {
         grant: *grant,
         tokens: record.unsettled_amount().saturating_sub(record.known_use()),
     });
--- a/crates/sagespool-entry/src/operator/store_items.rs
+++ b/crates/sagespool-entry/src/operator/store_items.rs
@@ -5,7 +5,7 @@
     BookRecord, BranchAccount, ReleaseOutcome, TopUpOutcome, book_key, book_of,
 };
 use sagespool_operations::{
-    CancelNote, CancelOutcome, CommandRecord, ItemOutcome, OutcomeState, command_key, nearest_of,
+    CancelOutcome, CancelRecord, CommandRecord, ItemOutcome, OutcomeState, command_key, nearest_of,
 };
 use sagespool_settings::{BranchObject, branch_object_key, branch_shard};
 use sagespool_types::{
@@ -191,14 +191,14 @@
 
 /// Marks a command as cancelled, so that it starts no further item.
 pub(super) async fn cancel(run: &CommandRun, command: CommandId) -> ItemResult {
-    let note = CancelNote { command: run.record.command, at: WallTime::now() };
+    let note = CancelRecord { command: run.record.command, at: WallTime::now() };
     let decide = |context: ChangeContext<'_, CommandRecord>| {
         let Some(record) = context.value else {
             let message = "no such command is recorded: it was never sent or was pruned";
             return ChangeStep::Stop(outcome(OutcomeState::Refused, message));
         };
         let mut record = record.clone();
-        match record.ask_cancel(note.clone()) {
+        match record.request_cancel(note.clone()) {
             CancelOutcome::Noted => {
                 let message = end_if_abandoned(run, &mut record, context.version);
                 ChangeStep::Write(record, outcome(OutcomeState::Done, message))
@@ -227,6 +227,6 @@
         return "no further item starts; the running one completes, and `command ID` shows its outcome";
     }
     record.take_over(run.state.incarnation, version);
-    record.cancel_rest();
+    record.cancel_remaining();
     "the entry that executed it is gone; no further item starts"
 }
--- a/crates/sagespool-operations/src/answer/commands.rs
+++ b/crates/sagespool-operations/src/answer/commands.rs
@@ -2,7 +2,7 @@
 
 use sagespool_types::{BranchName, CommandId, WallTime, derives};
 
-use super::InForce;
+use super::ConfigRollout;
 use crate::{CommandRecord, CommandState, ItemOutcome};
 
 derives! { record;
@@ -49,7 +49,7 @@
             state: record.state(),
             cancelled: record.cancel.is_some(),
             ended: outcomes.clone().count(),
-            good: outcomes.filter(|outcome| outcome.state.is_good()).count(),
+            good: outcomes.filter(|outcome| outcome.state.is_success()).count(),
             items: record.items.len(),
         }
     }
@@ -76,7 +76,7 @@
         pub items: Vec<ItemAnswer>,
         /// Where its newest change of the configuration is in force, if it made one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        pub in_force: Option<InForce>,
+        pub in_force: Option<ConfigRollout>,
     }
 }
 
@@ -111,10 +111,10 @@
     }
 
     /// True if every item has its outcome and all are as wished.
-    pub fn is_good(&self) -> bool {
-        let is_good = |item: &ItemAnswer| {
-            item.outcome.as_ref().is_some_and(|outcome| outcome.state.is_good())
+    pub fn is_success(&self) -> bool {
+        let is_success = |item: &ItemAnswer| {
+            item.outcome.as_ref().is_some_and(|outcome| outcome.state.is_success())
         };
-        self.items.iter().all(is_good)
+        self.items.iter().all(is_success)
     }
 }
--- a/crates/sagespool-operations/src/answer/configuration.rs
+++ b/crates/sagespool-operations/src/answer/configuration.rs
@@ -14,10 +14,10 @@
         /// The store's objects and their versions; nothing if the store couldn't be read.
         pub objects: Option<Vec<ConfigObjectRow>>,
         /// Where the newest version known here is in force.
-        pub in_force: InForce,
+        pub in_force: ConfigRollout,
         /// The part that was asked for.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        pub shown: Option<ShownPlace>,
+        pub shown: Option<ShownSection>,
     }
 }
 
@@ -35,7 +35,7 @@
 
 derives! { record;
     /// A part of the configuration.
-    pub struct ShownPlace {
+    pub struct ShownSection {
         /// Which: `branch ruwi-bids`.
         pub place: String,
         /// The version of the object that it is in: the one to give behind `if version`.
@@ -58,7 +58,7 @@
 
 derives! { record;
     /// Where a version is in force, among the processes of one role.
-    pub struct ForceRow {
+    pub struct RoleRollout {
         /// The version.
         pub version: ConfigVersion,
         /// Processes that said that they have it, or a later one, in force. Versions never go back, so
@@ -73,17 +73,17 @@
     /// Where a change is in force. Entries take over the whole configuration; sidecars take over classes
     /// and services, and their version is that of the one object that holds these.
     #[derive(Default)]
-    pub struct InForce {
+    pub struct ConfigRollout {
         /// At entries.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        pub entries: Option<ForceRow>,
+        pub entries: Option<RoleRollout>,
         /// At sidecars; nothing if the change doesn't concern them.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        pub sidecars: Option<ForceRow>,
+        pub sidecars: Option<RoleRollout>,
     }
 }
 
-impl InForce {
+impl ConfigRollout {
     /// Every process that isn't known to have it in force.
     pub fn not_known(&self) -> impl Iterator<Item = &ConfigMember> {
         let rows = self.entries.iter().chain(&self.sidecars);
@@ -93,7 +93,7 @@
 
 /// The versions that processes must have in force, by their role.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct WantedVersions {
+pub struct RequiredVersions {
     /// At entries.
     pub entries: Option<ConfigVersion>,
     /// At sidecars; nothing if what is asked for doesn't concern them.
@@ -101,9 +101,9 @@
 }
 
 /// Where versions are in force, by what is known of the members.
-pub fn in_force(wanted: WantedVersions, members: &[MemberInfo]) -> InForce {
+pub fn config_rollout(wanted: RequiredVersions, members: &[MemberInfo]) -> ConfigRollout {
     let row = |version, role| force_row(version, members.iter().filter(|info| info.role == role));
-    InForce {
+    ConfigRollout {
         entries: wanted.entries.map(|version| row(version, MemberRole::Entry)),
         sidecars: wanted.sidecars.map(|version| row(version, MemberRole::Sidecar)),
     }
@@ -112,8 +112,8 @@
 fn force_row<'a>(
     version: ConfigVersion,
     members: impl Iterator<Item = &'a MemberInfo>,
-) -> ForceRow {
-    let mut row = ForceRow { version, members: Vec::new(), not_known: Vec::new() };
+) -> RoleRollout {
+    let mut row = RoleRollout { version, members: Vec::new(), not_known: Vec::new() };
     for info in members {
         let member = MemberLabel::of(info);
         if info.config >= version {
--- a/crates/sagespool-operations/src/answer/mod.rs
+++ b/crates/sagespool-operations/src/answer/mod.rs
@@ -10,15 +10,15 @@
 pub use basis::{AnswerBasis, MemberLabel, SilentMember, StoreBasis};
 pub use commands::{CommandAnswer, CommandSummary, CommandsAnswer, ItemAnswer};
 pub use configuration::{
-    ConfigMember, ConfigObjectRow, ConfigurationAnswer, ForceRow, InForce, ShownPlace,
-    WantedVersions, in_force,
+    ConfigMember, ConfigObjectRow, ConfigRollout, ConfigurationAnswer, RequiredVersions,
+    RoleRollout, ShownSection, config_rollout,
 };
 pub use fleet::{
     MemberRow, MembersAnswer, QuarantineAnswer, QuarantineRow, RunningAnswer, RunningRow,
     UpstreamRow, UpstreamState, UpstreamsAnswer,
 };
 pub use history::{HistoryAnswer, HistoryFact, HistoryNote, HistorySource};
-pub use spend::{BookFigures, DoubtedGrant, SpendAnswer, SpendRow};
+pub use spend::{BookFigures, GrantInDoubt, SpendAnswer, SpendRow};
 
 use sagespool_types::derives;
 
--- a/crates/sagespool-operations/src/answer/spend.rs
+++ b/crates/sagespool-operations/src/answer/spend.rs
@@ -28,7 +28,7 @@
         pub spent: TokenRange,
         /// The grants that are in doubt.
         #[serde(default)]
-        pub in_doubt_grants: Vec<DoubtedGrant>,
+        pub in_doubt_grants: Vec<GrantInDoubt>,
     }
 }
 
@@ -52,7 +52,7 @@
 
 derives! { record;
     /// A grant that nobody can account for.
-    pub struct DoubtedGrant {
+    pub struct GrantInDoubt {
         /// The grant.
         pub grant: GrantId,
         /// What of it isn't settled.
--- a/crates/sagespool-operations/src/command/floor.rs
+++ b/crates/sagespool-operations/src/command/floor.rs
@@ -22,7 +22,7 @@
 }
 
 /// The time that an id begins with.
-pub fn id_time(command: CommandId) -> WallTime {
+pub fn command_id_time(command: CommandId) -> WallTime {
     WallTime((command.0 >> RANDOM_BITS) as u64)
 }
 
--- a/crates/sagespool-operations/src/command/mod.rs
+++ b/crates/sagespool-operations/src/command/mod.rs
@@ -6,11 +6,11 @@
 mod record;
 
 pub use floor::{
-    COMMAND_FLOOR_KEY, CommandFloor, PrunePlan, id_time, new_command_id, plan_pruning,
+    COMMAND_FLOOR_KEY, CommandFloor, PrunePlan, command_id_time, new_command_id, plan_pruning,
 };
 pub use item::{CommandItem, OperatorCommand, TargetName};
 pub use outcome::{ItemOutcome, OutcomeState};
 pub use record::{
-    BegunItem, COMMANDS_PREFIX, CancelNote, CancelOutcome, CommandExecutor, CommandRecord,
+    BegunItem, COMMANDS_PREFIX, CancelOutcome, CancelRecord, CommandExecutor, CommandRecord,
     CommandState, ItemRecord, NextItem, command_key,
 };
--- a/crates/sagespool-operations/src/command/outcome.rs
+++ b/crates/sagespool-operations/src/command/outcome.rs
@@ -43,7 +43,7 @@
     }
 
     /// True if what was wanted is so.
-    pub fn is_good(self) -> bool {
+    pub fn is_success(self) -> bool {
         matches!(self, Self::Done | Self::Already)
     }
 }
--- a/crates/sagespool-operations/src/command/record.rs
+++ b/crates/sagespool-operations/src/command/record.rs
@@ -34,7 +34,7 @@
 
 derives! { record;
     /// An operator's wish that no further item be begun.
-    pub struct CancelNote {
+    pub struct CancelRecord {
         /// The command that said so.
         pub command: CommandId,
         /// By the wall clock of the entry that took it.
@@ -136,7 +136,7 @@
         pub admitted: bool,
         /// Set once somebody wants it cancelled.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        pub cancel: Option<CancelNote>,
+        pub cancel: Option<CancelRecord>,
         /// Its items.
         pub items: Vec<ItemRecord>,
     }
@@ -211,7 +211,7 @@
     }
 
     /// Notes how an item went; the first word on it counts. Its id was admitted before.
-    pub fn note(&mut self, index: usize, outcome: ItemOutcome) {
+    pub fn set_outcome(&mut self, index: usize, outcome: ItemOutcome) {
         self.admitted = true;
         if let Some(item) = self.items.get_mut(index) {
             item.outcome.get_or_insert(outcome);
@@ -222,7 +222,7 @@
     ///
     /// A record that nobody has taken up before was made by this time of giving the command: it surely
     /// did nothing this time, and what an earlier, forgotten time did can't be known.
-    pub fn refuse_forgotten(&mut self) {
+    pub fn refuse_pruned(&mut self) {
         let outcome = match self.executor.turn {
             0 => ItemOutcome::new(OutcomeState::Refused, FORGOTTEN),
             _ => ItemOutcome::new(OutcomeState::Unknown, FORGOTTEN),
@@ -233,7 +233,7 @@
     }
 
     /// Notes a wish to cancel.
-    pub fn ask_cancel(&mut self, note: CancelNote) -> CancelOutcome {
+    pub fn request_cancel(&mut self, note: CancelRecord) -> CancelOutcome {
         if self.state() == CommandState::Ended {
             return CancelOutcome::Ended;
         }
@@ -248,7 +248,7 @@
     ///
     /// An item that an earlier executor may have begun is not said to be cancelled, since it may
     /// have been done.
-    pub fn cancel_rest(&mut self) {
+    pub fn cancel_remaining(&mut self) {
         if self.cancel.is_none() {
             return;
         }
--- a/crates/sagespool-operations/src/edit/apply.rs
+++ b/crates/sagespool-operations/src/edit/apply.rs
@@ -9,14 +9,14 @@
 
 /// Why an edit can't be made.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EditRefusal {
+pub struct EditError {
     /// Why, for a person.
     pub message: String,
     /// The known name that may have been meant.
     pub nearest: Option<String>,
 }
 
-impl EditRefusal {
+impl EditError {
     pub(super) fn new(message: impl Into<String>) -> Self {
         Self { message: message.into(), nearest: None }
     }
@@ -48,7 +48,7 @@
     ///
     /// # Errors
     /// If the present value isn't valid, the edit can't be made on it, or its result isn't valid.
-    pub fn apply(&self, present: Option<&Value>) -> Result<EditedObject, EditRefusal> {
+    pub fn apply(&self, present: Option<&Value>) -> Result<EditedObject, EditError> {
         match self {
             Self::Branch { branch, change } => {
                 let object = present.map_or(Ok(BranchObject::default()), check_branches);
@@ -69,8 +69,8 @@
     }
 }
 
-fn present_fleet(present: Option<&Value>) -> Result<FleetObject, EditRefusal> {
-    let present = present.ok_or_else(|| EditRefusal::new("the fleet has no classes yet"))?;
+fn present_fleet(present: Option<&Value>) -> Result<FleetObject, EditError> {
+    let present = present.ok_or_else(|| EditError::new("the fleet has no classes yet"))?;
     check_fleet(present).map_err(|faults| present_faulty(&faults))
 }
 
@@ -79,8 +79,8 @@
 fn edited<T: Clone + Serialize>(
     present: &T,
     check: fn(&Value) -> Result<T, SettingsFaults>,
-    change: impl FnOnce(&mut T) -> Result<(), EditRefusal>,
-) -> Result<EditedObject, EditRefusal> {
+    change: impl FnOnce(&mut T) -> Result<(), EditError>,
+) -> Result<EditedObject, EditError> {
     let mut object = present.clone();
     change(&mut object)?;
     let value = to_value(&object);
@@ -93,10 +93,10 @@
     serde_json::to_value(object).expect("an object of the configuration is plain data")
 }
 
-fn present_faulty(faults: &SettingsFaults) -> EditRefusal {
-    EditRefusal::faulty("the object in the store isn't valid; mend it there first", faults)
+fn present_faulty(faults: &SettingsFaults) -> EditError {
+    EditError::faulty("the object in the store isn't valid; mend it there first", faults)
 }
 
-fn edited_faulty(faults: &SettingsFaults) -> EditRefusal {
-    EditRefusal::faulty("the result would not be valid", faults)
+fn edited_faulty(faults: &SettingsFaults) -> EditError {
+    EditError::faulty("the result would not be valid", faults)
 }
--- a/crates/sagespool-operations/src/edit/branch.rs
+++ b/crates/sagespool-operations/src/edit/branch.rs
@@ -5,20 +5,20 @@
 use sagespool_settings::{BranchEntry, BranchObject, BranchRule, ClassHoldback};
 use sagespool_types::{BranchName, SecretHash};
 
-use super::{BranchChange, EditRefusal, HashStart, write_declaration};
+use super::{BranchChange, EditError, HashPrefix, write_declaration};
 
 /// Makes an edit of a branch; what is so already stays.
 pub(super) fn apply(
     object: &mut BranchObject,
     branch: &BranchName,
     change: &BranchChange,
-) -> Result<(), EditRefusal> {
+) -> Result<(), EditError> {
     if let BranchChange::Create(entry) = change {
         return create(object, branch, entry);
     }
     let names: Vec<&str> = object.branches.keys().map(BranchName::as_str).collect();
     if !object.branches.contains_key(branch) {
-        return Err(EditRefusal::unknown("branch", branch.as_str(), &names));
+        return Err(EditError::unknown("branch", branch.as_str(), &names));
     }
     let entry = object.branches.get_mut(branch).expect("it was found above");
     match change {
@@ -37,12 +37,12 @@
     object: &mut BranchObject,
     branch: &BranchName,
     entry: &BranchEntry,
-) -> Result<(), EditRefusal> {
+) -> Result<(), EditError> {
     match object.branches.get(branch) {
         Some(present) if present == entry => Ok(()),
         Some(_) => {
             let message = format!("branch `{branch}` is there already, and not as wished");
-            Err(EditRefusal::new(message))
+            Err(EditError::new(message))
         }
         None => {
             object.branches.insert(branch.clone(), entry.clone());
@@ -75,11 +75,11 @@
 }
 
 /// A key that isn't there counts as revoked; a beginning that two keys share names neither.
-fn revoke_key(entry: &mut BranchEntry, start: &HashStart) -> Result<(), EditRefusal> {
+fn revoke_key(entry: &mut BranchEntry, start: &HashPrefix) -> Result<(), EditError> {
     let fitting = entry.key_hashes.iter().filter(|hash| start.fits(hash)).count();
     if fitting > 1 {
         let message = format!("{fitting} keys begin with `{start}`: give more of the hash");
-        return Err(EditRefusal::new(message));
+        return Err(EditError::new(message));
     }
     entry.key_hashes.retain(|hash| !start.fits(hash));
     Ok(())
--- a/crates/sagespool-operations/src/edit/fleet.rs
+++ b/crates/sagespool-operations/src/edit/fleet.rs
@@ -3,14 +3,14 @@
 use sagespool_settings::{FleetObject, RouteRule, ServiceEntry};
 use sagespool_types::{ClassName, ServiceName};
 
-use super::{ClassChange, EditRefusal, ServiceChange};
+use super::{ClassChange, EditError, ServiceChange};
 
 /// Makes an edit of a class.
 pub(super) fn apply_class(
     object: &mut FleetObject,
     class: &ClassName,
     change: &ClassChange,
-) -> Result<(), EditRefusal> {
+) -> Result<(), EditError> {
     let names: Vec<String> = object.classes.iter().map(|class| class.name.to_string()).collect();
     let Some(entry) = object.classes.iter_mut().find(|entry| entry.name == *class) else {
         return Err(unknown("class", class.as_str(), &names));
@@ -27,7 +27,7 @@
     object: &mut FleetObject,
     service: &ServiceName,
     change: &ServiceChange,
-) -> Result<(), EditRefusal> {
+) -> Result<(), EditError> {
     let names: Vec<String> =
         object.services.iter().map(|service| service.name.to_string()).collect();
     let Some(entry) = object.services.iter_mut().find(|entry| entry.name == *service) else {
@@ -49,7 +49,7 @@
     }
 }
 
-fn unknown(kind: &str, name: &str, names: &[String]) -> EditRefusal {
+fn unknown(kind: &str, name: &str, names: &[String]) -> EditError {
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    EditRefusal::unknown(kind, name, &names)
+    EditError::unknown(kind, name, &names)
 }
--- a/crates/sagespool-operations/src/edit/mod.rs
+++ b/crates/sagespool-operations/src/edit/mod.rs
@@ -5,7 +5,7 @@
 mod change;
 mod fleet;
 
-pub use apply::{EditRefusal, EditedObject};
+pub use apply::{EditError, EditedObject};
 pub use change::{FieldChange, changes_between};
 
 use std::fmt;
@@ -86,7 +86,7 @@
         /// One more key.
         AddKey(SecretHash),
         /// One key less.
-        RevokeKey(HashStart),
+        RevokeKey(HashPrefix),
     }
 }
 
@@ -152,21 +152,21 @@
     /// A key's hash, or its beginning.
     #[derive(Eq)]
     #[serde(try_from = "String", into = "String")]
-    pub struct HashStart(String);
+    pub struct HashPrefix(String);
 }
 
 /// Fewer digits would name another branch's key by mistake too easily.
 const FEWEST_DIGITS: usize = 8;
 const ALL_DIGITS: usize = 64;
 
-impl HashStart {
+impl HashPrefix {
     /// Whether a hash begins so.
     pub fn fits(&self, hash: &SecretHash) -> bool {
         hash.as_str().starts_with(&self.0)
     }
 }
 
-impl FromStr for HashStart {
+impl FromStr for HashPrefix {
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
@@ -179,13 +179,13 @@
     }
 }
 
-impl fmt::Display for HashStart {
+impl fmt::Display for HashPrefix {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-sagespool_types::string_conversions!(HashStart);
+sagespool_types::string_conversions!(HashPrefix);
 
 /// The edit as a line would say it.
 impl fmt::Display for ConfigEdit {
--- a/crates/sagespool-operations/src/fence.rs
+++ b/crates/sagespool-operations/src/fence.rs
@@ -72,7 +72,7 @@
 impl FenceRecord {
     /// The record after one more order. The same holder again, since the answer of its write was
     /// lost, gets the number that it has: `None`, nothing to write.
-    pub fn next(
+    pub fn with_order(
         present: Option<&Self>,
         holder: FenceHolder,
         order: &EngineOrder,
--- a/crates/sagespool-operations/src/lib.rs
+++ b/crates/sagespool-operations/src/lib.rs
@@ -22,26 +22,26 @@
 
 pub use answer::{
     AnswerBasis, AnswerBody, BookFigures, CommandAnswer, CommandSummary, CommandsAnswer,
-    ConfigMember, ConfigObjectRow, ConfigurationAnswer, DoubtedGrant, ForceRow, HelpAnswer,
-    HelpLine, HistoryAnswer, HistoryFact, HistoryNote, HistorySource, InForce, ItemAnswer,
-    MemberLabel, MemberRow, MembersAnswer, OperatorAnswer, QuarantineAnswer, QuarantineRow,
-    RunningAnswer, RunningRow, ShownPlace, SilentMember, SpendAnswer, SpendRow, StoreBasis,
-    UpstreamRow, UpstreamState, UpstreamsAnswer, WantedVersions, in_force,
+    ConfigMember, ConfigObjectRow, ConfigRollout, ConfigurationAnswer, GrantInDoubt, HelpAnswer,
+    HelpLine, HistoryAnswer, HistoryFact, HistoryNote, HistorySource, ItemAnswer, MemberLabel,
+    MemberRow, MembersAnswer, OperatorAnswer, QuarantineAnswer, QuarantineRow, RequiredVersions,
+    RoleRollout, RunningAnswer, RunningRow, ShownSection, SilentMember, SpendAnswer, SpendRow,
+    StoreBasis, UpstreamRow, UpstreamState, UpstreamsAnswer, config_rollout,
 };
 pub use command::{
-    BegunItem, COMMAND_FLOOR_KEY, COMMANDS_PREFIX, CancelNote, CancelOutcome, CommandExecutor,
+    BegunItem, COMMAND_FLOOR_KEY, COMMANDS_PREFIX, CancelOutcome, CancelRecord, CommandExecutor,
     CommandFloor, CommandItem, CommandRecord, CommandState, ItemOutcome, ItemRecord, NextItem,
-    OperatorCommand, OutcomeState, PrunePlan, TargetName, command_key, id_time, new_command_id,
-    plan_pruning,
+    OperatorCommand, OutcomeState, PrunePlan, TargetName, command_id_time, command_key,
+    new_command_id, plan_pruning,
 };
 pub use edit::{
-    BranchChange, ClassChange, ConfigEdit, EditRefusal, EditedObject, FieldChange, HashStart,
+    BranchChange, ClassChange, ConfigEdit, EditError, EditedObject, FieldChange, HashPrefix,
     LimitChange, LimitKind, ServiceChange, changes_between,
 };
 pub use fence::{FENCES_PREFIX, FenceHolder, FenceRecord, fence_key};
-pub use line::{LineFault, LineSpan, OperatorLine, VerbHelp, nearest_of, parse_line, verb_help};
-pub use load_turn::{LOAD_TURN_KEY, LoadTurn};
-pub use query::{ConfigPlace, OperatorQuery};
+pub use line::{LineError, LineSpan, OperatorLine, VerbHelp, nearest_of, parse_line, verb_help};
+pub use load_turn::{LOAD_LEASE_KEY, LoadLease};
+pub use query::{ConfigSection, OperatorQuery};
 pub use render::render_answer;
-pub use spend::{HolderWords, SpendEstimate, TokenRange};
-pub use wire::{FaultReply, LINE_PATH, LineRequest, OperatorFault};
+pub use spend::{HolderUsage, SpendEstimate, TokenRange};
+pub use wire::{ErrorReply, LINE_PATH, LineRequest, OperatorError};
--- a/crates/sagespool-operations/src/line/changes.rs
+++ b/crates/sagespool-operations/src/line/changes.rs
@@ -3,7 +3,7 @@
 use sagespool_settings::{BranchEntry, BranchRule, ClassHoldback, RouteRule};
 use sagespool_types::{BranchName, SecretHash, TokenCount};
 
-use super::LineFault;
+use super::LineError;
 use super::reader::LineReader;
 use super::verbs::LineVerb;
 use crate::{BranchChange, ClassChange, ConfigEdit, LimitChange, LimitKind, ServiceChange};
@@ -41,7 +41,7 @@
 }
 
 /// The word that belongs to the verb: `create branch`, `add key`, `revoke key`.
-pub(super) fn read_noun(verb: LineVerb, reader: &mut LineReader) -> Result<(), LineFault> {
+pub(super) fn read_noun(verb: LineVerb, reader: &mut LineReader) -> Result<(), LineError> {
     match verb {
         LineVerb::Create => reader.expect("branch"),
         LineVerb::Add | LineVerb::Revoke => reader.expect("key"),
@@ -50,7 +50,7 @@
 }
 
 /// Reads one edit.
-pub(super) fn read_edit(verb: LineVerb, reader: &mut LineReader) -> Result<ConfigEdit, LineFault> {
+pub(super) fn read_edit(verb: LineVerb, reader: &mut LineReader) -> Result<ConfigEdit, LineError> {
     match verb {
         LineVerb::Create => read_create(reader),
         LineVerb::Set => read_set(reader),
@@ -71,7 +71,7 @@
     }
 }
 
-fn read_create(reader: &mut LineReader) -> Result<ConfigEdit, LineFault> {
+fn read_create(reader: &mut LineReader) -> Result<ConfigEdit, LineError> {
     #[derive(Clone, Copy)]
     enum BranchWord {
         KeyHash,
@@ -103,19 +103,19 @@
     Ok(ConfigEdit::Branch { branch, change: BranchChange::Create(entry) })
 }
 
-fn read_weight(reader: &mut LineReader) -> Result<u32, LineFault> {
+fn read_weight(reader: &mut LineReader) -> Result<u32, LineError> {
     let weight = reader.number("a weight", 1..=GREATEST_WEIGHT)?;
     Ok(u32::try_from(weight).expect("the range is one of u32"))
 }
 
-fn read_bound(reader: &mut LineReader) -> Result<u32, LineFault> {
+fn read_bound(reader: &mut LineReader) -> Result<u32, LineError> {
     let bound = reader.number("a limit", 1..=GREATEST_LIMIT)?;
     Ok(u32::try_from(bound).expect("the range is one of u32"))
 }
 
 /// `NAME …` is short for `branch NAME …`; a branch with the name of another kind of thing needs the
 /// longer form.
-fn read_set(reader: &mut LineReader) -> Result<ConfigEdit, LineFault> {
+fn read_set(reader: &mut LineReader) -> Result<ConfigEdit, LineError> {
     if reader.accepts("class") {
         return read_set_class(reader);
     }
@@ -132,7 +132,7 @@
     Ok(ConfigEdit::Branch { branch, change })
 }
 
-fn read_set_class(reader: &mut LineReader) -> Result<ConfigEdit, LineFault> {
+fn read_set_class(reader: &mut LineReader) -> Result<ConfigEdit, LineError> {
     let class = reader.value("a class name")?;
     const WORDS: [(&str, bool); 2] = [("priority", true), ("limit", false)];
     let change = match reader.one_of("`priority` or `limit`", &WORDS)? {
@@ -145,20 +145,20 @@
     Ok(ConfigEdit::Class { class, change })
 }
 
-fn read_set_service(reader: &mut LineReader) -> Result<ConfigEdit, LineFault> {
+fn read_set_service(reader: &mut LineReader) -> Result<ConfigEdit, LineError> {
     let service = reader.value("a service name")?;
     reader.expect("limit")?;
     let change = ServiceChange::Limit(read_limit(reader)?);
     Ok(ConfigEdit::Service { service, change })
 }
 
-fn read_limit(reader: &mut LineReader) -> Result<LimitChange, LineFault> {
+fn read_limit(reader: &mut LineReader) -> Result<LimitChange, LineError> {
     let kind = reader.one_of("`running` or `rate`", &LIMITS)?;
     let limit = if reader.accepts("none") { None } else { Some(read_bound(reader)?) };
     Ok(LimitChange { kind, limit })
 }
 
-fn read_hold_back(reader: &mut LineReader) -> Result<ConfigEdit, LineFault> {
+fn read_hold_back(reader: &mut LineReader) -> Result<ConfigEdit, LineError> {
     let branch = reader.value("a branch name")?;
     let class = reader.value("a class name")?;
     let tokens = TokenCount(reader.number("a number of tokens", 0..=MOST_TOKENS)?);
@@ -166,7 +166,7 @@
     Ok(ConfigEdit::Branch { branch, change })
 }
 
-fn read_declaration(reader: &mut LineReader, declared: bool) -> Result<ConfigEdit, LineFault> {
+fn read_declaration(reader: &mut LineReader, declared: bool) -> Result<ConfigEdit, LineError> {
     let service = reader.value("a service name")?;
     let method = reader.one_of("an HTTP method or `any`", &METHODS)?;
     let path_prefix = reader.text("a path from `/`")?;
--- a/crates/sagespool-operations/src/line/fault.rs
+++ b/crates/sagespool-operations/src/line/fault.rs
@@ -10,7 +10,7 @@
 derives! { record;
     /// A line that says nothing that can be asked or done. Nothing was done.
     #[derive(Eq)]
-    pub struct LineFault {
+    pub struct LineError {
         /// The line.
         pub line: String,
         /// The place in it that is wrong.
@@ -25,7 +25,7 @@
     }
 }
 
-impl LineFault {
+impl LineError {
     pub(crate) fn new(
         line: &str,
         at: LineSpan,
@@ -52,7 +52,7 @@
     }
 }
 
-impl fmt::Display for LineFault {
+impl fmt::Display for LineError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let length = self.at.end.saturating_sub(self.at.start).max(1);
         writeln!(f, "{}", self.message)?;
@@ -65,4 +65,4 @@
     }
 }
 
-impl Error for LineFault {}
+impl Error for LineError {}
--- a/crates/sagespool-operations/src/line/items.rs
+++ b/crates/sagespool-operations/src/line/items.rs
@@ -5,7 +5,7 @@
 
 use super::reader::LineReader;
 use super::verbs::LineVerb;
-use super::{LineFault, changes};
+use super::{LineError, changes};
 use crate::CommandItem;
 
 /// Most items of one command: its record stays far below the store's limit of 1 MB.
@@ -17,7 +17,7 @@
 pub(super) fn read_items(
     verb: LineVerb,
     reader: &mut LineReader,
-) -> Result<Vec<CommandItem>, LineFault> {
+) -> Result<Vec<CommandItem>, LineError> {
     match verb {
         LineVerb::Load => read_loads(reader),
         LineVerb::Unload => read_unloads(reader),
@@ -31,8 +31,8 @@
 /// Items up to the last comma.
 fn read_each(
     reader: &mut LineReader,
-    read: impl Fn(&mut LineReader) -> Result<CommandItem, LineFault>,
-) -> Result<Vec<CommandItem>, LineFault> {
+    read: impl Fn(&mut LineReader) -> Result<CommandItem, LineError>,
+) -> Result<Vec<CommandItem>, LineError> {
     let mut items: Vec<CommandItem> = Vec::new();
     loop {
         let item = read(reader)?;
@@ -58,7 +58,7 @@
     items.iter().any(same).then_some(branch)
 }
 
-fn read_item(verb: LineVerb, reader: &mut LineReader) -> Result<CommandItem, LineFault> {
+fn read_item(verb: LineVerb, reader: &mut LineReader) -> Result<CommandItem, LineError> {
     let item = match verb {
         LineVerb::TopUp => CommandItem::TopUp {
             branch: reader.value("a branch name")?,
@@ -80,7 +80,7 @@
     Ok(item)
 }
 
-fn read_loads(reader: &mut LineReader) -> Result<Vec<CommandItem>, LineFault> {
+fn read_loads(reader: &mut LineReader) -> Result<Vec<CommandItem>, LineError> {
     let model = reader.value("a model name")?;
     let order = if reader.accepts("adapter") {
         EngineOrder::LoadAdapter { model, adapter: reader.text("an adapter name")? }
@@ -90,7 +90,7 @@
     read_targets(reader, &order)
 }
 
-fn read_unloads(reader: &mut LineReader) -> Result<Vec<CommandItem>, LineFault> {
+fn read_unloads(reader: &mut LineReader) -> Result<Vec<CommandItem>, LineError> {
     let order = EngineOrder::UnloadModel(reader.value("a model name")?);
     read_targets(reader, &order)
 }
@@ -98,7 +98,7 @@
 fn read_targets(
     reader: &mut LineReader,
     order: &EngineOrder,
-) -> Result<Vec<CommandItem>, LineFault> {
+) -> Result<Vec<CommandItem>, LineError> {
     reader.expect("on")?;
     read_each(reader, |reader| {
         let upstream: UpstreamName = reader.value("an upstream name")?;
--- a/crates/sagespool-operations/src/line/mod.rs
+++ b/crates/sagespool-operations/src/line/mod.rs
@@ -9,7 +9,7 @@
 mod verbs;
 mod words;
 
-pub use fault::LineFault;
+pub use fault::LineError;
 pub use nearest::nearest_of;
 pub use verbs::{VerbHelp, verb_help};
 pub use words::LineSpan;
@@ -41,7 +41,7 @@
 /// assert_eq!(fault.nearest.as_deref(), Some("spend"));
 /// assert_eq!((fault.at.start, fault.at.end), (0, 5));
 /// ```
-pub fn parse_line(line: &str) -> Result<OperatorLine, LineFault> {
+pub fn parse_line(line: &str) -> Result<OperatorLine, LineError> {
     let mut reader = LineReader::new(line)?;
     let verb = verbs::read_verb(&mut reader)?;
     if let Some(query) = queries::read_query(verb, &mut reader)? {
@@ -57,7 +57,7 @@
 fn read_condition(
     verb: LineVerb,
     reader: &mut LineReader,
-) -> Result<Option<sagespool_types::ConfigVersion>, LineFault> {
+) -> Result<Option<sagespool_types::ConfigVersion>, LineError> {
     if !changes::is_change(verb) || !reader.accepts("if") {
         return Ok(None);
     }
--- a/crates/sagespool-operations/src/line/queries.rs
+++ b/crates/sagespool-operations/src/line/queries.rs
@@ -2,13 +2,13 @@
 
 use super::reader::LineReader;
 use super::verbs::{LineVerb, read_help_word};
-use crate::{ConfigPlace, LineFault, OperatorQuery};
+use crate::{ConfigSection, LineError, OperatorQuery};
 
 /// Reads the rest of a query; nothing if the verb is a command's.
 pub(super) fn read_query(
     verb: LineVerb,
     reader: &mut LineReader,
-) -> Result<Option<OperatorQuery>, LineFault> {
+) -> Result<Option<OperatorQuery>, LineError> {
     let query = match verb {
         LineVerb::Spend => read_spend(reader)?,
         LineVerb::Running => OperatorQuery::Running { branch: optional_branch(reader)? },
@@ -30,7 +30,7 @@
     Ok(Some(query))
 }
 
-fn read_spend(reader: &mut LineReader) -> Result<OperatorQuery, LineFault> {
+fn read_spend(reader: &mut LineReader) -> Result<OperatorQuery, LineError> {
     let mut branches = Vec::new();
     if reader.is_at_end() {
         return Ok(OperatorQuery::Spend { branches });
@@ -45,15 +45,15 @@
 
 fn optional_branch(
     reader: &mut LineReader,
-) -> Result<Option<sagespool_types::BranchName>, LineFault> {
+) -> Result<Option<sagespool_types::BranchName>, LineError> {
     if reader.is_at_end() { Ok(None) } else { reader.value("a branch name").map(Some) }
 }
 
-fn optional_verb(reader: &mut LineReader) -> Result<Option<String>, LineFault> {
+fn optional_verb(reader: &mut LineReader) -> Result<Option<String>, LineError> {
     if reader.is_at_end() { Ok(None) } else { read_help_word(reader).map(Some) }
 }
 
-fn read_place(reader: &mut LineReader) -> Result<Option<ConfigPlace>, LineFault> {
+fn read_place(reader: &mut LineReader) -> Result<Option<ConfigSection>, LineError> {
     #[derive(Clone, Copy)]
     enum PlaceWord {
         Branch,
@@ -69,9 +69,9 @@
         return Ok(None);
     }
     let place = match reader.one_of("`branch`, `class` or `service`", &WORDS)? {
-        PlaceWord::Branch => ConfigPlace::Branch(reader.value("a branch name")?),
-        PlaceWord::Class => ConfigPlace::Class(reader.value("a class name")?),
-        PlaceWord::Service => ConfigPlace::Service(reader.value("a service name")?),
+        PlaceWord::Branch => ConfigSection::Branch(reader.value("a branch name")?),
+        PlaceWord::Class => ConfigSection::Class(reader.value("a class name")?),
+        PlaceWord::Service => ConfigSection::Service(reader.value("a service name")?),
     };
     Ok(Some(place))
 }
--- a/crates/sagespool-operations/src/line/reader.rs
+++ b/crates/sagespool-operations/src/line/reader.rs
@@ -7,7 +7,7 @@
 use sagespool_types::ParseError;
 
 use super::words::{LineWord, WordKind, split_words};
-use super::{LineFault, LineSpan, nearest_of};
+use super::{LineError, LineSpan, nearest_of};
 
 /// Most characters of a line; a command for hundreds of branches fits.
 const LONGEST_LINE: usize = 16 * 1024;
@@ -21,12 +21,12 @@
 }
 
 impl<'a> LineReader<'a> {
-    pub fn new(line: &'a str) -> Result<Self, LineFault> {
+    pub fn new(line: &'a str) -> Result<Self, LineError> {
         if line.chars().count() > LONGEST_LINE {
             let start: String = line.chars().take(40).collect();
             let at = LineSpan { start: 0, end: 40 };
             let message = format!("the line is longer than {LONGEST_LINE} characters");
-            return Err(LineFault::new(&start, at, message, "give several commands"));
+            return Err(LineError::new(&start, at, message, "give several commands"));
         }
         let words = split_words(line)?;
         let usage = "see `help` for every query and command".to_owned();
@@ -53,18 +53,18 @@
     }
 
     /// A fault at the word read last.
-    pub fn fault_at_last(&self, message: impl Into<String>) -> LineFault {
-        LineFault::new(self.line, self.last_span(), message, self.usage.clone())
+    pub fn fault_at_last(&self, message: impl Into<String>) -> LineError {
+        LineError::new(self.line, self.last_span(), message, self.usage.clone())
     }
 
-    fn fault_at_end(&self, wanted: impl Display) -> LineFault {
+    fn fault_at_end(&self, wanted: impl Display) -> LineError {
         let end = self.line.trim_end().chars().count();
         let at = LineSpan { start: end, end: end + 1 };
         let message = format!("the line ends where {wanted} is wanted");
-        LineFault::new(self.line, at, message, self.usage.clone())
+        LineError::new(self.line, at, message, self.usage.clone())
     }
 
-    fn take(&mut self, wanted: impl Display) -> Result<LineWord, LineFault> {
+    fn take(&mut self, wanted: impl Display) -> Result<LineWord, LineError> {
         let Some(word) = self.peek().cloned() else {
             return Err(self.fault_at_end(wanted));
         };
@@ -80,7 +80,7 @@
         &mut self,
         wanted: &str,
         known: &[(&'static str, T)],
-    ) -> Result<T, LineFault> {
+    ) -> Result<T, LineError> {
         let word = self.take(wanted)?;
         let found = known
             .iter()
@@ -95,7 +95,7 @@
     }
 
     /// The keyword, which has to stand here.
-    pub fn expect(&mut self, keyword: &'static str) -> Result<(), LineFault> {
+    pub fn expect(&mut self, keyword: &'static str) -> Result<(), LineError> {
         self.one_of(&format!("the word `{keyword}`"), &[(keyword, ())])
     }
 
@@ -126,7 +126,7 @@
     }
 
     /// A name, an id or the like.
-    pub fn value<T: FromStr<Err = ParseError>>(&mut self, wanted: &str) -> Result<T, LineFault> {
+    pub fn value<T: FromStr<Err = ParseError>>(&mut self, wanted: &str) -> Result<T, LineError> {
         let word = self.take(wanted)?;
         word.text.parse().map_err(|fault: ParseError| {
             let message = format!("`{}` is not {wanted}: {}", fault.found, fault.help);
@@ -135,12 +135,12 @@
     }
 
     /// Any text.
-    pub fn text(&mut self, wanted: &str) -> Result<String, LineFault> {
+    pub fn text(&mut self, wanted: &str) -> Result<String, LineError> {
         Ok(self.take(wanted)?.text)
     }
 
     /// A whole number, in which `_` may part the digits.
-    pub fn number(&mut self, wanted: &str, allowed: RangeInclusive<u64>) -> Result<u64, LineFault> {
+    pub fn number(&mut self, wanted: &str, allowed: RangeInclusive<u64>) -> Result<u64, LineError> {
         let word = self.take(wanted)?;
         let digits = word.text.replace('_', "");
         let plain = digits.chars().all(|digit| digit.is_ascii_digit());
@@ -154,7 +154,7 @@
     }
 
     /// Makes sure that nothing follows. `known` are the keywords that could have.
-    pub fn end(&mut self, known: &[&str]) -> Result<(), LineFault> {
+    pub fn end(&mut self, known: &[&str]) -> Result<(), LineError> {
         let Some(word) = self.peek().cloned() else {
             return Ok(());
         };
--- a/crates/sagespool-operations/src/line/verbs.rs
+++ b/crates/sagespool-operations/src/line/verbs.rs
@@ -1,7 +1,7 @@
 //! The first word of a line.
 
 use super::LineReader;
-use crate::LineFault;
+use crate::LineError;
 
 /// What a line begins with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -165,7 +165,7 @@
 }
 
 /// Reads the first word; from then on faults show how its line is written.
-pub(super) fn read_verb(reader: &mut LineReader) -> Result<LineVerb, LineFault> {
+pub(super) fn read_verb(reader: &mut LineReader) -> Result<LineVerb, LineError> {
     let place = reader.one_of("a query or a command", &places())?;
     let (verb, help) = VERBS[place];
     reader.set_usage(help.usage);
@@ -173,7 +173,7 @@
 }
 
 /// Reads a word that must be the first of some line.
-pub(super) fn read_help_word(reader: &mut LineReader) -> Result<String, LineFault> {
+pub(super) fn read_help_word(reader: &mut LineReader) -> Result<String, LineError> {
     let place = reader.one_of("a query or a command", &places())?;
     Ok(VERBS[place].1.word.to_owned())
 }
--- a/crates/sagespool-operations/src/line/words.rs
+++ b/crates/sagespool-operations/src/line/words.rs
@@ -2,7 +2,7 @@
 
 use sagespool_types::derives;
 
-use crate::LineFault;
+use crate::LineError;
 
 derives! { value;
     /// A place in a line, counted in characters from 0; the end is not part of it.
@@ -36,7 +36,7 @@
 ///
 /// # Errors
 /// If a quoted text has no end.
-pub(super) fn split_words(line: &str) -> Result<Vec<LineWord>, LineFault> {
+pub(super) fn split_words(line: &str) -> Result<Vec<LineWord>, LineError> {
     let characters: Vec<char> = line.chars().collect();
     let mut words = Vec::new();
     let mut at = 0;
@@ -71,7 +71,7 @@
 }
 
 /// A text between double quotes, in which `\` takes the next character as it is.
-fn quoted(line: &str, characters: &[char], start: usize) -> Result<LineWord, LineFault> {
+fn quoted(line: &str, characters: &[char], start: usize) -> Result<LineWord, LineError> {
     let mut text = String::new();
     let mut at = start + 1;
     while at < characters.len() {
@@ -92,5 +92,5 @@
     }
     let span = LineSpan { start, end: characters.len() };
     let message = "the quoted text has no end";
-    Err(LineFault::new(line, span, message, "close it with `\"`"))
+    Err(LineError::new(line, span, message, "close it with `\"`"))
 }
--- a/crates/sagespool-operations/src/load_turn.rs
+++ b/crates/sagespool-operations/src/load_turn.rs
@@ -13,7 +13,7 @@
 use crate::FenceHolder;
 
 /// The key of the object.
-pub const LOAD_TURN_KEY: &str = "load-turn";
+pub const LOAD_LEASE_KEY: &str = "load-turn";
 
 /// A turn that has lasted so long is over.
 const LONGEST_TURN: Duration = Duration::from_secs(120);
@@ -21,7 +21,7 @@
 derives! { record;
     /// Whose turn it is.
     #[derive(Default)]
-    pub struct LoadTurn {
+    pub struct LoadLease {
         /// The item that loads; nothing if none does.
         pub holder: Option<FenceHolder>,
         /// Since when, by its entry's wall clock.
@@ -29,9 +29,9 @@
     }
 }
 
-impl LoadTurn {
+impl LoadLease {
     /// Gives the turn to an item; false if it is another's.
-    pub fn take(&mut self, holder: FenceHolder, now: WallTime) -> bool {
+    pub fn try_acquire(&mut self, holder: FenceHolder, now: WallTime) -> bool {
         let held_for = self.since.map_or(0, |since| now.0.saturating_sub(since.0));
         let is_over = u128::from(held_for) >= LONGEST_TURN.as_millis();
         let is_others = self.holder.is_some_and(|other| !other.is_same_item(&holder));
--- a/crates/sagespool-operations/src/query.rs
+++ b/crates/sagespool-operations/src/query.rs
@@ -7,7 +7,7 @@
 derives! { record;
     /// A part of the configuration to show.
     #[serde(rename_all = "kebab-case")]
-    pub enum ConfigPlace {
+    pub enum ConfigSection {
         /// A branch.
         Branch(BranchName),
         /// A class.
@@ -17,7 +17,7 @@
     }
 }
 
-impl fmt::Display for ConfigPlace {
+impl fmt::Display for ConfigSection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Branch(branch) => write!(f, "branch {branch}"),
@@ -48,7 +48,7 @@
         /// The configuration, and where it is in force.
         Configuration {
             /// The part to show.
-            place: Option<ConfigPlace>,
+            place: Option<ConfigSection>,
         },
         /// What is known of a request.
         Request {
--- a/crates/sagespool-operations/src/render/configuration.rs
+++ b/crates/sagespool-operations/src/render/configuration.rs
@@ -1,7 +1,7 @@
 //! The configuration as tables.
 
 use super::{column_table, show_option};
-use crate::{ConfigObjectRow, ConfigurationAnswer, InForce};
+use crate::{ConfigObjectRow, ConfigRollout, ConfigurationAnswer};
 
 pub(super) fn render(answer: &ConfigurationAnswer) -> String {
     let mut text = String::new();
@@ -27,7 +27,7 @@
 }
 
 /// Where a change is in force; members that aren't known to have it are named.
-pub(super) fn render_in_force(in_force: &InForce) -> String {
+pub(super) fn render_in_force(in_force: &ConfigRollout) -> String {
     let rows = [("entries", &in_force.entries), ("sidecars", &in_force.sidecars)];
     let mut lines = Vec::new();
     for (role, row) in rows {
--- a/crates/sagespool-operations/src/spend.rs
+++ b/crates/sagespool-operations/src/spend.rs
@@ -48,11 +48,11 @@
 
 /// What the holders of grants said of them, in one round of questions.
 #[derive(Debug, Clone, Default)]
-pub struct HolderWords {
+pub struct HolderUsage {
     answered: HashMap<IncarnationId, HashMap<GrantId, GrantUse>>,
 }
 
-impl HolderWords {
+impl HolderUsage {
     /// The words in these answers that concern a branch.
     ///
     /// A process speaks of its own grants only: an answer from another run of it at the same address
@@ -101,8 +101,8 @@
     pub fn combine(
         book: &BookRecord,
         branch: &BranchName,
-        before: &HolderWords,
-        after: &HolderWords,
+        before: &HolderUsage,
+        after: &HolderUsage,
     ) -> Self {
         let bounds = book.spend(branch).unwrap_or_default();
         let Some(account) = book.branches.get(branch) else {
@@ -124,7 +124,7 @@
 
     /// What is known while the book can't be read: the spend is at least what the holders that answer
     /// have used under the grants that they hold.
-    pub fn without_book(words: &HolderWords) -> TokenRange {
+    pub fn without_book(words: &HolderUsage) -> TokenRange {
         TokenRange::at_least(words.used_in_all())
     }
 }
--- a/crates/sagespool-operations/src/wire.rs
+++ b/crates/sagespool-operations/src/wire.rs
@@ -4,7 +4,7 @@
 
 use sagespool_types::{CommandId, derives};
 
-use crate::LineFault;
+use crate::LineError;
 
 /// Where an entry takes operators' lines, by `POST`.
 pub const LINE_PATH: &str = "/operator/line";
@@ -29,15 +29,15 @@
 
 derives! { record;
     /// The body of a response that isn't an answer.
-    pub struct FaultReply {
+    pub struct ErrorReply {
         /// What went wrong.
-        pub error: OperatorFault,
+        pub error: OperatorError,
     }
 }
 
 derives! { record;
     /// Why a line was neither answered nor carried out.
-    pub struct OperatorFault {
+    pub struct OperatorError {
         /// For programs: `unknown-key`, `bad-line`, `store-unreachable`, …
         pub code: String,
         /// For a person.
@@ -46,14 +46,14 @@
         pub help: String,
         /// The place in the line, if that is what is wrong.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        pub line: Option<LineFault>,
+        pub line: Option<LineError>,
         /// True if the command may be under way all the same: give it again with the same id.
         #[serde(default)]
         pub may_be_under_way: bool,
     }
 }
 
-impl OperatorFault {
+impl OperatorError {
     /// A fault; surely nothing was done.
     pub fn new(
         code: impl Into<String>,
@@ -65,14 +65,14 @@
     }
 }
 
-impl From<LineFault> for OperatorFault {
-    fn from(fault: LineFault) -> Self {
+impl From<LineError> for OperatorError {
+    fn from(fault: LineError) -> Self {
         let (message, help) = (fault.message.clone(), fault.help.clone());
         Self { line: Some(fault), ..Self::new("bad-line", message, help) }
     }
 }
 
-impl fmt::Display for OperatorFault {
+impl fmt::Display for OperatorError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.line {
             Some(fault) => fault.fmt(f),
--- a/crates/sagespool-operations/tests/answer_text.rs
+++ b/crates/sagespool-operations/tests/answer_text.rs
@@ -5,9 +5,9 @@
 use sagespool_messages::{MemberInfo, MemberRole};
 use sagespool_operations::{
     AnswerBasis, AnswerBody, BookFigures, CommandAnswer, CommandState, CommandSummary,
-    CommandsAnswer, ConfigMember, DoubtedGrant, ForceRow, HelpAnswer, InForce, ItemAnswer,
-    ItemOutcome, MemberLabel, OperatorAnswer, OutcomeState, SilentMember, SpendAnswer, SpendRow,
-    StoreBasis, TokenRange, WantedVersions, in_force, render_answer,
+    CommandsAnswer, ConfigMember, ConfigRollout, GrantInDoubt, HelpAnswer, ItemAnswer, ItemOutcome,
+    MemberLabel, OperatorAnswer, OutcomeState, RequiredVersions, RoleRollout, SilentMember,
+    SpendAnswer, SpendRow, StoreBasis, TokenRange, config_rollout, render_answer,
 };
 use sagespool_types::{
     CommandId, ConfigVersion, IncarnationId, StoreRevision, TokenCount, WallTime,
@@ -45,7 +45,7 @@
         book: Some(book),
         running: TokenRange::exactly(TokenCount(3000)),
         spent: TokenRange { least: TokenCount(41_650), most: Some(TokenCount(44_900)) },
-        in_doubt_grants: vec![DoubtedGrant {
+        in_doubt_grants: vec![GrantInDoubt {
             grant: "00c0ffee00c0ffee-7".parse().unwrap(),
             tokens: TokenCount(700),
         }],
@@ -110,8 +110,8 @@
             item("top-up b 2", Some(refused)),
             item("top-up c 3", None),
         ],
-        in_force: Some(InForce {
-            entries: Some(ForceRow {
+        in_force: Some(ConfigRollout {
+            entries: Some(RoleRollout {
                 version: ConfigVersion(9),
                 members: vec![label("entry-1", MemberRole::Entry)],
                 not_known: vec![ConfigMember {
@@ -122,7 +122,7 @@
             sidecars: None,
         }),
     };
-    assert!(!answer.is_good());
+    assert!(!answer.is_success());
     let text =
         render_answer(&OperatorAnswer { basis: basis(), answer: AnswerBody::Command(answer) });
     let wanted = "\
@@ -181,16 +181,16 @@
         member("sidecar-1", MemberRole::Sidecar, 7),
         member("sidecar-2", MemberRole::Sidecar, 6),
     ];
-    let versions = |entries, sidecars: Option<u64>| WantedVersions {
+    let versions = |entries, sidecars: Option<u64>| RequiredVersions {
         entries: Some(ConfigVersion(entries)),
         sidecars: sidecars.map(ConfigVersion),
     };
-    let names = |found: &InForce| {
+    let names = |found: &ConfigRollout| {
         found.not_known().map(|other| other.member.instance.to_string()).collect::<Vec<_>>()
     };
-    let all = in_force(versions(9, Some(7)), &members);
+    let all = config_rollout(versions(9, Some(7)), &members);
     assert_eq!(names(&all), ["entry-2", "sidecar-2"]);
-    let branch_only = in_force(versions(8, None), &members);
+    let branch_only = config_rollout(versions(8, None), &members);
     assert!(names(&branch_only).is_empty() && branch_only.sidecars.is_none());
 }
 
--- a/crates/sagespool-operations/tests/command_records.rs
+++ b/crates/sagespool-operations/tests/command_records.rs
@@ -4,9 +4,9 @@
 
 use sagespool_messages::EngineOrder;
 use sagespool_operations::{
-    CancelNote, CancelOutcome, CommandFloor, CommandRecord, CommandState, FenceHolder, FenceRecord,
-    ItemOutcome, LoadTurn, OperatorLine, OutcomeState, id_time, new_command_id, parse_line,
-    plan_pruning,
+    CancelOutcome, CancelRecord, CommandFloor, CommandRecord, CommandState, FenceHolder,
+    FenceRecord, ItemOutcome, LoadLease, OperatorLine, OutcomeState, command_id_time,
+    new_command_id, parse_line, plan_pruning,
 };
 use sagespool_types::{
     CommandId, ConfigVersion, FenceNumber, IncarnationId, StoreRevision, WallTime,
@@ -25,8 +25,8 @@
     ItemOutcome::new(OutcomeState::Done, "done")
 }
 
-fn cancel() -> CancelNote {
-    CancelNote { command: CommandId(8), at: WallTime(2000) }
+fn cancel() -> CancelRecord {
+    CancelRecord { command: CommandId(8), at: WallTime(2000) }
 }
 
 fn states(record: &CommandRecord) -> Vec<Option<OutcomeState>> {
@@ -39,11 +39,11 @@
     let first = record.next_item().unwrap();
     assert_eq!((first.index, first.item.to_string()), (0, "top-up a 1".to_owned()));
     assert_eq!(first.begun_after, None);
-    record.note(0, done());
-    record.note(0, ItemOutcome::new(OutcomeState::Failed, "a later word doesn't count"));
+    record.set_outcome(0, done());
+    record.set_outcome(0, ItemOutcome::new(OutcomeState::Failed, "a later word doesn't count"));
     assert_eq!(record.next_item().unwrap().index, 1);
     assert_eq!(record.state(), CommandState::Running);
-    record.note(1, done());
+    record.set_outcome(1, done());
     assert_eq!(record.next_item(), None);
     assert_eq!(record.state(), CommandState::Ended);
     assert_eq!(states(&record), [Some(OutcomeState::Done); 2]);
@@ -54,7 +54,7 @@
 #[test]
 fn taken_over() {
     let mut record = record("top-up a 1, b 2, c 3");
-    record.note(0, done());
+    record.set_outcome(0, done());
     let before = record.executor;
     let executor = record.take_over(SECOND, StoreRevision(40));
     assert_eq!((executor.incarnation, executor.turn), (SECOND, before.turn + 1));
@@ -63,7 +63,7 @@
     // item may have been begun is the first one's to say.
     assert_ne!(record.take_over(SECOND, StoreRevision(50)), executor);
     assert_eq!(record.next_item().unwrap().begun_after, Some(StoreRevision(40)));
-    record.note(1, done());
+    record.set_outcome(1, done());
     assert_eq!(record.next_item().unwrap().begun_after, None);
 }
 
@@ -72,19 +72,19 @@
 #[test]
 fn cancelled_rest() {
     let mut fresh = record("top-up a 1, b 2");
-    fresh.cancel_rest();
+    fresh.cancel_remaining();
     assert_eq!(states(&fresh), [None; 2]);
-    assert_eq!(fresh.ask_cancel(cancel()), CancelOutcome::Noted);
-    assert_eq!(fresh.ask_cancel(cancel()), CancelOutcome::Already);
-    fresh.cancel_rest();
+    assert_eq!(fresh.request_cancel(cancel()), CancelOutcome::Noted);
+    assert_eq!(fresh.request_cancel(cancel()), CancelOutcome::Already);
+    fresh.cancel_remaining();
     assert_eq!(states(&fresh), [Some(OutcomeState::Cancelled); 2]);
-    assert_eq!(fresh.ask_cancel(cancel()), CancelOutcome::Ended);
+    assert_eq!(fresh.request_cancel(cancel()), CancelOutcome::Ended);
 
     let mut taken = record("top-up a 1, b 2, c 3");
-    taken.note(0, done());
+    taken.set_outcome(0, done());
     taken.take_over(SECOND, StoreRevision(40));
-    taken.ask_cancel(cancel());
-    taken.cancel_rest();
+    taken.request_cancel(cancel());
+    taken.cancel_remaining();
     let wanted = [OutcomeState::Done, OutcomeState::Unknown, OutcomeState::Cancelled];
     assert_eq!(states(&taken), wanted.map(Some));
 }
@@ -110,7 +110,7 @@
     assert_eq!(record.own_version(&object), None);
     let outcome =
         ItemOutcome::builder().state(OutcomeState::Done).message("").version(ConfigVersion(9));
-    record.note(0, outcome.build());
+    record.set_outcome(0, outcome.build());
     assert_eq!(record.own_version(&object), Some(ConfigVersion(9)));
     assert_eq!(record.own_version("configuration/fleet"), None);
 }
@@ -118,8 +118,8 @@
 #[test]
 fn record_text() {
     let mut record = record("load sage on engine-1, engine-2");
-    record.note(0, done());
-    record.ask_cancel(cancel());
+    record.set_outcome(0, done());
+    record.request_cancel(cancel());
     let text = serde_json::to_string(&record).unwrap();
     assert_eq!(serde_json::from_str::<CommandRecord>(&text).unwrap(), record);
 }
@@ -128,7 +128,7 @@
 fn ids_by_time() {
     let (early, late) = (new_command_id(WallTime(1000)), new_command_id(WallTime(1001)));
     assert!(early < late);
-    assert_eq!(id_time(early), WallTime(1000));
+    assert_eq!(command_id_time(early), WallTime(1000));
     assert_ne!(new_command_id(WallTime(1000)), early);
 }
 
@@ -160,19 +160,19 @@
         |command, turn| FenceHolder { command: CommandId(command), item: 0, turn, renewal: 0 };
     let load = EngineOrder::LoadModel("sage".parse().unwrap());
     let (drain, undrain) = (EngineOrder::Drain(true), EngineOrder::Drain(false));
-    let first = FenceRecord::next(None, holder(1, 0), &drain).unwrap();
+    let first = FenceRecord::with_order(None, holder(1, 0), &drain).unwrap();
     assert_eq!((first.number, first.drained), (FenceNumber(1), true));
-    assert_eq!(FenceRecord::next(Some(&first), holder(1, 0), &drain), None);
-    let second = FenceRecord::next(Some(&first), holder(2, 0), &load).unwrap();
+    assert_eq!(FenceRecord::with_order(Some(&first), holder(1, 0), &drain), None);
+    let second = FenceRecord::with_order(Some(&first), holder(2, 0), &load).unwrap();
     assert_eq!((second.number, second.drained), (FenceNumber(2), true));
     // Overtaken by an order about something else, the drain stands; a later one takes its place.
     assert!(second.is_newest(&drain, first.number));
-    let third = FenceRecord::next(Some(&second), holder(1, 1), &undrain).unwrap();
+    let third = FenceRecord::with_order(Some(&second), holder(1, 1), &undrain).unwrap();
     assert_eq!((third.number, third.drained), (FenceNumber(3), false));
     assert!(!third.is_newest(&drain, first.number));
     assert!(third.is_newest(&load, second.number));
     let unload = EngineOrder::UnloadModel("sage".parse().unwrap());
-    let fourth = FenceRecord::next(Some(&third), holder(4, 0), &unload).unwrap();
+    let fourth = FenceRecord::with_order(Some(&third), holder(4, 0), &unload).unwrap();
     assert!(!fourth.is_newest(&load, second.number));
 }
 
@@ -182,13 +182,16 @@
 fn load_turns() {
     let holder =
         |command, turn| FenceHolder { command: CommandId(command), item: 0, turn, renewal: 0 };
-    let mut turn = LoadTurn::default();
-    assert!(turn.take(holder(1, 0), WallTime(1000)));
-    assert!(turn.take(holder(1, 1), WallTime(1000)), "taken up anew, it is still the item's");
-    assert!(!turn.take(holder(2, 0), WallTime(60_000)));
+    let mut turn = LoadLease::default();
+    assert!(turn.try_acquire(holder(1, 0), WallTime(1000)));
+    assert!(
+        turn.try_acquire(holder(1, 1), WallTime(1000)),
+        "taken up anew, it is still the item's"
+    );
+    assert!(!turn.try_acquire(holder(2, 0), WallTime(60_000)));
     assert!(!turn.release(holder(2, 0)) && !turn.release(holder(1, 0)));
-    assert!(turn.take(holder(2, 0), WallTime(121_000)));
+    assert!(turn.try_acquire(holder(2, 0), WallTime(121_000)));
     assert!(!turn.release(holder(1, 1)), "passed over, it doesn't end the other's turn");
     assert!(turn.release(holder(2, 0)));
-    assert!(turn.take(holder(3, 0), WallTime(121_001)));
+    assert!(turn.try_acquire(holder(3, 0), WallTime(121_001)));
 }
--- a/crates/sagespool-operations/tests/config_edits.rs
+++ b/crates/sagespool-operations/tests/config_edits.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used)]
 
 use sagespool_operations::{
-    CommandItem, ConfigEdit, EditRefusal, EditedObject, OperatorLine, changes_between, parse_line,
+    CommandItem, ConfigEdit, EditError, EditedObject, OperatorLine, changes_between, parse_line,
 };
 use sagespool_types::SecretHash;
 use serde_json::{Value, json};
@@ -33,7 +33,7 @@
     })
 }
 
-fn apply(line: &str, present: &Value) -> Result<EditedObject, EditRefusal> {
+fn apply(line: &str, present: &Value) -> Result<EditedObject, EditError> {
     edit(line).apply(Some(present))
 }
 
--- a/crates/sagespool-operations/tests/line_parsing.rs
+++ b/crates/sagespool-operations/tests/line_parsing.rs
@@ -5,7 +5,7 @@
 use quickcheck::quickcheck;
 use sagespool_messages::EngineOrder;
 use sagespool_operations::{
-    BranchChange, ClassChange, CommandItem, ConfigEdit, ConfigPlace, LimitChange, LimitKind,
+    BranchChange, ClassChange, CommandItem, ConfigEdit, ConfigSection, LimitChange, LimitKind,
     OperatorCommand, OperatorLine, OperatorQuery, ServiceChange, parse_line, verb_help,
 };
 use sagespool_settings::{BranchEntry, BranchRule, ClassHoldback, LimitEntry, RouteRule};
@@ -52,12 +52,12 @@
         ("configuration", OperatorQuery::Configuration { place: None }),
         (
             "configuration branch a",
-            OperatorQuery::Configuration { place: Some(ConfigPlace::Branch(branch("a"))) },
+            OperatorQuery::Configuration { place: Some(ConfigSection::Branch(branch("a"))) },
         ),
         (
             "configuration class lookup",
             OperatorQuery::Configuration {
-                place: Some(ConfigPlace::Class("lookup".parse().unwrap())),
+                place: Some(ConfigSection::Class("lookup".parse().unwrap())),
             },
         ),
         (
--- a/crates/sagespool-operations/tests/spend_bounds.rs
+++ b/crates/sagespool-operations/tests/spend_bounds.rs
@@ -12,7 +12,7 @@
     ChargeRecord, FinishReport, FinishState, GrantUse, MemberInfo, MemberRole, MemberStatus,
     ReserveRequest, SpendStatus, StatusReply,
 };
-use sagespool_operations::{HolderWords, SpendEstimate, TokenRange};
+use sagespool_operations::{HolderUsage, SpendEstimate, TokenRange};
 use sagespool_types::{
     AttemptNumber, BranchName, ChargeId, ClockTime, CommandId, ConfigVersion, ContentDigest,
     GrantId, IncarnationId, RequestId, StoreRevision, TokenCount, WallTime,
@@ -65,8 +65,8 @@
     reply(from, vec![status])
 }
 
-fn words(replies: &[StatusReply]) -> HolderWords {
-    HolderWords::of(&branch(), replies)
+fn words(replies: &[StatusReply]) -> HolderUsage {
+    HolderUsage::of(&branch(), replies)
 }
 
 fn book(prepaid: u64, settled: u64, grants: &[(u64, u64, u64, u64)]) -> BookRecord {
@@ -86,7 +86,7 @@
     BookRecord { branches: [(branch(), account)].into() }
 }
 
-fn combine(book: &BookRecord, before: &HolderWords, after: &HolderWords) -> SpendEstimate {
+fn combine(book: &BookRecord, before: &HolderUsage, after: &HolderUsage) -> SpendEstimate {
     SpendEstimate::combine(book, &branch(), before, after)
 }
 
@@ -112,7 +112,7 @@
 fn closed_meanwhile() {
     let before = words(&[word(1, &[(0, 30, 10)])]);
     let closed = book(100, 38, &[(1, 1, 20, 0)]);
-    let estimate = combine(&closed, &before, &HolderWords::default());
+    let estimate = combine(&closed, &before, &HolderUsage::default());
     assert_eq!(estimate.spent, range(38, 58));
     assert_eq!(estimate.reserved, range(0, 20));
 }
@@ -124,7 +124,7 @@
     let estimate = combine(&book, &heard, &heard);
     assert_eq!(estimate.spent, range(10 + 7 + 8, 10 + 10 + 40));
     assert_eq!(estimate.reserved, range(3, 3 + 32));
-    let silent = combine(&book, &HolderWords::default(), &HolderWords::default());
+    let silent = combine(&book, &HolderUsage::default(), &HolderUsage::default());
     assert_eq!(silent.spent, range(23, 100));
     assert_eq!(silent.book.free, TokenCount(100));
 }
--- a/crates/sagespool-testkit/src/load/faults/operators_race.rs
+++ b/crates/sagespool-testkit/src/load/faults/operators_race.rs
@@ -220,7 +220,7 @@
     for given in giving {
         told.push(given.await.map(|outcome| outcome.state));
     }
-    if told.iter().flatten().any(|state| state.is_good()) {
+    if told.iter().flatten().any(|state| state.is_success()) {
         stage.end_top_up(branch, amount).await;
     }
     RepeatedTopUp { amount, told }
@@ -237,7 +237,7 @@
     }
     for top_up in top_ups {
         let is_there = added.0 & top_up.amount.0 != 0;
-        let is_done = top_up.told.iter().flatten().any(|state| state.is_good());
+        let is_done = top_up.told.iter().flatten().any(|state| state.is_success());
         let is_denied = top_up.told.iter().flatten().any(|state| {
             matches!(state, OutcomeState::Failed | OutcomeState::Refused | OutcomeState::Conflict)
         });
--- a/crates/sagespool-testkit/src/load/operator_line.rs
+++ b/crates/sagespool-testkit/src/load/operator_line.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use futures_lite::future::or;
-use sagespool_operations::{FaultReply, LINE_PATH, LineRequest, OperatorAnswer};
+use sagespool_operations::{ErrorReply, LINE_PATH, LineRequest, OperatorAnswer};
 use sagespool_types::CommandId;
 use trillium_client::Client;
 
@@ -70,7 +70,7 @@
             Err("no answer in time".to_owned())
         };
         let text = or(exchange, late).await?;
-        serde_json::from_str(&text).map_err(|_| match serde_json::from_str::<FaultReply>(&text) {
+        serde_json::from_str(&text).map_err(|_| match serde_json::from_str::<ErrorReply>(&text) {
             Ok(reply) => format!("{}: {}", reply.error.code, reply.error.message),
             Err(error) => format!("the answer can't be read: {error}"),
         })
