--- a/crates/sagespool-cli/src/check.rs
+++ b/crates/sagespool-cli/src/check.rs
@@ -7,8 +7,9 @@
 use error_stack::{Report, ResultExt};
 use gumdrop::Options;
 use sagespool_settings::{
-    BranchObject, DirectSettings, FleetConfiguration, FleetObject, SettingsError, SettingsFault,
-    SettingsFaults, is_direct, load_direct, load_process, read_branches, read_fleet,
+    BranchObject, FleetConfiguration, FleetObject, GatewayOrRelaySettings, SettingsError,
+    ValidationError, ValidationErrors, is_gateway_or_relay, load_gateway_or_relay,
+    load_process_settings, parse_branches, parse_fleet,
 };
 use sagespool_types::ConfigVersion;
 use serde::Serialize;
@@ -48,7 +49,7 @@
 struct FileReport {
     file: String,
     holds: String,
-    faults: Vec<SettingsFault>,
+    faults: Vec<ValidationError>,
 }
 
 /// Checks the files; exit code 0 if all are good, else 1.
@@ -93,14 +94,16 @@
 
 /// Loads a settings file of any role, and says in words what it holds.
 fn load_any(path: &Path) -> Result<String, Report<SettingsError>> {
-    let is_direct = fs::read_to_string(path).is_ok_and(|text| is_direct(&text));
-    if !is_direct {
-        let settings = load_process(path)?;
+    let is_gateway_or_relay = fs::read_to_string(path).is_ok_and(|text| is_gateway_or_relay(&text));
+    if !is_gateway_or_relay {
+        let settings = load_process_settings(path)?;
         return Ok(format!("settings of {} `{}`", settings.role.kind(), settings.instance));
     }
-    Ok(match load_direct(path)? {
-        DirectSettings::Gateway(gateway) => format!("settings of gateway `{}`", gateway.instance),
-        DirectSettings::Relay(relay) => format!("settings of relay `{}`", relay.instance),
+    Ok(match load_gateway_or_relay(path)? {
+        GatewayOrRelaySettings::Gateway(gateway) => {
+            format!("settings of gateway `{}`", gateway.instance)
+        }
+        GatewayOrRelaySettings::Relay(relay) => format!("settings of relay `{}`", relay.instance),
     })
 }
 
@@ -110,8 +113,8 @@
     reports: &mut Vec<FileReport>,
 ) -> Result<(), Report<CommandError>> {
     let fleet =
-        check_object(options.fleet.as_deref(), "classes and services", read_fleet, reports)?;
-    let branches = check_object(options.branches.as_deref(), "branches", read_branches, reports)?;
+        check_object(options.fleet.as_deref(), "classes and services", parse_fleet, reports)?;
+    let branches = check_object(options.branches.as_deref(), "branches", parse_branches, reports)?;
     if let (Some(fleet), Some(branches)) = (fleet, branches) {
         let report = reports.last_mut().expect("the report on the branches is there");
         report.faults = check_together(fleet, &branches);
@@ -122,7 +125,7 @@
 fn check_object<T>(
     path: Option<&Path>,
     holds: &str,
-    read: fn(&str) -> Result<T, SettingsFaults>,
+    read: fn(&str) -> Result<T, ValidationErrors>,
     reports: &mut Vec<FileReport>,
 ) -> Result<Option<T>, Report<CommandError>> {
     let Some(path) = path else { return Ok(None) };
@@ -136,11 +139,11 @@
     Ok(object)
 }
 
-fn check_together(fleet: FleetObject, branches: &BranchObject) -> Vec<SettingsFault> {
-    FleetConfiguration::build(ConfigVersion(0), fleet, [branches]).faults()
+fn check_together(fleet: FleetObject, branches: &BranchObject) -> Vec<ValidationError> {
+    FleetConfiguration::build(ConfigVersion(0), fleet, [branches]).validation_errors()
 }
 
-fn new_report(path: &Path, holds: String, faults: Vec<SettingsFault>) -> FileReport {
+fn new_report(path: &Path, holds: String, faults: Vec<ValidationError>) -> FileReport {
     FileReport { file: path.display().to_string(), holds, faults }
 }
 
@@ -155,7 +158,7 @@
             println!("{}: good, {}", report.file, report.holds);
             continue;
         }
-        let faults = SettingsFaults { faults: report.faults.clone() };
+        let faults = ValidationErrors { faults: report.faults.clone() };
         println!("{}: {}, {faults}", report.file, report.holds);
     }
 }
--- a/crates/sagespool-daemon/src/process.rs
+++ b/crates/sagespool-daemon/src/process.rs
@@ -11,8 +11,8 @@
 use sagespool_gateway::{GatewayRole, RelayRole, WireDialect};
 use sagespool_log::{finish_log, log_event, start_log, start_log_queued};
 use sagespool_settings::{
-    DirectSettings, GatewaySettings, ProcessSettings, RoleSettings, is_direct, load_direct,
-    load_process,
+    GatewayOrRelaySettings, GatewaySettings, ProcessSettings, RoleSettings, is_gateway_or_relay,
+    load_gateway_or_relay, load_process_settings,
 };
 use sagespool_sidecar::SidecarRole;
 
@@ -34,7 +34,7 @@
     if file_is_direct(path) {
         return run_direct(path);
     }
-    let settings = match load_process(path) {
+    let settings = match load_process_settings(path) {
         Ok(settings) => settings,
         Err(report) => {
             eprintln!("{report:?}");
@@ -49,12 +49,12 @@
 
 /// A file that can't be read is reported by whoever loads it.
 fn file_is_direct(path: &Path) -> bool {
-    fs::read_to_string(path).is_ok_and(|text| is_direct(&text))
+    fs::read_to_string(path).is_ok_and(|text| is_gateway_or_relay(&text))
 }
 
 /// Runs a gateway or a relay.
 fn run_direct(path: &Path) -> ExitCode {
-    let settings = match load_direct(path) {
+    let settings = match load_gateway_or_relay(path) {
         Ok(settings) => settings,
         Err(report) => {
             eprintln!("{report:?}");
@@ -62,8 +62,8 @@
         }
     };
     let level = match &settings {
-        DirectSettings::Gateway(gateway) => gateway.log.level,
-        DirectSettings::Relay(relay) => relay.log.level,
+        GatewayOrRelaySettings::Gateway(gateway) => gateway.log.level,
+        GatewayOrRelaySettings::Relay(relay) => relay.log.level,
     };
     if let Err(error) = start_log_queued(level) {
         eprintln!("can't start the log: {error}");
@@ -79,10 +79,10 @@
     let dialect = sagespool_adapter::wire_dialect();
     let code = futures_lite::future::block_on(async {
         match settings {
-            DirectSettings::Gateway(gateway) => {
+            GatewayOrRelaySettings::Gateway(gateway) => {
                 serve_gateway(*gateway, dialect, signals, path).await
             }
-            DirectSettings::Relay(relay) => {
+            GatewayOrRelaySettings::Relay(relay) => {
                 let _role = RelayRole::start(relay, dialect.store);
                 wait_for_stop(signals, |_| {}, path).await;
                 log_event!(info, "relay-stopped");
@@ -110,8 +110,8 @@
         }
     };
     let reload = |settings| match settings {
-        DirectSettings::Gateway(gateway) => role.reload(&gateway),
-        DirectSettings::Relay(_) => {
+        GatewayOrRelaySettings::Gateway(gateway) => role.reload(&gateway),
+        GatewayOrRelaySettings::Relay(_) => {
             log_event!(error, "settings-kept", detail = "a gateway doesn't become a relay");
         }
     };
@@ -123,9 +123,9 @@
 
 /// Waits for a signal to stop. At a signal to reload the settings are read again; a file with
 /// faults changes nothing.
-async fn wait_for_stop(mut signals: Signals, reload: impl Fn(DirectSettings), path: &Path) {
+async fn wait_for_stop(mut signals: Signals, reload: impl Fn(GatewayOrRelaySettings), path: &Path) {
     while let Some(Ok(Signal::Hup)) = signals.next().await {
-        match load_direct(path) {
+        match load_gateway_or_relay(path) {
             Ok(settings) => reload(settings),
             Err(report) => {
                 log_event!(error, "settings-kept", detail = format!("{report:?}"));
--- a/crates/sagespool-daemon/tests/common/mod.rs
+++ b/crates/sagespool-daemon/tests/common/mod.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use futures_lite::future;
-use sagespool_settings::{read_branches, read_fleet};
+use sagespool_settings::{parse_branches, parse_fleet};
 use sagespool_testkit::StoreFaults;
 use sagespool_testkit::fleet::{FleetBinaries, FleetOptions, RunningFleet};
 use sagespool_types::{BranchName, SecretHash};
@@ -91,8 +91,8 @@
         FleetOptions::builder()
             .binaries(FleetBinaries { daemon: daemon.into(), command: daemon.into() })
             .deployment(serde_json::from_value(self.deployment()).expect("the plan is valid"))
-            .fleet(read_fleet(&fleet_object().to_string()).expect("the fleet's object is valid"))
-            .branches(read_branches(&branch_object().to_string()).expect("the branches are valid"))
+            .fleet(parse_fleet(&fleet_object().to_string()).expect("the fleet's object is valid"))
+            .branches(parse_branches(&branch_object().to_string()).expect("the branches are valid"))
             .proxied(self.proxied)
             .settle_interval(Duration::from_millis(500))
             .log_level(self.log_level)
--- a/crates/sagespool-entry/src/caller/completion.rs
+++ b/crates/sagespool-entry/src/caller/completion.rs
@@ -1,6 +1,6 @@
 //! Parsing and checking of chat completion requests.
 
-use sagespool_settings::{FleetConfiguration, ModelEntry};
+use sagespool_settings::{FleetConfiguration, ModelConfig};
 use sagespool_types::{ContentDigest, ModelName, ServiceName, TokenCount};
 use serde::Deserialize;
 use twox_hash::XxHash3_128;
@@ -75,7 +75,7 @@
 fn find_model<'a>(
     name: &str,
     config: &'a FleetConfiguration,
-) -> Result<(&'a ServiceName, &'a ModelEntry), CallerError> {
+) -> Result<(&'a ServiceName, &'a ModelConfig), CallerError> {
     let error = || {
         let known: Vec<String> = config.models().map(|model| model.name.to_string()).collect();
         let help = format!("one of: {}", known.join(", "));
@@ -92,7 +92,7 @@
     Ok((&service.name, model))
 }
 
-fn check_max_tokens(given: Option<i64>, model: &ModelEntry) -> Result<u32, CallerError> {
+fn check_max_tokens(given: Option<i64>, model: &ModelConfig) -> Result<u32, CallerError> {
     let most = model.most_tokens;
     let Some(given) = given else {
         return Ok(most);
--- a/crates/sagespool-entry/src/caller/headers.rs
+++ b/crates/sagespool-entry/src/caller/headers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sagespool_settings::{ClassEntry, FleetConfiguration};
+use sagespool_settings::{ClassConfig, FleetConfiguration};
 use sagespool_types::ClassName;
 use trillium::Headers;
 
@@ -62,7 +62,7 @@
 fn read_class<'a>(
     headers: &Headers,
     config: &'a FleetConfiguration,
-) -> Result<&'a ClassEntry, CallerError> {
+) -> Result<&'a ClassConfig, CallerError> {
     let Some(name) = text(headers, "sagespool-class")? else {
         return Ok(config.default_class());
     };
@@ -76,7 +76,7 @@
     config.class(&name).ok_or_else(error)
 }
 
-fn read_deadline(headers: &Headers, class: &ClassEntry) -> Result<Duration, CallerError> {
+fn read_deadline(headers: &Headers, class: &ClassConfig) -> Result<Duration, CallerError> {
     let Some(given) = text(headers, "sagespool-deadline-ms")? else {
         return Ok(Duration::from_millis(class.deadline_ms));
     };
--- a/crates/sagespool-entry/src/caller/service_call.rs
+++ b/crates/sagespool-entry/src/caller/service_call.rs
@@ -1,7 +1,7 @@
 //! Parsing and checking of requests to plain services.
 
 use sagespool_messages::{CallTarget, HeaderPair};
-use sagespool_settings::{FleetConfiguration, ServiceEntry};
+use sagespool_settings::{FleetConfiguration, ServiceConfig};
 use sagespool_types::{ContentDigest, ServiceName};
 use trillium::{Headers, Status};
 
@@ -62,7 +62,7 @@
 fn find_service<'a>(
     name: &str,
     config: &'a FleetConfiguration,
-) -> Result<&'a ServiceEntry, CallerError> {
+) -> Result<&'a ServiceConfig, CallerError> {
     let error = || {
         let text = format!("there is no plain service `{name}`");
         CallerError::new(
--- a/crates/sagespool-entry/src/configuration.rs
+++ b/crates/sagespool-entry/src/configuration.rs
@@ -45,7 +45,7 @@
     let Some(config) = changed else {
         return;
     };
-    for fault in config.faults() {
+    for fault in config.validation_errors() {
         log_event!(warn, "configuration-fault", detail = fault);
     }
     state.config.replace(config);
@@ -86,7 +86,7 @@
     })
 }
 
-fn log_invalid(key: &str, faults: &sagespool_settings::SettingsFaults) {
+fn log_invalid(key: &str, faults: &sagespool_settings::ValidationErrors) {
     log_event!(error, "configuration-invalid", object = key, faults = faults);
 }
 
--- a/crates/sagespool-entry/src/operator/edit.rs
+++ b/crates/sagespool-entry/src/operator/edit.rs
@@ -8,7 +8,7 @@
     OutcomeState,
 };
 use sagespool_settings::{
-    FLEET_OBJECT_KEY, FleetConfiguration, SettingsFaults, branch_object_shard, check_branches,
+    FLEET_OBJECT_KEY, FleetConfiguration, ValidationErrors, branch_object_shard, check_branches,
     check_fleet,
 };
 use sagespool_types::{ConfigVersion, StoreRevision};
@@ -156,7 +156,7 @@
     key: &str,
     version: ConfigVersion,
     value: &Value,
-) -> Result<FleetConfiguration, SettingsFaults> {
+) -> Result<FleetConfiguration, ValidationErrors> {
     if key == FLEET_OBJECT_KEY {
         return Ok(config.with_fleet(version, check_fleet(value)?));
     }
@@ -168,7 +168,7 @@
     config.branches().any(|(_, entry)| entry.operator && !entry.key_hashes.is_empty())
 }
 
-fn invalid_result(faults: &SettingsFaults) -> ItemOutcome {
+fn invalid_result(faults: &ValidationErrors) -> ItemOutcome {
     ItemOutcome::new(OutcomeState::Refused, format!("the result would not be valid: {faults}"))
 }
 
--- a/crates/sagespool-entry/src/run/admission.rs
+++ b/crates/sagespool-entry/src/run/admission.rs
@@ -5,7 +5,7 @@
 
 use sagespool_messages::RefusalNotice;
 use sagespool_routing::{LimitRule, LimitScope, OfferOutcome, QueueRelease, QueueTicket};
-use sagespool_settings::LimitEntry;
+use sagespool_settings::LimitConfig;
 use sagespool_types::{ClockTime, RefusalReason, RequestId, RunState, ServiceName};
 
 use super::RequestSpec;
@@ -36,11 +36,11 @@
     }
 }
 
-fn rule(scope: LimitScope, entry: LimitEntry) -> Option<LimitRule> {
+fn rule(scope: LimitScope, entry: LimitConfig) -> Option<LimitRule> {
     if entry.is_unlimited() {
         return None;
     }
-    let LimitEntry { running, requests_per_second } = entry;
+    let LimitConfig { running, requests_per_second } = entry;
     Some(LimitRule { scope, running, requests_per_second })
 }
 
--- a/crates/sagespool-entry/src/state.rs
+++ b/crates/sagespool-entry/src/state.rs
@@ -20,7 +20,7 @@
     RoutingPolicy, UpstreamTable,
 };
 use sagespool_settings::{
-    BudgetChoice, EntrySettings, FleetConfiguration, ProcessSettings, RoutingChoice,
+    BudgetStrategy, EntrySettings, FleetConfiguration, ProcessSettings, RoutingStrategy,
 };
 use sagespool_types::{ClockTime, ConfigVersion, IncarnationId, RequestId, ServiceName, WallTime};
 
@@ -69,10 +69,10 @@
 
 fn routing_policy(settings: &EntrySettings, incarnation: IncarnationId) -> RoutingPolicy {
     let kind = match settings.policy.routing {
-        RoutingChoice::Sagespool => PolicyKind::Sagespool,
-        RoutingChoice::RoundRobin => PolicyKind::RoundRobin,
-        RoutingChoice::LeastReportedLoad => PolicyKind::LeastReportedLoad,
-        RoutingChoice::TwoChoices => PolicyKind::TwoChoices,
+        RoutingStrategy::Sagespool => PolicyKind::Sagespool,
+        RoutingStrategy::RoundRobin => PolicyKind::RoundRobin,
+        RoutingStrategy::LeastReportedLoad => PolicyKind::LeastReportedLoad,
+        RoutingStrategy::TwoChoices => PolicyKind::TwoChoices,
     };
     RoutingPolicy::builder().kind(kind).seed(incarnation.0).build()
 }
@@ -83,9 +83,9 @@
 
 fn ledger_policy(settings: &EntrySettings) -> LedgerPolicy {
     let mode = match settings.policy.budget {
-        BudgetChoice::Escrow => BudgetMode::Escrow,
-        BudgetChoice::StoreEachRequest => BudgetMode::EachRequest,
-        BudgetChoice::StaticSplit { entries } => BudgetMode::StaticSplit { entries },
+        BudgetStrategy::Escrow => BudgetMode::Escrow,
+        BudgetStrategy::StoreEachRequest => BudgetMode::EachRequest,
+        BudgetStrategy::StaticSplit { entries } => BudgetMode::StaticSplit { entries },
     };
     LedgerPolicy::builder()
         .mode(mode)
--- a/crates/sagespool-gateway/src/admission.rs
+++ b/crates/sagespool-gateway/src/admission.rs
@@ -10,7 +10,7 @@
 use futures_lite::future::yield_now;
 use rustix::process::{Resource, getrlimit};
 use sagespool_forward::{AdmissionController, ArrivedRequest};
-use sagespool_settings::LimitSettings;
+use sagespool_settings::ResourceSettings;
 use sagespool_types::{BranchName, ByteCount, ClockTime};
 
 use crate::refusal::Refusal;
@@ -71,7 +71,7 @@
 }
 
 impl ResourceLimiter {
-    pub(crate) fn new(settings: LimitSettings) -> Self {
+    pub(crate) fn new(settings: ResourceSettings) -> Self {
         let memory = settings.memory.or_else(system_memory).map_or(u64::MAX, |bytes| bytes.0);
         let descriptors = settings.descriptors.or_else(system_descriptors);
         let descriptors = descriptors.map_or(usize::MAX, |count| count as usize);
--- a/crates/sagespool-gateway/src/feeds.rs
+++ b/crates/sagespool-gateway/src/feeds.rs
@@ -13,7 +13,7 @@
 use sagespool_messages::{
     ChangedObject, FeedKind, FeedQuery, FeedReply, MemberInfo, MemberRole, PeerReply, PeerRequest,
 };
-use sagespool_settings::InForceSettings;
+use sagespool_settings::PropagationSettings;
 use sagespool_types::{CentreName, ClockTime, IncarnationId, StoreRevision};
 
 use crate::fleet::FleetClient;
@@ -132,7 +132,7 @@
 }
 
 impl FeedRegistry {
-    pub(crate) fn new(in_force: Option<InForceSettings>) -> Self {
+    pub(crate) fn new(in_force: Option<PropagationSettings>) -> Self {
         let evacuations = in_force.and_then(|times| times.evacuations);
         Self {
             timing: in_force.and_then(|times| FeedTiming::within(times.changes)),
--- a/crates/sagespool-operations/src/edit/apply.rs
+++ b/crates/sagespool-operations/src/edit/apply.rs
@@ -1,6 +1,8 @@
 //! Making an edit on an object as it is in the store.
 
-use sagespool_settings::{BranchObject, FleetObject, SettingsFaults, check_branches, check_fleet};
+use sagespool_settings::{
+    BranchObject, FleetObject, ValidationErrors, check_branches, check_fleet,
+};
 use serde::Serialize;
 use serde_json::Value;
 
@@ -26,7 +28,7 @@
         Self { message, nearest: nearest_of(name, known) }
     }
 
-    fn faulty(what: &str, faults: &SettingsFaults) -> Self {
+    fn faulty(what: &str, faults: &ValidationErrors) -> Self {
         Self::new(format!("{what}: {faults}"))
     }
 }
@@ -78,7 +80,7 @@
 /// has not changed.
 fn edited<T: Clone + Serialize>(
     present: &T,
-    check: fn(&Value) -> Result<T, SettingsFaults>,
+    check: fn(&Value) -> Result<T, ValidationErrors>,
     change: impl FnOnce(&mut T) -> Result<(), EditError>,
 ) -> Result<EditedObject, EditError> {
     let mut object = present.clone();
@@ -93,10 +95,10 @@
     serde_json::to_value(object).expect("an object of the configuration is plain data")
 }
 
-fn present_faulty(faults: &SettingsFaults) -> EditError {
+fn present_faulty(faults: &ValidationErrors) -> EditError {
     EditError::faulty("the object in the store isn't valid; mend it there first", faults)
 }
 
-fn edited_faulty(faults: &SettingsFaults) -> EditError {
+fn edited_faulty(faults: &ValidationErrors) -> EditError {
     EditError::faulty("the result would not be valid", faults)
 }
--- a/crates/sagespool-operations/src/edit/branch.rs
+++ b/crates/sagespool-operations/src/edit/branch.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use sagespool_settings::{BranchEntry, BranchObject, BranchRule, ClassHoldback};
+use sagespool_settings::{BranchConfig, BranchObject, BranchRule, ClassHoldback};
 use sagespool_types::{BranchName, SecretHash};
 
 use super::{BranchChange, EditError, HashPrefix, write_declaration};
@@ -36,7 +36,7 @@
 fn create(
     object: &mut BranchObject,
     branch: &BranchName,
-    entry: &BranchEntry,
+    entry: &BranchConfig,
 ) -> Result<(), EditError> {
     match object.branches.get(branch) {
         Some(present) if present == entry => Ok(()),
@@ -51,7 +51,7 @@
     }
 }
 
-fn hold_back(entry: &mut BranchEntry, held: &ClassHoldback) {
+fn hold_back(entry: &mut BranchConfig, held: &ClassHoldback) {
     entry.held_back.retain(|present| present.class != held.class);
     if held.tokens.0 > 0 {
         entry.held_back.push(held.clone());
@@ -59,7 +59,7 @@
     }
 }
 
-fn declare(entry: &mut BranchEntry, rule: &BranchRule, declared: bool) {
+fn declare(entry: &mut BranchConfig, rule: &BranchRule, declared: bool) {
     let present = entry.non_idempotent.contains(rule);
     match (present, declared) {
         (false, true) => entry.non_idempotent.push(rule.clone()),
@@ -68,14 +68,14 @@
     }
 }
 
-fn add_key(entry: &mut BranchEntry, hash: &SecretHash) {
+fn add_key(entry: &mut BranchConfig, hash: &SecretHash) {
     if !entry.key_hashes.contains(hash) {
         entry.key_hashes.push(hash.clone());
     }
 }
 
 /// A key that isn't there counts as revoked; a beginning that two keys share names neither.
-fn revoke_key(entry: &mut BranchEntry, start: &HashPrefix) -> Result<(), EditError> {
+fn revoke_key(entry: &mut BranchConfig, start: &HashPrefix) -> Result<(), EditError> {
     let fitting = entry.key_hashes.iter().filter(|hash| start.fits(hash)).count();
     if fitting > 1 {
         let message = format!("{fitting} keys begin with `{start}`: give more of the hash");
@@ -109,7 +109,7 @@
 fn write_create(
     f: &mut fmt::Formatter<'_>,
     branch: &BranchName,
-    entry: &BranchEntry,
+    entry: &BranchConfig,
 ) -> fmt::Result {
     write!(f, "create branch {branch}")?;
     for hash in &entry.key_hashes {
--- a/crates/sagespool-operations/src/edit/fleet.rs
+++ b/crates/sagespool-operations/src/edit/fleet.rs
@@ -1,6 +1,6 @@
 //! Edits of classes and services.
 
-use sagespool_settings::{FleetObject, RouteRule, ServiceEntry};
+use sagespool_settings::{FleetObject, RouteRule, ServiceConfig};
 use sagespool_types::{ClassName, ServiceName};
 
 use super::{ClassChange, EditError, ServiceChange};
@@ -40,7 +40,7 @@
     Ok(())
 }
 
-fn declare(entry: &mut ServiceEntry, route: &RouteRule, declared: bool) {
+fn declare(entry: &mut ServiceConfig, route: &RouteRule, declared: bool) {
     let present = entry.non_idempotent.contains(route);
     match (present, declared) {
         (false, true) => entry.non_idempotent.push(route.clone()),
--- a/crates/sagespool-operations/src/edit/mod.rs
+++ b/crates/sagespool-operations/src/edit/mod.rs
@@ -12,7 +12,7 @@
 use std::str::FromStr;
 
 use sagespool_settings::{
-    BranchEntry, BranchRule, ClassHoldback, FLEET_OBJECT_KEY, LimitEntry, RouteRule,
+    BranchConfig, BranchRule, ClassHoldback, FLEET_OBJECT_KEY, LimitConfig, RouteRule,
     branch_object_key, branch_shard,
 };
 use sagespool_types::{BranchName, ClassName, ParseError, SecretHash, ServiceName, derives};
@@ -69,7 +69,7 @@
     #[serde(rename_all = "kebab-case")]
     pub enum BranchChange {
         /// It is new.
-        Create(BranchEntry),
+        Create(BranchConfig),
         /// Its weight.
         Weight(u32),
         /// One of its limits.
@@ -140,7 +140,7 @@
 
 impl LimitChange {
     /// Makes the change.
-    pub(crate) fn apply(self, limits: &mut LimitEntry) {
+    pub(crate) fn apply(self, limits: &mut LimitConfig) {
         match self.kind {
             LimitKind::Running => limits.running = self.limit,
             LimitKind::Rate => limits.requests_per_second = self.limit,
--- a/crates/sagespool-operations/src/line/changes.rs
+++ b/crates/sagespool-operations/src/line/changes.rs
@@ -1,6 +1,6 @@
 //! Lines that edit the configuration.
 
-use sagespool_settings::{BranchEntry, BranchRule, ClassHoldback, RouteRule};
+use sagespool_settings::{BranchConfig, BranchRule, ClassHoldback, RouteRule};
 use sagespool_types::{BranchName, SecretHash, TokenCount};
 
 use super::LineError;
@@ -88,7 +88,7 @@
         ("rate", BranchWord::Rate),
     ];
     let branch = reader.value("a name for the branch")?;
-    let mut entry = BranchEntry::builder().build();
+    let mut entry = BranchConfig::builder().build();
     reader.expect("key-hash")?;
     entry.key_hashes.push(reader.value::<SecretHash>("a key hash")?);
     while !reader.ends_item() && !reader.stands("if") {
--- a/crates/sagespool-operations/tests/line_parsing.rs
+++ b/crates/sagespool-operations/tests/line_parsing.rs
@@ -8,7 +8,7 @@
     BranchChange, ClassChange, CommandItem, ConfigEdit, ConfigSection, LimitChange, LimitKind,
     OperatorCommand, OperatorLine, OperatorQuery, ServiceChange, parse_line, verb_help,
 };
-use sagespool_settings::{BranchEntry, BranchRule, ClassHoldback, LimitEntry, RouteRule};
+use sagespool_settings::{BranchConfig, BranchRule, ClassHoldback, LimitConfig, RouteRule};
 use sagespool_types::{CommandId, ConfigVersion, ContentDigest, RequestId, SecretHash, TokenCount};
 
 fn query(line: &str) -> OperatorQuery {
@@ -87,11 +87,11 @@
 fn command_lines() {
     let hash = SecretHash::of("a key");
     let create = format!("create branch a key-hash {hash} operator weight 3 running 5 rate 70");
-    let entry = BranchEntry::builder()
+    let entry = BranchConfig::builder()
         .key_hashes(vec![hash.clone()])
         .operator(true)
         .weight(3)
-        .limits(LimitEntry { running: Some(5), requests_per_second: Some(70) })
+        .limits(LimitConfig { running: Some(5), requests_per_second: Some(70) })
         .build();
     let limit = |kind, limit| LimitChange { kind, limit };
     let letters = RouteRule { method: Some("POST".to_owned()), path_prefix: "/letters".to_owned() };
--- a/crates/sagespool-settings/examples/configuration_cost.rs
+++ b/crates/sagespool-settings/examples/configuration_cost.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use sagespool_settings::{
-    BranchEntry, BranchObject, FleetConfiguration, branch_shard, check_branches, read_fleet,
+    BranchConfig, BranchObject, FleetConfiguration, branch_shard, check_branches, parse_fleet,
     split_branches,
 };
 use sagespool_types::{BranchName, ConfigVersion, SecretHash};
@@ -18,7 +18,7 @@
 fn main() {
     let count = std::env::args().nth(1).and_then(|text| text.parse().ok());
     let count = count.unwrap_or(DEFAULT_BRANCHES);
-    let fleet = read_fleet(include_str!("../../../examples/majan/fleet.json"))
+    let fleet = parse_fleet(include_str!("../../../examples/majan/fleet.json"))
         .expect("the example is tested");
     let shards = split_branches(branches(count));
     let values: Vec<_> =
@@ -60,7 +60,7 @@
 
 fn branches(count: usize) -> BranchObject {
     let entry =
-        |number| BranchEntry::builder().key_hashes(vec![SecretHash::of(&token(number))]).build();
+        |number| BranchConfig::builder().key_hashes(vec![SecretHash::of(&token(number))]).build();
     BranchObject { branches: (0..count).map(|number| (name(number), entry(number))).collect() }
 }
 
@@ -82,7 +82,7 @@
 
 fn faults_cost(configuration: &FleetConfiguration) -> u64 {
     let started = Instant::now();
-    black_box(configuration.faults());
+    black_box(configuration.validation_errors());
     started.elapsed().as_micros() as u64
 }
 
--- a/crates/sagespool-settings/src/check/lists.rs
+++ b/crates/sagespool-settings/src/check/lists.rs
@@ -4,7 +4,7 @@
 
 use serde_json::Value;
 
-use crate::SettingsFault;
+use crate::ValidationError;
 use crate::check::words::show_kind;
 use crate::check::{CheckNode, ObjectNode};
 
@@ -62,7 +62,7 @@
                 let path = format!("{}[{index}]", self.path);
                 let found = "the same again".to_owned();
                 let allowed = "each only once".to_owned();
-                self.faults.note(SettingsFault { path, found, allowed, nearest: None });
+                self.faults.note(ValidationError { path, found, allowed, nearest: None });
                 unique = false;
             }
         }
--- a/crates/sagespool-settings/src/check/node.rs
+++ b/crates/sagespool-settings/src/check/node.rs
@@ -4,7 +4,7 @@
 
 use serde_json::Value;
 
-use crate::SettingsFault;
+use crate::ValidationError;
 use crate::check::words::{field_path, show_kind, show_value};
 use crate::check::{FaultLog, ObjectNode};
 
@@ -33,7 +33,7 @@
         nearest: Option<String>,
     ) -> Option<T> {
         let (found, allowed) = (found.into(), allowed.into());
-        self.faults.note(SettingsFault { path: self.path.clone(), found, allowed, nearest });
+        self.faults.note(ValidationError { path: self.path.clone(), found, allowed, nearest });
         None
     }
 
--- a/crates/sagespool-settings/src/check/object.rs
+++ b/crates/sagespool-settings/src/check/object.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{Map, Value};
 
-use crate::SettingsFault;
+use crate::ValidationError;
 use crate::check::words::{field_path, nearest_of, quote_all};
 use crate::check::{CheckNode, FaultLog};
 
@@ -79,14 +79,14 @@
     ) -> Option<T> {
         let path = field_path(&self.path, name);
         let (found, allowed) = (found.into(), allowed.into());
-        self.faults.note(SettingsFault { path, found, allowed, nearest: None });
+        self.faults.note(ValidationError { path, found, allowed, nearest: None });
         None
     }
 
     /// Notes a fault further down, at a path from this object.
     pub fn fault_below(&self, at: &str, found: String, allowed: String) {
         let path = format!("{}.{at}", self.path);
-        self.faults.note(SettingsFault { path, found, allowed, nearest: None });
+        self.faults.note(ValidationError { path, found, allowed, nearest: None });
     }
 
     /// Notes a fault if a field's word isn't one of the known ones.
@@ -94,7 +94,7 @@
         if words.contains(&word) {
             return;
         }
-        self.faults.note(SettingsFault {
+        self.faults.note(ValidationError {
             path: field_path(&self.path, name),
             found: format!("{word:?}"),
             allowed: format!("one of {}", quote_all(words)),
@@ -106,7 +106,7 @@
     pub(super) fn note_unknown(&self) {
         let known = self.known.borrow();
         for name in self.fields.keys().filter(|name| !known.contains(&name.as_str())) {
-            self.faults.note(SettingsFault {
+            self.faults.note(ValidationError {
                 path: field_path(&self.path, name),
                 found: "an unknown field".to_owned(),
                 allowed: format!("the fields {}", quote_all(&known)),
--- a/crates/sagespool-settings/src/configuration/branches.rs
+++ b/crates/sagespool-settings/src/configuration/branches.rs
@@ -8,21 +8,21 @@
 use crate::check::{CheckNode, ObjectNode};
 use crate::configuration::route::{read_limits, read_rule};
 use crate::document::{check_document, check_text};
-use crate::{LimitEntry, RouteRule, SettingsFaults};
+use crate::{LimitConfig, RouteRule, ValidationErrors};
 
 derives! { record;
     /// Some of the branches.
     #[derive(Default)]
     pub struct BranchObject {
         /// Each branch by its name.
-        pub branches: BTreeMap<BranchName, BranchEntry>,
+        pub branches: BTreeMap<BranchName, BranchConfig>,
     }
 }
 
 derives! { record;
     /// One branch.
     #[derive(bon::Builder)]
-    pub struct BranchEntry {
+    pub struct BranchConfig {
         /// The hashes of its keys; several while one replaces another, none if all are revoked.
         #[builder(default)]
         pub key_hashes: Vec<SecretHash>,
@@ -35,9 +35,9 @@
         #[builder(default = DEFAULT_WEIGHT)]
         pub weight: u32,
         /// Its limits.
-        #[serde(default, skip_serializing_if = "LimitEntry::is_unlimited")]
+        #[serde(default, skip_serializing_if = "LimitConfig::is_unlimited")]
         #[builder(default)]
-        pub limits: LimitEntry,
+        pub limits: LimitConfig,
         /// Its calls that may never run twice, beside those of the services.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         #[builder(default)]
@@ -92,7 +92,7 @@
 /// # Errors
 ///
 /// Every fault at once.
-pub fn check_branches(value: &Value) -> Result<BranchObject, SettingsFaults> {
+pub fn check_branches(value: &Value) -> Result<BranchObject, ValidationErrors> {
     check_document(value, read_object)
 }
 
@@ -101,7 +101,7 @@
 /// # Errors
 ///
 /// Every fault at once.
-pub fn read_branches(text: &str) -> Result<BranchObject, SettingsFaults> {
+pub fn parse_branches(text: &str) -> Result<BranchObject, ValidationErrors> {
     check_text(text, read_object)
 }
 
@@ -110,7 +110,7 @@
     Some(BranchObject { branches: branches?.into_iter().collect() })
 }
 
-fn read_named(name: &str, node: CheckNode) -> Option<(BranchName, BranchEntry)> {
+fn read_named(name: &str, node: CheckNode) -> Option<(BranchName, BranchConfig)> {
     let name = match name.parse() {
         Ok(name) => Some(name),
         Err(fault) => {
@@ -123,11 +123,11 @@
     Some((name?, entry?))
 }
 
-fn read_branch(object: &ObjectNode) -> Option<BranchEntry> {
+fn read_branch(object: &ObjectNode) -> Option<BranchConfig> {
     let key_hashes = object.required("key_hashes", read_hashes);
     let operator = object.or("operator", false, CheckNode::flag);
     let weight = object.or("weight", DEFAULT_WEIGHT, |node| node.small_number(1..=GREATEST_WEIGHT));
-    let limits = object.or("limits", LimitEntry::default(), |node| node.object(read_limits));
+    let limits = object.or("limits", LimitConfig::default(), |node| node.object(read_limits));
     let non_idempotent = object
         .or("non_idempotent", Vec::new(), |node| node.list(|rule| rule.object(read_branch_rule)));
     let held_back = object.or("held_back", Vec::new(), |node| {
@@ -135,7 +135,7 @@
             held.class.as_str()
         })
     });
-    Some(BranchEntry {
+    Some(BranchConfig {
         key_hashes: key_hashes?,
         operator: operator?,
         weight: weight?,
--- a/crates/sagespool-settings/src/configuration/cross_check.rs
+++ b/crates/sagespool-settings/src/configuration/cross_check.rs
@@ -4,7 +4,8 @@
 
 use crate::check::{field_path, nearest_of};
 use crate::{
-    BranchEntry, FleetConfiguration, SettingsFault, SettingsFaults, branch_object_key, branch_shard,
+    BranchConfig, FleetConfiguration, ValidationError, ValidationErrors, branch_object_key,
+    branch_shard,
 };
 
 impl FleetConfiguration {
@@ -15,19 +16,19 @@
     ///
     /// Every fault of `changed` that isn't in force already: an old one must not stop the
     /// change that mends another.
-    pub fn check_change(&self, changed: &Self) -> Result<(), SettingsFaults> {
-        let present = self.faults();
-        let mut faults = changed.faults();
+    pub fn check_change(&self, changed: &Self) -> Result<(), ValidationErrors> {
+        let present = self.validation_errors();
+        let mut faults = changed.validation_errors();
         faults.retain(|fault| !present.contains(fault));
         if faults.is_empty() {
             return Ok(());
         }
-        Err(SettingsFaults { faults })
+        Err(ValidationErrors { faults })
     }
 
     /// Every reference that leads nowhere, every key that two branches share, every branch in
     /// another shard than its own.
-    pub fn faults(&self) -> Vec<SettingsFault> {
+    pub fn validation_errors(&self) -> Vec<ValidationError> {
         let mut faults = Vec::new();
         for (shard, object) in (0..).zip(&self.shards) {
             let parent = format!("{}:$.branches", branch_object_key(shard));
@@ -46,7 +47,7 @@
         shard: u64,
         name: &BranchName,
         path: &str,
-        faults: &mut Vec<SettingsFault>,
+        faults: &mut Vec<ValidationError>,
     ) {
         let own = branch_shard(name);
         if own == shard {
@@ -59,9 +60,9 @@
     fn note_shared_keys(
         &self,
         name: &BranchName,
-        entry: &BranchEntry,
+        entry: &BranchConfig,
         path: &str,
-        faults: &mut Vec<SettingsFault>,
+        faults: &mut Vec<ValidationError>,
     ) {
         for (index, hash) in entry.key_hashes.iter().enumerate() {
             if let Some(other) = self.tokens.other_owner(hash, name) {
@@ -72,7 +73,7 @@
         }
     }
 
-    fn note_references(&self, entry: &BranchEntry, path: &str, faults: &mut Vec<SettingsFault>) {
+    fn note_references(&self, entry: &BranchConfig, path: &str, faults: &mut Vec<ValidationError>) {
         let fleet = self.fleet();
         for (index, held) in entry.held_back.iter().enumerate() {
             if self.class(&held.class).is_none() {
@@ -91,12 +92,12 @@
     }
 }
 
-fn new_fault(path: String, found: String, allowed: String) -> SettingsFault {
-    SettingsFault { path, found, allowed, nearest: None }
+fn new_fault(path: String, found: String, allowed: String) -> ValidationError {
+    ValidationError { path, found, allowed, nearest: None }
 }
 
-fn unknown_word(path: String, found: &str, words: Vec<&str>) -> SettingsFault {
+fn unknown_word(path: String, found: &str, words: Vec<&str>) -> ValidationError {
     let nearest = nearest_of(found, &words);
     let allowed = format!("one of `{}`", words.join("`, `"));
-    SettingsFault { path, found: format!("{found:?}"), allowed, nearest }
+    ValidationError { path, found: format!("{found:?}"), allowed, nearest }
 }
--- a/crates/sagespool-settings/src/configuration/fleet.rs
+++ b/crates/sagespool-settings/src/configuration/fleet.rs
@@ -9,18 +9,18 @@
 use crate::check::{CheckNode, ObjectNode};
 use crate::configuration::route::{read_limits, read_rule};
 use crate::document::{check_document, check_text};
-use crate::{LimitEntry, RouteRule, SettingsFaults};
+use crate::{LimitConfig, RouteRule, ValidationErrors};
 
 derives! { record;
     /// What holds for every branch.
     #[derive(bon::Builder)]
     pub struct FleetObject {
         /// The classes of requests.
-        pub classes: Vec<ClassEntry>,
+        pub classes: Vec<ClassConfig>,
         /// The class of requests that name none.
         pub default_class: ClassName,
         /// The services.
-        pub services: Vec<ServiceEntry>,
+        pub services: Vec<ServiceConfig>,
         /// How long a key is remembered, so that its request can't run twice, in milliseconds.
         pub key_retention_ms: u64,
         /// How long a finished answer is kept for a caller who comes back, in milliseconds.
@@ -31,7 +31,7 @@
 derives! { record;
     /// A class of requests.
     #[derive(bon::Builder)]
-    pub struct ClassEntry {
+    pub struct ClassConfig {
         /// Its name.
         pub name: ClassName,
         /// Lower goes first.
@@ -41,16 +41,16 @@
         /// The latest deadline that a caller may ask for, in milliseconds.
         pub longest_deadline_ms: u64,
         /// Limits of the class over the whole fleet, split between the homes.
-        #[serde(default, skip_serializing_if = "LimitEntry::is_unlimited")]
+        #[serde(default, skip_serializing_if = "LimitConfig::is_unlimited")]
         #[builder(default)]
-        pub limits: LimitEntry,
+        pub limits: LimitConfig,
     }
 }
 
 derives! { record;
     /// A service: a set of upstreams that serve the same requests.
     #[derive(bon::Builder)]
-    pub struct ServiceEntry {
+    pub struct ServiceConfig {
         /// Its name.
         pub name: ServiceName,
         /// Model engines or plain services.
@@ -58,7 +58,7 @@
         /// The models that its engines may load; none for a plain service.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         #[builder(default)]
-        pub models: Vec<ModelEntry>,
+        pub models: Vec<ModelConfig>,
         /// What a call of a plain service costs, whatever it does; none for engines.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub price: Option<TokenCount>,
@@ -67,16 +67,16 @@
         #[builder(default)]
         pub non_idempotent: Vec<RouteRule>,
         /// Limits of each of its upstreams.
-        #[serde(default, skip_serializing_if = "LimitEntry::is_unlimited")]
+        #[serde(default, skip_serializing_if = "LimitConfig::is_unlimited")]
         #[builder(default)]
-        pub limits: LimitEntry,
+        pub limits: LimitConfig,
     }
 }
 
 derives! { record;
     /// A model.
     #[derive(Eq, bon::Builder)]
-    pub struct ModelEntry {
+    pub struct ModelConfig {
         /// Its name.
         pub name: ModelName,
         /// No token of it is shorter than so many bytes: bounds a prompt's cost.
@@ -101,7 +101,7 @@
 /// # Errors
 ///
 /// Every fault at once.
-pub fn check_fleet(value: &Value) -> Result<FleetObject, SettingsFaults> {
+pub fn check_fleet(value: &Value) -> Result<FleetObject, ValidationErrors> {
     check_document(value, read_object)
 }
 
@@ -110,17 +110,17 @@
 /// # Errors
 ///
 /// Every fault at once.
-pub fn read_fleet(text: &str) -> Result<FleetObject, SettingsFaults> {
+pub fn parse_fleet(text: &str) -> Result<FleetObject, ValidationErrors> {
     check_text(text, read_object)
 }
 
 fn read_object(object: &ObjectNode) -> Option<FleetObject> {
     let classes = object.required("classes", |node| {
-        node.named_list(1..=MOST_CLASSES, read_class, |class: &ClassEntry| class.name.as_str())
+        node.named_list(1..=MOST_CLASSES, read_class, |class: &ClassConfig| class.name.as_str())
     });
     let default_class = object.required("default_class", CheckNode::parse);
     let services = object.required("services", |node| {
-        node.named_list(0..=MOST_SERVICES, read_service, |service: &ServiceEntry| {
+        node.named_list(0..=MOST_SERVICES, read_service, |service: &ServiceConfig| {
             service.name.as_str()
         })
     });
@@ -139,19 +139,19 @@
     })
 }
 
-fn read_class(object: &ObjectNode) -> Option<ClassEntry> {
+fn read_class(object: &ObjectNode) -> Option<ClassConfig> {
     let name = object.required("name", CheckNode::parse);
     let priority = object.required("priority", |node| node.small_number(0..=255));
     let deadline = |node: CheckNode| node.number(1..=GREATEST_DEADLINE_MS);
     let deadline_ms = object.required("deadline_ms", deadline);
     let longest_deadline_ms = object.required("longest_deadline_ms", deadline);
-    let limits = object.or("limits", LimitEntry::default(), |node| node.object(read_limits));
+    let limits = object.or("limits", LimitConfig::default(), |node| node.object(read_limits));
     let (deadline_ms, longest_deadline_ms) = (deadline_ms?, longest_deadline_ms?);
     if deadline_ms > longest_deadline_ms {
         let allowed = format!("at least `deadline_ms`, which is {deadline_ms}");
         return object.fault_at("longest_deadline_ms", longest_deadline_ms.to_string(), allowed);
     }
-    Some(ClassEntry {
+    Some(ClassConfig {
         name: name?,
         priority: u8::try_from(priority?).expect("the range is one of u8"),
         deadline_ms,
@@ -160,17 +160,17 @@
     })
 }
 
-fn read_service(object: &ObjectNode) -> Option<ServiceEntry> {
+fn read_service(object: &ObjectNode) -> Option<ServiceConfig> {
     let name = object.required("name", CheckNode::parse);
     let kind = object.required("kind", |node| node.one_of(&KINDS));
     let models = object.or("models", Vec::new(), |node| {
-        node.named_list(0..=MOST_SERVICES, read_model, |model: &ModelEntry| model.name.as_str())
+        node.named_list(0..=MOST_SERVICES, read_model, |model: &ModelConfig| model.name.as_str())
     });
     let price = object.optional("price", |node| node.number(1..=GREATEST_PRICE).map(TokenCount));
     let non_idempotent =
         object.or("non_idempotent", Vec::new(), |node| node.list(|rule| rule.object(read_rule)));
-    let limits = object.or("limits", LimitEntry::default(), |node| node.object(read_limits));
-    let service = ServiceEntry {
+    let limits = object.or("limits", LimitConfig::default(), |node| node.object(read_limits));
+    let service = ServiceConfig {
         name: name?,
         kind: kind?,
         models: models?,
@@ -182,7 +182,7 @@
 }
 
 /// An engine is paid by the token and has models, a plain service by the call and has none.
-fn fits_kind(object: &ObjectNode, service: &ServiceEntry) -> bool {
+fn fits_kind(object: &ObjectNode, service: &ServiceConfig) -> bool {
     let fault = |name, found, allowed| object.fault_at::<()>(name, found, allowed).is_some();
     match (service.kind, service.models.is_empty(), service.price) {
         (UpstreamKind::Engine, true, _) => {
@@ -201,17 +201,17 @@
     }
 }
 
-fn read_model(object: &ObjectNode) -> Option<ModelEntry> {
+fn read_model(object: &ObjectNode) -> Option<ModelConfig> {
     let name = object.required("name", CheckNode::parse);
     let bytes_per_token =
         object.required("bytes_per_token", |node| node.small_number(1..=GREATEST_BYTES_PER_TOKEN));
     let most_tokens = object.required("most_tokens", |node| node.small_number(1..=GREATEST_TOKENS));
-    Some(ModelEntry { name: name?, bytes_per_token: bytes_per_token?, most_tokens: most_tokens? })
+    Some(ModelConfig { name: name?, bytes_per_token: bytes_per_token?, most_tokens: most_tokens? })
 }
 
 fn note_default_class(
     object: &ObjectNode,
-    classes: Option<&[ClassEntry]>,
+    classes: Option<&[ClassConfig]>,
     default_class: Option<&ClassName>,
 ) {
     let (Some(classes), Some(default_class)) = (classes, default_class) else { return };
@@ -229,7 +229,7 @@
 }
 
 /// A request names a model only, which must lead to one service.
-fn note_shared_models(object: &ObjectNode, services: &[ServiceEntry]) {
+fn note_shared_models(object: &ObjectNode, services: &[ServiceConfig]) {
     let mut owners: HashMap<&ModelName, &ServiceName> = HashMap::new();
     for (index, service) in services.iter().enumerate() {
         for (place, model) in service.models.iter().enumerate() {
--- a/crates/sagespool-settings/src/configuration/index.rs
+++ b/crates/sagespool-settings/src/configuration/index.rs
@@ -8,8 +8,8 @@
 
 use crate::configuration::token::TokenIndex;
 use crate::{
-    BRANCH_SHARDS, BranchEntry, BranchObject, ClassEntry, FleetObject, ModelEntry, ServiceEntry,
-    branch_shard, split_branches,
+    BRANCH_SHARDS, BranchConfig, BranchObject, ClassConfig, FleetObject, ModelConfig,
+    ServiceConfig, branch_shard, split_branches,
 };
 
 /// One state of the configuration, with the lookups of a request's way.
@@ -83,7 +83,7 @@
     }
 
     /// Every branch, by shard and name.
-    pub fn branches(&self) -> impl Iterator<Item = (&BranchName, &BranchEntry)> {
+    pub fn branches(&self) -> impl Iterator<Item = (&BranchName, &BranchConfig)> {
         self.shards.iter().flat_map(|object| &object.branches)
     }
 
@@ -93,51 +93,51 @@
     }
 
     /// A branch.
-    pub fn branch(&self, branch: &BranchName) -> Option<&BranchEntry> {
+    pub fn branch(&self, branch: &BranchName) -> Option<&BranchConfig> {
         self.shard(branch_shard(branch))?.branches.get(branch)
     }
 
     /// A class.
-    pub fn class(&self, class: &ClassName) -> Option<&ClassEntry> {
+    pub fn class(&self, class: &ClassName) -> Option<&ClassConfig> {
         let place = *self.fleet.classes.get(class)?;
         Some(&self.fleet.object.classes[place])
     }
 
     /// Every class.
-    pub fn classes(&self) -> impl Iterator<Item = &ClassEntry> {
+    pub fn classes(&self) -> impl Iterator<Item = &ClassConfig> {
         self.fleet.object.classes.iter()
     }
 
     /// The class of requests that name none.
-    pub fn default_class(&self) -> &ClassEntry {
+    pub fn default_class(&self) -> &ClassConfig {
         self.class(&self.fleet.object.default_class)
             .expect("a checked object has its default class")
     }
 
     /// A service.
-    pub fn service(&self, service: &ServiceName) -> Option<&ServiceEntry> {
+    pub fn service(&self, service: &ServiceName) -> Option<&ServiceConfig> {
         let place = *self.fleet.services.get(service)?;
         Some(&self.fleet.object.services[place])
     }
 
     /// Every service.
-    pub fn services(&self) -> impl Iterator<Item = &ServiceEntry> {
+    pub fn services(&self) -> impl Iterator<Item = &ServiceConfig> {
         self.fleet.object.services.iter()
     }
 
     /// Every model of every service.
-    pub fn models(&self) -> impl Iterator<Item = &ModelEntry> {
+    pub fn models(&self) -> impl Iterator<Item = &ModelConfig> {
         self.services().flat_map(|service| &service.models)
     }
 
     /// The service whose engines serve a model.
-    pub fn service_of_model(&self, model: &ModelName) -> Option<&ServiceEntry> {
+    pub fn service_of_model(&self, model: &ModelName) -> Option<&ServiceConfig> {
         let (place, _) = *self.fleet.models.get(model)?;
         Some(&self.fleet.object.services[place])
     }
 
     /// A model.
-    pub fn model(&self, model: &ModelName) -> Option<&ModelEntry> {
+    pub fn model(&self, model: &ModelName) -> Option<&ModelConfig> {
         let (place, inner) = *self.fleet.models.get(model)?;
         Some(&self.fleet.object.services[place].models[inner])
     }
@@ -211,7 +211,7 @@
     }
 }
 
-type BranchMap = BTreeMap<BranchName, BranchEntry>;
+type BranchMap = BTreeMap<BranchName, BranchConfig>;
 
 fn keys_missing_in<'a>(
     from: &'a BranchMap,
--- a/crates/sagespool-settings/src/configuration/mod.rs
+++ b/crates/sagespool-settings/src/configuration/mod.rs
@@ -9,11 +9,11 @@
 mod token;
 
 pub use branches::{
-    BranchEntry, BranchObject, BranchRule, ClassHoldback, check_branches, read_branches,
+    BranchConfig, BranchObject, BranchRule, ClassHoldback, check_branches, parse_branches,
 };
-pub use fleet::{ClassEntry, FleetObject, ModelEntry, ServiceEntry, check_fleet, read_fleet};
+pub use fleet::{ClassConfig, FleetObject, ModelConfig, ServiceConfig, check_fleet, parse_fleet};
 pub use index::FleetConfiguration;
-pub use route::{LimitEntry, RouteRule};
+pub use route::{LimitConfig, RouteRule};
 pub use shard::{
     BRANCH_SHARDS, CONFIGURATION_PREFIX, FLEET_OBJECT_KEY, branch_object_key, branch_object_shard,
     branch_shard, split_branches,
--- a/crates/sagespool-settings/src/configuration/route.rs
+++ b/crates/sagespool-settings/src/configuration/route.rs
@@ -28,7 +28,7 @@
 derives! { record;
     /// Limits; nothing means unlimited.
     #[derive(Default, Copy, Eq, bon::Builder)]
-    pub struct LimitEntry {
+    pub struct LimitConfig {
         /// Requests running at once.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub running: Option<u32>,
@@ -38,7 +38,7 @@
     }
 }
 
-impl LimitEntry {
+impl LimitConfig {
     /// Whether nothing is limited.
     pub fn is_unlimited(&self) -> bool {
         self.running.is_none() && self.requests_per_second.is_none()
@@ -167,9 +167,9 @@
 
 const GREATEST_LIMIT: u32 = 1_000_000;
 
-pub(crate) fn read_limits(object: &ObjectNode) -> Option<LimitEntry> {
+pub(crate) fn read_limits(object: &ObjectNode) -> Option<LimitConfig> {
     let bound = |node: CheckNode| node.small_number(1..=GREATEST_LIMIT);
     let running = object.optional("running", bound);
     let requests_per_second = object.optional("requests_per_second", bound);
-    Some(LimitEntry { running: running?, requests_per_second: requests_per_second? })
+    Some(LimitConfig { running: running?, requests_per_second: requests_per_second? })
 }
--- a/crates/sagespool-settings/src/document.rs
+++ b/crates/sagespool-settings/src/document.rs
@@ -6,13 +6,13 @@
 use serde_json::{Map, Number, Value};
 
 use crate::check::{CheckNode, FaultLog, ObjectNode, field_path};
-use crate::{SettingsFault, SettingsFaults};
+use crate::{ValidationError, ValidationErrors};
 
 /// Reads what a document holds, with `read` for its fields; every fault at once.
 pub(crate) fn check_document<T>(
     document: &Value,
     read: fn(&ObjectNode) -> Option<T>,
-) -> Result<T, SettingsFaults> {
+) -> Result<T, ValidationErrors> {
     let faults = FaultLog::default();
     let value = CheckNode::root(document, &faults).object(read);
     faults.outcome(value)
@@ -22,7 +22,7 @@
 pub(crate) fn check_text<T>(
     text: &str,
     read: fn(&ObjectNode) -> Option<T>,
-) -> Result<T, SettingsFaults> {
+) -> Result<T, ValidationErrors> {
     let faults = FaultLog::default();
     let document = read_document(text, &faults)?;
     let value = CheckNode::root(&document, &faults).object(read);
@@ -34,7 +34,7 @@
 /// JSON readers usually keep the last of two fields with one name, in
 /// silence: an operator who edits the first sees no effect. Here the second
 /// is a fault.
-fn read_document(text: &str, faults: &FaultLog) -> Result<Value, SettingsFaults> {
+fn read_document(text: &str, faults: &FaultLog) -> Result<Value, ValidationErrors> {
     let mut reader = serde_json::Deserializer::from_str(text);
     let seed = ValueSeed { path: "$".to_owned(), faults };
     let value = seed.deserialize(&mut reader).map_err(|fault| syntax_fault(&fault))?;
@@ -42,12 +42,12 @@
     Ok(value)
 }
 
-fn syntax_fault(fault: &serde_json::Error) -> SettingsFaults {
+fn syntax_fault(fault: &serde_json::Error) -> ValidationErrors {
     let path = format!("line {} column {}", fault.line(), fault.column());
     let found = fault.to_string();
     let found = found.split(" at line ").next().unwrap_or_default().to_owned();
     let allowed = "one JSON document".to_owned();
-    SettingsFaults { faults: vec![SettingsFault { path, found, allowed, nearest: None }] }
+    ValidationErrors { faults: vec![ValidationError { path, found, allowed, nearest: None }] }
 }
 
 struct ValueSeed<'a> {
@@ -113,7 +113,7 @@
             if fields.insert(name, value).is_some() {
                 let found = "the same field again".to_owned();
                 let allowed = "each field once".to_owned();
-                self.faults.note(SettingsFault { path, found, allowed, nearest: None });
+                self.faults.note(ValidationError { path, found, allowed, nearest: None });
             }
         }
         Ok(Value::Object(fields))
--- a/crates/sagespool-settings/src/fault.rs
+++ b/crates/sagespool-settings/src/fault.rs
@@ -7,7 +7,7 @@
 
 /// One fault.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct SettingsFault {
+pub struct ValidationError {
     /// Where it is, as a JSON path: `$.link.listen`, `$.peers[1]`.
     pub path: String,
     /// What was found there. Never a secret.
@@ -19,7 +19,7 @@
     pub nearest: Option<String>,
 }
 
-impl fmt::Display for SettingsFault {
+impl fmt::Display for ValidationError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: found {}; allowed: {}", self.path, self.found, self.allowed)?;
         if let Some(nearest) = &self.nearest {
@@ -31,12 +31,12 @@
 
 /// Every fault of one file or object, in the order of their checks. Never empty.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SettingsFaults {
+pub struct ValidationErrors {
     /// The faults.
-    pub faults: Vec<SettingsFault>,
+    pub faults: Vec<ValidationError>,
 }
 
-impl fmt::Display for SettingsFaults {
+impl fmt::Display for ValidationErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.faults.len() {
             1 => write!(f, "1 fault")?,
@@ -49,4 +49,4 @@
     }
 }
 
-impl Error for SettingsFaults {}
+impl Error for ValidationErrors {}
--- a/crates/sagespool-settings/src/process/common.rs
+++ b/crates/sagespool-settings/src/process/common.rs
@@ -12,7 +12,7 @@
 use crate::document::check_text;
 use crate::process::entry::{ENTRY_FIELDS, read_entry};
 use crate::process::sidecar::{SIDECAR_FIELDS, read_sidecar};
-use crate::{EntrySettings, SecretText, SettingsFaults, SidecarSettings};
+use crate::{EntrySettings, SecretText, SidecarSettings, ValidationErrors};
 
 /// The settings of one process.
 #[derive(Debug, Clone, PartialEq)]
@@ -110,7 +110,7 @@
 ///
 /// Every fault at once: its path, what was found and what is allowed. Files
 /// that the settings name aren't looked at; see [`check_files`](crate::check_files).
-pub fn check_process(text: &str) -> Result<ProcessSettings, SettingsFaults> {
+pub fn parse_process_settings(text: &str) -> Result<ProcessSettings, ValidationErrors> {
     check_text(text, read_process)
 }
 
--- a/crates/sagespool-settings/src/process/entry.rs
+++ b/crates/sagespool-settings/src/process/entry.rs
@@ -26,14 +26,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PolicySettings {
     /// How an upstream is chosen.
-    pub routing: RoutingChoice,
+    pub routing: RoutingStrategy,
     /// How a request is paid for.
-    pub budget: BudgetChoice,
+    pub budget: BudgetStrategy,
 }
 
 /// How an upstream is chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RoutingChoice {
+pub enum RoutingStrategy {
     /// The fleet's own policy.
     Sagespool,
     /// Each in turn.
@@ -46,7 +46,7 @@
 
 /// How a request is paid for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BudgetChoice {
+pub enum BudgetStrategy {
     /// From grants of the platform's object.
     Escrow,
     /// By a conditional update for each request.
@@ -90,20 +90,20 @@
     grant_ahead: Duration::from_secs(30),
 };
 const DEFAULT_POLICY: PolicySettings =
-    PolicySettings { routing: RoutingChoice::Sagespool, budget: BudgetChoice::Escrow };
+    PolicySettings { routing: RoutingStrategy::Sagespool, budget: BudgetStrategy::Escrow };
 const DEFAULT_QUEUE: QueueSettings = QueueSettings { most_waiting: 10_000 };
 
 const SETTLE_RANGE_MS: std::ops::RangeInclusive<u64> = 10..=60_000;
 const AHEAD_RANGE_MS: std::ops::RangeInclusive<u64> = 100..=86_400_000;
 
-const ROUTING_WORDS: [(&str, RoutingChoice); 4] = [
-    ("sagespool", RoutingChoice::Sagespool),
-    ("round-robin", RoutingChoice::RoundRobin),
-    ("least-reported-load", RoutingChoice::LeastReportedLoad),
-    ("two-choices", RoutingChoice::TwoChoices),
+const ROUTING_WORDS: [(&str, RoutingStrategy); 4] = [
+    ("sagespool", RoutingStrategy::Sagespool),
+    ("round-robin", RoutingStrategy::RoundRobin),
+    ("least-reported-load", RoutingStrategy::LeastReportedLoad),
+    ("two-choices", RoutingStrategy::TwoChoices),
 ];
-const BUDGET_WORDS: [(&str, BudgetChoice); 2] =
-    [("escrow", BudgetChoice::Escrow), ("store-each-request", BudgetChoice::StoreEachRequest)];
+const BUDGET_WORDS: [(&str, BudgetStrategy); 2] =
+    [("escrow", BudgetStrategy::Escrow), ("store-each-request", BudgetStrategy::StoreEachRequest)];
 
 pub(crate) fn read_entry(object: &ObjectNode) -> Option<EntrySettings> {
     let limits = read_limits(object);
@@ -140,7 +140,7 @@
 }
 
 /// A word, or `{"static-split": {"entries": 3}}`.
-fn read_budget(node: CheckNode) -> Option<BudgetChoice> {
+fn read_budget(node: CheckNode) -> Option<BudgetStrategy> {
     if !node.is_object() {
         let hint = "or {\"static-split\": {\"entries\": N}}";
         return node.one_of_or(&BUDGET_WORDS, hint);
@@ -149,7 +149,7 @@
         object.required("static-split", |split| {
             split.object(|split| {
                 let entries = split.required("entries", |node| node.small_number(1..=1000));
-                Some(BudgetChoice::StaticSplit { entries: entries? })
+                Some(BudgetStrategy::StaticSplit { entries: entries? })
             })
         })
     })
--- a/crates/sagespool-settings/src/process/gateway.rs
+++ b/crates/sagespool-settings/src/process/gateway.rs
@@ -13,7 +13,7 @@
 use crate::check::{CheckNode, ObjectNode};
 use crate::document::check_text;
 use crate::process::common::{LogSettings, read_log, read_peers};
-use crate::{SettingsError, SettingsFaults};
+use crate::{SettingsError, ValidationErrors};
 
 /// The settings of a gateway.
 #[derive(Debug, Clone, PartialEq)]
@@ -40,7 +40,7 @@
     pub object_api: SocketAddr,
     /// Within which time a change in the store is in force here. Where it is given, instances of a
     /// data centre follow the store for each other, as far as the time allows.
-    pub in_force: Option<InForceSettings>,
+    pub in_force: Option<PropagationSettings>,
     /// The regions of the data centres.
     pub regions: BTreeMap<CentreName, RegionName>,
     /// What all gateways together may send to a cold upstream.
@@ -52,7 +52,7 @@
     /// How much of a budget an instance takes at a time.
     pub grants: GrantSettings,
     /// What the process may use; what isn't given is asked of the system.
-    pub limits: LimitSettings,
+    pub limits: ResourceSettings,
     /// The log.
     pub log: LogSettings,
 }
@@ -80,7 +80,7 @@
 
 /// The settings of a process that serves requests without a sidecar of its own.
 #[derive(Debug, Clone, PartialEq)]
-pub enum DirectSettings {
+pub enum GatewayOrRelaySettings {
     /// Forwards requests straight to upstreams.
     Gateway(Box<GatewaySettings>),
     /// Makes calls of the store for gateways.
@@ -100,7 +100,7 @@
 
 /// Within which time changes are in force at each gateway.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct InForceSettings {
+pub struct PropagationSettings {
     /// Changes of the configuration and of the list of upstreams.
     pub changes: Duration,
     /// Evacuations of data centres; they aren't followed if it isn't given.
@@ -131,7 +131,7 @@
 
 /// What a process may use of its machine. What it takes in from callers is bounded by this.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct LimitSettings {
+pub struct ResourceSettings {
     /// Memory of the whole process.
     pub memory: Option<ByteCount>,
     /// Descriptors that it may have open.
@@ -176,7 +176,7 @@
 
 /// Whether a settings file is a gateway's or a relay's. A text that isn't a document is nobody's:
 /// the other roles' check tells what is wrong with it.
-pub fn is_direct(text: &str) -> bool {
+pub fn is_gateway_or_relay(text: &str) -> bool {
     let document: Result<serde_json::Value, _> = serde_json::from_str(text);
     document.is_ok_and(|document| ROLES.iter().any(|(word, _)| document["role"] == *word))
 }
@@ -186,7 +186,7 @@
 /// # Errors
 ///
 /// Every fault at once: its path, what was found and what is allowed.
-pub fn check_direct(text: &str) -> Result<DirectSettings, SettingsFaults> {
+pub fn parse_gateway_or_relay(text: &str) -> Result<GatewayOrRelaySettings, ValidationErrors> {
     check_text(text, read_direct)
 }
 
@@ -195,18 +195,19 @@
 /// # Errors
 ///
 /// If it can't be read, or has faults: all of them at once.
-pub fn load_direct(path: &Path) -> Result<DirectSettings, Report<SettingsError>> {
+pub fn load_gateway_or_relay(path: &Path) -> Result<GatewayOrRelaySettings, Report<SettingsError>> {
     let text =
         fs::read_to_string(path).change_context_lazy(|| SettingsError::Unreadable(path.into()))?;
-    check_direct(&text).map_err(|faults| Report::new(SettingsError::Faulty(path.into(), faults)))
+    parse_gateway_or_relay(&text)
+        .map_err(|faults| Report::new(SettingsError::Faulty(path.into(), faults)))
 }
 
-fn read_direct(object: &ObjectNode) -> Option<DirectSettings> {
+fn read_direct(object: &ObjectNode) -> Option<GatewayOrRelaySettings> {
     match object.required("role", |node| node.one_of(&ROLES))? {
         DirectRole::Gateway => {
-            read_gateway(object).map(|gateway| DirectSettings::Gateway(Box::new(gateway)))
+            read_gateway(object).map(|gateway| GatewayOrRelaySettings::Gateway(Box::new(gateway)))
         }
-        DirectRole::Relay => read_relay(object).map(DirectSettings::Relay),
+        DirectRole::Relay => read_relay(object).map(GatewayOrRelaySettings::Relay),
     }
 }
 
@@ -250,7 +251,7 @@
     let warmup = object.or("warmup", DEFAULT_WARMUP, |node| node.object(read_warmup));
     let retries = object.or("retries", DEFAULT_RETRIES, |node| node.object(read_retries));
     let grants = object.or("grants", DEFAULT_GRANTS, |node| node.object(read_grants));
-    let limits = object.or("limits", LimitSettings::default(), |node| node.object(read_limits));
+    let limits = object.or("limits", ResourceSettings::default(), |node| node.object(read_limits));
     let log = object.or("log", DEFAULT_LOG, |node| node.object(read_log));
     Some(GatewaySettings {
         instance: instance?,
@@ -291,11 +292,11 @@
 }
 
 /// The configuration and the upstreams are followed in one way, within the shorter of their times.
-fn read_in_force(object: &ObjectNode) -> Option<InForceSettings> {
+fn read_in_force(object: &ObjectNode) -> Option<PropagationSettings> {
     let configuration = object.required("configuration_ms", read_in_force_time);
     let upstreams = object.required("upstreams_ms", read_in_force_time);
     let evacuations = object.optional("evacuations_ms", read_in_force_time);
-    Some(InForceSettings { changes: configuration?.min(upstreams?), evacuations: evacuations? })
+    Some(PropagationSettings { changes: configuration?.min(upstreams?), evacuations: evacuations? })
 }
 
 fn read_in_force_time(node: CheckNode) -> Option<Duration> {
@@ -320,11 +321,11 @@
     Some(WarmupSettings { overage: overage?, slack: slack? })
 }
 
-fn read_limits(object: &ObjectNode) -> Option<LimitSettings> {
+fn read_limits(object: &ObjectNode) -> Option<ResourceSettings> {
     let memory =
         object.optional("memory_mb", |node| node.number(LEAST_MEMORY_MB..=MOST_MEMORY_MB))?;
     let descriptors = object
         .optional("descriptors", |node| node.small_number(LEAST_DESCRIPTORS..=MOST_DESCRIPTORS))?;
     let memory = memory.map(|megabytes| ByteCount(megabytes * BYTES_IN_MB));
-    Some(LimitSettings { memory, descriptors })
+    Some(ResourceSettings { memory, descriptors })
 }
--- a/crates/sagespool-settings/src/process/mod.rs
+++ b/crates/sagespool-settings/src/process/mod.rs
@@ -8,14 +8,15 @@
 
 pub use common::{
     HttpSettings, LinkSettings, LogSettings, PlatformSettings, ProcessSettings, RoleSettings,
-    check_process,
+    parse_process_settings,
 };
 pub use entry::{
-    BudgetChoice, EntrySettings, LedgerSettings, PolicySettings, QueueSettings, RoutingChoice,
+    BudgetStrategy, EntrySettings, LedgerSettings, PolicySettings, QueueSettings, RoutingStrategy,
 };
-pub use file::{SettingsError, check_files, load_process};
+pub use file::{SettingsError, check_files, load_process_settings};
 pub use gateway::{
-    DirectSettings, GatewaySettings, GrantSettings, InForceSettings, LimitSettings, RelaySettings,
-    RetrySettings, WarmupSettings, check_direct, is_direct, load_direct,
+    GatewayOrRelaySettings, GatewaySettings, GrantSettings, PropagationSettings, RelaySettings,
+    ResourceSettings, RetrySettings, WarmupSettings, is_gateway_or_relay, load_gateway_or_relay,
+    parse_gateway_or_relay,
 };
 pub use sidecar::{AnswerSettings, SidecarSettings, UpstreamSettings};
--- a/crates/sagespool-settings/tests/example_files.rs
+++ b/crates/sagespool-settings/tests/example_files.rs
@@ -8,8 +8,8 @@
 
 use sagespool_messages::UpstreamKind;
 use sagespool_settings::{
-    BranchObject, FleetConfiguration, FleetObject, RoleSettings, check_process, read_branches,
-    read_fleet,
+    BranchObject, FleetConfiguration, FleetObject, RoleSettings, parse_branches, parse_fleet,
+    parse_process_settings,
 };
 use sagespool_types::{
     BranchName, CentreName, ConfigVersion, ModelName, RegionName, ServiceName, TokenCount,
@@ -67,11 +67,11 @@
 }
 
 fn fleet_of(user: &str) -> FleetObject {
-    read_fleet(&text_of(&format!("{user}/fleet.json"))).unwrap()
+    parse_fleet(&text_of(&format!("{user}/fleet.json"))).unwrap()
 }
 
 fn branches_of(user: &str) -> BranchObject {
-    read_branches(&text_of(&format!("{user}/branches.json"))).unwrap()
+    parse_branches(&text_of(&format!("{user}/branches.json"))).unwrap()
 }
 
 fn deployment_of(user: &str) -> DeploymentFile {
@@ -84,16 +84,16 @@
 
 #[test]
 fn process_files() {
-    let entry = check_process(&text_of("entry.json")).unwrap();
+    let entry = parse_process_settings(&text_of("entry.json")).unwrap();
     assert!(matches!(entry.role, RoleSettings::Entry(_)));
-    let sidecar = check_process(&text_of("sidecar.json")).unwrap();
+    let sidecar = parse_process_settings(&text_of("sidecar.json")).unwrap();
     assert!(matches!(sidecar.role, RoleSettings::Sidecar(_)));
 }
 
 #[test]
 fn fitting_objects() {
     for user in FLEETS {
-        assert_eq!(configuration_of(user).faults(), [], "{user}");
+        assert_eq!(configuration_of(user).validation_errors(), [], "{user}");
     }
 }
 
--- a/crates/sagespool-settings/tests/fleet_schema.rs
+++ b/crates/sagespool-settings/tests/fleet_schema.rs
@@ -4,9 +4,9 @@
 
 use quickcheck::quickcheck;
 use sagespool_settings::{
-    BranchEntry, BranchObject, BranchRule, ClassHoldback, FleetConfiguration, FleetObject,
+    BranchConfig, BranchObject, BranchRule, ClassHoldback, FleetConfiguration, FleetObject,
     RouteRule, branch_object_key, branch_object_shard, branch_shard, check_branches, check_fleet,
-    read_branches, read_fleet, split_branches,
+    parse_branches, parse_fleet, split_branches,
 };
 use sagespool_types::{BranchName, ConfigVersion, SecretHash, TokenCount};
 use serde_json::{Value, json};
@@ -223,9 +223,9 @@
 fn repeated_branch() {
     let hash = SecretHash::of("k");
     let entry = format!("\"ruwi-bids\": {{\"key_hashes\": [\"{hash}\"]}}");
-    let faults = read_branches(&format!("{{\"branches\": {{{entry}, {entry}}}}}")).unwrap_err();
+    let faults = parse_branches(&format!("{{\"branches\": {{{entry}, {entry}}}}}")).unwrap_err();
     assert_eq!(faults.faults[0].path, "$.branches.ruwi-bids");
-    assert!(read_fleet(&fleet_value().to_string()).is_ok());
+    assert!(parse_fleet(&fleet_value().to_string()).is_ok());
 }
 
 #[test]
@@ -353,7 +353,7 @@
 fn even_shards() {
     // A change goes through the fleet as its whole object, with 2 KB a second for all control: 57,000
     // branches must spread over their objects, and leave none out.
-    let entry = BranchEntry::builder().key_hashes(vec![SecretHash::of("k"); 2]).build();
+    let entry = BranchConfig::builder().key_hashes(vec![SecretHash::of("k"); 2]).build();
     let name = |number: u32| format!("client-account-{number}").parse().unwrap();
     let branches = (0..57_000).map(|number| (name(number), entry.clone())).collect();
     let shards = split_branches(BranchObject { branches });
@@ -366,7 +366,7 @@
 
 quickcheck! {
     fn own_shard(numbers: Vec<u16>) -> bool {
-        let entry = BranchEntry::builder().build();
+        let entry = BranchConfig::builder().build();
         let name = |number: &u16| -> BranchName { format!("b-{number}").parse().unwrap() };
         let branches = numbers.iter().map(|number| (name(number), entry.clone())).collect();
         let object = BranchObject { branches };
--- a/crates/sagespool-settings/tests/gateway_settings.rs
+++ b/crates/sagespool-settings/tests/gateway_settings.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use sagespool_settings::{DirectSettings, WarmupSettings, check_direct, is_direct};
+use sagespool_settings::{
+    GatewayOrRelaySettings, WarmupSettings, is_gateway_or_relay, parse_gateway_or_relay,
+};
 use sagespool_types::ByteCount;
 
 const GATEWAY: &str = include_str!("../../../examples/gateway.json");
@@ -11,8 +13,8 @@
 
 #[test]
 fn example_gateway() {
-    assert!(is_direct(GATEWAY));
-    let Ok(DirectSettings::Gateway(gateway)) = check_direct(GATEWAY) else {
+    assert!(is_gateway_or_relay(GATEWAY));
+    let Ok(GatewayOrRelaySettings::Gateway(gateway)) = parse_gateway_or_relay(GATEWAY) else {
         panic!("a gateway's settings");
     };
     assert_eq!(gateway.instance.as_str(), "gateway-1");
@@ -30,14 +32,14 @@
 
 #[test]
 fn example_relay() {
-    assert!(is_direct(RELAY));
-    assert!(matches!(check_direct(RELAY), Ok(DirectSettings::Relay(_))));
+    assert!(is_gateway_or_relay(RELAY));
+    assert!(matches!(parse_gateway_or_relay(RELAY), Ok(GatewayOrRelaySettings::Relay(_))));
 }
 
 #[test]
 fn other_roles() {
-    assert!(!is_direct(ENTRY));
-    assert!(!is_direct("no document"));
+    assert!(!is_gateway_or_relay(ENTRY));
+    assert!(!is_gateway_or_relay("no document"));
 }
 
 #[test]
@@ -64,7 +66,7 @@
     for (from, to, expected) in cases {
         let text = GATEWAY.replace(from, to);
         assert_ne!(text, GATEWAY, "{from}");
-        let faults = check_direct(&text).expect_err(from).to_string();
+        let faults = parse_gateway_or_relay(&text).expect_err(from).to_string();
         assert!(faults.contains(expected), "{from}: {faults}");
     }
 }
--- a/crates/sagespool-settings/tests/process_settings.rs
+++ b/crates/sagespool-settings/tests/process_settings.rs
@@ -8,8 +8,8 @@
 
 use sagespool_messages::UpstreamKind;
 use sagespool_settings::{
-    BudgetChoice, LogLevel, ProcessSettings, RoleSettings, RoutingChoice, SettingsError,
-    check_files, check_process, load_process,
+    BudgetStrategy, LogLevel, ProcessSettings, RoleSettings, RoutingStrategy, SettingsError,
+    check_files, load_process_settings, parse_process_settings,
 };
 use sagespool_types::ByteCount;
 use serde_json::{Value, json};
@@ -69,7 +69,7 @@
 }
 
 fn check(file: &Value) -> Result<ProcessSettings, String> {
-    check_process(&file.to_string()).map_err(|faults| faults.to_string())
+    parse_process_settings(&file.to_string()).map_err(|faults| faults.to_string())
 }
 
 /// The file with a value put at a JSON pointer; `null` removes the field.
@@ -94,8 +94,8 @@
     assert_eq!(settings.platform.token.as_ref().unwrap().reveal(), TOKEN);
     let RoleSettings::Entry(entry) = settings.role else { panic!("not an entry") };
     assert_eq!(entry.body_limit, ByteCount(65536));
-    assert_eq!(entry.policy.routing, RoutingChoice::TwoChoices);
-    assert_eq!(entry.policy.budget, BudgetChoice::StaticSplit { entries: 3 });
+    assert_eq!(entry.policy.routing, RoutingStrategy::TwoChoices);
+    assert_eq!(entry.policy.budget, BudgetStrategy::StaticSplit { entries: 3 });
     assert_eq!(entry.ledger.settle_interval, Duration::from_millis(500));
     assert_eq!(entry.ledger.grant_ahead, Duration::from_secs(30));
 }
@@ -238,7 +238,7 @@
     let file = changed(file, "/platform/instance_lst", json!("127.0.0.1:1"));
     let file = changed(file, "/peers", json!(["x", "127.0.0.1:7102", "y"]));
     let file = changed(file, "/policy/budget", json!({"static-split": {"entres": 3}}));
-    let faults = check_process(&file.to_string()).unwrap_err();
+    let faults = parse_process_settings(&file.to_string()).unwrap_err();
     let mut paths: Vec<&str> = faults.faults.iter().map(|fault| fault.path.as_str()).collect();
     paths.sort_unstable();
     let expected = [
@@ -264,11 +264,11 @@
         ("[1, 2", "line 1 column 5"),
     ];
     for (text, place) in cases {
-        let faults = check_process(text).unwrap_err();
+        let faults = parse_process_settings(text).unwrap_err();
         assert_eq!(faults.faults.len(), 1, "{faults}");
         assert_eq!(faults.faults[0].path, place, "{faults}");
     }
-    let faults = check_process("[]").unwrap_err();
+    let faults = parse_process_settings("[]").unwrap_err();
     assert_eq!(faults.faults[0].to_string(), "$: found a list; allowed: an object");
 }
 
@@ -276,7 +276,7 @@
 fn deep_nesting() {
     // A file of nothing but opening brackets: a reader that recurses without bound overflows its
     // stack and takes the process down instead of naming the fault.
-    let faults = check_process(&"[".repeat(1_000_000)).unwrap_err();
+    let faults = parse_process_settings(&"[".repeat(1_000_000)).unwrap_err();
     assert_eq!(faults.faults.len(), 1);
     assert!(faults.faults[0].found.contains("recursion limit"), "{faults}");
 }
@@ -287,7 +287,7 @@
     // and nobody says why. Cause: JSON readers keep the last of two fields in silence.
     let text = entry_file().to_string();
     let text = text.replacen('{', "{\"stop_limit_ms\": 100, ", 1);
-    let faults = check_process(&text).unwrap_err();
+    let faults = parse_process_settings(&text).unwrap_err();
     assert_eq!(
         faults.to_string(),
         "1 fault\n  $.stop_limit_ms: found the same field again; allowed: each field once"
@@ -333,13 +333,13 @@
     fs::write(&path, entry_file().to_string()).unwrap();
     write_files(directory.path(), &["authority.pem"]);
 
-    let report = load_process(&path).unwrap_err();
+    let report = load_process_settings(&path).unwrap_err();
     let SettingsError::Faulty(_, faults) = report.current_context() else { panic!("{report:?}") };
     let paths: Vec<&str> = faults.faults.iter().map(|fault| fault.path.as_str()).collect();
     assert_eq!(paths, ["$.link.certificate", "$.link.key"]);
 
     write_files(directory.path(), &["entry-ghala-1.pem", "entry-ghala-1.key"]);
-    let settings = load_process(&path).unwrap();
+    let settings = load_process_settings(&path).unwrap();
     assert_eq!(settings.link.authority, directory.path().join("authority.pem"));
 
     fs::remove_file(directory.path().join("authority.pem")).unwrap();
@@ -350,7 +350,7 @@
 
 #[test]
 fn missing_settings() {
-    let report = load_process(Path::new("/nowhere/settings.json")).unwrap_err();
+    let report = load_process_settings(Path::new("/nowhere/settings.json")).unwrap_err();
     assert!(matches!(report.current_context(), SettingsError::Unreadable(_)));
     assert!(report.to_string().contains("can't read settings /nowhere/settings.json"));
 }
--- a/crates/sagespool-settings/tests/token_lookup.rs
+++ b/crates/sagespool-settings/tests/token_lookup.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used)]
 
 use sagespool_settings::{
-    BranchEntry, BranchObject, FleetConfiguration, FleetObject, branch_shard, check_fleet,
+    BranchConfig, BranchObject, FleetConfiguration, FleetObject, branch_shard, check_fleet,
     split_branches,
 };
 use sagespool_types::{BranchName, ConfigVersion, SecretHash};
@@ -26,7 +26,7 @@
 fn object(branches: &[(&str, &[&str])]) -> BranchObject {
     let entry = |tokens: &[&str]| {
         let key_hashes = tokens.iter().map(|token| SecretHash::of(token)).collect();
-        BranchEntry::builder().key_hashes(key_hashes).build()
+        BranchConfig::builder().key_hashes(key_hashes).build()
     };
     let branches = branches.iter().map(|(name, tokens)| (branch(name), entry(tokens))).collect();
     BranchObject { branches }
@@ -64,7 +64,7 @@
     // branch of the other: a caller may try tokens until the first bytes fit.
     let hash = SecretHash::of("k1").to_string();
     let near: SecretHash = format!("{}{}", &hash[..48], "0".repeat(16)).parse().unwrap();
-    let entry = BranchEntry::builder().key_hashes(vec![near]).build();
+    let entry = BranchConfig::builder().key_hashes(vec![near]).build();
     let object = BranchObject { branches: [(branch("ruwi-bids"), entry)].into() };
     let configuration = FleetConfiguration::build(ConfigVersion(1), fleet(), [&object]);
     assert_eq!(owner(&configuration, "k1"), None);
@@ -134,7 +134,7 @@
     let names: Vec<String> = (0..57_000).map(|number| format!("account-{number}")).collect();
     let tokens: Vec<String> = (0..57_000).map(|number| format!("key-{number}")).collect();
     let entry =
-        |token: &String| BranchEntry::builder().key_hashes(vec![SecretHash::of(token)]).build();
+        |token: &String| BranchConfig::builder().key_hashes(vec![SecretHash::of(token)]).build();
     let pairs = names.iter().zip(&tokens);
     let all = pairs.map(|(name, token)| (branch(name), entry(token))).collect();
     let all = BranchObject { branches: all };
--- a/crates/sagespool-testkit/src/fleet/deployment.rs
+++ b/crates/sagespool-testkit/src/fleet/deployment.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use error_stack::{Report, ResultExt};
-use sagespool_settings::{BranchObject, FleetObject, read_branches, read_fleet};
+use sagespool_settings::{BranchObject, FleetObject, parse_branches, parse_fleet};
 use sagespool_types::{BranchName, CentreName, ModelName, RegionName, ServiceName, TokenCount};
 use serde::Deserialize;
 
@@ -86,8 +86,8 @@
     let fault = |name: &str| FleetFault::new(format!("checking {name}"));
     let deployment = serde_json::from_str(&read("deployment.json")?)
         .change_context_lazy(|| fault("deployment.json"))?;
-    let fleet = read_fleet(&read("fleet.json")?).change_context_lazy(|| fault("fleet.json"))?;
+    let fleet = parse_fleet(&read("fleet.json")?).change_context_lazy(|| fault("fleet.json"))?;
     let branches =
-        read_branches(&read("branches.json")?).change_context_lazy(|| fault("branches.json"))?;
+        parse_branches(&read("branches.json")?).change_context_lazy(|| fault("branches.json"))?;
     Ok((deployment, fleet, branches))
 }
