--- a/crates/sagespool-configuration/src/neighbours.rs
+++ b/crates/sagespool-configuration/src/neighbours.rs
@@ -100,7 +100,7 @@
         let mut query = self.state().replica.query();
         for _ in 0..MAX_REPLY_PARTS {
             let request = PeerRequest::AskConfiguration(query);
-            let reply = context.link.ask(address, &request, QUERY_TIMEOUT).await;
+            let reply = context.link.request(address, &request, QUERY_TIMEOUT).await;
             let Ok(PeerReply::Configuration(reply)) = reply else {
                 return;
             };
@@ -137,7 +137,7 @@
             let request = PeerRequest::NoticeConfiguration(notice);
             smol::spawn(async move {
                 // The next heartbeat makes up for a lost notice.
-                let _ = link.ask(member.address, &request, NOTICE_TIMEOUT).await;
+                let _ = link.request(member.address, &request, NOTICE_TIMEOUT).await;
             })
             .detach();
         }
--- a/crates/sagespool-daemon/src/process.rs
+++ b/crates/sagespool-daemon/src/process.rs
@@ -9,7 +9,7 @@
 use futures_lite::StreamExt;
 use sagespool_entry::EntryRole;
 use sagespool_gateway::{GatewayRole, RelayRole, WireDialect};
-use sagespool_log::{finish_log, log_event, start_log, start_log_queued};
+use sagespool_log::{flush_log, log_event, start_log, start_log_queued};
 use sagespool_settings::{
     GatewayOrRelaySettings, GatewaySettings, ProcessSettings, RoleSettings, is_gateway_or_relay,
     load_gateway_or_relay, load_process_settings,
@@ -90,7 +90,7 @@
             }
         }
     });
-    finish_log();
+    flush_log();
     code
 }
 
--- a/crates/sagespool-entry/src/caller/server.rs
+++ b/crates/sagespool-entry/src/caller/server.rs
@@ -259,7 +259,7 @@
         Ok(parsed) => parsed,
         Err(error) => return error.respond(conn, request),
     };
-    state.metrics.admitted(&call.headers.class, &call.branch);
+    state.metrics.count_admitted(&call.headers.class, &call.branch);
     let details = CallDetails {
         service: parsed.service.clone(),
         target: CallTarget::Completion {
@@ -309,7 +309,7 @@
         Ok(parsed) => parsed,
         Err(error) => return error.respond(conn, request),
     };
-    state.metrics.admitted(&call.headers.class, &call.branch);
+    state.metrics.count_admitted(&call.headers.class, &call.branch);
     let details = CallDetails {
         service: parsed.service,
         target: parsed.target,
--- a/crates/sagespool-entry/src/heartbeats.rs
+++ b/crates/sagespool-entry/src/heartbeats.rs
@@ -29,7 +29,7 @@
             let state = Arc::clone(&state);
             smol::spawn(async move {
                 let request = PeerRequest::Heartbeat(beat);
-                match state.link().ask(address, &request, HEARTBEAT_TIMEOUT).await {
+                match state.link().request(address, &request, HEARTBEAT_TIMEOUT).await {
                     Ok(PeerReply::Heartbeat(reply)) => {
                         state.members.handle_reply(address, &reply, ClockTime::now());
                         state.follower.observe_member(&reply.from);
--- a/crates/sagespool-entry/src/home/claims.rs
+++ b/crates/sagespool-entry/src/home/claims.rs
@@ -142,8 +142,10 @@
         return unknown();
     };
     let key_request = KeyRequest { service, key: request.key, fence: Some(entry.request) };
-    let reply =
-        state.link().ask(member.address, &PeerRequest::FindKey(key_request), FENCE_TIMEOUT).await;
+    let reply = state
+        .link()
+        .request(member.address, &PeerRequest::FindKey(key_request), FENCE_TIMEOUT)
+        .await;
     let Ok(PeerReply::Key(reply)) = reply else {
         return unknown();
     };
--- a/crates/sagespool-entry/src/home/crashes.rs
+++ b/crates/sagespool-entry/src/home/crashes.rs
@@ -29,7 +29,7 @@
         }
         let (link, request) = (state.link().clone(), PeerRequest::ReportCrash(report.clone()));
         reports.push(smol::spawn(async move {
-            link.ask(member.address, &request, REPORT_TIMEOUT).await
+            link.request(member.address, &request, REPORT_TIMEOUT).await
         }));
     }
     for answer in reports {
--- a/crates/sagespool-entry/src/home/finish.rs
+++ b/crates/sagespool-entry/src/home/finish.rs
@@ -12,7 +12,7 @@
     if let Some(key) = report.key {
         finish_key(state, report, key, now);
     }
-    state.metrics.rerun(&report.branch, report.rerun_tokens);
+    state.metrics.add_rerun_tokens(&report.branch, report.rerun_tokens);
     state.budget_changed.notify(usize::MAX);
 }
 
--- a/crates/sagespool-entry/src/home/keys.rs
+++ b/crates/sagespool-entry/src/home/keys.rs
@@ -120,7 +120,7 @@
     address: SocketAddr,
     key_request: KeyRequest,
 ) -> Option<KeyReply> {
-    match state.link().ask(address, &PeerRequest::FindKey(key_request), QUERY_TIMEOUT).await {
+    match state.link().request(address, &PeerRequest::FindKey(key_request), QUERY_TIMEOUT).await {
         Ok(PeerReply::Key(reply)) => Some(reply),
         _ => None,
     }
@@ -167,7 +167,7 @@
         let link = state.link().clone();
         let task = smol::spawn(async move {
             let request = PeerRequest::FindKey(key_request);
-            let reply = link.ask(member.address, &request, QUERY_TIMEOUT).await;
+            let reply = link.request(member.address, &request, QUERY_TIMEOUT).await;
             (member.incarnation, reply)
         });
         tasks.push(task);
--- a/crates/sagespool-entry/src/home/recall.rs
+++ b/crates/sagespool-entry/src/home/recall.rs
@@ -87,7 +87,7 @@
     address: SocketAddr,
     request: &PeerRequest,
 ) -> Option<RecallReply> {
-    match link.ask(address, request, RECALL_TIMEOUT).await {
+    match link.request(address, request, RECALL_TIMEOUT).await {
         Ok(PeerReply::Recall(reply)) => Some(reply),
         _ => None,
     }
--- a/crates/sagespool-entry/src/home/seal_targets.rs
+++ b/crates/sagespool-entry/src/home/seal_targets.rs
@@ -87,7 +87,7 @@
     for member in state.seal_targets.all() {
         let (state, request) = (Arc::clone(state), PeerRequest::Seal(request.clone()));
         let task = smol::spawn(async move {
-            let reply = state.link().ask(member.address, &request, SEAL_TIMEOUT).await;
+            let reply = state.link().request(member.address, &request, SEAL_TIMEOUT).await;
             (member, reply)
         });
         tasks.push(task);
--- a/crates/sagespool-entry/src/operator.rs
+++ b/crates/sagespool-entry/src/operator.rs
@@ -107,7 +107,8 @@
         let help = format!("POST {LINE_PATH}; see docs/OPERATORS.md");
         return Err(OperatorRefusal::new(Status::NotFound, "unknown-path", message, help));
     }
-    let operator = check_operator(state, conn).inspect_err(|_| state.metrics.rejected_caller())?;
+    let operator =
+        check_operator(state, conn).inspect_err(|_| state.metrics.count_rejected_caller())?;
     let request = read_request(conn).await?;
     let line = parse_line(&request.line)?;
     let (answer, basis) = match line {
--- a/crates/sagespool-entry/src/operator/history.rs
+++ b/crates/sagespool-entry/src/operator/history.rs
@@ -193,8 +193,10 @@
         return Err("it has not reported yet what it serves".to_owned());
     };
     let key_request = KeyRequest { service: served.service.clone(), key, fence: None };
-    let reply =
-        state.link().ask(sidecar.address, &PeerRequest::FindKey(key_request), QUERY_TIMEOUT).await;
+    let reply = state
+        .link()
+        .request(sidecar.address, &PeerRequest::FindKey(key_request), QUERY_TIMEOUT)
+        .await;
     match reply {
         Ok(PeerReply::Key(reply)) if reply.sidecar == sidecar.incarnation => Ok(reply.known),
         Ok(_) => Err("another incarnation replied".to_owned()),
--- a/crates/sagespool-entry/src/operator/leave.rs
+++ b/crates/sagespool-entry/src/operator/leave.rs
@@ -62,7 +62,7 @@
     let request = PeerRequest::Leave(request);
     let mut may_have_arrived = false;
     loop {
-        let error = match state.link().ask(member.address, &request, CALL_TIMEOUT).await {
+        let error = match state.link().request(member.address, &request, CALL_TIMEOUT).await {
             Ok(PeerReply::Done) => return stop_accepted(member),
             Ok(_) => {
                 let message = "another incarnation of the process replied; it was not stopped";
@@ -70,7 +70,7 @@
             }
             Err(error) => error,
         };
-        may_have_arrived |= !error.surely_not_sent();
+        may_have_arrived |= !error.definitely_not_handled();
         if ClockTime::now() >= deadline {
             return stop_failure(&error, may_have_arrived);
         }
--- a/crates/sagespool-entry/src/operator/order_send.rs
+++ b/crates/sagespool-entry/src/operator/order_send.rs
@@ -37,7 +37,7 @@
     let mut may_have_arrived = false;
     loop {
         let left = deadline.since(ClockTime::now());
-        let error = match state.link().ask(target.sidecar.address, &peer_request, left).await {
+        let error = match state.link().request(target.sidecar.address, &peer_request, left).await {
             Ok(PeerReply::Order(OrderReply::NotReady)) if ClockTime::now() < deadline => {
                 smol::Timer::after(RETRY_PAUSE).await;
                 continue;
@@ -51,7 +51,7 @@
             }
             Err(error) => error,
         };
-        may_have_arrived |= !error.surely_not_sent();
+        may_have_arrived |= !error.definitely_not_handled();
         if ClockTime::now() >= deadline {
             return send_failure(&request.order, &error, may_have_arrived);
         }
--- a/crates/sagespool-entry/src/operator/status_query.rs
+++ b/crates/sagespool-entry/src/operator/status_query.rs
@@ -83,7 +83,7 @@
         return Ok(peers::status(state, query));
     }
     let request = PeerRequest::Status(query.clone());
-    match state.link().ask(member.address, &request, QUERY_TIMEOUT).await {
+    match state.link().request(member.address, &request, QUERY_TIMEOUT).await {
         Ok(PeerReply::Status(reply)) if reply.from == member.incarnation => Ok(reply),
         Ok(PeerReply::Status(_)) => Err(silent("another incarnation replied".to_owned())),
         Ok(_) => Err(silent("it sent a reply of another type".to_owned())),
--- a/crates/sagespool-entry/src/peers.rs
+++ b/crates/sagespool-entry/src/peers.rs
@@ -38,7 +38,7 @@
     responder: PeerResponder,
 ) {
     let reply = home::reserve(state, reserve_request).await;
-    let delivered = responder.reply_heard(PeerReply::Reserve(reply)).await;
+    let delivered = responder.reply_acknowledged(PeerReply::Reserve(reply)).await;
     if let (false, Some(key)) = (delivered, reserve_request.key) {
         state.keys.release(key, reserve_request.request);
     }
--- a/crates/sagespool-entry/src/run/attach.rs
+++ b/crates/sagespool-entry/src/run/attach.rs
@@ -75,7 +75,8 @@
         );
     }
     let request = AttachRequest { request: spec.request, key, content: spec.content, time_left };
-    let opened = state.link().open(member.address, &PeerRequest::Attach(request), time_left).await;
+    let opened =
+        state.link().open_stream(member.address, &PeerRequest::Attach(request), time_left).await;
     let Ok(mut stream) = opened else {
         return AttachEnd::Retry;
     };
--- a/crates/sagespool-entry/src/run/attempt.rs
+++ b/crates/sagespool-entry/src/run/attempt.rs
@@ -73,10 +73,10 @@
 /// Outcome of one dispatch, before the next step is decided.
 pub(super) enum DispatchOutcome {
     Ended(DispatchEnd),
-    /// The link failed; `surely_not_sent` is true if the request certainly did not reach the
+    /// The link failed; `definitely_not_handled` is true if the request certainly did not reach the
     /// sidecar.
     LinkLost {
-        surely_not_sent: bool,
+        definitely_not_handled: bool,
         detail: String,
     },
     /// The caller disconnected and the request has no key.
@@ -286,12 +286,16 @@
         let started = ClockTime::now();
         self.state.upstreams.started(placement, started);
         let request = PeerRequest::Dispatch(self.request(placement));
-        let opened = self.state.link().open(placement.address, &request, self.time_left()).await;
+        let opened =
+            self.state.link().open_stream(placement.address, &request, self.time_left()).await;
         let mut stream = match opened {
             Ok(stream) => stream,
             Err(error) => {
-                let surely_not_sent = error.surely_not_sent();
-                return DispatchOutcome::LinkLost { surely_not_sent, detail: error.to_string() };
+                let definitely_not_handled = error.definitely_not_handled();
+                return DispatchOutcome::LinkLost {
+                    definitely_not_handled,
+                    detail: error.to_string(),
+                };
             }
         };
         let outcome = self.forward_events(&mut stream, placement, started).await;
@@ -310,7 +314,7 @@
     async fn cancel(&self, placement: &UpstreamPlacement) {
         let cancel = CancelRequest { request: self.spec.request, attempt: self.attempt };
         let request = PeerRequest::Cancel(cancel);
-        let sent = self.state.link().ask(placement.address, &request, CANCEL_TIMEOUT).await;
+        let sent = self.state.link().request(placement.address, &request, CANCEL_TIMEOUT).await;
         if let Err(error) = sent {
             log_event!(warn, "cancel-failed", request = self.spec.request, error = error);
         }
@@ -341,13 +345,13 @@
                 Some(Ok(event)) => event,
                 Some(Err(error)) => {
                     return DispatchOutcome::LinkLost {
-                        surely_not_sent: error.surely_not_sent(),
+                        definitely_not_handled: error.definitely_not_handled(),
                         detail: error.to_string(),
                     };
                 }
                 None => {
                     return DispatchOutcome::LinkLost {
-                        surely_not_sent: false,
+                        definitely_not_handled: false,
                         detail: "the stream ended before the end event".into(),
                     };
                 }
@@ -384,7 +388,7 @@
                         }
                         PieceOutcome::Gap => {
                             return DispatchOutcome::LinkLost {
-                                surely_not_sent: false,
+                                definitely_not_handled: false,
                                 detail: "missing piece".into(),
                             };
                         }
@@ -393,9 +397,9 @@
                 }
                 DispatchEvent::End(end) if !self.is_own(&end) => {
                     let detail = "received the end of another request's answer";
-                    self.note_dropped(DropCause::Crossed, detail);
+                    self.note_dropped(DropCause::WrongRequest, detail);
                     return DispatchOutcome::LinkLost {
-                        surely_not_sent: false,
+                        definitely_not_handled: false,
                         detail: detail.into(),
                     };
                 }
@@ -419,7 +423,7 @@
 
     /// Counts and logs an answer, or a part of one, that is discarded.
     fn note_dropped(&self, cause: DropCause, detail: &str) {
-        self.state.metrics.dropped_answer(cause);
+        self.state.metrics.count_dropped_answer(cause);
         let (request, attempt) = (self.spec.request, self.attempt);
         log_event!(
             warn,
--- a/crates/sagespool-entry/src/run/home_client.rs
+++ b/crates/sagespool-entry/src/run/home_client.rs
@@ -38,7 +38,7 @@
         return (home::reserve(state, reserve_request).await, None);
     };
     let request = PeerRequest::Reserve(reserve_request.clone());
-    match state.link().ask(other.address, &request, reserve_request.time_left).await {
+    match state.link().request(other.address, &request, reserve_request.time_left).await {
         Ok(PeerReply::Reserve(ReserveReply::NotHome)) => {
             (home::reserve(state, reserve_request).await, None)
         }
@@ -52,7 +52,7 @@
                 branch = reserve_request.branch,
                 error = error
             );
-            if !error.surely_not_sent() {
+            if !error.definitely_not_handled() {
                 smol::spawn(abandon(Arc::clone(state), other, reserve_request.clone())).detach();
             }
             (home::reserve(state, reserve_request).await, None)
@@ -69,7 +69,7 @@
         if state.members.is_gone(other.incarnation, ClockTime::now()) {
             return;
         }
-        if state.link().ask(other.address, &notice, CALL_TIMEOUT).await.is_ok() {
+        if state.link().request(other.address, &notice, CALL_TIMEOUT).await.is_ok() {
             return;
         }
         smol::Timer::after(ABANDON_PAUSE).await;
@@ -86,7 +86,7 @@
         return home::claim(state, claim).await;
     };
     let request = PeerRequest::Claim(claim.clone());
-    match state.link().ask(address, &request, claim.time_left).await {
+    match state.link().request(address, &request, claim.time_left).await {
         Ok(PeerReply::Claim(reply)) => reply,
         Ok(_) | Err(_) => home::claim(state, claim).await,
     }
@@ -104,7 +104,7 @@
     };
     let request = PeerRequest::Finish(report.clone());
     for _ in 0..MAX_FINISH_TRIES {
-        let sent = state.link().ask(address, &request, CALL_TIMEOUT).await;
+        let sent = state.link().request(address, &request, CALL_TIMEOUT).await;
         if sent.is_ok() {
             return;
         }
--- a/crates/sagespool-entry/src/run/lifecycle.rs
+++ b/crates/sagespool-entry/src/run/lifecycle.rs
@@ -109,7 +109,7 @@
     match end {
         RunEnd::Whole { billed, .. } => {
             state.metrics.observe_whole(&spec.class, &spec.branch, took);
-            state.metrics.billed(&spec.branch, *billed);
+            state.metrics.add_billed_tokens(&spec.branch, *billed);
             log_event!(
                 debug,
                 "request-answered",
@@ -120,8 +120,8 @@
             );
         }
         RunEnd::Refused { notice, billed } => {
-            state.metrics.refused(notice.reason, &spec.branch);
-            state.metrics.billed(&spec.branch, *billed);
+            state.metrics.count_refused(notice.reason, &spec.branch);
+            state.metrics.add_billed_tokens(&spec.branch, *billed);
             log_event!(
                 info,
                 "request-refused",
--- a/crates/sagespool-entry/src/run/next_step.rs
+++ b/crates/sagespool-entry/src/run/next_step.rs
@@ -52,8 +52,8 @@
     ) -> NextStep {
         match outcome {
             DispatchOutcome::Ended(end) => self.step_after_end(placement, end).await,
-            DispatchOutcome::LinkLost { surely_not_sent, detail } => {
-                self.step_after_link_loss(placement, surely_not_sent, detail).await
+            DispatchOutcome::LinkLost { definitely_not_handled, detail } => {
+                self.step_after_link_loss(placement, definitely_not_handled, detail).await
             }
             DispatchOutcome::CallerGone => {
                 self.note_end(placement, AttemptOutcome::Cancelled);
@@ -206,12 +206,12 @@
     async fn step_after_link_loss(
         &mut self,
         placement: &UpstreamPlacement,
-        surely_not_sent: bool,
+        definitely_not_handled: bool,
         detail: String,
     ) -> NextStep {
         self.note_end(placement, AttemptOutcome::Unreachable);
         self.tried.push(placement.sidecar);
-        if surely_not_sent {
+        if definitely_not_handled {
             return NextStep::RetryUncounted(detail);
         }
         self.maybe_ran = true;
--- a/crates/sagespool-gateway/src/fleet.rs
+++ b/crates/sagespool-gateway/src/fleet.rs
@@ -151,7 +151,7 @@
         limit: Duration,
     ) -> Result<PeerReply, LinkError> {
         match self.link.get() {
-            Some(link) => link.ask(address, request, limit).await,
+            Some(link) => link.request(address, request, limit).await,
             None => Err(LinkError::Unreachable { peer: address, detail: NO_LINK.to_owned() }),
         }
     }
@@ -305,7 +305,7 @@
                 Ok(PeerReply::StoreCall(StoreCallReply::NotSent))
                 | Ok(PeerReply::Unsupported(_)) => RawFailure::NotSent,
                 Ok(PeerReply::StoreCall(StoreCallReply::Lost)) => RawFailure::Unanswered,
-                Err(error) if error.surely_not_sent() => RawFailure::NotSent,
+                Err(error) if error.definitely_not_handled() => RawFailure::NotSent,
                 _ => RawFailure::Lost,
             };
             if failure != RawFailure::NotSent && !only_reads {
--- a/crates/sagespool-gateway/src/identity.rs
+++ b/crates/sagespool-gateway/src/identity.rs
@@ -72,7 +72,7 @@
     let own_key = own_key.serialize_pem();
     let identity = LinkIdentity::from_pem(&certificate, &own_key, &authority.certificate)
         .map_err(|report| IdentityError::Certificate(report.to_string()))?;
-    Ok(identity.with_most_questions(MAX_CONCURRENT_REQUESTS))
+    Ok(identity.with_max_concurrent_requests(MAX_CONCURRENT_REQUESTS))
 }
 
 async fn read_authority(store: &ObjectClient) -> Result<Option<AuthorityRecord>, IdentityError> {
--- a/crates/sagespool-gateway/src/peers.rs
+++ b/crates/sagespool-gateway/src/peers.rs
@@ -78,7 +78,7 @@
     let mut shortage = None;
     let mut wanted = request.wanted;
     if request.as_home {
-        let gone = responder.asker_gone();
+        let gone = responder.requester_gone();
         if let Some(budget) = budget_for_loan(state, request) {
             wanted = budget.amount;
             shortage = state.budgets.ensure_covered(&budget).await;
--- a/crates/sagespool-link/examples/latency.rs
+++ b/crates/sagespool-link/examples/latency.rs
@@ -82,9 +82,9 @@
     let PeerRequest::Attach(request) = call.request else {
         return call.responder.reply(PeerReply::Done).await;
     };
-    let mut sender = call.responder.events();
+    let mut sender = call.responder.into_event_sender();
     if request.time_left.is_zero() {
-        return sender.asker_gone().await;
+        return sender.requester_gone().await;
     }
     for at in 0..EVENTS_A_STREAM {
         if sender.send(&piece(at)).await.is_err() {
@@ -96,7 +96,7 @@
 
 async fn ask(client: &LinkEndpoint, to: SocketAddr) -> Duration {
     let start = Instant::now();
-    client.ask(to, &question(), TIME_LEFT).await.unwrap();
+    client.request(to, &question(), TIME_LEFT).await.unwrap();
     start.elapsed()
 }
 
@@ -144,7 +144,7 @@
     let request = dispatch(size);
     for _ in 0..BODIES {
         let start = Instant::now();
-        client.ask(to, &request, TIME_LEFT).await.unwrap();
+        client.request(to, &request, TIME_LEFT).await.unwrap();
         histogram.record(start.elapsed().as_micros() as u64).unwrap();
     }
     println!(
@@ -159,7 +159,7 @@
     let readers = (0..streams).map(|_| {
         let client = client.clone();
         smol::spawn(async move {
-            let mut stream = client.open(to, &attach(), TIME_LEFT).await.unwrap();
+            let mut stream = client.open_stream(to, &attach(), TIME_LEFT).await.unwrap();
             let mut count = 0;
             while let Some(event) = stream.next().await {
                 count += 1;
@@ -190,7 +190,7 @@
         return;
     };
     request.time_left = Duration::ZERO;
-    let _stream = client.open(to, &PeerRequest::Attach(request), TIME_LEFT).await.unwrap();
+    let _stream = client.open_stream(to, &PeerRequest::Attach(request), TIME_LEFT).await.unwrap();
     let before = client.counters();
     smol::Timer::after(SILENCE).await;
     print_rate("a connection with a silent stream", client, before);
--- a/crates/sagespool-link/src/endpoint.rs
+++ b/crates/sagespool-link/src/endpoint.rs
@@ -68,7 +68,7 @@
     ///
     /// After [`LinkError::Unreachable`] and [`LinkError::TooLarge`] the request
     /// surely didn't reach the peer's handler; after any other error it may have.
-    pub async fn ask(
+    pub async fn request(
         &self,
         to: SocketAddr,
         request: &PeerRequest,
@@ -81,9 +81,9 @@
     /// Sends a request that is answered by a stream of events, and returns once
     /// it is sent, at most after `time_left`. The stream itself isn't bounded.
     ///
-    /// Errors are as those of [`LinkEndpoint::ask`]. The stream's first error
+    /// Errors are as those of [`LinkEndpoint::request`]. The stream's first error
     /// may also be one after which the request surely didn't reach the handler.
-    pub async fn open(
+    pub async fn open_stream(
         &self,
         to: SocketAddr,
         request: &PeerRequest,
--- a/crates/sagespool-link/src/error.rs
+++ b/crates/sagespool-link/src/error.rs
@@ -59,7 +59,7 @@
 impl LinkError {
     /// True only if the peer's handler surely never saw the request, so that
     /// it may be sent elsewhere, or refused as not run, without doubt.
-    pub fn surely_not_sent(&self) -> bool {
+    pub fn definitely_not_handled(&self) -> bool {
         match self {
             Self::Unreachable { .. } | Self::TooLarge { .. } | Self::NotListening { .. } => true,
             Self::Interrupted { .. } | Self::TimedOut { .. } | Self::Malformed { .. } => false,
--- a/crates/sagespool-link/src/identity.rs
+++ b/crates/sagespool-link/src/identity.rs
@@ -133,7 +133,7 @@
     ///
     /// A connection sets memory aside for each that may come, on both sides: 1.7 MB for the 12,000
     /// of an entry and its sidecar, as measured with 34 connections in one process.
-    pub fn with_most_questions(self, most_questions: u32) -> Self {
+    pub fn with_max_concurrent_requests(self, most_questions: u32) -> Self {
         Self { most_questions, ..self }
     }
 
--- a/crates/sagespool-link/src/lib.rs
+++ b/crates/sagespool-link/src/lib.rs
@@ -6,7 +6,7 @@
 //! answered by one reply or by a stream of events.
 //!
 //! Whether a request that failed may have run is the one thing that callers
-//! must be able to rely on, so [`LinkError::surely_not_sent`] is strict: it is
+//! must be able to rely on, so [`LinkError::definitely_not_handled`] is strict: it is
 //! true only if no byte of the request left this process, or if the peer said
 //! that it turned the request away before its handler saw it.
 //!
@@ -39,7 +39,7 @@
 //! let client = LinkEndpoint::start(any_port, identity()?, handler).map_err(fault)?;
 //! let question = PeerRequest::Status(StatusQuery { branch: None, running: 0 });
 //! let limit = Duration::from_secs(5);
-//! let reply = smol::block_on(client.ask(server.local_address(), &question, limit))?;
+//! let reply = smol::block_on(client.request(server.local_address(), &question, limit))?;
 //! assert_eq!(reply, PeerReply::Done);
 //! # Ok(())
 //! # }
--- a/crates/sagespool-link/src/server.rs
+++ b/crates/sagespool-link/src/server.rs
@@ -177,7 +177,7 @@
 
     /// As [`Self::reply`], and waits until the asker has the reply or gave its
     /// request up. False if the connection is lost before: it may have it or not.
-    pub async fn reply_heard(mut self, reply: PeerReply) -> bool {
+    pub async fn reply_acknowledged(mut self, reply: PeerReply) -> bool {
         let settled = self.send.stopped();
         self.write(reply).await;
         settled.await.is_ok()
@@ -195,12 +195,12 @@
     }
 
     /// Answers with a stream of events.
-    pub fn events(self) -> EventSender {
+    pub fn into_event_sender(self) -> EventSender {
         EventSender { send: self.send, to: self.from, meter: self.meter, cut: false }
     }
 
     /// Resolves when the asker gave its request up or its connection is lost.
-    pub fn asker_gone(&self) -> impl Future<Output = ()> + Send + 'static + use<> {
+    pub fn requester_gone(&self) -> impl Future<Output = ()> + Send + 'static + use<> {
         gone(&self.send)
     }
 }
@@ -237,7 +237,7 @@
 
     /// Waits until the asker has what was sent, or gave its stream up. False if the connection is
     /// lost before: it may have it or not.
-    pub async fn heard(&self) -> bool {
+    pub async fn wait_acknowledged(&self) -> bool {
         self.send.stopped().await.is_ok()
     }
 
@@ -256,7 +256,7 @@
     /// Resolves when the asker dropped its stream or its connection is lost;
     /// also some time after the end was sent. The future holds no borrow, so
     /// that events can be sent beside it.
-    pub fn asker_gone(&self) -> impl Future<Output = ()> + Send + 'static + use<> {
+    pub fn requester_gone(&self) -> impl Future<Output = ()> + Send + 'static + use<> {
         gone(&self.send)
     }
 }
--- a/crates/sagespool-link/tests/ask_reply.rs
+++ b/crates/sagespool-link/tests/ask_reply.rs
@@ -31,7 +31,7 @@
         let client = endpoint(authority.identity(), deaf());
 
         for request in [question(), dispatch(0), dispatch(4 << 20)] {
-            let reply = client.ask(server.local_address(), &request, PATIENCE).await;
+            let reply = client.request(server.local_address(), &request, PATIENCE).await;
             assert_eq!(reply, Ok(PeerReply::Unsupported("as told".to_owned())));
             let (from, handled) = noted.recv().await.unwrap();
             assert_eq!(from, client.local_address());
@@ -56,13 +56,13 @@
         let to = server.local_address();
 
         let ask = |client: LinkEndpoint| {
-            smol::spawn(async move { client.ask(to, &question(), PATIENCE).await })
+            smol::spawn(async move { client.request(to, &question(), PATIENCE).await })
         };
         let asked: Vec<_> = (0..200).map(|_| ask(client.clone())).collect();
         for ask in asked {
             assert_eq!(ask.await, Ok(PeerReply::Done));
         }
-        let reply = server.ask(client.local_address(), &question(), PATIENCE).await;
+        let reply = server.request(client.local_address(), &question(), PATIENCE).await;
         assert_eq!(reply, Ok(PeerReply::Done));
         let opened = [&client, &server].map(|link| link.counters().connections_opened);
         assert_eq!(opened, [1, 1]);
@@ -79,16 +79,16 @@
         let to = silent.local_addr().unwrap();
         let client = endpoint(TestAuthority::new().identity(), deaf());
         let ask = |client: LinkEndpoint| {
-            smol::spawn(async move { client.ask(to, &question(), PATIENCE * 2).await })
+            smol::spawn(async move { client.request(to, &question(), PATIENCE * 2).await })
         };
         let asked: Vec<_> = (0..500).map(|_| ask(client.clone())).collect();
         for ask in asked {
             let error = soon(ask).await.unwrap_err();
             assert!(matches!(error, LinkError::Unreachable { .. }), "{error}");
-            assert!(error.surely_not_sent());
+            assert!(error.definitely_not_handled());
         }
-        let error = client.ask(to, &question(), Duration::ZERO).await.unwrap_err();
-        assert!(error.surely_not_sent(), "{error}");
+        let error = client.request(to, &question(), Duration::ZERO).await.unwrap_err();
+        assert!(error.definitely_not_handled(), "{error}");
     });
 }
 
@@ -111,15 +111,15 @@
         let client = endpoint(authority.identity(), deaf());
         let to = server.local_address();
 
-        let error = client.ask(to, &question(), PATIENCE).await.unwrap_err();
+        let error = client.request(to, &question(), PATIENCE).await.unwrap_err();
         assert!(matches!(error, LinkError::Interrupted { .. }), "{error}");
-        assert!(!error.surely_not_sent());
+        assert!(!error.definitely_not_handled());
 
-        let error = client.ask(to, &dispatch(10), SHORT_WHILE).await.unwrap_err();
+        let error = client.request(to, &dispatch(10), SHORT_WHILE).await.unwrap_err();
         assert!(matches!(error, LinkError::TimedOut { .. }), "{error}");
-        assert!(!error.surely_not_sent());
+        assert!(!error.definitely_not_handled());
         let responder = kept.recv().await.unwrap();
-        soon(responder.asker_gone()).await;
+        soon(responder.requester_gone()).await;
     });
 }
 
@@ -129,9 +129,9 @@
     smol::block_on(async {
         let client = endpoint(TestAuthority::new().identity(), deaf());
         let to = client.local_address();
-        let error = client.ask(to, &dispatch(9 << 20), PATIENCE).await.unwrap_err();
+        let error = client.request(to, &dispatch(9 << 20), PATIENCE).await.unwrap_err();
         assert!(matches!(error, LinkError::TooLarge { .. }), "{error}");
-        assert!(error.surely_not_sent());
+        assert!(error.definitely_not_handled());
         assert_eq!(client.counters().datagrams_sent, 0);
     });
 }
@@ -146,7 +146,7 @@
         });
         let server = endpoint(authority.identity(), verbose);
         let client = endpoint(authority.identity(), deaf());
-        let reply = client.ask(server.local_address(), &question(), PATIENCE).await;
+        let reply = client.request(server.local_address(), &question(), PATIENCE).await;
         let Ok(PeerReply::Unsupported(detail)) = reply else {
             panic!("{reply:?}");
         };
@@ -158,8 +158,8 @@
 async fn refused(client: &LinkEndpoint, to: SocketAddr) {
     let refusal = async {
         loop {
-            match client.ask(to, &question(), SHORT_WHILE).await {
-                Err(error) if error.surely_not_sent() => return,
+            match client.request(to, &question(), SHORT_WHILE).await {
+                Err(error) if error.definitely_not_handled() => return,
                 // Came before the close began.
                 _ => continue,
             }
@@ -190,7 +190,7 @@
         let to = server.local_address();
         let first = smol::spawn({
             let client = client.clone();
-            async move { client.ask(to, &question(), PATIENCE).await }
+            async move { client.request(to, &question(), PATIENCE).await }
         });
         soon(arrivals.recv()).await.unwrap();
 
@@ -204,8 +204,8 @@
         assert_eq!(first.await, Ok(PeerReply::Done));
         soon(closing).await;
         assert_eq!(arrivals.len(), handled);
-        let error = client.ask(to, &question(), PATIENCE).await.unwrap_err();
-        assert!(error.surely_not_sent(), "{error}");
+        let error = client.request(to, &question(), PATIENCE).await.unwrap_err();
+        assert!(error.definitely_not_handled(), "{error}");
     });
 }
 
@@ -231,7 +231,7 @@
         let relay = UdpRelay::start(server.local_address());
         let client = endpoint(authority.identity(), deaf());
         let to = relay.address();
-        let asked = smol::spawn(async move { client.ask(to, &question(), PATIENCE).await });
+        let asked = smol::spawn(async move { client.request(to, &question(), PATIENCE).await });
         soon(arrivals.recv()).await.unwrap();
         relay.cut(true);
         drop(gate);
--- a/crates/sagespool-link/tests/event_stream.rs
+++ b/crates/sagespool-link/tests/event_stream.rs
@@ -27,9 +27,9 @@
         Self { server, client, senders }
     }
 
-    async fn open(&self) -> (EventStream, EventSender) {
+    async fn open_stream(&self) -> (EventStream, EventSender) {
         let to = self.server.local_address();
-        let stream = self.client.open(to, &attach(), PATIENCE).await.unwrap();
+        let stream = self.client.open_stream(to, &attach(), PATIENCE).await.unwrap();
         (stream, soon(self.senders.recv()).await.unwrap())
     }
 }
@@ -38,7 +38,7 @@
 fn events_in_order() {
     smol::block_on(async {
         let fixture = EventFixture::start();
-        let (mut stream, mut sender) = fixture.open().await;
+        let (mut stream, mut sender) = fixture.open_stream().await;
         let mut events: Vec<_> = (0..1000).map(piece).collect();
         events.push(whole_end());
         for event in &events {
@@ -60,10 +60,10 @@
     // an error if it sends one, or the engine would go on for nobody.
     smol::block_on(async {
         let fixture = EventFixture::start();
-        let (mut stream, mut sender) = fixture.open().await;
+        let (mut stream, mut sender) = fixture.open_stream().await;
         sender.send(&piece(0)).await.unwrap();
         assert_eq!(soon(stream.next()).await, Some(Ok(piece(0))));
-        let gone = sender.asker_gone();
+        let gone = sender.requester_gone();
         drop(stream);
         soon(gone).await;
         let error = sender.send(&piece(1)).await.unwrap_err();
@@ -77,13 +77,13 @@
     // error: an answer that just stops would pass for a whole one.
     smol::block_on(async {
         let fixture = EventFixture::start();
-        let (mut stream, mut sender) = fixture.open().await;
+        let (mut stream, mut sender) = fixture.open_stream().await;
         sender.send(&piece(0)).await.unwrap();
         drop(sender);
         assert_eq!(soon(stream.next()).await, Some(Ok(piece(0))));
         let error = soon(stream.next()).await.unwrap().unwrap_err();
         assert!(matches!(error, LinkError::Interrupted { .. }), "{error}");
-        assert!(!error.surely_not_sent());
+        assert!(!error.definitely_not_handled());
         assert_eq!(soon(stream.next()).await, None);
     });
 }
@@ -95,7 +95,7 @@
     // as the rest of the first, and the caller would get garbage.
     smol::block_on(async {
         let fixture = EventFixture::start();
-        let (mut stream, mut sender) = fixture.open().await;
+        let (mut stream, mut sender) = fixture.open_stream().await;
         let large = DispatchEvent::Piece { at: 0, tokens: 0, data: vec![7; 4 << 20] };
         assert!(futures_lite::future::poll_once(sender.send(&large)).await.is_none());
         let error = soon(sender.send(&piece(1))).await.unwrap_err();
--- a/crates/sagespool-link/tests/identity_renewal.rs
+++ b/crates/sagespool-link/tests/identity_renewal.rs
@@ -19,12 +19,12 @@
         let old_node = endpoint(old.identity(), done());
         let new_node = endpoint(new.identity(), done());
         let ask = async |from: &LinkEndpoint, to: &LinkEndpoint| {
-            from.ask(to.local_address(), &question(), PATIENCE).await
+            from.request(to.local_address(), &question(), PATIENCE).await
         };
 
         assert_eq!(ask(&node, &old_node).await, Ok(PeerReply::Done));
-        assert!(ask(&node, &new_node).await.unwrap_err().surely_not_sent());
-        assert!(ask(&new_node, &node).await.unwrap_err().surely_not_sent());
+        assert!(ask(&node, &new_node).await.unwrap_err().definitely_not_handled());
+        assert!(ask(&new_node, &node).await.unwrap_err().definitely_not_handled());
 
         node.renew(new.identity());
         assert_eq!(ask(&node, &old_node).await, Ok(PeerReply::Done));
@@ -32,8 +32,8 @@
         assert_eq!(ask(&node, &new_node).await, Ok(PeerReply::Done));
 
         let late_node = endpoint(old.identity(), done());
-        assert!(ask(&node, &late_node).await.unwrap_err().surely_not_sent());
-        assert!(ask(&late_node, &node).await.unwrap_err().surely_not_sent());
+        assert!(ask(&node, &late_node).await.unwrap_err().definitely_not_handled());
+        assert!(ask(&late_node, &node).await.unwrap_err().definitely_not_handled());
     });
 }
 
@@ -46,7 +46,7 @@
         let node = endpoint(old.identity(), done());
         let new_node = endpoint(new.identity(), done());
         node.renew(new.identity());
-        let reply = node.ask(new_node.local_address(), &question(), PATIENCE).await;
+        let reply = node.request(new_node.local_address(), &question(), PATIENCE).await;
         assert_eq!(reply, Ok(PeerReply::Done));
     });
 }
--- a/crates/sagespool-link/tests/many_streams.rs
+++ b/crates/sagespool-link/tests/many_streams.rs
@@ -37,7 +37,7 @@
         let client = endpoint(authority.identity(), deaf());
         let to = server.local_address();
         let ask = |client: LinkEndpoint| {
-            smol::spawn(async move { client.ask(to, &question(), PATIENCE * 2).await })
+            smol::spawn(async move { client.request(to, &question(), PATIENCE * 2).await })
         };
         let asked: Vec<_> = (0..COUNT).map(|_| ask(client.clone())).collect();
         until(|| waiting.load(Ordering::SeqCst) == COUNT).await;
--- a/crates/sagespool-link/tests/paused_process.rs
+++ b/crates/sagespool-link/tests/paused_process.rs
@@ -32,7 +32,7 @@
         relay.cut(true);
         let asked = smol::spawn({
             let (client, to) = (client.clone(), relay.address());
-            async move { client.ask(to, &question(), PATIENCE).await }
+            async move { client.request(to, &question(), PATIENCE).await }
         });
         until(|| client.counters().datagrams_sent > 0).await;
         relay.cut(false);
@@ -51,7 +51,7 @@
         let server = endpoint(authority.identity(), handing);
         let client = endpoint(authority.identity(), deaf());
         let to = server.local_address();
-        let mut stream = client.open(to, &attach(), PATIENCE).await.unwrap();
+        let mut stream = client.open_stream(to, &attach(), PATIENCE).await.unwrap();
         let mut sender = soon(senders.recv()).await.unwrap();
         pause(Duration::from_secs(4)).await;
         sender.send(&whole_end()).await.unwrap();
--- a/crates/sagespool-link/tests/peer_loss.rs
+++ b/crates/sagespool-link/tests/peer_loss.rs
@@ -49,8 +49,8 @@
         Self { authority, relay, client, handled }
     }
 
-    async fn ask(&self) -> Result<PeerReply, LinkError> {
-        self.client.ask(self.relay.address(), &question(), PATIENCE * 2).await
+    async fn request(&self) -> Result<PeerReply, LinkError> {
+        self.client.request(self.relay.address(), &question(), PATIENCE * 2).await
     }
 
     fn handled(&self) -> usize {
@@ -66,7 +66,7 @@
     smol::block_on(async {
         let fixture = LossFixture::start();
         let request = attach();
-        let asked = fixture.client.ask(fixture.relay.address(), &request, PATIENCE * 2);
+        let asked = fixture.client.request(fixture.relay.address(), &request, PATIENCE * 2);
         let cut = async {
             until(|| fixture.handled() == 1).await;
             fixture.relay.cut(true);
@@ -74,10 +74,10 @@
         };
         let error = soon(futures_lite::future::or(asked, cut)).await.unwrap_err();
         assert!(matches!(error, LinkError::Interrupted { .. }), "{error}");
-        assert!(!error.surely_not_sent());
+        assert!(!error.definitely_not_handled());
 
         fixture.relay.cut(false);
-        assert_eq!(fixture.ask().await, Ok(PeerReply::Done));
+        assert_eq!(fixture.request().await, Ok(PeerReply::Done));
         assert_eq!(fixture.client.counters().connections_opened, 2);
     });
 }
@@ -95,10 +95,11 @@
             let server = endpoint(authority.identity(), handing);
             let relay = UdpRelay::start(server.local_address());
             let client = endpoint(authority.identity(), deaf());
-            let mut stream = client.open(relay.address(), &attach(), PATIENCE).await.unwrap();
+            let mut stream =
+                client.open_stream(relay.address(), &attach(), PATIENCE).await.unwrap();
             let sender = soon(senders.recv()).await.unwrap();
             relay.cut_one_way(forth, back);
-            soon(sender.asker_gone()).await;
+            soon(sender.requester_gone()).await;
             let error = soon(stream.next()).await.unwrap().unwrap_err();
             assert!(matches!(error, LinkError::Interrupted { .. }), "{error}");
         }
@@ -113,7 +114,7 @@
     smol::block_on(async {
         let fixture = LossFixture::start();
         let to = fixture.relay.address();
-        let mut stream = fixture.client.open(to, &attach(), PATIENCE).await.unwrap();
+        let mut stream = fixture.client.open_stream(to, &attach(), PATIENCE).await.unwrap();
         let ended = async {
             stream.next().await;
             true
@@ -133,14 +134,14 @@
     // though it never left this process's buffers.
     smol::block_on(async {
         let fixture = LossFixture::start();
-        assert_eq!(fixture.ask().await, Ok(PeerReply::Done));
+        assert_eq!(fixture.request().await, Ok(PeerReply::Done));
         fixture.relay.cut(true);
         smol::Timer::after(STALE_WHILE).await;
-        let error = soon(fixture.ask()).await.unwrap_err();
+        let error = soon(fixture.request()).await.unwrap_err();
         assert!(matches!(error, LinkError::Unreachable { .. }), "{error}");
-        assert!(error.surely_not_sent());
+        assert!(error.definitely_not_handled());
         fixture.relay.cut(false);
-        assert_eq!(fixture.ask().await, Ok(PeerReply::Done));
+        assert_eq!(fixture.request().await, Ok(PeerReply::Done));
         assert_eq!(fixture.handled(), 2);
     });
 }
@@ -160,11 +161,11 @@
         fixture.relay.lead_to(first.local_address());
 
         let to = fixture.relay.address();
-        let mut stream = fixture.client.open(to, &attach(), PATIENCE).await.unwrap();
+        let mut stream = fixture.client.open_stream(to, &attach(), PATIENCE).await.unwrap();
         fixture.relay.lead_to(second.local_address());
         let error = soon(stream.next()).await.unwrap().unwrap_err();
         assert!(error.to_string().contains("reset by peer"), "{error}");
-        assert!(!error.surely_not_sent());
-        assert_eq!(fixture.ask().await, Ok(PeerReply::Done));
+        assert!(!error.definitely_not_handled());
+        assert_eq!(fixture.request().await, Ok(PeerReply::Done));
     });
 }
--- a/crates/sagespool-link/tests/question_limit.rs
+++ b/crates/sagespool-link/tests/question_limit.rs
@@ -29,13 +29,14 @@
                 }
             })
         };
-        let server = endpoint(authority.identity().with_most_questions(ALLOWED as u32), counting);
+        let server =
+            endpoint(authority.identity().with_max_concurrent_requests(ALLOWED as u32), counting);
         let client = endpoint(authority.identity(), deaf());
         let to = server.local_address();
         let asked: Vec<_> = (0..COUNT)
             .map(|_| {
                 let client = client.clone();
-                smol::spawn(async move { client.ask(to, &question(), PATIENCE * 2).await })
+                smol::spawn(async move { client.request(to, &question(), PATIENCE * 2).await })
             })
             .collect();
         for ask in asked {
@@ -55,13 +56,13 @@
     const MOST_MEGABYTES: u64 = 6;
     smol::block_on(async {
         let authority = TestAuthority::new();
-        let identity = || authority.identity().with_most_questions(128);
+        let identity = || authority.identity().with_max_concurrent_requests(128);
         let done = handler(|call| async move { call.responder.reply(PeerReply::Done).await });
         let server = endpoint(identity(), done);
         let clients: Vec<_> = (0..CALLERS).map(|_| endpoint(identity(), deaf())).collect();
         let before = resident_megabytes();
         for client in &clients {
-            let asked = client.ask(server.local_address(), &question(), PATIENCE).await;
+            let asked = client.request(server.local_address(), &question(), PATIENCE).await;
             assert_eq!(asked, Ok(PeerReply::Done));
         }
         let grown = resident_megabytes() - before;
--- a/crates/sagespool-link/tests/strange_frames.rs
+++ b/crates/sagespool-link/tests/strange_frames.rs
@@ -87,6 +87,6 @@
 
         assert_eq!(handled.load(Ordering::SeqCst), 0);
         let client = endpoint(authority.identity(), deaf());
-        assert_eq!(client.ask(to, &question(), PATIENCE).await, Ok(PeerReply::Done));
+        assert_eq!(client.request(to, &question(), PATIENCE).await, Ok(PeerReply::Done));
     });
 }
--- a/crates/sagespool-link/tests/support/mod.rs
+++ b/crates/sagespool-link/tests/support/mod.rs
@@ -79,7 +79,7 @@
     let handing = handler(move |call| {
         let hand_out = hand_out.clone();
         async move {
-            let _ = hand_out.send(call.responder.events()).await;
+            let _ = hand_out.send(call.responder.into_event_sender()).await;
         }
     });
     (handing, senders)
--- a/crates/sagespool-link/tests/wrong_certificate.rs
+++ b/crates/sagespool-link/tests/wrong_certificate.rs
@@ -30,10 +30,10 @@
             });
             let server = endpoint(server, counting);
             let client = endpoint(client, deaf());
-            let error = client.ask(server.local_address(), &question(), PATIENCE).await;
+            let error = client.request(server.local_address(), &question(), PATIENCE).await;
             let error = error.unwrap_err();
             assert!(matches!(error, LinkError::Unreachable { .. }), "{error}");
-            assert!(error.surely_not_sent());
+            assert!(error.definitely_not_handled());
             assert_eq!(handled.load(Ordering::SeqCst), 0);
             until(|| client.counters().handshakes_refused == 1).await;
             until(|| server.counters().handshakes_refused == 1).await;
--- a/crates/sagespool-log/src/lib.rs
+++ b/crates/sagespool-log/src/lib.rs
@@ -22,4 +22,4 @@
 pub use event::EventLine;
 pub use format::format_line;
 pub use level::LogLevel;
-pub use start::{finish_log, is_enabled, start_log, start_log_queued, start_log_to, write_event};
+pub use start::{flush_log, is_enabled, start_log, start_log_queued, start_log_to, write_event};
--- a/crates/sagespool-log/src/start.rs
+++ b/crates/sagespool-log/src/start.rs
@@ -64,14 +64,14 @@
     let dropped = Arc::new(AtomicU64::new(0));
     let writer = QueueWriter { sender: sender.clone(), dropped: dropped.clone(), line: Vec::new() };
     thread::Builder::new().name("log".to_owned()).spawn(move || write_lines(&orders, &dropped))?;
-    // A second start keeps the first one's queue for `finish_log`; both write to the same place.
+    // A second start keeps the first one's queue for `flush_log`; both write to the same place.
     let _ = WRITER.set(sender);
     start_log_to(level, writer);
     Ok(())
 }
 
 /// Waits, not for long, until the queued lines are written. For the end of a process.
-pub fn finish_log() {
+pub fn flush_log() {
     let Some(writer) = WRITER.get() else {
         return;
     };
--- a/crates/sagespool-metrics/src/fleet.rs
+++ b/crates/sagespool-metrics/src/fleet.rs
@@ -82,57 +82,57 @@
 
     /// Time from a request's arrival to its first token.
     pub fn observe_first_token(&self, class: &ClassName, branch: &BranchName, took: Duration) {
-        self.timings(class, branch).first_token(took);
+        self.timings(class, branch).observe_first_token(took);
     }
 
     /// Time between two tokens of an answer.
     pub fn observe_between_tokens(&self, class: &ClassName, branch: &BranchName, took: Duration) {
-        self.timings(class, branch).between_tokens(took);
+        self.timings(class, branch).observe_between_tokens(took);
     }
 
     /// Time from a request's arrival to the end of its answer.
     pub fn observe_whole(&self, class: &ClassName, branch: &BranchName, took: Duration) {
-        self.timings(class, branch).whole(took);
+        self.timings(class, branch).observe_whole(took);
     }
 
     /// Time that a request waited for an upstream.
     pub fn observe_queue_wait(&self, class: &ClassName, branch: &BranchName, took: Duration) {
-        self.timings(class, branch).queue_wait(took);
+        self.timings(class, branch).observe_queue_wait(took);
     }
 
     /// A request was admitted.
-    pub fn admitted(&self, class: &ClassName, branch: &BranchName) {
+    pub fn count_admitted(&self, class: &ClassName, branch: &BranchName) {
         let counters = &self.inner.counters;
         counters.admitted.get_or_create(&self.inner.class_label(class)).inc();
         counters.branch_admitted.get_or_create(&self.inner.branch_label(branch)).inc();
     }
 
     /// A request was refused.
-    pub fn refused(&self, reason: RefusalReason, branch: &BranchName) {
+    pub fn count_refused(&self, reason: RefusalReason, branch: &BranchName) {
         let counters = &self.inner.counters;
         counters.refused.get_or_create(&ReasonLabel { reason: reason.as_str() }).inc();
         counters.branch_refused.get_or_create(&self.inner.branch_label(branch)).inc();
     }
 
     /// A caller gave no key, an unknown one, or a malformed request: no branch to count it for.
-    pub fn rejected_caller(&self) {
+    pub fn count_rejected_caller(&self) {
         self.inner.counters.rejected_callers.inc();
     }
 
     /// Tokens billed to a branch.
-    pub fn billed(&self, branch: &BranchName, tokens: TokenCount) {
+    pub fn add_billed_tokens(&self, branch: &BranchName, tokens: TokenCount) {
         let label = self.inner.branch_label(branch);
         self.inner.counters.billed.get_or_create(&label).inc_by(tokens.0);
     }
 
     /// Tokens of lost attempts at a branch's requests, which the branch doesn't pay.
-    pub fn rerun(&self, branch: &BranchName, tokens: TokenCount) {
+    pub fn add_rerun_tokens(&self, branch: &BranchName, tokens: TokenCount) {
         let label = self.inner.branch_label(branch);
         self.inner.counters.rerun.get_or_create(&label).inc_by(tokens.0);
     }
 
     /// One call to the platform's store.
-    pub fn store_call(&self, kind: StoreCallKind) {
+    pub fn count_store_call(&self, kind: StoreCallKind) {
         self.inner.counters.store_calls.get_or_create(&KindLabel { kind }).inc();
     }
 
@@ -145,7 +145,7 @@
     }
 
     /// An answer, or a part of one, was thrown away.
-    pub fn dropped_answer(&self, cause: DropCause) {
+    pub fn count_dropped_answer(&self, cause: DropCause) {
         self.inner.counters.dropped.get_or_create(&CauseLabel { cause }).inc();
     }
 
--- a/crates/sagespool-metrics/src/labels.rs
+++ b/crates/sagespool-metrics/src/labels.rs
@@ -59,7 +59,7 @@
         /// It repeated what had come already.
         Duplicate = "duplicate",
         /// It belonged to another request.
-        Crossed = "crossed",
+        WrongRequest = "crossed",
     }
 
     /// What goes over the link.
--- a/crates/sagespool-metrics/src/lib.rs
+++ b/crates/sagespool-metrics/src/lib.rs
@@ -8,7 +8,7 @@
 //! let metrics = FleetMetrics::new();
 //! let class: ClassName = "lookup".parse()?;
 //! let branch: BranchName = "ruwi-bids".parse()?;
-//! metrics.admitted(&class, &branch);
+//! metrics.count_admitted(&class, &branch);
 //! metrics.observe_first_token(&class, &branch, Duration::from_millis(4));
 //! assert!(metrics.encode().contains("sagespool_admitted_total{class=\"lookup\"} 1"));
 //! # Ok::<(), sagespool_types::ParseError>(())
--- a/crates/sagespool-metrics/src/timings.rs
+++ b/crates/sagespool-metrics/src/timings.rs
@@ -100,22 +100,22 @@
 
 impl RequestTimings {
     /// Time from arrival to the first token.
-    pub fn first_token(&self, took: Duration) {
+    pub fn observe_first_token(&self, took: Duration) {
         self.first_token.observe(took);
     }
 
     /// Time between two tokens.
-    pub fn between_tokens(&self, took: Duration) {
+    pub fn observe_between_tokens(&self, took: Duration) {
         self.between_tokens.observe(took);
     }
 
     /// Time from arrival to the end.
-    pub fn whole(&self, took: Duration) {
+    pub fn observe_whole(&self, took: Duration) {
         self.whole.observe(took);
     }
 
     /// Time spent waiting for an upstream.
-    pub fn queue_wait(&self, took: Duration) {
+    pub fn observe_queue_wait(&self, took: Duration) {
         self.queue_wait.observe(took);
     }
 }
--- a/crates/sagespool-metrics/tests/metric_text.rs
+++ b/crates/sagespool-metrics/tests/metric_text.rs
@@ -44,14 +44,14 @@
 fn event_counters() {
     let metrics = FleetMetrics::new();
     let branch = branch("hall-c-clerks");
-    metrics.admitted(&class("draft"), &branch);
-    metrics.refused(RefusalReason::BudgetUnreachable, &branch);
-    metrics.rejected_caller();
-    metrics.billed(&branch, TokenCount(120));
-    metrics.billed(&branch, TokenCount(5));
-    metrics.rerun(&branch, TokenCount(7));
-    metrics.store_call(StoreCallKind::Conflict);
-    metrics.dropped_answer(DropCause::CallerGone);
+    metrics.count_admitted(&class("draft"), &branch);
+    metrics.count_refused(RefusalReason::BudgetUnreachable, &branch);
+    metrics.count_rejected_caller();
+    metrics.add_billed_tokens(&branch, TokenCount(120));
+    metrics.add_billed_tokens(&branch, TokenCount(5));
+    metrics.add_rerun_tokens(&branch, TokenCount(7));
+    metrics.count_store_call(StoreCallKind::Conflict);
+    metrics.count_dropped_answer(DropCause::CallerGone);
 
     let text = metrics.encode();
     assert_has(&text, "sagespool_admitted_total{class=\"draft\"} 1");
@@ -105,11 +105,11 @@
     let class = class("lookup");
     for number in 0..1000 {
         let branch = branch(&format!("branch-{number}"));
-        metrics.admitted(&class, &branch);
+        metrics.count_admitted(&class, &branch);
         metrics.observe_whole(&class, &branch, Duration::from_millis(5));
-        metrics.billed(&branch, TokenCount(2));
+        metrics.add_billed_tokens(&branch, TokenCount(2));
     }
-    metrics.billed(&branch("branch-199"), TokenCount(1));
+    metrics.add_billed_tokens(&branch("branch-199"), TokenCount(1));
 
     let text = metrics.encode();
     let labels: HashSet<&str> =
@@ -125,7 +125,7 @@
     let metrics = FleetMetrics::new();
     let (class, branch) = (class("lookup"), branch("ruwi-bids"));
     let timings = metrics.clone().timings(&class, &branch);
-    timings.between_tokens(Duration::from_millis(1));
-    timings.between_tokens(Duration::from_millis(1));
+    timings.observe_between_tokens(Duration::from_millis(1));
+    timings.observe_between_tokens(Duration::from_millis(1));
     assert_has(&metrics.encode(), "sagespool_between_tokens_seconds_count{class=\"lookup\"} 2");
 }
--- a/crates/sagespool-sidecar/src/dispatcher.rs
+++ b/crates/sagespool-sidecar/src/dispatcher.rs
@@ -246,7 +246,7 @@
 
     /// Counts and logs an answer, or a part of one, that is discarded.
     pub(crate) fn record_dropped(&self, cause: DropCause, detail: &str) {
-        self.metrics.dropped_answer(cause);
+        self.metrics.count_dropped_answer(cause);
         log_event!(warn, "answer-dropped", cause = cause, detail = detail);
     }
 
@@ -263,7 +263,7 @@
             None
         };
         if is_whole {
-            attempt.timings.whole(now.since(attempt.arrived));
+            attempt.timings.observe_whole(now.since(attempt.arrived));
         }
         if let Some(keyed) = &attempt.key {
             self.keys.end_attempt(keyed, outcome.keyed_outcome(), now);
--- a/crates/sagespool-sidecar/src/role/members.rs
+++ b/crates/sagespool-sidecar/src/role/members.rs
@@ -31,7 +31,7 @@
             let state = Arc::clone(&state);
             let request = PeerRequest::Heartbeat(heartbeat);
             smol::spawn(async move {
-                match state.link().ask(address, &request, HEARTBEAT_TIMEOUT).await {
+                match state.link().request(address, &request, HEARTBEAT_TIMEOUT).await {
                     Ok(PeerReply::Heartbeat(reply)) => {
                         state.members.handle_reply(address, &reply, ClockTime::now());
                         state.follower.observe_member(&reply.from);
--- a/crates/sagespool-sidecar/src/role/peers.rs
+++ b/crates/sagespool-sidecar/src/role/peers.rs
@@ -33,12 +33,20 @@
             let reader = dispatcher.dispatch(dispatch, now).await;
             let changes = dispatcher.cache().changes_for(from).map(DispatchEvent::CacheNews);
             let others = || DispatchEvent::Beside(dispatcher.count_others(id, attempt));
-            return forward_dispatch(dispatcher, reader, changes, others, responder.events()).await;
+            return forward_dispatch(
+                dispatcher,
+                reader,
+                changes,
+                others,
+                responder.into_event_sender(),
+            )
+            .await;
         }
         PeerRequest::Attach(request) => {
             let _delivery = state.deliveries.start();
             let reader = dispatcher.attach(&request);
-            return forward_events(dispatcher, reader, || None, responder.events()).await;
+            return forward_events(dispatcher, reader, || None, responder.into_event_sender())
+                .await;
         }
         PeerRequest::Cancel(request) => {
             dispatcher.cancel(&request);
@@ -104,7 +112,7 @@
     before_end: impl Fn() -> Option<DispatchEvent>,
     mut sender: EventSender,
 ) {
-    let mut gone = pin!(sender.asker_gone());
+    let mut gone = pin!(sender.requester_gone());
     let mut delivery = AnswerDelivery { dispatcher, delivered: false };
     let mut ended = false;
     loop {
@@ -124,7 +132,7 @@
         }
         ended |= is_end;
     }
-    delivery.delivered = ended && sender.heard().await;
+    delivery.delivered = ended && sender.wait_acknowledged().await;
 }
 
 /// Delivery of an answer to its requester. If the requester disconnects before it has the end, the
--- a/crates/sagespool-sidecar/src/role/reports.rs
+++ b/crates/sagespool-sidecar/src/role/reports.rs
@@ -89,7 +89,7 @@
         return None;
     }
     let request = PeerRequest::ReportCharges(report.clone());
-    match state.link().ask(address, &request, REPORT_TIMEOUT).await {
+    match state.link().request(address, &request, REPORT_TIMEOUT).await {
         Ok(PeerReply::ChargesDurable(durable)) => Some(durable),
         _ => None,
     }
--- a/crates/sagespool-sidecar/src/run_completion.rs
+++ b/crates/sagespool-sidecar/src/run_completion.rs
@@ -62,8 +62,8 @@
     fn record_token(&mut self, timings: &RequestTimings, now: ClockTime) {
         let elapsed = now.since(self.last);
         match self.has_first {
-            true => timings.between_tokens(elapsed),
-            false => timings.first_token(elapsed),
+            true => timings.observe_between_tokens(elapsed),
+            false => timings.observe_first_token(elapsed),
         }
         self.has_first = true;
         self.last = now;
@@ -189,7 +189,7 @@
             UpstreamCallError::Lost { .. } => self.is_upstream_down().await,
         };
         if let UpstreamCallError::Crossed { detail } = error {
-            self.record_dropped(DropCause::Crossed, detail);
+            self.record_dropped(DropCause::WrongRequest, detail);
         }
         if crashed {
             self.load.mark_down();
--- a/crates/sagespool-sidecar/tests/harness/fleet.rs
+++ b/crates/sagespool-sidecar/tests/harness/fleet.rs
@@ -164,14 +164,14 @@
 
     /// Sends a request to the sidecar over the link.
     pub async fn ask(&self, request: PeerRequest) -> PeerReply {
-        self.holder.link.ask(self.role.address(), &request, REPLY_TIMEOUT).await.unwrap()
+        self.holder.link.request(self.role.address(), &request, REPLY_TIMEOUT).await.unwrap()
     }
 
     /// Dispatches over the link to the running incarnation.
     pub async fn dispatch(&self, mut request: DispatchRequest) -> EventStream {
         request.sidecar = self.role.incarnation();
         let request = PeerRequest::Dispatch(request);
-        self.holder.link.open(self.role.address(), &request, REPLY_TIMEOUT).await.unwrap()
+        self.holder.link.open_stream(self.role.address(), &request, REPLY_TIMEOUT).await.unwrap()
     }
 
     /// Waits until the sidecar has read its start revision from the store.
--- a/crates/sagespool-sidecar/tests/sidecar_role.rs
+++ b/crates/sagespool-sidecar/tests/sidecar_role.rs
@@ -38,7 +38,7 @@
 
 async fn is_leaving(holder: &GrantHolder, sidecar: SocketAddr) -> bool {
     let query = PeerRequest::Status(StatusQuery { branch: None, running: 0 });
-    let reply = holder.link.ask(sidecar, &query, GENEROUS_TIMEOUT).await.unwrap();
+    let reply = holder.link.request(sidecar, &query, GENEROUS_TIMEOUT).await.unwrap();
     matches!(reply, PeerReply::Status(status) if status.member.info.leaving)
 }
 
@@ -167,7 +167,8 @@
         let mut refused = completion(3);
         refused.sidecar = incarnation;
         let refused = PeerRequest::Dispatch(refused);
-        let mut refused = holder.link.open(address, &refused, GENEROUS_TIMEOUT).await.unwrap();
+        let mut refused =
+            holder.link.open_stream(address, &refused, GENEROUS_TIMEOUT).await.unwrap();
         let end = end_of(&mut refused).await;
         let reason = RefusalReason::Leaving;
         assert!(
