--- a/crates/sagespool-daemon/tests/bad_input.rs
+++ b/crates/sagespool-daemon/tests/bad_input.rs
@@ -312,7 +312,7 @@
             faults.extend(fault_of(call, &answer));
         }
         assert!(faults.is_empty(), "{}", faults.join("\n"));
-        assert!(fleet.witness.runs().is_empty(), "something ran: {:?}", fleet.witness.runs());
+        assert!(fleet.run_log.runs().is_empty(), "something ran: {:?}", fleet.run_log.runs());
         for name in [BRANCH, OTHER_BRANCH] {
             assert_eq!(account(&fleet, name), untouched(&fleet, name), "what {name} has spent");
         }
--- a/crates/sagespool-daemon/tests/common/calls.rs
+++ b/crates/sagespool-daemon/tests/common/calls.rs
@@ -89,7 +89,7 @@
 
 /// The runs of a call, as the upstreams saw them.
 pub fn runs_of(fleet: &TestFleet, call: &PlannedCall) -> Vec<RunRecord> {
-    fleet.witness.runs_of(&call.marker)
+    fleet.run_log.runs_of(&call.marker)
 }
 
 /// Waits until an engine makes tokens for a call.
@@ -135,7 +135,7 @@
 /// The judgement over calls, from the upstreams' log, the deposits and the books as they are now.
 pub fn verdict(fleet: &TestFleet, records: &[CallRecord], deposits: &DepositLog) -> OracleVerdict {
     let books = |key: &str| fleet.store.object(key)?.parse().ok();
-    judge(&OracleInput { records, witness: &fleet.witness, deposits, books: Some(&books) })
+    judge(&OracleInput { records, run_log: &fleet.run_log, deposits, books: Some(&books) })
 }
 
 /// Asserts that no promise was broken, with the deposits that the fleet was started with.
--- a/crates/sagespool-daemon/tests/common/mod.rs
+++ b/crates/sagespool-daemon/tests/common/mod.rs
@@ -205,7 +205,7 @@
     /// True if every process that was started still runs.
     pub fn all_run(&self) -> bool {
         let processes = self.fleet.members.iter().filter_map(|member| member.process.as_ref());
-        processes.into_iter().all(|process| process.ended().is_ok_and(|ended| ended.is_none()))
+        processes.into_iter().all(|process| process.try_wait().is_ok_and(|ended| ended.is_none()))
     }
 }
 
@@ -229,7 +229,7 @@
             return;
         }
         for member in &self.fleet.members {
-            eprintln!("{}", member.log_end());
+            eprintln!("{}", member.log_tail());
         }
     }
 }
--- a/crates/sagespool-daemon/tests/crossed_answers.rs
+++ b/crates/sagespool-daemon/tests/crossed_answers.rs
@@ -97,9 +97,9 @@
         let fleet = start().await;
         let entries = fleet.entries();
         let crossing = fleet.engines.values().next().expect("there are engines");
-        let sidecar = fleet.place_of(&format!("{}-sidecar", crossing.name()));
+        let sidecar = fleet.member_index(&format!("{}-sidecar", crossing.name()));
         let sidecar = sidecar.expect("each engine has its sidecar");
-        crossing.cross_answers(true);
+        crossing.set_mixed_answers(true);
         let mut records = Vec::new();
         let mut number = 0;
         until_async("the engine's answers cross", async || {
@@ -117,7 +117,7 @@
         let before = letter(OTHER_BRANCH, "before");
         let before_send = send(&fleet, &before, entries[0]).await;
         assert!(is_own_whole(&before_send), "{before_send:?}");
-        fleet.services.values().for_each(|service| service.cross_answers(true));
+        fleet.services.values().for_each(|service| service.set_mixed_answers(true));
         let letter = letter(BRANCH, "letter");
         let mut sends = Vec::new();
         for entry in [entries[0], entries[1]] {
@@ -146,7 +146,8 @@
         let stream_send = start_send(&fleet, &stream, home);
         until_running(&fleet, &stream).await;
         let engine = runs_of(&fleet, &stream)[0].start.upstream.clone();
-        let sidecar = fleet.place_of(&format!("{engine}-sidecar")).expect("each has its sidecar");
+        let sidecar =
+            fleet.member_index(&format!("{engine}-sidecar")).expect("each has its sidecar");
         fleet.pause(sidecar, true);
         let stream_send = stream_send.await;
         assert!(is_own_whole(&stream_send), "{stream_send:?}");
--- a/crates/sagespool-daemon/tests/desk/mod.rs
+++ b/crates/sagespool-daemon/tests/desk/mod.rs
@@ -196,6 +196,6 @@
     }
 
     pub fn place(&self, instance: &str) -> usize {
-        self.fleet.place_of(instance).unwrap()
+        self.fleet.member_index(instance).unwrap()
     }
 }
--- a/crates/sagespool-daemon/tests/entry_kill.rs
+++ b/crates/sagespool-daemon/tests/entry_kill.rs
@@ -15,7 +15,7 @@
 
 fn slow_engines(fleet: &TestFleet, factor: f64) {
     for engine in fleet.engines.values() {
-        engine.slow_factor(factor);
+        engine.set_slow_factor(factor);
     }
 }
 
@@ -85,7 +85,7 @@
         fleet.kill(other);
         let stream_send = stream_send.await;
         assert!(matches!(stream_send.outcome, CallOutcome::Broken(_)), "{stream_send:?}");
-        until("the engine is free", || fleet.witness.running().is_empty()).await;
+        until("the engine is free", || fleet.run_log.running().is_empty()).await;
         slow_engines(&fleet, 1.0);
         let runs = runs_of(&fleet, &stream);
         let ends: Vec<_> = runs.iter().map(|run| run.ended.map(|(end, _)| end)).collect();
--- a/crates/sagespool-daemon/tests/operator_queries.rs
+++ b/crates/sagespool-daemon/tests/operator_queries.rs
@@ -42,8 +42,8 @@
 /// Holds an answer to `spend` against the engines' own log of the time of the question.
 fn check_bounds(desk: &DeskFleet, output: &LineOutput, before: ClockTime, after: ClockTime) {
     for row in output.spend().rows {
-        let least_used = desk.fleet.witness.used_at(&row.branch, before).least;
-        let most_used = desk.fleet.witness.used_at(&row.branch, after).most;
+        let least_used = desk.fleet.run_log.used_at(&row.branch, before).least;
+        let most_used = desk.fleet.run_log.used_at(&row.branch, after).most;
         let (least, most) = (row.spent.least, row.spent.most);
         assert!(least <= most_used, "{row:?} but at most {most_used} were used");
         if let Some(book) = &row.book {
@@ -80,7 +80,7 @@
         desk.until("all is settled", || {
             let rows = desk.line(WEST, "spend").spend().rows;
             rows.iter().all(|row| {
-                let used = desk.fleet.witness.used_at(&row.branch, ClockTime::now());
+                let used = desk.fleet.run_log.used_at(&row.branch, ClockTime::now());
                 row.book.as_ref().unwrap().settled == used.most && row.spent.most == Some(used.most)
             })
         })
@@ -97,7 +97,7 @@
         let desk = DeskFleet::start_proxied().await;
         let planned = calls(&desk, 11, 240, 60.0);
         let load = smol::spawn(run_calls(planned, desk.fleet.entry_addresses()));
-        desk.until("requests run", || !desk.fleet.witness.running().is_empty()).await;
+        desk.until("requests run", || !desk.fleet.run_log.running().is_empty()).await;
         let proxy = desk.fleet.proxy.as_ref().unwrap();
         proxy.cut_groups(&["west-entry-1"], &["east-entry-1", "store"]);
         let mut asked = 0;
@@ -133,7 +133,7 @@
         assert!(matches!(output.answer().basis.store, StoreBasis::Silent { .. }), "{output:?}");
         let row = output.spend().rows.remove(0);
         assert!(row.book.is_none() && row.spent.most.is_none());
-        let used = desk.fleet.witness.used_at(&"first".parse().unwrap(), ClockTime::now()).most;
+        let used = desk.fleet.run_log.used_at(&"first".parse().unwrap(), ClockTime::now()).most;
         assert!(row.spent.least <= used, "{row:?} but at most {used} were used");
         let command = id();
         let refused =
--- a/crates/sagespool-daemon/tests/poison.rs
+++ b/crates/sagespool-daemon/tests/poison.rs
@@ -27,7 +27,7 @@
     let entries = fleet.entries();
     let mut neighbours = Vec::new();
     let busy = || {
-        let running = fleet.witness.running().into_iter();
+        let running = fleet.run_log.running().into_iter();
         running.map(|run| run.start.upstream).collect::<BTreeSet<_>>().len()
     };
     while busy() < fleet.engines.len() {
--- a/crates/sagespool-daemon/tests/sidecar_kill.rs
+++ b/crates/sagespool-daemon/tests/sidecar_kill.rs
@@ -52,7 +52,8 @@
         let stream_send = start_send(&fleet, &stream, home);
         until_passed_on(&fleet, home).await;
         let engine = runs_of(&fleet, &stream)[0].start.upstream.clone();
-        let sidecar = fleet.place_of(&format!("{engine}-sidecar")).expect("each has its sidecar");
+        let sidecar =
+            fleet.member_index(&format!("{engine}-sidecar")).expect("each has its sidecar");
         fleet.kill(sidecar);
         let stream_send = stream_send.await;
         assert!(is_own_whole(&stream_send), "{stream_send:?}");
--- a/crates/sagespool-daemon/tests/store_outage.rs
+++ b/crates/sagespool-daemon/tests/store_outage.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::*;
-use sagespool_testkit::EngineStand;
+use sagespool_testkit::FakeEngine;
 use sagespool_testkit::load::PlannedCall;
 
 const PREPAID: u64 = 1000;
@@ -127,7 +127,7 @@
         }
         let at_door = completion(BRANCH, 10);
         let others = fleet.engines.values().filter(|engine| *engine.name() != replaced);
-        others.for_each(EngineStand::crash);
+        others.for_each(FakeEngine::crash);
         let unserved = hurried(completion(BRANCH, 10));
         for (call, door) in [(&at_door, entries.other), (&unserved, entries.home)] {
             let sent = send(&fleet, &hurried(call.clone()), door).await;
--- a/crates/sagespool-daemon/tests/upstream_orders.rs
+++ b/crates/sagespool-daemon/tests/upstream_orders.rs
@@ -22,7 +22,7 @@
         let drained_at = ClockTime::now();
         let records = run_calls(calls(&desk, 3, 30, 100.0), desk.fleet.entry_addresses()).await;
         assert_eq!(records.len(), 30);
-        let runs = desk.fleet.witness.runs();
+        let runs = desk.fleet.run_log.runs();
         let late = runs.iter().filter(|run| {
             run.start.upstream.as_str() == "engines-1" && run.start.arrived_at >= drained_at
         });
@@ -80,7 +80,7 @@
             })
             .collect();
         let load = smol::spawn(run_calls(engine_calls, desk.fleet.entry_addresses()));
-        desk.until("requests run", || !desk.fleet.witness.running().is_empty()).await;
+        desk.until("requests run", || !desk.fleet.run_log.running().is_empty()).await;
         for instance in ["engines-2-sidecar", "west-entry-1"] {
             let output = desk.line(EAST, &format!("stop {instance}"));
             assert_eq!(output.states(), [OutcomeState::Done], "{output:?}");
--- a/crates/sagespool-platform/tests/platform_stand.rs
+++ b/crates/sagespool-platform/tests/platform_stand.rs
@@ -11,17 +11,17 @@
     update_object,
 };
 use sagespool_testkit::{
-    InstanceEntry, InstanceOptions, InstanceStand, InstanceState, ObjectStand, ObjectStandOptions,
-    StoreFaults,
+    FakeInstanceList, FakeObjectStore, InstanceEntry, InstanceListOptions, InstanceState,
+    ObjectStoreOptions, StoreFaults,
 };
 use sagespool_types::{RequestRate, StoreRevision};
 
 const ABSENT: StoreRevision = StoreRevision::ZERO;
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-fn start(history_limit: usize) -> (ObjectStand, ObjectClient) {
-    let options = ObjectStandOptions::builder().history_limit(history_limit).build();
-    let stand = ObjectStand::start(options).unwrap();
+fn start(history_limit: usize) -> (FakeObjectStore, ObjectClient) {
+    let options = ObjectStoreOptions::builder().history_limit(history_limit).build();
+    let stand = FakeObjectStore::start(options).unwrap();
     let options = ObjectOptions::builder().address(stand.address()).call_timeout(TIMEOUT);
     let client = ObjectClient::new(options.build());
     (stand, client)
@@ -139,7 +139,7 @@
 #[test]
 fn instances_listed() {
     smol::block_on(async {
-        let stand = InstanceStand::start(InstanceOptions::builder().build()).unwrap();
+        let stand = FakeInstanceList::start(InstanceListOptions::builder().build()).unwrap();
         let entry = |state| InstanceEntry {
             instance: "side-1".parse().unwrap(),
             role: MemberRole::Sidecar,
--- a/crates/sagespool-platform/tests/store_fallback.rs
+++ b/crates/sagespool-platform/tests/store_fallback.rs
@@ -9,14 +9,14 @@
 use sagespool_platform::{
     ObjectClient, ObjectOptions, RawFailure, RawResponse, StoreError, StoreFallback,
 };
-use sagespool_testkit::{ObjectStand, ObjectStandOptions, StoreFaults};
+use sagespool_testkit::{FakeObjectStore, ObjectStoreOptions, StoreFaults};
 use sagespool_types::StoreRevision;
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 const ABSENT: StoreRevision = StoreRevision::ZERO;
 
-fn start() -> (ObjectStand, ObjectClient) {
-    let stand = ObjectStand::start(ObjectStandOptions::builder().build()).unwrap();
+fn start() -> (FakeObjectStore, ObjectClient) {
+    let stand = FakeObjectStore::start(ObjectStoreOptions::builder().build()).unwrap();
     let options = ObjectOptions::builder().address(stand.address()).call_timeout(TIMEOUT);
     (stand, ObjectClient::new(options.build()))
 }
--- a/crates/sagespool-sidecar/tests/dispatch_faults.rs
+++ b/crates/sagespool-sidecar/tests/dispatch_faults.rs
@@ -14,17 +14,17 @@
     SealScope, UpstreamKind,
 };
 use sagespool_sidecar::{Dispatcher, UpstreamHealth, UpstreamSample};
-use sagespool_testkit::{FailureShares, RunEnd, ServiceOptions, ServiceStand, answer_text};
+use sagespool_testkit::{FailureShares, FakeService, RunEnd, ServiceOptions, answer_text};
 use sagespool_types::{
     AttemptNumber, ClockTime, ContentDigest, IncarnationId, KeyDigest, RefusalReason, RequestId,
     RunState, StoreRevision, TokenCount, TokenRate,
 };
 use smol::block_on;
 
-fn service(failures: FailureShares) -> ServiceStand {
+fn service(failures: FailureShares) -> FakeService {
     let name = "portal-1".parse().unwrap();
     let options = ServiceOptions::builder().name(name).failures(failures).restart_after(None);
-    ServiceStand::start(options.build()).unwrap()
+    FakeService::start(options.build()).unwrap()
 }
 
 fn attach(key: u128) -> AttachRequest {
@@ -135,7 +135,7 @@
         let name = request.request.to_string();
         let end = block_on(run(&dispatcher, request)).end;
         assert_eq!(refusal_of(&end), Some(expected), "{case}");
-        let runs = engine.witness().runs();
+        let runs = engine.run_log().runs();
         assert!(runs.iter().all(|run| run.start.request.as_ref() != Some(&name)), "{case}");
         block_on(dispatcher.wait_until_idle());
     }
@@ -151,7 +151,7 @@
     let end = block_on(run(&dispatcher, completion(1))).end;
     let not_ready = ReceivedRefusal::Reason(RefusalReason::NotReady, RunState::NotRun);
     assert_eq!(refusal_of(&end), Some(not_ready));
-    assert!(engine.witness().runs().is_empty());
+    assert!(engine.run_log().runs().is_empty());
 }
 
 #[test]
@@ -183,7 +183,7 @@
         assert_eq!(charge.used, TokenCount(12), "{case}");
         assert_eq!(answer.first_at, Some(resume), "{case}");
         block_on(dispatcher.wait_until_idle());
-        let made = engine.witness().runs()[0].produced;
+        let made = engine.run_log().runs()[0].produced;
         assert_eq!(made, TokenCount(5 - u64::from(resume)), "{case}");
     }
 }
@@ -273,9 +273,9 @@
         drop(reader);
         dispatcher.wait_until_idle().await;
     });
-    let run = &engine.witness().runs()[0];
+    let run = &engine.run_log().runs()[0];
     assert!(matches!(run.ended, Some((RunEnd::Cancelled | RunEnd::Dropped, _))), "{run:?}");
-    assert_eq!(engine.load_now().running, 0);
+    assert_eq!(engine.current_load().running, 0);
     let record = &charges(&dispatcher)[0];
     assert_eq!((record.used.0, record.ended), (u64::from(PROMPT_TOKENS) + 1, true));
 }
@@ -295,7 +295,7 @@
     });
     assert_eq!(answer.text(), answer_text(MODEL, PROMPT, ANSWER_TOKENS));
     assert!(matches!(answer.end, DispatchEnd::Whole { .. }));
-    assert_eq!(engine.witness().runs().len(), 1);
+    assert_eq!(engine.run_log().runs().len(), 1);
 }
 
 // A second sidecar resumes an answer after the first one's engine failed. Callers
@@ -326,7 +326,7 @@
             assert!(matches!(end, DispatchEnd::Cancelled { ran: Some(_) }), "{end:?}");
             dispatcher.wait_until_idle().await;
         });
-        assert_eq!(engine.load_now().running, 0);
+        assert_eq!(engine.current_load().running, 0);
     }
 }
 
@@ -351,15 +351,15 @@
 fn deadline_passes() {
     for frozen in [true, false] {
         let engine = slow_engine();
-        engine.freeze(frozen);
+        engine.set_frozen(frozen);
         let dispatcher = dispatcher_at(&engine);
         let request = DispatchRequest { time_left: Duration::from_millis(200), ..completion(1) };
         let end = block_on(run(&dispatcher, request)).end;
         let DispatchEnd::Cancelled { ran: Some(charge) } = end else { panic!("{end:?}") };
         assert_eq!(charge.used == TokenCount::ZERO, frozen);
-        engine.freeze(false);
+        engine.set_frozen(false);
         block_on(dispatcher.wait_until_idle());
-        block_on(eventually(|| engine.witness().running().is_empty()));
+        block_on(eventually(|| engine.run_log().running().is_empty()));
     }
 }
 
@@ -383,7 +383,7 @@
             "it ran, so it must not be reported as not run"
         );
     });
-    assert_eq!(engine.witness().runs().len(), 2);
+    assert_eq!(engine.run_log().runs().len(), 2);
 }
 
 // An entry assumes that its first attempt was lost and sends a second one to the
@@ -431,7 +431,7 @@
         let unknown = ReceivedRefusal::Reason(RefusalReason::OutcomeUnknown, RunState::Unknown);
         assert_eq!(refusal_of(&run(&dispatcher, again).await.end), Some(unknown));
     });
-    assert_eq!(service.witness().runs().len(), 1);
+    assert_eq!(service.run_log().runs().len(), 1);
 }
 
 // The service is down. The call certainly did not run and may be retried.
@@ -468,5 +468,5 @@
         assert!(matches!(end, DispatchEnd::Broken { ran: Some(_), crashed: false, .. }), "{end:?}");
         dispatcher.wait_until_idle().await;
     });
-    assert_eq!(engine.load_now().running, 0);
+    assert_eq!(engine.current_load().running, 0);
 }
--- a/crates/sagespool-sidecar/tests/harness/fleet.rs
+++ b/crates/sagespool-sidecar/tests/harness/fleet.rs
@@ -18,8 +18,8 @@
 };
 use sagespool_sidecar::SidecarRole;
 use sagespool_testkit::{
-    EngineStand, InstanceEntry, InstanceOptions, InstanceStand, InstanceState, ObjectStand,
-    ObjectStandOptions, StoreFaults,
+    FakeEngine, FakeInstanceList, FakeObjectStore, InstanceEntry, InstanceListOptions,
+    InstanceState, ObjectStoreOptions, StoreFaults,
 };
 use sagespool_types::{ByteCount, ConfigVersion, IncarnationId};
 use tempfile::TempDir;
@@ -33,15 +33,15 @@
 
 /// The platform's store and instance list.
 pub struct TestPlatform {
-    pub store: ObjectStand,
-    pub list: InstanceStand,
+    pub store: FakeObjectStore,
+    pub list: FakeInstanceList,
 }
 
 impl TestPlatform {
     /// An empty store, and a list with the sidecar in it.
     pub fn start() -> Self {
-        let store = ObjectStand::start(ObjectStandOptions::builder().build()).unwrap();
-        let list = InstanceStand::start(InstanceOptions::builder().build()).unwrap();
+        let store = FakeObjectStore::start(ObjectStoreOptions::builder().build()).unwrap();
+        let list = FakeInstanceList::start(InstanceListOptions::builder().build()).unwrap();
         list.set(InstanceEntry {
             instance: INSTANCE.parse().unwrap(),
             role: MemberRole::Sidecar,
@@ -106,7 +106,7 @@
 
 impl TestFleet {
     /// Starts a sidecar next to an engine, with the holder as a member.
-    pub async fn start(engine: &EngineStand, platform: TestPlatform) -> Self {
+    pub async fn start(engine: &FakeEngine, platform: TestPlatform) -> Self {
         let files = TempDir::new().unwrap();
         let [sidecar_link, holder_link] = write_identities(files.path());
         let settings = SidecarSettings {
--- a/crates/sagespool-sidecar/tests/harness/mod.rs
+++ b/crates/sagespool-sidecar/tests/harness/mod.rs
@@ -16,7 +16,7 @@
 };
 use sagespool_settings::UpstreamSettings;
 use sagespool_sidecar::{AnswerReader, Dispatcher, DispatcherOptions};
-use sagespool_testkit::{EngineOptions, EngineStand, answer_text};
+use sagespool_testkit::{EngineOptions, FakeEngine, answer_text};
 use sagespool_types::{
     AttemptNumber, ChargeId, ClockTime, ContentDigest, FenceNumber, GrantId, IncarnationId,
     KeyDigest, RequestId, SequenceNumber, StoreRevision, TokenCount, TokenRate,
@@ -30,7 +30,7 @@
 pub const ANSWER_TOKENS: u32 = 20;
 pub const PROMPT_TOKENS: u32 = 7;
 
-pub fn engine(change: impl FnOnce(&mut EngineOptions)) -> EngineStand {
+pub fn engine(change: impl FnOnce(&mut EngineOptions)) -> FakeEngine {
     let mut options = EngineOptions::builder()
         .name("engine-1".parse().unwrap())
         .models(vec![MODEL.parse().unwrap()])
@@ -40,11 +40,11 @@
         .restart_after(None)
         .build();
     change(&mut options);
-    EngineStand::start(options).unwrap()
+    FakeEngine::start(options).unwrap()
 }
 
 /// An engine too slow to finish an answer during a test.
-pub fn slow_engine() -> EngineStand {
+pub fn slow_engine() -> FakeEngine {
     engine(|options| options.token_rate = TokenRate(1))
 }
 
@@ -74,7 +74,7 @@
     Dispatcher::new(options)
 }
 
-pub fn dispatcher_at(engine: &EngineStand) -> Arc<Dispatcher> {
+pub fn dispatcher_at(engine: &FakeEngine) -> Arc<Dispatcher> {
     dispatcher(engine.address(), UpstreamKind::Engine)
 }
 
--- a/crates/sagespool-sidecar/tests/order_fencing.rs
+++ b/crates/sagespool-sidecar/tests/order_fencing.rs
@@ -56,13 +56,13 @@
     order_fence.start(FenceNumber(0), || {});
     let unload = json!({ "unload_model": "clause-3b" });
     let send = |fence| Box::pin(order_fence.send(&client, FenceNumber(fence), &unload));
-    engine.freeze(true);
+    engine.set_frozen(true);
     let replies = block_on(async {
         let mut orders = [send(3), send(4), send(5)];
         for order in &mut orders {
             assert_eq!(poll_once(order).await, None);
         }
-        engine.freeze(false);
+        engine.set_frozen(false);
         let [first, older, newer] = orders;
         zip(zip(first, older), newer).await
     });
--- a/crates/sagespool-sidecar/tests/other_requests.rs
+++ b/crates/sagespool-sidecar/tests/other_requests.rs
@@ -43,7 +43,7 @@
         let fleet = TestFleet::start(&engine, TestPlatform::start()).await;
         fleet.ready().await;
         assert_eq!(counts_of(&fleet, 1).await, [0, 0]);
-        engine.slow_factor(1000.0);
+        engine.set_slow_factor(1000.0);
         let mut first = fleet.dispatch(completion(2)).await;
         first_piece_of(&mut first).await;
         let mut second = fleet.dispatch(completion(3)).await;
@@ -54,7 +54,7 @@
             fleet.ask(PeerRequest::Cancel(cancel)).await;
         }
         assert!(next_count(&mut second).await <= 1, "before its end");
-        engine.slow_factor(1.0);
+        engine.set_slow_factor(1.0);
         eventually(|| fleet.role.dispatcher().running_count() == 0).await;
         assert_eq!(counts_of(&fleet, 4).await, [0, 0]);
     });
--- a/crates/sagespool-sidecar/tests/sidecar_role.rs
+++ b/crates/sagespool-sidecar/tests/sidecar_role.rs
@@ -102,11 +102,11 @@
         assert_eq!(status.running[0].used, TokenCount(u64::from(PROMPT_TOKENS) + 1));
 
         // No further token is sent that would show that the stream is closed.
-        engine.freeze(true);
+        engine.set_frozen(true);
         drop(stream);
         eventually(|| fleet.role.dispatcher().running_count() == 0).await;
-        engine.freeze(false);
-        eventually(|| engine.load_now().running == 0).await;
+        engine.set_frozen(false);
+        eventually(|| engine.current_load().running == 0).await;
         eventually(|| fleet.holder.received.lock().unwrap().len() == 1).await;
     });
 }
@@ -183,7 +183,7 @@
         holder.settles.store(true, Ordering::SeqCst);
         let report = stop.await;
         assert_eq!((report.cut, report.unsettled), (0, 0));
-        assert_eq!(engine.witness().runs().len(), 2);
+        assert_eq!(engine.run_log().runs().len(), 2);
     });
 }
 
@@ -202,7 +202,7 @@
         assert!(matches!(end, DispatchEnd::Broken { ran: Some(_), crashed: false, .. }), "{end:?}");
         let report = stop.await;
         assert_eq!((report.cut, report.unsettled), (1, 0));
-        assert_eq!(engine.load_now().running, 0);
+        assert_eq!(engine.current_load().running, 0);
     });
 }
 
--- a/crates/sagespool-testkit/examples/config_watches.rs
+++ b/crates/sagespool-testkit/examples/config_watches.rs
@@ -13,7 +13,7 @@
 use error_stack::Report;
 use gumdrop::Options;
 use sagespool_testkit::fleet::{
-    FleetBinaries, FleetFault, FleetOptions, RunningFleet, find_binaries, read_deployment,
+    FleetBinaries, FleetError, FleetOptions, RunningFleet, find_binaries, read_deployment,
 };
 use smol::Timer;
 
@@ -44,7 +44,7 @@
     }
 }
 
-async fn run(options: &CountOptions) -> Result<(), Report<FleetFault>> {
+async fn run(options: &CountOptions) -> Result<(), Report<FleetError>> {
     let mut binaries = find_binaries()?;
     if let Some(daemon) = &options.daemon {
         binaries.daemon = daemon.into();
@@ -60,7 +60,7 @@
     size: u32,
     seconds: u64,
     binaries: &FleetBinaries,
-) -> Result<(), Report<FleetFault>> {
+) -> Result<(), Report<FleetError>> {
     let (mut deployment, fleet, branches) = read_deployment(Path::new(DEPLOYMENT))?;
     let centres = deployment.centres.len() as u32;
     for centre in &mut deployment.centres {
--- a/crates/sagespool-testkit/examples/fleet.rs
+++ b/crates/sagespool-testkit/examples/fleet.rs
@@ -15,7 +15,7 @@
 use futures_lite::StreamExt;
 use gumdrop::Options;
 use sagespool_testkit::fleet::{
-    FleetFault, FleetOptions, RunningFleet, find_binaries, read_deployment,
+    FleetError, FleetOptions, RunningFleet, find_binaries, read_deployment,
 };
 use sagespool_testkit::load::{
     LoadReport, PlanBuilder, conclude, first_deposits, run_calls, traffic_of,
@@ -50,7 +50,7 @@
     }
 }
 
-async fn run(options: &ExampleOptions) -> Result<ExitCode, Report<FleetFault>> {
+async fn run(options: &ExampleOptions) -> Result<ExitCode, Report<FleetError>> {
     let directory =
         Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples").join(&options.deployment);
     let (deployment, fleet, branches) = read_deployment(&directory)?;
@@ -62,7 +62,7 @@
         .seed(options.seed)
         .build();
     let signals = Signals::new([Signal::Int, Signal::Term]);
-    let mut signals = signals.change_context_lazy(|| FleetFault::new("taking signals"))?;
+    let mut signals = signals.change_context_lazy(|| FleetError::new("taking signals"))?;
     let mut fleet = RunningFleet::start(plan).await?;
     if options.once {
         return Ok(run_once(&mut fleet, options.seed).await);
--- a/crates/sagespool-testkit/src/engine/batch.rs
+++ b/crates/sagespool-testkit/src/engine/batch.rs
@@ -233,7 +233,7 @@
             resumed_from: TokenCount(order.resumed_from.into()),
             arrived_at: arrived.at,
         };
-        let tally = self.options.witness.start(start, now);
+        let tally = self.options.run_log.start(start, now);
         let cached = self.cache.use_prefix(order.prefix);
         let fresh_tokens = if cached { 0 } else { order.prompt_tokens };
         let prefill = self.options.prompt_token_time.as_secs_f64() * fresh_tokens as f64;
@@ -254,12 +254,12 @@
 
     /// Notes the present load, which others see after the lag.
     pub(crate) fn note_load(&mut self, pace: EnginePace, now: ClockTime) {
-        let load = self.load_now(pace);
+        let load = self.current_load(pace);
         self.load.note(load, now);
     }
 
     /// The load at this moment.
-    pub(crate) fn load_now(&self, pace: EnginePace) -> EngineLoad {
+    pub(crate) fn current_load(&self, pace: EnginePace) -> EngineLoad {
         let making = self.running.values().filter(|run| run.prefill_left <= 0.0).count();
         let rate = self.options.token_rate.0 as f64 / pace.slow_factor;
         EngineLoad {
--- a/crates/sagespool-testkit/src/engine/mod.rs
+++ b/crates/sagespool-testkit/src/engine/mod.rs
@@ -41,12 +41,12 @@
 
 use crate::crossing::CrossedAnswers;
 use crate::fault_gate::{FaultGate, StandGone, StartNumber};
-use crate::stand_server::{StandError, StandServer, do_later, lock};
-use crate::witness::WitnessLog;
+use crate::stand_server::{ListenError, StandServer, do_later, lock};
+use crate::witness::RunLog;
 
 /// A model engine stand-in. Clones are the same engine; the last one dropped ends it.
 #[derive(Clone)]
-pub struct EngineStand {
+pub struct FakeEngine {
     owner: Arc<EngineOwner>,
 }
 
@@ -78,13 +78,13 @@
     orders: OrderBook,
 }
 
-impl EngineStand {
+impl FakeEngine {
     /// Starts an engine on a port of the loopback interface.
     ///
     /// # Errors
     ///
-    /// [`StandError::Listen`] if no port can be listened on.
-    pub fn start(options: EngineOptions) -> Result<Self, Report<StandError>> {
+    /// [`ListenError::Listen`] if no port can be listened on.
+    pub fn start(options: EngineOptions) -> Result<Self, Report<ListenError>> {
         let options = Arc::new(options);
         let now = ClockTime::now();
         let prefix_uses = Arc::new(PrefixUses::default());
@@ -119,8 +119,8 @@
     }
 
     /// Where it notes its runs.
-    pub fn witness(&self) -> &WitnessLog {
-        &self.shared().options.witness
+    pub fn run_log(&self) -> &RunLog {
+        &self.shared().options.run_log
     }
 
     /// Whether it runs, rather than lies crashed.
@@ -131,9 +131,9 @@
     }
 
     /// The load at this moment, without the lag of its reports.
-    pub fn load_now(&self) -> EngineLoad {
+    pub fn current_load(&self) -> EngineLoad {
         let state = lock(&self.shared().state);
-        state.batch.load_now(state.pace)
+        state.batch.current_load(state.pace)
     }
 
     /// Every order that reached it, in order.
@@ -151,34 +151,34 @@
     ///
     /// # Errors
     ///
-    /// [`StandError::Listen`] if the port can't be listened on.
-    pub fn restart(&self) -> Result<(), Report<StandError>> {
+    /// [`ListenError::Listen`] if the port can't be listened on.
+    pub fn restart(&self) -> Result<(), Report<ListenError>> {
         self.shared().restart()
     }
 
     /// Freezes or thaws it: a frozen engine keeps its connections, makes no tokens and
     /// answers no call.
-    pub fn freeze(&self, frozen: bool) {
+    pub fn set_frozen(&self, frozen: bool) {
         let shared = self.shared();
         shared.change_pace(|pace| pace.frozen = frozen);
-        shared.gate.freeze(frozen);
+        shared.gate.set_frozen(frozen);
     }
 
     /// Makes all its work take so many times as long; 1 is its usual pace.
-    pub fn slow_factor(&self, factor: f64) {
+    pub fn set_slow_factor(&self, factor: f64) {
         assert!(factor > 0.0, "a slow factor is above 0");
         self.shared().change_pace(|pace| pace.slow_factor = factor);
     }
 
     /// Breaks the connections of a share of the runs in the middle of their streams, from 0 to
     /// 1, while the engine itself stays well; applies to runs that start from now on.
-    pub fn break_share(&self, share: f64) {
+    pub fn set_break_share(&self, share: f64) {
         assert!((0.0..=1.0).contains(&share), "a share is from 0 to 1");
         self.shared().change_pace(|pace| pace.break_share = share);
     }
 
     /// From now on gives each call the answer to the call before it, as that one's, or ends that.
-    pub fn cross_answers(&self, on: bool) {
+    pub fn set_mixed_answers(&self, on: bool) {
         lock(&self.shared().crossed).set(on);
     }
 
@@ -252,7 +252,7 @@
         state.batch.break_streams();
     }
 
-    fn restart(self: &Arc<Self>) -> Result<(), Report<StandError>> {
+    fn restart(self: &Arc<Self>) -> Result<(), Report<ListenError>> {
         let mut state = lock(&self.state);
         let Some(start) = self.gate.begin() else {
             return Ok(());
--- a/crates/sagespool-testkit/src/engine/options.rs
+++ b/crates/sagespool-testkit/src/engine/options.rs
@@ -6,12 +6,12 @@
 use bon::Builder;
 use sagespool_types::{ModelName, TokenRate, UpstreamName};
 
-use crate::witness::WitnessLog;
+use crate::witness::RunLog;
 
 /// How an engine stand behaves. The defaults are an engine of medium size, well.
 #[derive(Clone, Builder)]
 pub struct EngineOptions {
-    /// Its name in the witness log.
+    /// Its name in the run log.
     pub name: UpstreamName,
     /// The models it serves from its start.
     pub models: Vec<ModelName>,
@@ -61,7 +61,7 @@
     pub weight_store: Option<SocketAddr>,
     /// Where it notes its runs.
     #[builder(default)]
-    pub witness: WitnessLog,
+    pub run_log: RunLog,
     /// Decides which cache events are lost.
     #[builder(default = 1)]
     pub seed: u64,
--- a/crates/sagespool-testkit/src/engine/orders.rs
+++ b/crates/sagespool-testkit/src/engine/orders.rs
@@ -45,7 +45,7 @@
     /// The order.
     pub fenced: FencedOrder,
     /// Whether it was carried out, not refused for its fencing number.
-    pub taken: bool,
+    pub accepted: bool,
 }
 
 /// The orders that an engine was given. It outlives the engine's crashes, as the highest
@@ -66,8 +66,8 @@
         let newer = self.newest.filter(|newest| *newest > fenced.fence);
         let refusal = newer.filter(|_| self.honours_fences);
         self.newest = self.newest.max(Some(fenced.fence));
-        let taken = refusal.is_none();
-        self.records.push(OrderRecord { at: now, fenced: fenced.clone(), taken });
+        let accepted = refusal.is_none();
+        self.records.push(OrderRecord { at: now, fenced: fenced.clone(), accepted });
         match refusal {
             Some(newest) => Err(newest),
             None => Ok(()),
--- a/crates/sagespool-testkit/src/fault_gate.rs
+++ b/crates/sagespool-testkit/src/fault_gate.rs
@@ -63,7 +63,7 @@
     }
 
     /// Freezes or thaws the stand.
-    pub(crate) fn freeze(&self, frozen: bool) {
+    pub(crate) fn set_frozen(&self, frozen: bool) {
         lock(&self.state).frozen = frozen;
         self.changed.notify(usize::MAX);
     }
--- a/crates/sagespool-testkit/src/fleet/binaries.rs
+++ b/crates/sagespool-testkit/src/fleet/binaries.rs
@@ -5,7 +5,7 @@
 
 use error_stack::{Report, ResultExt};
 
-use super::FleetFault;
+use super::FleetError;
 
 /// The two binaries of the project.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -25,8 +25,8 @@
     Some(if inner { directory.parent()?.to_owned() } else { directory.to_owned() })
 }
 
-fn build(cargo: &str, directory: &Path) -> Result<(), Report<FleetFault>> {
-    let fault = || FleetFault::new("building sagespoold and sagespool");
+fn build(cargo: &str, directory: &Path) -> Result<(), Report<FleetError>> {
+    let fault = || FleetError::new("building sagespoold and sagespool");
     let mut command = Command::new(cargo);
     command.args(["build", "--locked", "--quiet", "-p", "sagespool-daemon", "-p", "sagespool-cli"]);
     if directory.ends_with("release") {
@@ -44,8 +44,8 @@
 ///
 /// # Errors
 /// If they can't be built, or aren't there.
-pub fn find_binaries() -> Result<FleetBinaries, Report<FleetFault>> {
-    let missing = || FleetFault::new("looking for sagespoold beside this program");
+pub fn find_binaries() -> Result<FleetBinaries, Report<FleetError>> {
+    let missing = || FleetError::new("looking for sagespoold beside this program");
     let directory = profile_directory().ok_or_else(|| Report::new(missing()))?;
     if let Ok(cargo) = std::env::var("CARGO") {
         build(&cargo, &directory)?;
--- a/crates/sagespool-testkit/src/fleet/certificates.rs
+++ b/crates/sagespool-testkit/src/fleet/certificates.rs
@@ -5,7 +5,7 @@
 use error_stack::{Report, ResultExt};
 use rcgen::{BasicConstraints, CertificateParams, CertifiedIssuer, IsCa, KeyPair, KeyUsagePurpose};
 
-use super::FleetFault;
+use super::FleetError;
 
 /// The name that every process's certificate carries; the link expects it.
 const LINK_NAME: &str = "sagespool";
@@ -32,8 +32,8 @@
     ///
     /// # Errors
     /// If a key can't be made or a file can't be written.
-    pub fn create(directory: &Path) -> Result<Self, Report<FleetFault>> {
-        let fault = || FleetFault::new("making the fleet's authority");
+    pub fn create(directory: &Path) -> Result<Self, Report<FleetError>> {
+        let fault = || FleetError::new("making the fleet's authority");
         let mut params = CertificateParams::new(Vec::new()).change_context_lazy(fault)?;
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
         params.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::DigitalSignature];
@@ -48,8 +48,8 @@
     ///
     /// # Errors
     /// If a key can't be made or a file can't be written.
-    pub fn issue(&self, name: &str) -> Result<CertificateFiles, Report<FleetFault>> {
-        let fault = || FleetFault::new(format!("making the certificate of {name}"));
+    pub fn issue(&self, name: &str) -> Result<CertificateFiles, Report<FleetError>> {
+        let fault = || FleetError::new(format!("making the certificate of {name}"));
         let names = vec![LINK_NAME.to_owned(), "127.0.0.1".to_owned()];
         let params = CertificateParams::new(names).change_context_lazy(fault)?;
         let key = KeyPair::generate().change_context_lazy(fault)?;
--- a/crates/sagespool-testkit/src/fleet/deployment.rs
+++ b/crates/sagespool-testkit/src/fleet/deployment.rs
@@ -8,7 +8,7 @@
 use sagespool_types::{BranchName, CentreName, ModelName, RegionName, ServiceName, TokenCount};
 use serde::Deserialize;
 
-use super::FleetFault;
+use super::FleetError;
 
 /// One data centre.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
@@ -77,13 +77,13 @@
 /// If a file can't be read or says what it can't.
 pub fn read_deployment(
     directory: &Path,
-) -> Result<(DeploymentPlan, FleetObject, BranchObject), Report<FleetFault>> {
+) -> Result<(DeploymentPlan, FleetObject, BranchObject), Report<FleetError>> {
     let read = |name: &str| {
         let path = directory.join(name);
-        let fault = || FleetFault::new(format!("reading {}", path.display()));
+        let fault = || FleetError::new(format!("reading {}", path.display()));
         std::fs::read_to_string(&path).change_context_lazy(fault)
     };
-    let fault = |name: &str| FleetFault::new(format!("checking {name}"));
+    let fault = |name: &str| FleetError::new(format!("checking {name}"));
     let deployment = serde_json::from_str(&read("deployment.json")?)
         .change_context_lazy(|| fault("deployment.json"))?;
     let fleet = parse_fleet(&read("fleet.json")?).change_context_lazy(|| fault("fleet.json"))?;
--- a/crates/sagespool-testkit/src/fleet/life.rs
+++ b/crates/sagespool-testkit/src/fleet/life.rs
@@ -4,7 +4,7 @@
 
 /// What was done to a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LifeKind {
+pub enum ProcessEventKind {
     /// It was started.
     Started,
     /// It was told to stop, or its instance to leave.
@@ -15,11 +15,11 @@
 
 /// What was done to a process, and when.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LifeEvent {
+pub struct ProcessEvent {
     /// Its instance.
     pub instance: InstanceName,
     /// When, on the clock of the stand-ins.
     pub at: ClockTime,
     /// What.
-    pub kind: LifeKind,
+    pub kind: ProcessEventKind,
 }
--- a/crates/sagespool-testkit/src/fleet/member.rs
+++ b/crates/sagespool-testkit/src/fleet/member.rs
@@ -6,7 +6,7 @@
 use error_stack::{Report, ResultExt};
 use sagespool_types::{CentreName, InstanceName, ServiceName, UpstreamName};
 
-use super::FleetFault;
+use super::FleetError;
 use crate::processes::ChildProcess;
 
 /// The end of a log that is shown.
@@ -42,7 +42,7 @@
     }
 
     /// The last lines of its log, for whoever looks into a failure.
-    pub fn log_end(&self) -> String {
+    pub fn log_tail(&self) -> String {
         let log = std::fs::read_to_string(&self.log).unwrap_or_default();
         let lines: Vec<&str> = log.lines().collect();
         let shown = &lines[lines.len().saturating_sub(SHOWN_LINES)..];
@@ -55,8 +55,8 @@
 /// They are free for as long as it takes a process to start, or to start again, and by then another
 /// fleet on the machine, or any outgoing connection, may have been given the port. So each pair is
 /// on a loopback address of its own, taken at random, where nobody else asks for ports.
-pub(super) fn free_addresses() -> Result<(SocketAddr, SocketAddr), Report<FleetFault>> {
-    let fault = || FleetFault::new("asking for free ports");
+pub(super) fn free_addresses() -> Result<(SocketAddr, SocketAddr), Report<FleetError>> {
+    let fault = || FleetError::new("asking for free ports");
     let own = Ipv4Addr::new(127, fastrand::u8(1..=254), fastrand::u8(..), fastrand::u8(1..=254));
     let tcp = TcpListener::bind((own, 0)).and_then(|listener| listener.local_addr());
     let udp = UdpSocket::bind((own, 0)).and_then(|socket| socket.local_addr());
--- a/crates/sagespool-testkit/src/fleet/options.rs
+++ b/crates/sagespool-testkit/src/fleet/options.rs
@@ -10,25 +10,25 @@
 
 /// A fleet that couldn't be started, or didn't do what it was told.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct FleetFault {
+pub struct FleetError {
     /// What was being done.
     pub doing: String,
 }
 
-impl FleetFault {
+impl FleetError {
     /// A fault in doing something.
     pub fn new(doing: impl Into<String>) -> Self {
         Self { doing: doing.into() }
     }
 }
 
-impl fmt::Display for FleetFault {
+impl fmt::Display for FleetError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "the fleet failed while {}", self.doing)
     }
 }
 
-impl std::error::Error for FleetFault {}
+impl std::error::Error for FleetError {}
 
 /// What all engines of a fleet are like, beside what their deployment says.
 #[derive(Debug, Clone, Copy, PartialEq, Builder)]
--- a/crates/sagespool-testkit/src/fleet/readiness.rs
+++ b/crates/sagespool-testkit/src/fleet/readiness.rs
@@ -6,7 +6,7 @@
 use error_stack::Report;
 use trillium_client::Client;
 
-use super::{FleetFault, RunningFleet};
+use super::{FleetError, RunningFleet};
 
 /// How long a start may take in all.
 const READY_LIMIT: Duration = Duration::from_secs(20);
@@ -23,7 +23,7 @@
     ///
     /// # Errors
     /// If one hasn't been ready within 20 s: its name, its last answer and the end of its log.
-    pub async fn wait_ready(&mut self) -> Result<(), Report<FleetFault>> {
+    pub async fn wait_ready(&mut self) -> Result<(), Report<FleetError>> {
         let client = Client::new(trillium_smol::ClientConfig::default());
         let started = Instant::now();
         let mut waiting: Vec<WaitingMember> =
@@ -50,7 +50,7 @@
         &mut self,
         member: &mut WaitingMember,
         client: &Client,
-    ) -> Result<bool, Report<FleetFault>> {
+    ) -> Result<bool, Report<FleetError>> {
         if self.members[member.place].process.is_none() {
             return Ok(true);
         }
@@ -60,18 +60,18 @@
             self.move_member(member.place)?;
         }
         let asked = Instant::now();
-        let answer = ask_ready(client, self.members[member.place].http, ASK_LIMIT).await;
+        let answer = check_ready(client, self.members[member.place].http, ASK_LIMIT).await;
         member.took = asked.elapsed();
         member.answer = answer.err();
         Ok(member.answer.is_none())
     }
 
-    fn not_ready(&self, waiting: &WaitingMember) -> Report<FleetFault> {
+    fn not_ready(&self, waiting: &WaitingMember) -> Report<FleetError> {
         let member = &self.members[waiting.place];
         let doing = format!("waiting for {} to be ready", member.instance);
         let answer = waiting.answer.as_deref().unwrap_or_default();
         let answer = format!("the last answer, after {:?}: {answer}", waiting.took);
-        Report::new(FleetFault::new(doing)).attach(answer).attach(member.log_end())
+        Report::new(FleetError::new(doing)).attach(answer).attach(member.log_tail())
     }
 }
 
@@ -96,7 +96,7 @@
 ///
 /// # Errors
 /// What is said in place of that, or that nothing was within the limit.
-pub(crate) async fn ask_ready(
+pub(crate) async fn check_ready(
     client: &Client,
     address: SocketAddr,
     limit: Duration,
--- a/crates/sagespool-testkit/src/fleet/running.rs
+++ b/crates/sagespool-testkit/src/fleet/running.rs
@@ -19,11 +19,11 @@
 use super::certificates::CertificateSet;
 use super::member::{FleetMember, free_addresses};
 use super::settings_file::{PlatformAddresses, entry_settings, sidecar_settings};
-use super::{FleetFault, FleetOptions, LifeEvent, LifeKind, ServicePlan};
+use super::{FleetError, FleetOptions, ProcessEvent, ProcessEventKind, ServicePlan};
 use crate::processes::ChildProcess;
 use crate::{
-    EngineOptions, EngineStand, FaultProxy, InstanceEntry, InstanceOptions, InstanceStand,
-    InstanceState, ObjectStand, ObjectStandOptions, ServiceOptions, ServiceStand, WitnessLog,
+    EngineOptions, FakeEngine, FakeInstanceList, FakeObjectStore, FakeService, FaultProxy,
+    InstanceEntry, InstanceListOptions, InstanceState, ObjectStoreOptions, RunLog, ServiceOptions,
 };
 
 const STORE_LIMIT: Duration = Duration::from_secs(5);
@@ -36,15 +36,15 @@
     /// What it was started with.
     pub options: FleetOptions,
     /// The store.
-    pub store: ObjectStand,
+    pub store: FakeObjectStore,
     /// The instance list.
-    pub list: InstanceStand,
+    pub list: FakeInstanceList,
     /// The engines by name.
-    pub engines: BTreeMap<UpstreamName, EngineStand>,
+    pub engines: BTreeMap<UpstreamName, FakeEngine>,
     /// The plain services' processes by name.
-    pub services: BTreeMap<UpstreamName, ServiceStand>,
+    pub services: BTreeMap<UpstreamName, FakeService>,
     /// What ran, as the upstreams saw it.
-    pub witness: WitnessLog,
+    pub run_log: RunLog,
     /// The fault proxy, if every link passes through it.
     pub proxy: Option<FaultProxy>,
     /// The processes, entries first.
@@ -52,7 +52,7 @@
     /// A client of the store that no fault touches.
     pub objects: ObjectClient,
     /// When processes were started, told to stop, and ended.
-    pub life: Vec<LifeEvent>,
+    pub process_events: Vec<ProcessEvent>,
     certificates: CertificateSet,
     directory: TempDir,
 }
@@ -62,14 +62,15 @@
     ///
     /// # Errors
     /// If anything can't be started, or an entry isn't ready within 20 s.
-    pub async fn start(options: FleetOptions) -> Result<Self, Report<FleetFault>> {
-        let fault = |doing: &str| FleetFault::new(doing);
+    pub async fn start(options: FleetOptions) -> Result<Self, Report<FleetError>> {
+        let fault = |doing: &str| FleetError::new(doing);
         let directory = TempDir::new().change_context_lazy(|| fault("making a directory"))?;
         let certificates = CertificateSet::create(directory.path())?;
-        let store = ObjectStand::start(ObjectStandOptions::builder().build())
+        let store = FakeObjectStore::start(ObjectStoreOptions::builder().build())
             .change_context_lazy(|| fault("starting the store"))?;
-        let list = InstanceStand::start(InstanceOptions::builder().lag(options.list_lag).build())
-            .change_context_lazy(|| fault("starting the instance list"))?;
+        let list =
+            FakeInstanceList::start(InstanceListOptions::builder().lag(options.list_lag).build())
+                .change_context_lazy(|| fault("starting the instance list"))?;
         let proxy = match options.proxied {
             true => Some(FaultProxy::start().change_context_lazy(|| fault("starting the proxy"))?),
             false => None,
@@ -81,11 +82,11 @@
             list,
             engines: BTreeMap::new(),
             services: BTreeMap::new(),
-            witness: WitnessLog::new(),
+            run_log: RunLog::new(),
             proxy,
             members: Vec::new(),
             objects,
-            life: Vec::new(),
+            process_events: Vec::new(),
             certificates,
             directory,
         };
@@ -100,8 +101,8 @@
         Ok(fleet)
     }
 
-    async fn put_configuration(&self) -> Result<(), Report<FleetFault>> {
-        let fault = || FleetFault::new("putting the configuration into the store");
+    async fn put_configuration(&self) -> Result<(), Report<FleetError>> {
+        let fault = || FleetError::new("putting the configuration into the store");
         let none = StoreRevision::ZERO;
         let put = self.objects.put(FLEET_OBJECT_KEY, none, &self.options.fleet).await;
         put.change_context_lazy(fault)?;
@@ -112,20 +113,20 @@
         Ok(())
     }
 
-    async fn deposit_all(&self) -> Result<(), Report<FleetFault>> {
+    async fn deposit_all(&self) -> Result<(), Report<FleetError>> {
         for (branch, deposit) in &self.options.deployment.branches {
             top_up(&self.objects, branch, deposit.prepaid, CommandId::random()).await?;
         }
         Ok(())
     }
 
-    fn start_upstreams(&mut self) -> Result<(), Report<FleetFault>> {
+    fn start_upstreams(&mut self) -> Result<(), Report<FleetError>> {
         let deployment = self.options.deployment.clone();
         let mut counts: BTreeMap<ServiceName, u32> = BTreeMap::new();
         for centre in &deployment.centres {
             for (service, number) in &centre.upstreams {
                 let plan = deployment.services.get(service).ok_or_else(|| {
-                    Report::new(FleetFault::new(format!(
+                    Report::new(FleetError::new(format!(
                         "looking for the plan of service {service}"
                     )))
                 })?;
@@ -146,8 +147,8 @@
         service: &ServiceName,
         centre: &CentreName,
         plan: &ServicePlan,
-    ) -> Result<(), Report<FleetFault>> {
-        let fault = || FleetFault::new(format!("starting upstream {name}"));
+    ) -> Result<(), Report<FleetError>> {
+        let fault = || FleetError::new(format!("starting upstream {name}"));
         let upstream: UpstreamName = name.parse().change_context_lazy(fault)?;
         if let Some(rate) = plan.tokens_per_second {
             let tuning = self.options.engine;
@@ -161,26 +162,26 @@
                 .first_token_base(tuning.first_token_base)
                 .prompt_token_time(tuning.prompt_token_time)
                 .tick(tuning.tick)
-                .witness(self.witness.clone())
+                .run_log(self.run_log.clone())
                 .seed(self.options.seed)
                 .build();
-            let engine = EngineStand::start(options).change_context_lazy(fault)?;
+            let engine = FakeEngine::start(options).change_context_lazy(fault)?;
             self.engines.insert(upstream.clone(), engine);
         } else {
             let options = ServiceOptions::builder()
                 .name(upstream.clone())
                 .capacity(plan.capacity as usize)
                 .latency(Duration::from_millis(plan.answer_ms.unwrap_or(0)))
-                .witness(self.witness.clone())
+                .run_log(self.run_log.clone())
                 .build();
-            let service = ServiceStand::start(options).change_context_lazy(fault)?;
+            let service = FakeService::start(options).change_context_lazy(fault)?;
             self.services.insert(upstream.clone(), service);
         }
         let instance = format!("{name}-sidecar");
         self.add_member(&instance, centre, Some((upstream, service.clone())))
     }
 
-    fn lay_out_members(&mut self) -> Result<(), Report<FleetFault>> {
+    fn lay_out_members(&mut self) -> Result<(), Report<FleetError>> {
         let centres = self.options.deployment.centres.clone();
         for centre in &centres {
             for number in 1..=centre.entries {
@@ -201,8 +202,8 @@
         instance: &str,
         centre: &CentreName,
         upstream: Option<(UpstreamName, ServiceName)>,
-    ) -> Result<(), Report<FleetFault>> {
-        let fault = || FleetFault::new(format!("laying out {instance}"));
+    ) -> Result<(), Report<FleetError>> {
+        let fault = || FleetError::new(format!("laying out {instance}"));
         let name: InstanceName = instance.parse().change_context_lazy(fault)?;
         let (http, link) = free_addresses()?;
         let advertised = match &self.proxy {
@@ -231,16 +232,16 @@
         from: &InstanceName,
         to: &str,
         target: SocketAddr,
-    ) -> Result<SocketAddr, Report<FleetFault>> {
-        let fault = || FleetFault::new(format!("opening the link from {from} to {to}"));
+    ) -> Result<SocketAddr, Report<FleetError>> {
+        let fault = || FleetError::new(format!("opening the link from {from} to {to}"));
         match &self.proxy {
             Some(proxy) => proxy.tcp_link(from.as_str(), to, target).change_context_lazy(fault),
             None => Ok(target),
         }
     }
 
-    fn write_settings(&self, member: &FleetMember) -> Result<(), Report<FleetFault>> {
-        let fault = || FleetFault::new(format!("writing the settings of {}", member.instance));
+    fn write_settings(&self, member: &FleetMember) -> Result<(), Report<FleetError>> {
+        let fault = || FleetError::new(format!("writing the settings of {}", member.instance));
         let platform = PlatformAddresses {
             objects: self.through_proxy(&member.instance, STORE_NAME, self.store.address())?,
             instances: self.through_proxy(&member.instance, LIST_NAME, self.list.address())?,
@@ -274,33 +275,33 @@
     ///
     /// # Errors
     /// If its settings can't be written or it can't be started.
-    pub fn start_member(&mut self, place: usize) -> Result<(), Report<FleetFault>> {
+    pub fn start_member(&mut self, place: usize) -> Result<(), Report<FleetError>> {
         if !self.members[place].settings.exists() {
             self.write_settings(&self.members[place])?;
         }
         let daemon = self.options.binaries.daemon.clone();
         let member = &mut self.members[place];
-        let fault = || FleetFault::new(format!("starting {}", member.instance));
+        let fault = || FleetError::new(format!("starting {}", member.instance));
         let argument = member.settings.display().to_string();
         let process = ChildProcess::start(&daemon, &[argument.as_str()], &member.log);
         member.process = Some(process.change_context_lazy(fault)?);
-        self.note_life(place, LifeKind::Started);
+        self.record_process_event(place, ProcessEventKind::Started);
         Ok(())
     }
 
     /// Notes what was done to a member's process, now.
-    pub fn note_life(&mut self, place: usize, kind: LifeKind) {
+    pub fn record_process_event(&mut self, place: usize, kind: ProcessEventKind) {
         let instance = self.members[place].instance.clone();
-        self.life.push(LifeEvent { instance, at: ClockTime::now(), kind });
+        self.process_events.push(ProcessEvent { instance, at: ClockTime::now(), kind });
     }
 
     /// Shows a member as live in the instance list, which lags.
-    pub fn list_live(&self, place: usize) {
+    pub fn mark_live(&self, place: usize) {
         self.list.set(listed(&self.members[place], &self.options));
     }
 
     /// The place of a member.
-    pub fn place_of(&self, instance: &str) -> Option<usize> {
+    pub fn member_index(&self, instance: &str) -> Option<usize> {
         self.members.iter().position(|member| member.instance.as_str() == instance)
     }
 
@@ -319,8 +320,8 @@
     ///
     /// # Errors
     /// If the directory can't be made or a log can't be written to it.
-    pub fn keep_logs(&self, target: &Path) -> Result<(), Report<FleetFault>> {
-        let fault = || FleetFault::new(format!("keeping logs in {}", target.display()));
+    pub fn copy_logs(&self, target: &Path) -> Result<(), Report<FleetError>> {
+        let fault = || FleetError::new(format!("keeping logs in {}", target.display()));
         std::fs::create_dir_all(target).change_context_lazy(fault)?;
         for member in self.members.iter().filter(|member| member.log.exists()) {
             let kept = target.join(format!("{}.log", member.instance));
@@ -331,14 +332,14 @@
 
     pub(super) fn has_ended(&self, place: usize) -> bool {
         let process = self.members[place].process.as_ref();
-        process.is_some_and(|process| matches!(process.ended(), Ok(Some(_)) | Err(_)))
+        process.is_some_and(|process| matches!(process.try_wait(), Ok(Some(_)) | Err(_)))
     }
 
     /// Gives a member other ports and starts it there.
-    pub(super) fn move_member(&mut self, place: usize) -> Result<(), Report<FleetFault>> {
+    pub(super) fn move_member(&mut self, place: usize) -> Result<(), Report<FleetError>> {
         let (http, link) = free_addresses()?;
         let instance = self.members[place].instance.clone();
-        let fault = || FleetFault::new(format!("moving {instance}"));
+        let fault = || FleetError::new(format!("moving {instance}"));
         let advertised = match &self.proxy {
             Some(proxy) => {
                 proxy.register_sender(instance.as_str(), link);
@@ -384,7 +385,7 @@
     branch: &BranchName,
     amount: TokenCount,
     command: CommandId,
-) -> Result<TopUpOutcome, Report<FleetFault>> {
+) -> Result<TopUpOutcome, Report<FleetError>> {
     let mut outcome = TopUpOutcome::AlreadyApplied;
     let key = book_key(book_of(branch));
     let apply = |record: &mut BookRecord| {
@@ -392,7 +393,7 @@
         UpdateChoice::Write
     };
     let updated = update_object(objects, &key, STORE_LIMIT, apply).await;
-    updated.change_context_lazy(|| FleetFault::new("topping up"))?;
+    updated.change_context_lazy(|| FleetError::new("topping up"))?;
     Ok(outcome)
 }
 
--- a/crates/sagespool-testkit/src/instance_list.rs
+++ b/crates/sagespool-testkit/src/instance_list.rs
@@ -4,10 +4,10 @@
 //!
 //! ```
 //! use std::time::Duration;
-//! use sagespool_testkit::{InstanceOptions, InstanceStand};
+//! use sagespool_testkit::{InstanceListOptions, FakeInstanceList};
 //!
-//! let options = InstanceOptions::builder().lag(Duration::from_secs(2)).build();
-//! let list = InstanceStand::start(options)?;
+//! let options = InstanceListOptions::builder().lag(Duration::from_secs(2)).build();
+//! let list = FakeInstanceList::start(options)?;
 //! assert!(list.listed().is_empty());
 //! # Ok::<(), error_stack::Report<sagespool_testkit::StartError>>(())
 //! ```
@@ -31,14 +31,14 @@
 
 /// How the list is set up.
 #[derive(Debug, Clone, Builder)]
-pub struct InstanceOptions {
+pub struct InstanceListOptions {
     /// A change shows in the list after this time.
     #[builder(default)]
     pub lag: Duration,
 }
 
 /// A running instance list. Dropping it ends it at once.
-pub struct InstanceStand {
+pub struct FakeInstanceList {
     list: Arc<SharedList>,
     server: StandServer,
 }
@@ -56,9 +56,9 @@
     }
 }
 
-impl InstanceStand {
+impl FakeInstanceList {
     /// Starts with an empty list on a loopback port that the system chooses.
-    pub fn start(options: InstanceOptions) -> Result<Self, Report<StartError>> {
+    pub fn start(options: InstanceListOptions) -> Result<Self, Report<StartError>> {
         let state = Mutex::new(ListState::new(options.lag));
         let list = Arc::new(SharedList { state, changed: Event::new() });
         let server = StandServer::start("the instance list", calls::router(&list))?;
@@ -119,7 +119,7 @@
     }
 }
 
-impl Drop for InstanceStand {
+impl Drop for FakeInstanceList {
     fn drop(&mut self) {
         self.end_waiting();
     }
--- a/crates/sagespool-testkit/src/lib.rs
+++ b/crates/sagespool-testkit/src/lib.rs
@@ -20,16 +20,16 @@
 mod witness;
 
 pub use engine::{
-    AdapterName, CacheChange, CacheEvent, EngineLoad, EngineOptions, EngineOrder, EngineStand,
+    AdapterName, CacheChange, CacheEvent, EngineLoad, EngineOptions, EngineOrder, FakeEngine,
     FencedOrder, OrderRecord, PrefixCounts, answer_text, answer_token, natural_length,
     prefix_digest, prompt_tokens,
 };
-pub use instance_list::{InstanceEntry, InstanceOptions, InstanceStand, InstanceState};
+pub use instance_list::{FakeInstanceList, InstanceEntry, InstanceListOptions, InstanceState};
 pub use loopback_server::StartError;
-pub use object_api::{AppliedWrite, ObjectStand, ObjectStandOptions, StoreCounts, StoreFaults};
-pub use plain_service::{FailureShares, ServiceLoad, ServiceOptions, ServiceStand, service_answer};
+pub use object_api::{AppliedWrite, FakeObjectStore, ObjectStoreOptions, StoreCounts, StoreFaults};
+pub use plain_service::{FailureShares, FakeService, ServiceLoad, ServiceOptions, service_answer};
 pub use processes::{ChildProcess, ProcessError, ProcessUsage, free_tcp_port, free_udp_port};
 pub use proxy::{FaultProxy, PairBytes};
-pub use stand_server::StandError;
-pub use weight_store::{WeightLoad, WeightOptions, WeightStand};
-pub use witness::{RunEnd, RunMarker, RunRecord, RunStart, RunTally, TokenUse, WitnessLog};
+pub use stand_server::ListenError;
+pub use weight_store::{FakeWeightStore, WeightFetch, WeightOptions};
+pub use witness::{RunEnd, RunLog, RunMarker, RunRecord, RunStart, RunTally, TokenUse};
--- a/crates/sagespool-testkit/src/load/balancer.rs
+++ b/crates/sagespool-testkit/src/load/balancer.rs
@@ -8,7 +8,7 @@
 
 use trillium_client::Client;
 
-use crate::fleet::ask_ready;
+use crate::fleet::check_ready;
 
 const PROBE_PERIOD: Duration = Duration::from_millis(200);
 /// An entry that takes longer to answer its probe counts as not ready.
@@ -49,7 +49,7 @@
     async fn probe_one(&self, place: usize) {
         let entry = &self.entries[place];
         let client = Client::new(trillium_smol::ClientConfig::default()).without_keepalive();
-        let is_ready = ask_ready(&client, entry.address, PROBE_LIMIT).await.is_ok();
+        let is_ready = check_ready(&client, entry.address, PROBE_LIMIT).await.is_ok();
         entry.ready.store(is_ready, Ordering::Relaxed);
     }
 
--- a/crates/sagespool-testkit/src/load/faults/drain.rs
+++ b/crates/sagespool-testkit/src/load/faults/drain.rs
@@ -10,7 +10,7 @@
 use super::graceful;
 use super::rolling_restart::upstream_of;
 use super::stage::FaultStage;
-use crate::fleet::{LifeKind, RunningFleet};
+use crate::fleet::{ProcessEventKind, RunningFleet};
 
 /// Well over the 3 s after which nothing may come any more.
 const DRAINED_FOR: Duration = Duration::from_secs(6);
@@ -85,7 +85,7 @@
     let Some(upstream) = upstream_of(stage, place).await else { return };
     let (list_lag, limit) = {
         let mut fleet = stage.fleet().await;
-        fleet.note_life(place, LifeKind::Stopping);
+        fleet.record_process_event(place, ProcessEventKind::Stopping);
         fleet.list.mark_leaving(&fleet.members[place].instance);
         (fleet.options.list_lag, fleet.options.stop_limit + STOP_LIMIT)
     };
@@ -119,7 +119,7 @@
 
 async fn signal(stage: &FaultStage, place: usize) {
     let mut fleet = stage.fleet().await;
-    fleet.note_life(place, LifeKind::Stopping);
+    fleet.record_process_event(place, ProcessEventKind::Stopping);
     if let Some(process) = &fleet.members[place].process {
         let _ = process.terminate();
     }
--- a/crates/sagespool-testkit/src/load/faults/graceful.rs
+++ b/crates/sagespool-testkit/src/load/faults/graceful.rs
@@ -7,7 +7,7 @@
 use trillium_client::Client;
 
 use super::stage::FaultStage;
-use crate::fleet::{LifeKind, ask_ready};
+use crate::fleet::{ProcessEventKind, check_ready};
 
 const LOOK_PERIOD: Duration = Duration::from_millis(20);
 /// Beyond the time that settings give a stop: for what it hands back.
@@ -20,7 +20,7 @@
 pub(super) async fn stop(stage: &FaultStage, place: usize, is_listed: bool) -> bool {
     let limit = {
         let mut fleet = stage.fleet().await;
-        fleet.note_life(place, LifeKind::Stopping);
+        fleet.record_process_event(place, ProcessEventKind::Stopping);
         let member = &fleet.members[place];
         if let Some(process) = &member.process {
             let _ = process.terminate();
@@ -41,10 +41,10 @@
             let mut fleet = stage.fleet().await;
             let member = &mut fleet.members[place];
             let Some(process) = &member.process else { return false };
-            if let Ok(Some(status)) = process.ended() {
+            if let Ok(Some(status)) = process.try_wait() {
                 member.process = None;
                 let instance = member.instance.clone();
-                fleet.note_life(place, LifeKind::Ended);
+                fleet.record_process_event(place, ProcessEventKind::Ended);
                 if !status.success() {
                     stage.notes.find(format!("unclean stop: {instance} {status}"));
                 }
@@ -64,7 +64,7 @@
 pub(super) async fn start(stage: &FaultStage, place: usize) {
     let address = {
         let mut fleet = stage.fleet().await;
-        fleet.list_live(place);
+        fleet.mark_live(place);
         if let Err(report) = fleet.start_member(place) {
             stage.notes.find(format!("not started: {report}"));
         }
@@ -84,5 +84,5 @@
 
 async fn is_ready(address: SocketAddr) -> bool {
     let client = Client::new(trillium_smol::ClientConfig::default()).without_keepalive();
-    ask_ready(&client, address, PROBE_LIMIT).await.is_ok()
+    check_ready(&client, address, PROBE_LIMIT).await.is_ok()
 }
--- a/crates/sagespool-testkit/src/load/faults/process.rs
+++ b/crates/sagespool-testkit/src/load/faults/process.rs
@@ -2,7 +2,7 @@
 
 use fastrand::Rng;
 
-use crate::fleet::{LifeKind, RunningFleet};
+use crate::fleet::{ProcessEventKind, RunningFleet};
 
 /// The places of the members of a kind that run.
 pub(super) fn running(fleet: &RunningFleet, entries: bool) -> Vec<usize> {
@@ -26,7 +26,7 @@
     };
     // One that has ended by itself is as dead.
     let _ = process.kill();
-    fleet.note_life(place, LifeKind::Ended);
+    fleet.record_process_event(place, ProcessEventKind::Ended);
 }
 
 /// Starts a member again if it doesn't run.
--- a/crates/sagespool-testkit/src/load/faults/scripts.rs
+++ b/crates/sagespool-testkit/src/load/faults/scripts.rs
@@ -185,7 +185,7 @@
     let mut rng = stage.rng("upstream-kill");
     let break_streams = async |share: f64| {
         for engine in stage.fleet().await.engines.values() {
-            engine.break_share(share);
+            engine.set_break_share(share);
         }
     };
     break_streams(BROKEN_SHARE).await;
--- a/crates/sagespool-testkit/src/load/figures.rs
+++ b/crates/sagespool-testkit/src/load/figures.rs
@@ -159,7 +159,7 @@
 }
 
 fn engine_runs(fleet: &RunningFleet) -> Vec<RunRecord> {
-    let runs = fleet.witness.runs().into_iter();
+    let runs = fleet.run_log.runs().into_iter();
     runs.filter(|run| run.start.kind == UpstreamKind::Engine).collect()
 }
 
@@ -199,7 +199,7 @@
     fleet: &RunningFleet,
     runs: &[RunRecord],
 ) -> f64 {
-    let places: usize = fleet.engines.values().map(|engine| engine.load_now().capacity).sum();
+    let places: usize = fleet.engines.values().map(|engine| engine.current_load().capacity).sum();
     let (mut held, mut time) = (Duration::ZERO, Duration::ZERO);
     for timed in phases {
         let (from, until) = (input.start.after(timed.from), input.start.after(timed.until()));
--- a/crates/sagespool-testkit/src/load/leaving.rs
+++ b/crates/sagespool-testkit/src/load/leaving.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::{CallOutcome, CallRecord, FleetNotes, LeavingSpan};
-use crate::{RunEnd, RunMarker, RunRecord, WitnessLog};
+use crate::{RunEnd, RunLog, RunMarker, RunRecord};
 
 /// How long after an upstream began to leave it may still be given work.
 const LEAVING_LIMIT: Duration = Duration::from_secs(3);
@@ -31,11 +31,11 @@
 /// broken connections are the faults' own.
 pub fn judge_leaving(
     records: &[CallRecord],
-    witness: &WitnessLog,
+    run_log: &RunLog,
     notes: &FleetNotes,
 ) -> LeavingVerdict {
     let mut verdict = LeavingVerdict { restarts: notes.restarts(), ..Default::default() };
-    let runs = witness.runs();
+    let runs = run_log.runs();
     let mut cut: BTreeSet<&RunMarker> = BTreeSet::new();
     let mut findings = Vec::new();
     for record in records {
--- a/crates/sagespool-testkit/src/load/operator_oracle.rs
+++ b/crates/sagespool-testkit/src/load/operator_oracle.rs
@@ -10,7 +10,7 @@
 use sagespool_types::{ClockTime, InstanceName, StoreRevision, UpstreamName};
 
 use super::{AnswerSample, CallRecord, DepositLog, FleetNotes};
-use crate::fleet::LifeEvent;
+use crate::fleet::ProcessEvent;
 use crate::{AppliedWrite, RunRecord};
 
 const MOST_FINDINGS: usize = 20;
@@ -26,7 +26,7 @@
     /// What scripts did to upstreams.
     pub notes: &'a FleetNotes,
     /// When processes were started, told to stop, and ended.
-    pub life: &'a [LifeEvent],
+    pub process_events: &'a [ProcessEvent],
     /// What the store took, in order.
     pub writes: &'a [AppliedWrite],
     /// The instances of entries, by their place.
--- a/crates/sagespool-testkit/src/load/operator_oracle/fleet.rs
+++ b/crates/sagespool-testkit/src/load/operator_oracle/fleet.rs
@@ -13,7 +13,7 @@
 
 use super::{AnswerFacts, AnswerVerdict, revision_at};
 use crate::RunRecord;
-use crate::fleet::LifeKind;
+use crate::fleet::ProcessEventKind;
 use crate::load::{AnswerSample, CallOutcome, LeavingSpan};
 
 /// A request whose caller had its whole answer for longer than this doesn't run.
@@ -221,17 +221,18 @@
     verdict: &mut AnswerVerdict,
 ) {
     let instance = &row.member.instance;
-    let own = || facts.life.iter().filter(|event| event.instance == *instance);
+    let own = || facts.process_events.iter().filter(|event| event.instance == *instance);
     if row.leaving {
         let was_told =
-            own().any(|event| event.kind != LifeKind::Started && event.at <= sample.after);
+            own().any(|event| event.kind != ProcessEventKind::Started && event.at <= sample.after);
         verdict.hold(sample, was_told, || format!("{instance} is said to be leaving"));
     }
     let Some(up_ms) = row.up_ms else { return };
-    let starts = own().filter(|event| event.kind == LifeKind::Started);
-    let last = own().filter(|event| event.kind != LifeKind::Stopping && event.at <= sample.before);
+    let starts = own().filter(|event| event.kind == ProcessEventKind::Started);
+    let last =
+        own().filter(|event| event.kind != ProcessEventKind::Stopping && event.at <= sample.before);
     let is_down = last.max_by_key(|event| event.at).is_none_or(|event| {
-        event.kind == LifeKind::Ended
+        event.kind == ProcessEventKind::Ended
             && !starts.clone().any(|start| start.at > event.at && start.at <= sample.after)
     });
     verdict.hold(sample, !is_down, || format!("{instance} is said to have answered; it was dead"));
--- a/crates/sagespool-testkit/src/load/oracle.rs
+++ b/crates/sagespool-testkit/src/load/oracle.rs
@@ -8,7 +8,7 @@
 use sagespool_types::{BranchName, ClockTime, TokenCount};
 
 use super::{CallKind, CallOutcome, CallRecord, DepositLog, SendRecord};
-use crate::{RunMarker, RunRecord, WitnessLog};
+use crate::{RunLog, RunMarker, RunRecord};
 
 /// A budget that covers a refused request for less than this was on its way to another request
 /// that waited too; only longer counts as a false refusal.
@@ -22,7 +22,7 @@
     /// The calls and what came of them.
     pub records: &'a [CallRecord],
     /// What the upstreams saw.
-    pub witness: &'a WitnessLog,
+    pub run_log: &'a RunLog,
     /// What was prepaid when.
     pub deposits: &'a DepositLog,
     /// The books after the fleet has stopped and settled; nothing if they aren't to be judged.
@@ -68,7 +68,7 @@
 pub fn judge(input: &OracleInput) -> OracleVerdict {
     let mut verdict = OracleVerdict::default();
     let mut runs: BTreeMap<RunMarker, Vec<RunRecord>> = BTreeMap::new();
-    for run in input.witness.runs() {
+    for run in input.run_log.runs() {
         if let Some(marker) = run.start.marker.clone() {
             runs.entry(marker).or_default().push(run);
         }
--- a/crates/sagespool-testkit/src/load/order_oracle.rs
+++ b/crates/sagespool-testkit/src/load/order_oracle.rs
@@ -1,7 +1,7 @@
 //! The judgement of orders, from what each engine was given.
 
 use crate::fleet::RunningFleet;
-use crate::{EngineStand, OrderRecord};
+use crate::{FakeEngine, OrderRecord};
 
 /// What engines were ordered.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -23,9 +23,9 @@
     verdict
 }
 
-fn judge_engine(engine: &EngineStand, orders: &[OrderRecord], verdict: &mut OrderVerdict) {
+fn judge_engine(engine: &FakeEngine, orders: &[OrderRecord], verdict: &mut OrderVerdict) {
     let mut newest = None;
-    for record in orders.iter().filter(|record| record.taken) {
+    for record in orders.iter().filter(|record| record.accepted) {
         let fence = record.fenced.fence;
         verdict.carried_out += 1;
         if newest.is_some_and(|newest| newest > fence) {
--- a/crates/sagespool-testkit/src/load/scenario.rs
+++ b/crates/sagespool-testkit/src/load/scenario.rs
@@ -26,9 +26,9 @@
     LatencyFigures, LoadReport, PlannedCall, TrafficMix, ask_around, judge_leaving, judge_orders,
     run_balanced,
 };
-use crate::EngineStand;
+use crate::FakeEngine;
 use crate::fleet::{
-    DeploymentPlan, EngineTuning, FleetBinaries, FleetFault, FleetOptions, RunningFleet,
+    DeploymentPlan, EngineTuning, FleetBinaries, FleetError, FleetOptions, RunningFleet,
     read_deployment,
 };
 
@@ -113,8 +113,8 @@
 }
 
 /// A scenario's plan, with what the options say instead.
-fn plan_of(options: &ScenarioOptions) -> Result<ScenarioPlan, Report<FleetFault>> {
-    let unknown = || FleetFault::new(format!("looking for scenario {}", options.scenario));
+fn plan_of(options: &ScenarioOptions) -> Result<ScenarioPlan, Report<FleetError>> {
+    let unknown = || FleetError::new(format!("looking for scenario {}", options.scenario));
     let mut plan = scenario_plan(&options.scenario).ok_or_else(|| Report::new(unknown()))?;
     plan.rate = options.rate.unwrap_or(plan.rate);
     plan.lasting = options.lasting.unwrap_or(plan.lasting);
@@ -148,7 +148,7 @@
 fn fleet_options(
     options: &ScenarioOptions,
     plan: &ScenarioPlan,
-) -> Result<FleetOptions, Report<FleetFault>> {
+) -> Result<FleetOptions, Report<FleetError>> {
     let directory =
         Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples").join(&options.deployment);
     let (mut deployment, fleet, branches) = read_deployment(&directory)?;
@@ -192,7 +192,7 @@
 ///
 /// # Errors
 /// If the fleet can't be started.
-pub async fn run_scenario(options: &ScenarioOptions) -> Result<LoadReport, Report<FleetFault>> {
+pub async fn run_scenario(options: &ScenarioOptions) -> Result<LoadReport, Report<FleetError>> {
     let plan = plan_of(options)?;
     let fleet_options = fleet_options(options, &plan)?;
     let mix = traffic::shaped(&traffic_of(&fleet_options), &plan);
@@ -231,7 +231,7 @@
     let deposits = deposits.lock().await.clone();
     conclude(&mut report, &mut fleet, &outcome.records, &deposits);
     if let Some(logs) = &options.logs {
-        fleet.keep_logs(logs)?;
+        fleet.copy_logs(logs)?;
     }
     let judged = AnswerInput {
         records: &outcome.records,
@@ -243,7 +243,7 @@
     report.take_orders(&judge_orders(&fleet));
     report.take_races(&outcome.notes);
     if options.is_graceful() {
-        report.take_leaving(&judge_leaving(&outcome.records, &fleet.witness, &outcome.notes));
+        report.take_leaving(&judge_leaving(&outcome.records, &fleet.run_log, &outcome.notes));
     }
     Ok(report)
 }
@@ -273,7 +273,7 @@
     let slowing = smol::spawn(slow_one(engines.first().cloned(), phases.clone(), start));
     let direct = plan.direct.then(|| {
         let calls: Vec<PlannedCall> = traffic::direct_calls(options, mix, plan.rate, plan.lasting);
-        let engines = engines.iter().map(EngineStand::address).collect();
+        let engines = engines.iter().map(FakeEngine::address).collect();
         smol::spawn(run_direct(calls, engines))
     });
     let balancer = EntryBalancer::new(entries);
@@ -308,12 +308,12 @@
 }
 
 /// Makes one engine as slow as each phase says.
-async fn slow_one(engine: Option<EngineStand>, phases: Vec<TimedPhase>, start: ClockTime) {
+async fn slow_one(engine: Option<FakeEngine>, phases: Vec<TimedPhase>, start: ClockTime) {
     let Some(engine) = engine else { return };
     for timed in phases {
         let wait = start.after(timed.from).since(ClockTime::now());
         smol::Timer::after(wait).await;
-        engine.slow_factor(timed.phase.slowness);
+        engine.set_slow_factor(timed.phase.slowness);
     }
 }
 
--- a/crates/sagespool-testkit/src/load/session.rs
+++ b/crates/sagespool-testkit/src/load/session.rs
@@ -91,7 +91,7 @@
     note_usage(report, fleet);
     let unclean = fleet.stop();
     let books = |key: &str| -> Option<BookRecord> { fleet.store.object(key)?.parse().ok() };
-    let input = OracleInput { records, witness: &fleet.witness, deposits, books: Some(&books) };
+    let input = OracleInput { records, run_log: &fleet.run_log, deposits, books: Some(&books) };
     let verdict = judge(&input);
     report.take_verdict(&verdict);
     for instance in unclean {
@@ -129,10 +129,10 @@
         input.samples,
         &AnswerFacts {
             records: input.records,
-            runs: &fleet.witness.runs(),
+            runs: &fleet.run_log.runs(),
             deposits: input.deposits,
             notes: input.notes,
-            life: &fleet.life,
+            process_events: &fleet.process_events,
             writes: &fleet.store.writes(),
             entries: &entries,
             upstreams: &upstreams,
@@ -142,7 +142,7 @@
 }
 
 fn runs_per_request(fleet: &RunningFleet) -> f64 {
-    let runs: BTreeMap<_, usize> = fleet.witness.runs_by_marker();
+    let runs: BTreeMap<_, usize> = fleet.run_log.runs_by_marker();
     if runs.is_empty() {
         return 0.0;
     }
--- a/crates/sagespool-testkit/src/object_api.rs
+++ b/crates/sagespool-testkit/src/object_api.rs
@@ -4,9 +4,9 @@
 //! the process that starts it; everything else reaches it by HTTP.
 //!
 //! ```
-//! use sagespool_testkit::{ObjectStand, ObjectStandOptions, StoreFaults};
+//! use sagespool_testkit::{FakeObjectStore, ObjectStoreOptions, StoreFaults};
 //!
-//! let store = ObjectStand::start(ObjectStandOptions::builder().build())?;
+//! let store = FakeObjectStore::start(ObjectStoreOptions::builder().build())?;
 //! store.set_faults(StoreFaults::builder().outage(true).build());
 //! assert!(store.address().ip().is_loopback());
 //! assert!(store.objects().is_empty());
@@ -38,7 +38,7 @@
 
 /// How the store is set up.
 #[derive(Debug, Clone, Builder)]
-pub struct ObjectStandOptions {
+pub struct ObjectStoreOptions {
     /// So many changes are kept for watches; a watch from before them is answered 410.
     #[builder(default = USUAL_HISTORY)]
     pub history_limit: usize,
@@ -48,14 +48,14 @@
 }
 
 /// A running object API. Dropping it ends it at once.
-pub struct ObjectStand {
+pub struct FakeObjectStore {
     store: Arc<SharedStore>,
     server: StandServer,
 }
 
-impl ObjectStand {
+impl FakeObjectStore {
     /// Starts with no objects on a loopback port that the system chooses.
-    pub fn start(options: ObjectStandOptions) -> Result<Self, Report<StartError>> {
+    pub fn start(options: ObjectStoreOptions) -> Result<Self, Report<StartError>> {
         let now = ClockTime::now();
         let store = Arc::new(SharedStore::new(options.history_limit, options.faults, now));
         let server = StandServer::start("the object API", calls::router(&store))?;
@@ -109,7 +109,7 @@
     }
 }
 
-impl Drop for ObjectStand {
+impl Drop for FakeObjectStore {
     fn drop(&mut self) {
         self.store.stop();
     }
--- a/crates/sagespool-testkit/src/plain_service/http.rs
+++ b/crates/sagespool-testkit/src/plain_service/http.rs
@@ -158,7 +158,7 @@
         if service.gate.start() != Some(self.start) {
             return Err(StandGone);
         }
-        let tally = service.options.witness.start(start, ClockTime::now());
+        let tally = service.options.run_log.start(start, ClockTime::now());
         state.running.insert(tally.number(), tally.clone());
         Ok(tally)
     }
--- a/crates/sagespool-testkit/src/plain_service/mod.rs
+++ b/crates/sagespool-testkit/src/plain_service/mod.rs
@@ -16,13 +16,13 @@
 use crate::crossing::CrossedAnswers;
 use crate::fault_gate::{FaultGate, StartNumber};
 use crate::lagged::LaggedState;
-use crate::stand_server::{StandError, StandServer, do_later, lock};
-use crate::witness::{RunEnd, RunMarker, RunRecord, RunTally, WitnessLog};
+use crate::stand_server::{ListenError, StandServer, do_later, lock};
+use crate::witness::{RunEnd, RunLog, RunMarker, RunRecord, RunTally};
 
 /// How a service stand behaves.
 #[derive(Clone, Builder)]
 pub struct ServiceOptions {
-    /// Its name in the witness log.
+    /// Its name in the run log.
     pub name: UpstreamName,
     /// Calls that run at once; more wait.
     #[builder(default = 64)]
@@ -41,7 +41,7 @@
     pub restart_after: Option<Duration>,
     /// Where it notes its runs.
     #[builder(default)]
-    pub witness: WitnessLog,
+    pub run_log: RunLog,
     /// Decides which calls fail.
     #[builder(default = 1)]
     pub seed: u64,
@@ -77,7 +77,7 @@
 
 /// A plain service stand-in. Clones are the same service; the last one dropped ends it.
 #[derive(Clone)]
-pub struct ServiceStand {
+pub struct FakeService {
     owner: Arc<ServiceOwner>,
 }
 
@@ -107,13 +107,13 @@
     running: BTreeMap<u64, RunTally>,
 }
 
-impl ServiceStand {
+impl FakeService {
     /// Starts a service on a port of the loopback interface.
     ///
     /// # Errors
     ///
-    /// [`StandError::Listen`] if no port can be listened on.
-    pub fn start(options: ServiceOptions) -> Result<Self, Report<StandError>> {
+    /// [`ListenError::Listen`] if no port can be listened on.
+    pub fn start(options: ServiceOptions) -> Result<Self, Report<ListenError>> {
         let idle = ServiceLoad { running: 0, waiting: 0, capacity: options.capacity };
         let state = ServiceState {
             latency: options.latency,
@@ -146,8 +146,8 @@
     }
 
     /// Where it notes its runs.
-    pub fn witness(&self) -> &WitnessLog {
-        &self.shared().options.witness
+    pub fn run_log(&self) -> &RunLog {
+        &self.shared().options.run_log
     }
 
     /// Whether it runs, rather than lies crashed.
@@ -158,18 +158,18 @@
     }
 
     /// The load at this moment, without the lag of its reports.
-    pub fn load_now(&self) -> ServiceLoad {
+    pub fn current_load(&self) -> ServiceLoad {
         lock(&self.shared().state).present
     }
 
     /// How often this service ran an idempotency key.
     pub fn runs_of_key(&self, key: &str) -> usize {
-        self.count_own(&self.witness().runs_of_key(key))
+        self.count_own(&self.run_log().runs_of_key(key))
     }
 
     /// How often this service ran a marked call.
     pub fn runs_of(&self, marker: &RunMarker) -> usize {
-        self.count_own(&self.witness().runs_of(marker))
+        self.count_own(&self.run_log().runs_of(marker))
     }
 
     fn count_own(&self, runs: &[RunRecord]) -> usize {
@@ -185,14 +185,14 @@
     ///
     /// # Errors
     ///
-    /// [`StandError::Listen`] if the port can't be listened on.
-    pub fn restart(&self) -> Result<(), Report<StandError>> {
+    /// [`ListenError::Listen`] if the port can't be listened on.
+    pub fn restart(&self) -> Result<(), Report<ListenError>> {
         self.shared().restart()
     }
 
     /// Freezes or thaws it: a frozen service keeps its connections and answers no call.
-    pub fn freeze(&self, frozen: bool) {
-        self.shared().gate.freeze(frozen);
+    pub fn set_frozen(&self, frozen: bool) {
+        self.shared().gate.set_frozen(frozen);
     }
 
     /// Changes the time that a call takes, for calls that start from now on.
@@ -206,7 +206,7 @@
     }
 
     /// From now on gives each call the answer to the call before it, as that one's, or ends that.
-    pub fn cross_answers(&self, on: bool) {
+    pub fn set_mixed_answers(&self, on: bool) {
         lock(&self.shared().crossed).set(on);
     }
 
@@ -216,7 +216,7 @@
 }
 
 impl ServiceShared {
-    fn restart(self: &Arc<Self>) -> Result<(), Report<StandError>> {
+    fn restart(self: &Arc<Self>) -> Result<(), Report<ListenError>> {
         let mut state = lock(&self.state);
         let Some(start) = self.gate.begin() else {
             return Ok(());
--- a/crates/sagespool-testkit/src/processes.rs
+++ b/crates/sagespool-testkit/src/processes.rs
@@ -140,12 +140,12 @@
     }
 
     /// Tells it to read its settings again (SIGHUP).
-    pub fn hang_up(&self) -> Result<(), Report<ProcessError>> {
+    pub fn reload(&self) -> Result<(), Report<ProcessError>> {
         self.signal(Signal::HUP, "reload")
     }
 
     /// Whether it has ended, and how.
-    pub fn ended(&self) -> Result<Option<ExitStatus>, Report<ProcessError>> {
+    pub fn try_wait(&self) -> Result<Option<ExitStatus>, Report<ProcessError>> {
         let ended = self.child().try_wait();
         ended.change_context(ProcessError::Refused("report on"))
     }
@@ -154,7 +154,7 @@
     pub fn wait(&self, limit: Duration) -> Result<ExitStatus, Report<ProcessError>> {
         let started = Instant::now();
         loop {
-            if let Some(status) = self.ended()? {
+            if let Some(status) = self.try_wait()? {
                 return Ok(status);
             }
             if started.elapsed() >= limit {
--- a/crates/sagespool-testkit/src/stand_server.rs
+++ b/crates/sagespool-testkit/src/stand_server.rs
@@ -23,18 +23,18 @@
 
 /// Why a stand can't start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StandError {
+pub enum ListenError {
     /// No port of the loopback interface could be listened on.
     Listen,
 }
 
-impl fmt::Display for StandError {
+impl fmt::Display for ListenError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("a stand can't listen on a port of the loopback interface")
     }
 }
 
-impl std::error::Error for StandError {}
+impl std::error::Error for ListenError {}
 
 /// Locks a mutex whose holders don't panic.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -76,8 +76,8 @@
     /// The reserving socket is bound but never listens. While the stand is
     /// crashed the port refuses, yet nobody else is given it, so a restart
     /// can't fail for a port that was taken meanwhile.
-    pub(crate) fn reserve() -> Result<Self, Report<StandError>> {
-        let (held, address) = reserve_port().change_context(StandError::Listen)?;
+    pub(crate) fn reserve() -> Result<Self, Report<ListenError>> {
+        let (held, address) = reserve_port().change_context(ListenError::Listen)?;
         Ok(Self { _held: held, address, serving: Mutex::new(None) })
     }
 
@@ -87,15 +87,15 @@
     }
 
     /// Starts to serve; does nothing if it serves already.
-    pub(crate) fn serve(&self, handler: impl Handler) -> Result<(), Report<StandError>> {
+    pub(crate) fn serve(&self, handler: impl Handler) -> Result<(), Report<ListenError>> {
         let mut serving = lock(&self.serving);
         if serving.is_some() {
             return Ok(());
         }
-        let listener = self.listen().change_context(StandError::Listen)?;
-        let accepting = listener.try_clone().change_context(StandError::Listen)?;
+        let listener = self.listen().change_context(ListenError::Listen)?;
+        let accepting = listener.try_clone().change_context(ListenError::Listen)?;
         let accepting =
-            async_net::TcpListener::try_from(accepting).change_context(StandError::Listen)?;
+            async_net::TcpListener::try_from(accepting).change_context(ListenError::Listen)?;
         let connections = Arc::new(ConnectionTable::default());
         let handle = trillium_smol::config()
             .without_signals()
--- a/crates/sagespool-testkit/src/weight_store.rs
+++ b/crates/sagespool-testkit/src/weight_store.rs
@@ -13,7 +13,7 @@
 
 use crate::fault_gate::{FaultGate, StartNumber};
 use crate::http_answer::{answer_error, answer_json};
-use crate::stand_server::{StandError, StandServer, lock};
+use crate::stand_server::{ListenError, StandServer, lock};
 
 /// How a weight stand behaves.
 #[derive(Debug, Clone, Builder)]
@@ -31,18 +31,18 @@
 
 /// A load of a model's weights, as it was asked for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WeightLoad {
+pub struct WeightFetch {
     /// When.
     pub at: ClockTime,
     /// The model.
     pub model: String,
     /// Whether it was within the rate.
-    pub taken: bool,
+    pub accepted: bool,
 }
 
 /// A weight store stand-in. Clones are the same store; the last one dropped ends it.
 #[derive(Clone)]
-pub struct WeightStand {
+pub struct FakeWeightStore {
     owner: Arc<WeightOwner>,
 }
 
@@ -63,16 +63,16 @@
 
 struct WeightState {
     bucket: LoadBucket,
-    loads: Vec<WeightLoad>,
+    loads: Vec<WeightFetch>,
 }
 
-impl WeightStand {
+impl FakeWeightStore {
     /// Starts a weight store on a port of the loopback interface.
     ///
     /// # Errors
     ///
-    /// [`StandError::Listen`] if no port can be listened on.
-    pub fn start(options: WeightOptions) -> Result<Self, Report<StandError>> {
+    /// [`ListenError::Listen`] if no port can be listened on.
+    pub fn start(options: WeightOptions) -> Result<Self, Report<ListenError>> {
         let bucket = LoadBucket::full(options.burst, options.interval);
         let shared = Arc::new(WeightShared {
             server: StandServer::reserve()?,
@@ -90,7 +90,7 @@
     }
 
     /// Every load that it was asked for, in order.
-    pub fn loads(&self) -> Vec<WeightLoad> {
+    pub fn fetches(&self) -> Vec<WeightFetch> {
         lock(&self.owner.0.state).loads.clone()
     }
 
@@ -103,19 +103,19 @@
     ///
     /// # Errors
     ///
-    /// [`StandError::Listen`] if the port can't be listened on.
-    pub fn restart(&self) -> Result<(), Report<StandError>> {
+    /// [`ListenError::Listen`] if the port can't be listened on.
+    pub fn restart(&self) -> Result<(), Report<ListenError>> {
         self.owner.0.restart()
     }
 
     /// Freezes or thaws it: a frozen store keeps its connections and answers no call.
-    pub fn freeze(&self, frozen: bool) {
-        self.owner.0.gate.freeze(frozen);
+    pub fn set_frozen(&self, frozen: bool) {
+        self.owner.0.gate.set_frozen(frozen);
     }
 }
 
 impl WeightShared {
-    fn restart(self: &Arc<Self>) -> Result<(), Report<StandError>> {
+    fn restart(self: &Arc<Self>) -> Result<(), Report<ListenError>> {
         let Some(start) = self.gate.begin() else {
             return Ok(());
         };
@@ -159,10 +159,10 @@
 
     fn take(&self, model: &str, now: ClockTime) -> Result<(), Duration> {
         let mut state = lock(&self.state);
-        let taken = state.bucket.take(now);
-        let load = WeightLoad { at: now, model: model.to_owned(), taken: taken.is_ok() };
+        let accepted = state.bucket.take(now);
+        let load = WeightFetch { at: now, model: model.to_owned(), accepted: accepted.is_ok() };
         state.loads.push(load);
-        taken
+        accepted
     }
 }
 
@@ -178,7 +178,7 @@
         Self { burst: burst.max(1), interval, whole_at: ClockTime(0) }
     }
 
-    /// Takes a load, or says how long until one may be taken.
+    /// Takes a load, or says how long until one may be accepted.
     fn take(&mut self, now: ClockTime) -> Result<(), Duration> {
         let whole_at = self.whole_at.max(now).after(self.interval);
         let taken_ahead = whole_at.since(now);
--- a/crates/sagespool-testkit/src/witness/log.rs
+++ b/crates/sagespool-testkit/src/witness/log.rs
@@ -17,7 +17,7 @@
 ///
 /// What a run keeps is of fixed size, however long its answer.
 #[derive(Clone, Default)]
-pub struct WitnessLog {
+pub struct RunLog {
     shared: Arc<LogShards>,
 }
 
@@ -103,7 +103,7 @@
     }
 }
 
-impl WitnessLog {
+impl RunLog {
     /// An empty log.
     pub fn new() -> Self {
         Self::default()
--- a/crates/sagespool-testkit/tests/answer_oracle.rs
+++ b/crates/sagespool-testkit/tests/answer_oracle.rs
@@ -9,7 +9,7 @@
 use sagespool_testkit::load::{
     AnswerFacts, AnswerSample, DepositLog, FleetNotes, judge_answers, judge_leaving,
 };
-use sagespool_testkit::{RunEnd, RunStart, WitnessLog};
+use sagespool_testkit::{RunEnd, RunLog, RunStart};
 use sagespool_types::{BranchName, ClockTime, TokenCount, UpstreamName};
 use serde_json::json;
 
@@ -55,7 +55,7 @@
         runs: &[],
         deposits: &deposits,
         notes: &FleetNotes::default(),
-        life: &[],
+        process_events: &[],
         writes: &[],
         entries: &["east-entry-1".parse().unwrap()],
         upstreams: &BTreeMap::new(),
@@ -77,7 +77,7 @@
 #[test]
 fn late_runs() {
     let upstream: UpstreamName = "engines-1".parse().unwrap();
-    let (witness, notes) = (WitnessLog::new(), FleetNotes::default());
+    let (run_log, notes) = (RunLog::new(), FleetNotes::default());
     let span = notes.begin(&upstream, "stop", seconds(10));
     for (at, end) in [(12, RunEnd::Finished), (14, RunEnd::Finished), (12, RunEnd::Dropped)] {
         let start = RunStart {
@@ -91,9 +91,9 @@
             resumed_from: TokenCount(0),
             arrived_at: seconds(at),
         };
-        witness.start(start, seconds(at)).end(end, seconds(at + 1));
+        run_log.start(start, seconds(at)).end(end, seconds(at + 1));
     }
     notes.end(span, seconds(20), true);
-    let verdict = judge_leaving(&[], &witness, &notes);
+    let verdict = judge_leaving(&[], &run_log, &notes);
     assert_eq!((verdict.cut, verdict.late_dispatches, verdict.not_resumed), (1, 1, 1));
 }
--- a/crates/sagespool-testkit/tests/calls/mod.rs
+++ b/crates/sagespool-testkit/tests/calls/mod.rs
@@ -238,6 +238,6 @@
             .first_token_base(std::time::Duration::from_millis(1))
             $(.$setting($value))*
             .build();
-        sagespool_testkit::EngineStand::start(options).unwrap()
+        sagespool_testkit::FakeEngine::start(options).unwrap()
     }};
 }
--- a/crates/sagespool-testkit/tests/engine.rs
+++ b/crates/sagespool-testkit/tests/engine.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use calls::{MODEL, StreamEvent, complete, completion, get, joined_tokens, post, run, send, until};
-use sagespool_testkit::{EngineStand, RunEnd, RunMarker, answer_text, prompt_tokens};
+use sagespool_testkit::{FakeEngine, RunEnd, RunMarker, answer_text, prompt_tokens};
 use sagespool_types::TokenRate;
 use serde_json::{Value, json};
 
@@ -17,9 +17,9 @@
     body
 }
 
-fn ends_of(engine: &EngineStand, marker: &str) -> Vec<RunEnd> {
+fn ends_of(engine: &FakeEngine, marker: &str) -> Vec<RunEnd> {
     let marker: RunMarker = marker.parse().expect("a marker");
-    let runs = engine.witness().runs_of(&marker);
+    let runs = engine.run_log().runs_of(&marker);
     runs.iter().filter_map(|run| run.ended).map(|(end, _)| end).collect()
 }
 
@@ -38,7 +38,7 @@
             completion_tokens: 40,
         };
         assert_eq!(events[40..], [finish, StreamEvent::Done]);
-        let runs = engine.witness().runs_of(&"mark:ruwi-bids/7".parse().unwrap());
+        let runs = engine.run_log().runs_of(&"mark:ruwi-bids/7".parse().unwrap());
         assert_eq!(runs.len(), 1);
         assert_eq!(runs[0].start.request.as_deref(), Some("r1"));
         assert_eq!(runs[0].start.attempt.map(|attempt| attempt.0), Some(2));
@@ -83,7 +83,7 @@
             let refusal = complete(engine.address(), &[], &body).await.err().expect(name);
             assert_eq!(refusal.status, status, "{name}");
         }
-        assert_eq!(engine.witness().runs(), []);
+        assert_eq!(engine.run_log().runs(), []);
     });
 }
 
@@ -115,7 +115,7 @@
         let rest = stream.rest().await.unwrap();
         let whole = text + joined_tokens(&rest, tokens).as_str();
         assert_eq!(whole, answer_text(MODEL, prompt, 200));
-        let [run] = &other.witness().runs()[..] else { panic!("one run") };
+        let [run] = &other.run_log().runs()[..] else { panic!("one run") };
         assert_eq!(run.start.resumed_from.0, tokens);
         assert_eq!(run.produced.0, 200 - tokens);
     });
@@ -125,7 +125,7 @@
 fn priority_order() {
     run(async {
         let engine = engine!(capacity: 1);
-        engine.slow_factor(1e6);
+        engine.set_slow_factor(1e6);
         let holder = complete(engine.address(), &[], &completion("mark:a/0", 4)).await.unwrap();
         let mut waiting = Vec::new();
         for (number, priority) in [(1, 50), (2, 10), (3, 50), (4, 0)] {
@@ -134,11 +134,11 @@
             waiting.push(complete(engine.address(), &[], &body).await.unwrap());
         }
         drop(holder);
-        engine.slow_factor(1.0);
+        engine.set_slow_factor(1.0);
         for stream in waiting {
             stream.rest().await.unwrap();
         }
-        let runs = engine.witness().runs();
+        let runs = engine.run_log().runs();
         let order: Vec<_> = runs.iter().flat_map(|run| run.start.marker.clone()).collect();
         let order: Vec<_> = order.iter().map(|marker| marker.number).collect();
         assert_eq!(order, [0, 4, 2, 1, 3]);
@@ -149,12 +149,12 @@
 fn full_queue() {
     run(async {
         let engine = engine!(capacity: 1, queue_limit: 1);
-        engine.slow_factor(1e6);
+        engine.set_slow_factor(1e6);
         let _running = complete(engine.address(), &[], &completion("one", 4)).await.unwrap();
         let _waiting = complete(engine.address(), &[], &completion("two", 4)).await.unwrap();
         let refusal = complete(engine.address(), &[], &completion("three", 4)).await;
         assert_eq!(refusal.err().expect("the queue is full").status, 429);
-        assert_eq!(engine.witness().runs().len(), 1);
+        assert_eq!(engine.run_log().runs().len(), 1);
     });
 }
 
@@ -171,7 +171,7 @@
     run(async {
         for (name, request, attempt, cancelled) in cases {
             let engine = engine!(capacity: 1);
-            engine.slow_factor(1e6);
+            engine.set_slow_factor(1e6);
             let headers = [("x-request-id", "r1"), ("x-attempt", "1")];
             let body = completion("mark:a/1", 4);
             let first = complete(engine.address(), &headers, &body).await.unwrap();
@@ -182,7 +182,7 @@
             let path = format!("/v1/requests/{request}/cancel");
             let answer = send("POST", engine.address(), &path, &headers, "").await.unwrap();
             assert_eq!(answer.json(), json!({ "cancelled": cancelled }), "{name}");
-            let runs = engine.witness().runs();
+            let runs = engine.run_log().runs();
             assert_eq!(runs.len(), 1 + usize::from(cancelled), "{name}: the next has the slot");
             if cancelled {
                 let events = first.rest().await.unwrap();
@@ -202,7 +202,7 @@
 fn cancel_waiting() {
     run(async {
         let engine = engine!(capacity: 1);
-        engine.slow_factor(1e6);
+        engine.set_slow_factor(1e6);
         let _running = complete(engine.address(), &[], &completion("mark:a/1", 4)).await.unwrap();
         let headers = [("x-request-id", "r2")];
         let body = completion("mark:a/2", 4);
@@ -210,8 +210,8 @@
         let answer = post(engine.address(), "/v1/requests/r2/cancel", &json!(null)).await.unwrap();
         assert_eq!(answer.json(), json!({ "cancelled": true }));
         waiting.rest().await.unwrap();
-        assert_eq!(engine.load_now().waiting, 0);
-        assert_eq!(engine.witness().runs().len(), 1, "it never ran");
+        assert_eq!(engine.current_load().waiting, 0);
+        assert_eq!(engine.run_log().runs().len(), 1, "it never ran");
     });
 }
 
@@ -226,13 +226,13 @@
         let mut running = complete(engine.address(), &[], &long).await.unwrap();
         running.next().await.unwrap().expect("a first token");
         let waiting = complete(engine.address(), &[], &completion("mark:a/2", 4)).await.unwrap();
-        engine.slow_factor(1e9);
+        engine.set_slow_factor(1e9);
         drop(waiting);
-        until("the waiting run is gone", || engine.load_now().waiting == 0).await;
+        until("the waiting run is gone", || engine.current_load().waiting == 0).await;
         drop(running);
-        until("the run is gone", || engine.load_now().running == 0).await;
+        until("the run is gone", || engine.current_load().running == 0).await;
         assert_eq!(ends_of(&engine, "mark:a/1"), [RunEnd::Dropped]);
-        let runs = engine.witness().runs();
+        let runs = engine.run_log().runs();
         assert_eq!(runs.len(), 1, "the one that waited never ran");
         assert!(runs[0].produced.0 < 1_000_000);
     });
@@ -243,7 +243,7 @@
     run(async {
         for (lag, running, waiting) in [(Duration::ZERO, 1, 1), (HOUR, 0, 0)] {
             let engine = engine!(capacity: 1, load_lag: lag);
-            engine.slow_factor(1e6);
+            engine.set_slow_factor(1e6);
             let one = complete(engine.address(), &[], &completion("one", 4)).await.unwrap();
             let two = complete(engine.address(), &[], &completion("two", 4)).await.unwrap();
             let load = get(engine.address(), "/load").await.unwrap().json();
@@ -272,6 +272,6 @@
             let events = stream.rest().await.unwrap();
             assert_eq!(joined_tokens(&events, 0), answer_text(MODEL, &prompt, 50));
         }
-        assert_eq!(engine.witness().runs_by_marker().len(), STREAMS as usize);
+        assert_eq!(engine.run_log().runs_by_marker().len(), STREAMS as usize);
     });
 }
--- a/crates/sagespool-testkit/tests/engine_cache.rs
+++ b/crates/sagespool-testkit/tests/engine_cache.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use calls::{complete, completion, get, run, within};
-use sagespool_testkit::{CacheChange, CacheEvent, EngineStand, PrefixCounts};
+use sagespool_testkit::{CacheChange, CacheEvent, FakeEngine, PrefixCounts};
 
 const HOUR: Duration = Duration::from_secs(3600);
 
@@ -16,20 +16,20 @@
         let engine = engine!(cached_prefixes: 1, prompt_token_time: HOUR, capacity: 2);
         let shared = "dossier ".repeat(32);
         let first = format!("{shared} one");
-        engine.slow_factor(1e-6);
+        engine.set_slow_factor(1e-6);
         complete(engine.address(), &[], &completion(&first, 2))
             .await
             .unwrap()
             .rest()
             .await
             .unwrap();
-        engine.slow_factor(1.0);
+        engine.set_slow_factor(1.0);
         let fresh = completion("mark:a/1 another dossier", 2);
         let _fresh = complete(engine.address(), &[], &fresh).await.unwrap();
         let second = completion(&format!("{shared} two"), 2);
         let stream = complete(engine.address(), &[], &second).await.unwrap();
         assert_eq!(stream.rest().await.unwrap().len(), 4, "its prefix needs no time");
-        let runs = engine.witness().runs_of(&"mark:a/1".parse().unwrap());
+        let runs = engine.run_log().runs_of(&"mark:a/1".parse().unwrap());
         assert_eq!(runs[0].first_at, None, "a fresh prefix still takes its time");
     });
 }
@@ -52,7 +52,7 @@
     });
 }
 
-async fn cache_events(engine: &EngineStand, query: &str) -> Vec<CacheEvent> {
+async fn cache_events(engine: &FakeEngine, query: &str) -> Vec<CacheEvent> {
     let path = format!("/cache-events?{query}");
     let answer = get(engine.address(), &path).await.expect("an answer").json();
     serde_json::from_value(answer["events"].clone()).expect("events")
--- a/crates/sagespool-testkit/tests/engine_faults.rs
+++ b/crates/sagespool-testkit/tests/engine_faults.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 
 use calls::{MODEL, complete, completion, get, is_held, joined_tokens, run, send, until};
-use sagespool_testkit::{EngineStand, RunEnd, RunMarker, answer_text};
+use sagespool_testkit::{FakeEngine, RunEnd, RunMarker, answer_text};
 use sagespool_types::TokenRate;
 use serde_json::json;
 
-fn ends_of(engine: &EngineStand, marker: &str) -> Vec<RunEnd> {
+fn ends_of(engine: &FakeEngine, marker: &str) -> Vec<RunEnd> {
     let marker: RunMarker = marker.parse().expect("a marker");
-    let runs = engine.witness().runs_of(&marker);
+    let runs = engine.run_log().runs_of(&marker);
     runs.iter().filter_map(|run| run.ended).map(|(end, _)| end).collect()
 }
 
@@ -71,7 +71,7 @@
 fn waiting_poison() {
     run(async {
         let engine = engine!(capacity: 1, restart_after: None);
-        engine.slow_factor(1e6);
+        engine.set_slow_factor(1e6);
         let running = complete(engine.address(), &[], &completion("one", 4)).await.unwrap();
         let _poison = complete(engine.address(), &[], &completion("poison", 4)).await.unwrap();
         assert!(engine.is_serving(), "it crashes only once the prompt runs");
@@ -89,11 +89,11 @@
         let body = completion("mark:a/1", 300);
         let mut stream = complete(engine.address(), &[], &body).await.unwrap();
         stream.next().await.unwrap().expect("a first token");
-        engine.freeze(true);
-        let frozen = engine.witness().runs()[0].produced;
+        engine.set_frozen(true);
+        let frozen = engine.run_log().runs()[0].produced;
         assert!(is_held(get(engine.address(), "/healthz")).await);
-        assert_eq!(engine.witness().runs()[0].produced, frozen);
-        engine.freeze(false);
+        assert_eq!(engine.run_log().runs()[0].produced, frozen);
+        engine.set_frozen(false);
         assert_eq!(get(engine.address(), "/healthz").await.unwrap().status, 200);
         let rest = stream.rest().await.unwrap();
         let text = answer_text(MODEL, "mark:a/1", 300);
@@ -109,9 +109,9 @@
         let body = completion("mark:a/1", 1_000_000);
         let mut stream = complete(engine.address(), &[], &body).await.unwrap();
         stream.next().await.unwrap().expect("a first token");
-        assert_eq!(engine.load_now().tokens_per_second, 500);
-        engine.slow_factor(10.0);
-        assert_eq!(engine.load_now().tokens_per_second, 50);
+        assert_eq!(engine.current_load().tokens_per_second, 500);
+        engine.set_slow_factor(10.0);
+        assert_eq!(engine.current_load().tokens_per_second, 50);
     });
 }
 
@@ -123,7 +123,7 @@
     run(async {
         let engine = engine!();
         let prompt = "Read the dossier. mark:a/1";
-        engine.break_share(1.0);
+        engine.set_break_share(1.0);
         let mut stream = complete(engine.address(), &[], &completion(prompt, 40)).await.unwrap();
         let mut events = Vec::new();
         let broke = loop {
@@ -139,7 +139,7 @@
         assert_eq!(joined_tokens(&events, 0), answer_text(MODEL, prompt, tokens));
         assert_eq!(ends_of(&engine, "mark:a/1"), [RunEnd::Broken]);
 
-        engine.break_share(0.0);
+        engine.set_break_share(0.0);
         let stream = complete(engine.address(), &[], &completion(prompt, 40)).await.unwrap();
         let events = stream.rest().await.unwrap();
         assert_eq!(joined_tokens(&events, 0), answer_text(MODEL, prompt, 40));
--- a/crates/sagespool-testkit/tests/engine_orders.rs
+++ b/crates/sagespool-testkit/tests/engine_orders.rs
@@ -35,11 +35,11 @@
             if honours_fences {
                 assert_eq!(answer.json(), json!({ "newest": 7 }));
             }
-            assert_eq!(engine.load_now().role, role);
+            assert_eq!(engine.current_load().role, role);
             engine.crash();
             engine.restart().unwrap();
             assert_eq!(post(address, "/orders", &old).await.unwrap().status, status);
-            let taken: Vec<_> = engine.orders().iter().map(|order| order.taken).collect();
+            let taken: Vec<_> = engine.orders().iter().map(|order| order.accepted).collect();
             assert_eq!(taken, [true, true, !honours_fences, !honours_fences]);
         }
     });
@@ -58,7 +58,7 @@
         for (fence, (order, models)) in cases.into_iter().enumerate() {
             let body = json!({ "fence": fence, "order": order });
             assert_eq!(post(engine.address(), "/orders", &body).await.unwrap().status, 200);
-            until("the order is carried out", || engine.load_now().models == models).await;
+            until("the order is carried out", || engine.current_load().models == models).await;
         }
         let refusal = complete(engine.address(), &[], &completion("hello", 1)).await;
         assert_eq!(refusal.err().expect("the model is gone").status, 404);
--- a/crates/sagespool-testkit/tests/instance_list.rs
+++ b/crates/sagespool-testkit/tests/instance_list.rs
@@ -8,7 +8,7 @@
 use futures_lite::FutureExt;
 use http_calls::{CallAnswer, call, until};
 use sagespool_messages::MemberRole;
-use sagespool_testkit::{InstanceEntry, InstanceOptions, InstanceStand, InstanceState};
+use sagespool_testkit::{FakeInstanceList, InstanceEntry, InstanceListOptions, InstanceState};
 use sagespool_types::InstanceName;
 use serde_json::json;
 use smol::{Timer, block_on};
@@ -16,8 +16,8 @@
 
 const NEVER: Duration = Duration::from_secs(3600);
 
-fn start(lag: Duration) -> InstanceStand {
-    InstanceStand::start(InstanceOptions::builder().lag(lag).build()).expect("it starts")
+fn start(lag: Duration) -> FakeInstanceList {
+    FakeInstanceList::start(InstanceListOptions::builder().lag(lag).build()).expect("it starts")
 }
 
 fn name(text: &str) -> InstanceName {
@@ -35,12 +35,12 @@
     }
 }
 
-fn names(list: &InstanceStand) -> Vec<String> {
+fn names(list: &FakeInstanceList) -> Vec<String> {
     list.listed().iter().map(|entry| entry.instance.to_string()).collect()
 }
 
 /// A long poll that must be answered well before its own time is over.
-async fn poll(list: &InstanceStand, after: u64) -> CallAnswer {
+async fn poll(list: &FakeInstanceList, after: u64) -> CallAnswer {
     let target = format!("/instances?after={after}&wait_ms=60000");
     let answer = call(list.address(), Get, &target, "");
     let bound = async {
--- a/crates/sagespool-testkit/tests/object_api.rs
+++ b/crates/sagespool-testkit/tests/object_api.rs
@@ -7,21 +7,21 @@
 use std::time::Duration;
 
 use http_calls::{CallAnswer, call, try_call, until};
-use sagespool_testkit::{ObjectStand, ObjectStandOptions, StoreFaults};
+use sagespool_testkit::{FakeObjectStore, ObjectStoreOptions, StoreFaults};
 use sagespool_types::{RequestRate, StoreRevision};
 use serde_json::{Value, json};
 use smol::block_on;
 use trillium_client::Method::{self, Delete, Get, Put};
 
-fn start() -> ObjectStand {
-    ObjectStand::start(ObjectStandOptions::builder().build()).expect("it starts")
+fn start() -> FakeObjectStore {
+    FakeObjectStore::start(ObjectStoreOptions::builder().build()).expect("it starts")
 }
 
 fn number_header(answer: &CallAnswer, name: &'static str) -> Option<u64> {
     answer.headers.get_str(name)?.parse().ok()
 }
 
-async fn put(store: &ObjectStand, target: &str, value: &Value) -> u16 {
+async fn put(store: &FakeObjectStore, target: &str, value: &Value) -> u16 {
     call(store.address(), Put, &format!("/objects/{target}"), value.to_string()).await.status
 }
 
@@ -164,8 +164,8 @@
     // A process cut off for an hour asks for changes since then. The store has
     // forgotten them. An empty answer would leave the process with an old
     // configuration for good, so it must be told to read everything again.
-    let options = ObjectStandOptions::builder().history_limit(3).build();
-    let store = ObjectStand::start(options).expect("it starts");
+    let options = ObjectStoreOptions::builder().history_limit(3).build();
+    let store = FakeObjectStore::start(options).expect("it starts");
     block_on(async {
         for value in 1..=5 {
             put(&store, "a", &json!(value)).await;
--- a/crates/sagespool-testkit/tests/plain_service.rs
+++ b/crates/sagespool-testkit/tests/plain_service.rs
@@ -6,7 +6,7 @@
 
 use calls::{get, is_held, run, send, until};
 use sagespool_testkit::{
-    FailureShares, RunEnd, RunMarker, ServiceOptions, ServiceStand, service_answer,
+    FailureShares, FakeService, RunEnd, RunMarker, ServiceOptions, service_answer,
 };
 use serde_json::json;
 
@@ -18,7 +18,7 @@
             .name("portal-1".parse().unwrap())
             $(.$setting($value))*
             .build();
-        ServiceStand::start(options).unwrap()
+        FakeService::start(options).unwrap()
     }};
 }
 
@@ -26,8 +26,8 @@
     text.parse().expect("a marker")
 }
 
-fn ends_of(service: &ServiceStand, text: &str) -> Vec<Option<RunEnd>> {
-    let runs = service.witness().runs_of(&marker(text));
+fn ends_of(service: &FakeService, text: &str) -> Vec<Option<RunEnd>> {
+    let runs = service.run_log().runs_of(&marker(text));
     runs.iter().map(|run| run.ended.map(|(end, _)| end)).collect()
 }
 
@@ -48,7 +48,7 @@
             assert_eq!(answer.status, 200, "{method} {path}");
             assert_eq!(answer.body, service_answer(path, body.as_bytes()), "{method} {path}");
         }
-        assert_eq!(service.witness().runs().len(), cases.len());
+        assert_eq!(service.run_log().runs().len(), cases.len());
         let distinct: std::collections::BTreeSet<_> =
             cases.iter().map(|(_, path, body)| service_answer(path, body.as_bytes())).collect();
         assert_eq!(distinct.len(), cases.len(), "another call has another answer");
@@ -71,7 +71,7 @@
         assert_eq!(service.runs_of_key("k1"), 3);
         assert_eq!(service.runs_of(&marker("mark:a/1")), 2);
         assert_eq!(service.runs_of(&marker("mark:a/2")), 1);
-        let runs = service.witness().runs();
+        let runs = service.run_log().runs();
         assert_eq!(runs.len(), 3, "health and load are no runs");
         assert_eq!(runs[0].start.request.as_deref(), Some("r1"));
         assert_eq!(runs[0].start.attempt.map(|attempt| attempt.0), Some(3));
@@ -111,7 +111,7 @@
             failed += usize::from(answer.status == 500);
         }
         assert!((1..40).contains(&failed), "some fail: {failed}");
-        assert_eq!(service.witness().runs().len(), 40 - failed);
+        assert_eq!(service.run_log().runs().len(), 40 - failed);
     });
 }
 
@@ -124,12 +124,12 @@
         let address = service.address();
         let running = send("POST", address, "/x", &[], "mark:a/1");
         let waiting = async {
-            until("the first runs", || service.load_now().running == 1).await;
+            until("the first runs", || service.current_load().running == 1).await;
             send("POST", address, "/x", &[], "mark:a/2").await
         };
         let crash = async {
             until("the second waits", || {
-                let load = service.load_now();
+                let load = service.current_load();
                 (load.running, load.waiting) == (1, 1)
             })
             .await;
@@ -148,7 +148,7 @@
         assert_eq!(answer.status, 200);
         assert_eq!(ends_of(&service, "mark:a/2"), [Some(RunEnd::Finished)]);
         until("the crash left no slot taken", || {
-            let load = service.load_now();
+            let load = service.current_load();
             (load.running, load.waiting) == (0, 0)
         })
         .await;
@@ -173,11 +173,11 @@
 fn frozen_service() {
     run(async {
         let service = service!();
-        service.freeze(true);
+        service.set_frozen(true);
         assert!(is_held(get(service.address(), "/healthz")).await);
         assert!(is_held(send("POST", service.address(), "/x", &[], "mark:a/1")).await);
-        assert_eq!(service.witness().runs(), []);
-        service.freeze(false);
+        assert_eq!(service.run_log().runs(), []);
+        service.set_frozen(false);
         assert_eq!(get(service.address(), "/healthz").await.unwrap().status, 200);
     });
 }
@@ -189,7 +189,7 @@
         let service = service!(latency: Duration::from_millis(100));
         let call = send("POST", service.address(), "/x", &[], "mark:a/1");
         let given_up = async {
-            until("it runs", || service.load_now().running == 1).await;
+            until("it runs", || service.current_load().running == 1).await;
             Err("given up".to_owned())
         };
         futures_lite::future::or(call, given_up).await.expect_err("the caller gave up");
@@ -207,7 +207,7 @@
                 json!("the call ended")
             };
             let look = async {
-                until("it runs", || service.load_now().running == 1).await;
+                until("it runs", || service.current_load().running == 1).await;
                 get(service.address(), "/load").await.unwrap().json()
             };
             let load = futures_lite::future::or(call, look).await;
--- a/crates/sagespool-testkit/tests/weight_store.rs
+++ b/crates/sagespool-testkit/tests/weight_store.rs
@@ -5,18 +5,18 @@
 use std::time::Duration;
 
 use calls::{client, get, post, run, until, url};
-use sagespool_testkit::{EngineOptions, EngineStand, WeightOptions, WeightStand};
+use sagespool_testkit::{EngineOptions, FakeEngine, FakeWeightStore, WeightOptions};
 use serde_json::json;
 
 const HOUR: Duration = Duration::from_secs(3600);
 
-fn store(burst: u32, interval: Duration) -> WeightStand {
+fn store(burst: u32, interval: Duration) -> FakeWeightStore {
     let options = WeightOptions::builder()
         .load_time(Duration::from_millis(1))
         .burst(burst)
         .interval(interval)
         .build();
-    WeightStand::start(options).expect("a port is free")
+    FakeWeightStore::start(options).expect("a port is free")
 }
 
 #[test]
@@ -31,7 +31,7 @@
         let retry_after = refused.response_headers().get_str("retry-after-ms").unwrap();
         let retry_after: u64 = retry_after.parse().unwrap();
         assert!((1..=HOUR.as_millis() as u64 + 1).contains(&retry_after));
-        let taken: Vec<_> = store.loads().iter().map(|load| load.taken).collect();
+        let taken: Vec<_> = store.fetches().iter().map(|load| load.accepted).collect();
         assert_eq!(taken, [true, true, false, false, false]);
     });
 }
@@ -41,7 +41,7 @@
     run(async {
         let store = store(1, Duration::from_millis(5));
         for _ in 0..200 {
-            if store.loads().iter().filter(|load| load.taken).count() == 3 {
+            if store.fetches().iter().filter(|load| load.accepted).count() == 3 {
                 return;
             }
             get(store.address(), "/weights/one").await.unwrap();
@@ -73,15 +73,15 @@
             .load_time(Duration::ZERO)
             .weight_store(store.address())
             .build();
-        let engine = EngineStand::start(options).unwrap();
+        let engine = FakeEngine::start(options).unwrap();
         for (fence, model) in ["one", "two"].into_iter().enumerate() {
             let order = json!({ "fence": fence, "order": { "load_model": model } });
             assert_eq!(post(engine.address(), "/orders", &order).await.unwrap().status, 200);
         }
-        until("both are loaded", || engine.load_now().models.len() == 2).await;
-        let loads = store.loads();
+        until("both are loaded", || engine.current_load().models.len() == 2).await;
+        let loads = store.fetches();
         for model in ["one", "two"] {
-            let taken = loads.iter().filter(|load| load.taken && load.model == model).count();
+            let taken = loads.iter().filter(|load| load.accepted && load.model == model).count();
             assert_eq!(taken, 1, "{model}");
         }
     });
--- a/crates/sagespool-testkit/tests/witness_log.rs
+++ b/crates/sagespool-testkit/tests/witness_log.rs
@@ -1,7 +1,7 @@
-//! What the witness log says of the runs.
+//! What the run log says of the runs.
 
 use sagespool_messages::UpstreamKind;
-use sagespool_testkit::{RunEnd, RunMarker, RunStart, WitnessLog};
+use sagespool_testkit::{RunEnd, RunLog, RunMarker, RunStart};
 use sagespool_types::{BranchName, ClockTime, TokenCount};
 
 fn branch(name: &str) -> BranchName {
@@ -48,7 +48,7 @@
 fn used_tokens() {
     // Two attempts at one request: the first crashes after 10 tokens, the second makes 20.
     // What a branch used at a moment is the prompt of both and what each had made by then.
-    let log = WitnessLog::new();
+    let log = RunLog::new();
     let first = log.start(start("mark:a/1", 100), ClockTime(1000));
     first.produced(TokenCount(2), ClockTime(1100));
     first.produced(TokenCount(10), ClockTime(1900));
@@ -80,7 +80,7 @@
 
 #[test]
 fn running_runs() {
-    let log = WitnessLog::new();
+    let log = RunLog::new();
     let first = log.start(start("mark:a/1", 1), ClockTime(10));
     let _second = log.start(start("mark:b/1", 1), ClockTime(20));
     let _third = log.start(start("no marker", 1), ClockTime(30));
@@ -100,7 +100,7 @@
 
 #[test]
 fn counted_runs() {
-    let log = WitnessLog::new();
+    let log = RunLog::new();
     let service = |marker: &str, key: &str| {
         let key = Some(key.to_owned());
         RunStart { kind: UpstreamKind::Service, key, ..start(marker, 0) }
