--- a/crates/sagespool-link/src/authority.rs
+++ b/crates/sagespool-link/src/authority.rs
@@ -1,4 +1,4 @@
-//! The client's look at a server's certificate.
+//! The client's verification of a server's certificate.
 
 use std::sync::Arc;
 
@@ -9,11 +9,11 @@
 use rustls::{DigitallySignedStruct, Error, PeerIncompatible, RootCertStore, SignatureScheme};
 use rustls_pki_types::{CertificateDer, ServerName, UnixTime};
 
-/// Accepts whoever holds a valid certificate of the fleet's authority.
+/// Accepts every peer with a valid certificate of the fleet's authority.
 ///
-/// The library's own verifier also wants the server's name in its certificate.
-/// Peers have no names: they are reached by IP numbers that change with each
-/// replacement, and what makes one a member of the fleet is the authority.
+/// The library's own verifier also requires the server's name in its certificate.
+/// Peers have no names: they are reached at IP addresses that change with each
+/// replacement, and a certificate of the authority makes a process a member.
 #[derive(Debug)]
 pub(crate) struct AuthorityVerifier {
     roots: Arc<RootCertStore>,
@@ -53,7 +53,7 @@
         _certificate: &CertificateDer<'_>,
         _signed: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, Error> {
-        // QUIC knows TLS 1.3 only.
+        // QUIC uses TLS 1.3 only.
         Err(Error::PeerIncompatible(PeerIncompatible::Tls12NotOffered))
     }
 
--- a/crates/sagespool-link/src/counters.rs
+++ b/crates/sagespool-link/src/counters.rs
@@ -1,15 +1,15 @@
-//! Counters of a link, for metrics and for the budget of control traffic.
+//! Traffic counters of a link, for metrics and the budget for control traffic.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use sagespool_types::ByteCount;
 
-/// What went over a link since it started.
+/// The traffic of a link since its start.
 ///
-/// Payload is dispatch and attach requests and the events that answer them;
-/// control is every other message. Both count whole frames as they were handed
-/// to QUIC; the datagrams count all that QUIC made of them, handshakes,
-/// acknowledgements and retransmissions included, without IP and UDP headers.
+/// Payload is dispatch and attach requests and their events; control is every
+/// other message. Both count whole frames as passed to QUIC. The datagrams count
+/// everything that QUIC sends, including handshakes, acknowledgements and
+/// retransmissions, without IP and UDP headers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LinkCounters {
     /// Bytes of control messages sent.
@@ -28,22 +28,22 @@
     pub datagram_bytes_sent: ByteCount,
     /// Bytes in UDP datagrams received.
     pub datagram_bytes_received: ByteCount,
-    /// Handshakes that failed over a certificate or the protocol, refused by either side.
+    /// Handshakes that either side refused because of a certificate or the protocol.
     pub handshakes_refused: u64,
-    /// Connections opened so far, by either side.
+    /// Connections opened since the start, by either side.
     pub connections_opened: u64,
-    /// Connections open now.
+    /// Connections that are currently open.
     pub connections_open: u64,
 }
 
-/// What a frame is counted as.
+/// The class under which a frame is counted; see [`LinkCounters`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TrafficClass {
     Control,
     Payload,
 }
 
-/// The counters while they count.
+/// The live counters behind [`LinkCounters`].
 #[derive(Debug, Default)]
 pub(crate) struct TrafficMeter {
     control_sent: AtomicU64,
@@ -68,39 +68,39 @@
 }
 
 impl TrafficMeter {
-    pub(crate) fn frame_sent(&self, class: TrafficClass, bytes: usize) {
+    pub(crate) fn count_sent_frame(&self, class: TrafficClass, bytes: usize) {
         match class {
             TrafficClass::Control => add(&self.control_sent, bytes),
             TrafficClass::Payload => add(&self.payload_sent, bytes),
         }
     }
 
-    pub(crate) fn frame_received(&self, class: TrafficClass, bytes: usize) {
+    pub(crate) fn count_received_frame(&self, class: TrafficClass, bytes: usize) {
         match class {
             TrafficClass::Control => add(&self.control_received, bytes),
             TrafficClass::Payload => add(&self.payload_received, bytes),
         }
     }
 
-    pub(crate) fn datagrams_sent(&self, datagrams: usize, bytes: usize) {
+    pub(crate) fn count_sent_datagrams(&self, datagrams: usize, bytes: usize) {
         add(&self.datagrams_sent, datagrams);
         add(&self.datagram_bytes_sent, bytes);
     }
 
-    pub(crate) fn datagrams_received(&self, datagrams: usize, bytes: usize) {
+    pub(crate) fn count_received_datagrams(&self, datagrams: usize, bytes: usize) {
         add(&self.datagrams_received, datagrams);
         add(&self.datagram_bytes_received, bytes);
     }
 
-    pub(crate) fn handshake_refused(&self) {
+    pub(crate) fn count_refused_handshake(&self) {
         add(&self.handshakes_refused, 1);
     }
 
-    pub(crate) fn connection_opened(&self) {
+    pub(crate) fn count_opened_connection(&self) {
         add(&self.connections_opened, 1);
     }
 
-    pub(crate) fn connection_closed(&self) {
+    pub(crate) fn count_closed_connection(&self) {
         add(&self.connections_closed, 1);
     }
 
--- a/crates/sagespool-link/src/endpoint.rs
+++ b/crates/sagespool-link/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! The link of one process: one UDP socket, its connections and its server.
+//! The link of one process: a UDP socket, its connections and its server.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,18 +16,18 @@
 use crate::frame::{FrameKind, encode_frame, request_class};
 use crate::server::accept_connections;
 use crate::shared::LinkShared;
-use crate::socket::CountedSocket;
+use crate::socket::MeteredSocket;
 use crate::{EventStream, LinkCounters, LinkError, LinkIdentity, PeerHandler};
 
-/// The longest that closing waits for calls in progress, and for their answers
-/// to arrive. A graceful stop ends its requests before it closes the link.
-const CLOSE_LIMIT: Duration = Duration::from_secs(2);
-const CLOSE_POLL: Duration = Duration::from_millis(10);
+/// Time limit for each step of closing: for calls in progress, and for the
+/// connections to drain. A graceful stop ends its requests before it closes the link.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// One process's link to its peers. Clones share it.
 ///
 /// It runs on smol's global executor until it is closed; dropping it doesn't
-/// end it.
+/// close it.
 #[derive(Clone)]
 pub struct LinkEndpoint {
     shared: Arc<LinkShared>,
@@ -35,17 +35,17 @@
 }
 
 impl LinkEndpoint {
-    /// Starts to listen and to serve; `handler` is called for each request.
+    /// Binds the socket and serves requests; `handler` is called for each of them.
     ///
-    /// Fails with [`LinkError::NotListening`] if the address can't be had.
+    /// Fails with [`LinkError::ListenFailed`] if the address can't be bound.
     pub fn start(
         listen: SocketAddr,
         identity: LinkIdentity,
         handler: PeerHandler,
     ) -> Result<Self, Report<LinkError>> {
-        let fault = || LinkError::NotListening { address: listen };
+        let fault = || LinkError::ListenFailed { address: listen };
         let meter = Arc::new(TrafficMeter::default());
-        let socket = CountedSocket::bind(listen, meter.clone()).change_context_lazy(fault)?;
+        let socket = MeteredSocket::bind(listen, meter.clone()).change_context_lazy(fault)?;
         let endpoint = Endpoint::new_with_abstract_socket(
             identity.reset_key.endpoint_config(),
             Some(identity.server_config()),
@@ -59,15 +59,15 @@
         Ok(Self { shared, address })
     }
 
-    /// The address it listens at.
+    /// The bound address, with the port that the system chose for port 0.
     pub fn local_address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sends a request and waits for its one reply, at most `time_left`.
+    /// Sends a request and waits for its reply, at most `time_left`.
     ///
     /// After [`LinkError::Unreachable`] and [`LinkError::TooLarge`] the request
-    /// surely didn't reach the peer's handler; after any other error it may have.
+    /// has not reached the peer's handler; after any other error it may have.
     pub async fn request(
         &self,
         to: SocketAddr,
@@ -79,10 +79,10 @@
     }
 
     /// Sends a request that is answered by a stream of events, and returns once
-    /// it is sent, at most after `time_left`. The stream itself isn't bounded.
+    /// it is sent, at most after `time_left`. The stream itself has no timeout.
     ///
     /// Errors are as those of [`LinkEndpoint::request`]. The stream's first error
-    /// may also be one after which the request surely didn't reach the handler.
+    /// may also be one after which the request has not reached the handler.
     pub async fn open_stream(
         &self,
         to: SocketAddr,
@@ -104,25 +104,26 @@
         send_request(&self.shared, to, frame, class, Instant::now(), time_left).await
     }
 
-    /// Uses another identity for all connections made from now on.
-    pub fn renew(&self, identity: LinkIdentity) {
-        self.shared.renew(&identity);
+    /// Uses another identity for all new connections; open ones keep theirs.
+    pub fn replace_identity(&self, identity: LinkIdentity) {
+        self.shared.replace_identity(&identity);
     }
 
-    /// What went over the link so far.
+    /// The traffic counters since the start of the link.
     pub fn counters(&self) -> LinkCounters {
         self.shared.meter.counters()
     }
 
-    /// Turns new requests away, waits at most two seconds until those in
-    /// progress are answered, and ends all connections.
+    /// Rejects new requests, waits at most two seconds for the replies to those in
+    /// progress, and closes all connections.
     pub async fn close(&self) {
         self.shared.begin_closing();
         let started = Instant::now();
-        while self.shared.calls.load(Ordering::SeqCst) > 0 && started.elapsed() < CLOSE_LIMIT {
-            Timer::after(CLOSE_POLL).await;
+        while self.shared.open_calls.load(Ordering::SeqCst) > 0 && started.elapsed() < CLOSE_TIMEOUT
+        {
+            Timer::after(CLOSE_POLL_INTERVAL).await;
         }
         self.shared.endpoint.close(CODE_STOPPING, b"the process stops");
-        crate::time::within(CLOSE_LIMIT, self.shared.endpoint.wait_idle()).await;
+        crate::time::within(CLOSE_TIMEOUT, self.shared.endpoint.wait_idle()).await;
     }
 }
--- a/crates/sagespool-link/src/error.rs
+++ b/crates/sagespool-link/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong between two processes.
+//! Errors of the link between two processes.
 
 use std::error::Error;
 use std::fmt;
@@ -7,76 +7,80 @@
 
 use sagespool_types::ByteCount;
 
-/// Why a request to a peer, or a link's start, failed.
+/// The failure of a request to a peer, or of the start of a link.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LinkError {
-    /// The peer's handler surely never saw the request: no byte of it left this
-    /// process, or the peer said that it turned the request away unread.
+    /// The request never reached the peer's handler: no byte of it left this
+    /// process, or the peer reported that it rejected the request unread.
     Unreachable {
         /// The peer.
         peer: SocketAddr,
-        /// What happened, in words.
+        /// A description of the failure.
         detail: String,
     },
-    /// The connection or the stream broke after a byte of the request may have
-    /// left: the peer may have handled it.
+    /// The connection or the stream failed after a byte of the request may have
+    /// been sent: the peer may have handled it.
     Interrupted {
         /// The peer.
         peer: SocketAddr,
-        /// What happened, in words.
+        /// A description of the failure.
         detail: String,
     },
-    /// No answer in time, after a byte of the request may have left: the peer
-    /// may have handled it, or may do so yet.
+    /// No reply within the timeout, after a byte of the request may have been
+    /// sent: the peer may have handled it, or may still do so.
     TimedOut {
         /// The peer.
         peer: SocketAddr,
-        /// The time that was allowed.
-        allowed: Duration,
+        /// The timeout that has passed.
+        timeout: Duration,
     },
-    /// The peer's bytes are not a message that this version knows; it may have
-    /// handled the request.
+    /// The peer sent bytes that this version can't decode; it may have handled
+    /// the request.
     Malformed {
         /// The peer.
         peer: SocketAddr,
-        /// What was found, in words.
+        /// A description of what was received.
         detail: String,
     },
-    /// The message to send is larger than a frame may be; none of it was sent.
+    /// The message is larger than a frame may be; none of it was sent.
     TooLarge {
-        /// The message's size.
+        /// The size of kind byte and encoded message.
         size: ByteCount,
-        /// The most that a frame holds.
+        /// The limit for a frame.
         limit: ByteCount,
     },
-    /// The link could not start to listen.
-    NotListening {
-        /// The address that was asked for.
+    /// The link could not bind its socket.
+    ListenFailed {
+        /// The requested address.
         address: SocketAddr,
     },
 }
 
 impl LinkError {
-    /// True only if the peer's handler surely never saw the request, so that
-    /// it may be sent elsewhere, or refused as not run, without doubt.
+    /// True only if the request never reached the peer's handler and never will,
+    /// so that it can safely be sent elsewhere or refused as not run.
     pub fn definitely_not_handled(&self) -> bool {
         match self {
-            Self::Unreachable { .. } | Self::TooLarge { .. } | Self::NotListening { .. } => true,
+            Self::Unreachable { .. } | Self::TooLarge { .. } | Self::ListenFailed { .. } => true,
             Self::Interrupted { .. } | Self::TimedOut { .. } | Self::Malformed { .. } => false,
         }
     }
 
-    /// What a person can do about it.
+    /// A hint for the operator on how to resolve the error.
     pub fn help(&self) -> &'static str {
         match self {
             Self::Unreachable { .. } => {
                 "check that the peer runs, listens at this address and has a certificate of this fleet's authority"
             }
-            Self::Interrupted { .. } => "the peer stopped or the network broke; ask what it did",
-            Self::TimedOut { .. } => "the peer is slow or cut off; ask what it did",
+            Self::Interrupted { .. } => {
+                "the peer stopped or the network failed; check whether the request ran"
+            }
+            Self::TimedOut { .. } => {
+                "the peer is slow or disconnected; check whether the request ran"
+            }
             Self::Malformed { .. } => "run the same version of sagespool on both sides",
-            Self::TooLarge { .. } => "send less in one message",
-            Self::NotListening { .. } => "check `link.listen` in the settings",
+            Self::TooLarge { .. } => "send smaller messages",
+            Self::ListenFailed { .. } => "check `link.listen` in the settings",
         }
     }
 }
@@ -85,21 +89,21 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreachable { peer, detail } => {
-                write!(f, "peer {peer} was not reached: {detail}")
+                write!(f, "peer {peer} is unreachable: {detail}")
             }
             Self::Interrupted { peer, detail } => {
-                write!(f, "the exchange with peer {peer} broke: {detail}")
+                write!(f, "the exchange with peer {peer} was interrupted: {detail}")
             }
-            Self::TimedOut { peer, allowed } => {
-                write!(f, "peer {peer} did not answer within {} ms", allowed.as_millis())
+            Self::TimedOut { peer, timeout } => {
+                write!(f, "peer {peer} did not answer within {} ms", timeout.as_millis())
             }
             Self::Malformed { peer, detail } => {
-                write!(f, "peer {peer} sent what is no message: {detail}")
+                write!(f, "peer {peer} sent an invalid message: {detail}")
             }
             Self::TooLarge { size, limit } => {
                 write!(f, "a message of {size} bytes is over the limit of {limit} bytes")
             }
-            Self::NotListening { address } => write!(f, "can't listen at {address}"),
+            Self::ListenFailed { address } => write!(f, "can't listen at {address}"),
         }
     }
 }
--- a/crates/sagespool-link/src/exchange.rs
+++ b/crates/sagespool-link/src/exchange.rs
@@ -1,4 +1,4 @@
-//! The asking side: a request on its way, and its answers.
+//! The requesting side: requests in flight and their replies.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,50 +13,50 @@
 use crate::connection::{ExchangeGuard, StartedExchange};
 use crate::counters::TrafficClass;
 use crate::frame::{FrameError, FrameKind, FrameReader, ReceivedFrame};
-use crate::server::{CODE_TURNED_AWAY, CODE_UNREADABLE};
+use crate::server::{CODE_REJECTED, CODE_UNDECODABLE};
 use crate::shared::{LinkShared, connection_to, unreachable};
 use crate::time::within;
 
-/// How often a request is tried on a connection of its peer. The second try
-/// is for a connection that was lost just before the first byte.
+/// Connections that are tried for one request. The second covers a connection
+/// that was lost just before the first byte was written.
 const SEND_ATTEMPTS: usize = 2;
 
-/// No request waits for longer, so that a deadline never overflows.
-const LONGEST_WAIT: Duration = Duration::from_secs(24 * 3600);
+/// Upper bound of a request's timeout, so that its deadline never overflows.
+const MAX_TIMEOUT: Duration = Duration::from_secs(24 * 3600);
 
-/// A request that was sent whole.
+/// A request that was sent completely.
 pub(crate) struct SentExchange {
     reader: FrameReader,
     guard: ExchangeGuard,
     peer: SocketAddr,
     deadline: Instant,
-    allowed: Duration,
+    timeout: Duration,
 }
 
-/// Sends a request's frame, at most until its deadline.
+/// Sends a request's frame within its timeout.
 ///
-/// Up to the moment when QUIC takes the first byte, every failure is one after
-/// which the request surely wasn't sent; after it, none is.
+/// Until QUIC accepts the first byte, every error means that the request was
+/// not sent; afterwards, none does.
 pub(crate) async fn send_request(
     shared: &Arc<LinkShared>,
     peer: SocketAddr,
     frame: Bytes,
     class: TrafficClass,
     now: Instant,
-    allowed: Duration,
+    timeout: Duration,
 ) -> Result<SentExchange, LinkError> {
-    let allowed = allowed.min(LONGEST_WAIT);
-    let deadline = now + allowed;
+    let timeout = timeout.min(MAX_TIMEOUT);
+    let deadline = now + timeout;
     let size = frame.len();
-    let started = within(allowed, start_request(shared, peer, frame)).await;
-    let too_late = || Err(unreachable(peer, "time was up before a connection was there"));
-    let started = started.unwrap_or_else(too_late)?;
-    shared.meter.frame_sent(class, size);
+    let started = within(timeout, start_request(shared, peer, frame)).await;
+    let timed_out = || Err(unreachable(peer, "timed out before a connection was established"));
+    let started = started.unwrap_or_else(timed_out)?;
+    shared.meter.count_sent_frame(class, size);
     let sent = within(deadline.saturating_duration_since(Instant::now()), finish_request(started));
     match sent.await {
-        Some(Ok((reader, guard))) => Ok(SentExchange { reader, guard, peer, deadline, allowed }),
+        Some(Ok((reader, guard))) => Ok(SentExchange { reader, guard, peer, deadline, timeout }),
         Some(Err(error)) => Err(write_error(peer, error)),
-        None => Err(LinkError::TimedOut { peer, allowed }),
+        None => Err(LinkError::TimedOut { peer, timeout }),
     }
 }
 
@@ -72,7 +72,7 @@
             Ok(started) => return Ok(started),
             Err(error) => failure = Some(error),
         }
-        shared.peers.forget(peer, &connection);
+        shared.peers.remove(peer, &connection);
     }
     let detail = failure.map_or_else(String::new, |error| error.to_string());
     Err(unreachable(peer, detail))
@@ -81,90 +81,93 @@
 async fn finish_request(
     started: StartedExchange,
 ) -> Result<(FrameReader, ExchangeGuard), WriteError> {
-    let StartedExchange { mut send, rest, reader, guard } = started;
-    if !rest.is_empty() {
-        send.write_chunk(rest).await?;
+    let StartedExchange { mut send, remaining, reader, guard } = started;
+    if !remaining.is_empty() {
+        send.write_chunk(remaining).await?;
     }
-    // Fails only if the peer stopped the stream, which reading its answer shows.
+    // Fails only if the peer stopped the stream, which reading its reply reports.
     let _ = send.finish();
     Ok((reader, guard))
 }
 
 fn write_error(peer: SocketAddr, error: WriteError) -> LinkError {
     match error {
-        WriteError::Stopped(code) => given_up(peer, code),
+        WriteError::Stopped(code) => stream_cancelled(peer, code),
         other => LinkError::Interrupted { peer, detail: other.to_string() },
     }
 }
 
-/// What it means that the peer gave a request's stream up. Two of its codes
-/// say that no handler saw the request, or ever will.
-fn given_up(peer: SocketAddr, code: quinn::VarInt) -> LinkError {
+/// The error for a request's stream that the peer reset or stopped. Two codes
+/// mean that the request was not passed to a handler and will not be.
+fn stream_cancelled(peer: SocketAddr, code: quinn::VarInt) -> LinkError {
     match code {
-        CODE_TURNED_AWAY => unreachable(peer, "it is closing and takes no request"),
-        CODE_UNREADABLE => unreachable(peer, "it can't read the request"),
-        _ => LinkError::Interrupted { peer, detail: format!("it gave the stream up, code {code}") },
+        CODE_REJECTED => unreachable(peer, "it is closing and rejects new requests"),
+        CODE_UNDECODABLE => unreachable(peer, "it could not decode the request"),
+        _ => LinkError::Interrupted {
+            peer,
+            detail: format!("it cancelled the stream with code {code}"),
+        },
     }
 }
 
 fn read_error(peer: SocketAddr, error: FrameError) -> LinkError {
     match error {
-        FrameError::Reset(code) => given_up(peer, code),
-        FrameError::Garbage(detail) => LinkError::Malformed { peer, detail },
-        FrameError::CutShort | FrameError::Broken(_) => {
+        FrameError::Reset(code) => stream_cancelled(peer, code),
+        FrameError::Malformed(detail) => LinkError::Malformed { peer, detail },
+        FrameError::Truncated | FrameError::ReadFailed(_) => {
             LinkError::Interrupted { peer, detail: error.to_string() }
         }
     }
 }
 
-fn no_answer(peer: SocketAddr) -> LinkError {
-    LinkError::Interrupted { peer, detail: "the stream ended without an answer".to_owned() }
+fn missing_reply(peer: SocketAddr) -> LinkError {
+    LinkError::Interrupted { peer, detail: "the stream ended without a reply".to_owned() }
 }
 
-fn wrong_kind(peer: SocketAddr, kind: FrameKind) -> LinkError {
-    LinkError::Malformed { peer, detail: format!("an answer of the wrong kind, {kind:?}") }
+fn unexpected_kind(peer: SocketAddr, kind: FrameKind) -> LinkError {
+    LinkError::Malformed { peer, detail: format!("unexpected frame kind {kind:?} in a reply") }
 }
 
 impl SentExchange {
-    /// Waits for the one reply, until the deadline.
+    /// Waits for the reply, until the deadline.
     pub(crate) async fn reply(mut self) -> Result<PeerReply, LinkError> {
-        let (peer, allowed) = (self.peer, self.allowed);
+        let (peer, timeout) = (self.peer, self.timeout);
         let time_left = self.deadline.saturating_duration_since(Instant::now());
         let read = within(time_left, self.reader.next()).await;
         let Some(read) = read else {
-            return Err(LinkError::TimedOut { peer, allowed });
+            return Err(LinkError::TimedOut { peer, timeout });
         };
         let frame = read.map_err(|error| read_error(peer, error))?;
-        let frame = frame.ok_or_else(|| no_answer(peer))?;
+        let frame = frame.ok_or_else(|| missing_reply(peer))?;
         if frame.kind != FrameKind::Reply {
-            return Err(wrong_kind(peer, frame.kind));
+            return Err(unexpected_kind(peer, frame.kind));
         }
-        self.received(TrafficClass::Control, &frame);
-        self.reader.note_end().await;
+        self.count_received(TrafficClass::Control, &frame);
+        self.reader.poll_end().await;
         frame.decode().map_err(|error| read_error(peer, error))
     }
 
-    fn received(&self, class: TrafficClass, frame: &ReceivedFrame) {
+    fn count_received(&self, class: TrafficClass, frame: &ReceivedFrame) {
         let connection = self.guard.connection();
-        connection.heard(ClockTime::now());
-        connection.meter.frame_received(class, frame.size());
+        connection.note_contact(ClockTime::now());
+        connection.meter.count_received_frame(class, frame.size());
     }
 
     async fn event(&mut self) -> Result<DispatchEvent, LinkError> {
         let peer = self.peer;
         let read = self.reader.next().await;
         let frame = read.map_err(|error| read_error(peer, error))?;
-        let frame = frame.ok_or_else(|| no_answer(peer))?;
+        let frame = frame.ok_or_else(|| missing_reply(peer))?;
         if frame.kind != FrameKind::Event {
-            return Err(wrong_kind(peer, frame.kind));
+            return Err(unexpected_kind(peer, frame.kind));
         }
-        self.received(TrafficClass::Payload, &frame);
+        self.count_received(TrafficClass::Payload, &frame);
         frame.decode().map_err(|error| read_error(peer, error))
     }
 }
 
-/// The events that answer a request. Dropping it before the end tells the peer
-/// that nobody waits any more.
+/// The stream of events that a request returns. Dropping it before the end
+/// cancels the request at the peer.
 pub struct EventStream {
     exchange: Option<SentExchange>,
 }
@@ -174,13 +177,13 @@
         Self { exchange: Some(exchange) }
     }
 
-    /// The next event, or nothing after the end or after an error. A stream
-    /// that ends without a [`DispatchEvent::End`] gives an error. Cancel-safe.
+    /// The next event, or `None` after the end or after an error. A stream that
+    /// ends without a [`DispatchEvent::End`] yields an error. Cancel-safe.
     pub async fn next(&mut self) -> Option<Result<DispatchEvent, LinkError>> {
         let exchange = self.exchange.as_mut()?;
         let event = exchange.event().await;
         if matches!(event, Ok(DispatchEvent::End(_)) | Err(_)) {
-            exchange.reader.note_end().await;
+            exchange.reader.poll_end().await;
             self.exchange = None;
         }
         Some(event)
--- a/crates/sagespool-link/src/identity.rs
+++ b/crates/sagespool-link/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who this process is to its peers: certificate, key and the fleet's authority.
+//! The TLS identity of a process: certificate, key and the fleet's authority.
 
 use std::error::Error;
 use std::fmt;
@@ -18,36 +18,36 @@
 
 use crate::authority::AuthorityVerifier;
 use crate::reset::ResetKey;
-use crate::transport::{MOST_QUESTIONS, transport_config};
+use crate::transport::{MAX_CONCURRENT_REQUESTS, transport_config};
 
-/// The protocol that both sides name in the handshake. A version that can't
-/// read this one's messages takes another number.
+/// The ALPN protocol of both sides. A version that can't decode the messages of
+/// this one uses another number.
 const PROTOCOL: &[u8] = b"sagespool/1";
 
-/// Why a certificate, a key or an authority can't be used.
+/// The failure to load a certificate, a key or an authority.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum IdentityError {
-    /// A file can't be read.
+    /// This file can't be read.
     Unreadable(PathBuf),
-    /// No certificate where the process's own should be.
+    /// The process's certificate text contains no certificate.
     NoCertificate,
-    /// No private key where the process's own should be.
+    /// The process's key text contains no private key.
     NoKey,
-    /// No certificate where the authority's should be.
+    /// The authority text contains no certificate.
     NoAuthority,
-    /// Certificate, key and authority are there but can't be used together.
+    /// Certificate, key and authority are present but can't be used together.
     Unusable,
 }
 
 impl IdentityError {
-    /// What a person can do about it.
+    /// A hint for the operator on how to resolve the error.
     pub fn help(&self) -> &'static str {
         match self {
             Self::Unreadable(_) => "check the paths under `link` in the settings",
             Self::NoCertificate | Self::NoAuthority => {
-                "give PEM text with at least one `BEGIN CERTIFICATE`"
+                "provide PEM text with at least one `BEGIN CERTIFICATE`"
             }
-            Self::NoKey => "give PEM text with one unencrypted private key",
+            Self::NoKey => "provide PEM text with one unencrypted private key",
             Self::Unusable => "check that the key belongs to the certificate",
         }
     }
@@ -57,10 +57,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreadable(path) => write!(f, "can't read `{}`", path.display()),
-            Self::NoCertificate => f.write_str("no certificate of this process"),
-            Self::NoKey => f.write_str("no private key of this process"),
-            Self::NoAuthority => f.write_str("no certificate of the fleet's authority"),
-            Self::Unusable => f.write_str("certificate, key and authority can't be used"),
+            Self::NoCertificate => f.write_str("the certificate of this process is missing"),
+            Self::NoKey => f.write_str("the private key of this process is missing"),
+            Self::NoAuthority => f.write_str("the certificate of the fleet's authority is missing"),
+            Self::Unusable => f.write_str("certificate, key and authority can't be used together"),
         }
     }
 }
@@ -68,18 +68,18 @@
 impl Error for IdentityError {}
 
 /// A process's certificate chain, its private key and the authority that it
-/// trusts for its peers, ready for handshakes. Clones share them.
+/// trusts for its peers, as handshakes use them. Clones share them.
 ///
-/// A peer is whoever holds a certificate of the authority: names in it aren't
-/// checked, since peers are reached by IP numbers that change. So the authority
-/// has to be the fleet's own. Several certificates of authorities may be given,
-/// for the time in which one replaces another.
+/// Every process with a certificate of the authority is accepted as a peer: names
+/// in certificates aren't checked, since peers are reached at IP addresses that
+/// change. So the authority has to be used for this fleet only. Several authority
+/// certificates may be given while one replaces another.
 #[derive(Clone)]
 pub struct LinkIdentity {
     client: Arc<QuicClientConfig>,
     server: Arc<QuicServerConfig>,
     pub(crate) reset_key: ResetKey,
-    most_questions: u32,
+    max_concurrent_requests: u32,
 }
 
 impl fmt::Debug for LinkIdentity {
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     ///
-    /// [`IdentityError`] with the file that can't be read, or what it doesn't hold.
+    /// [`IdentityError`] for a file that can't be read, and as [`Self::from_pem`].
     pub fn from_files(
         certificate: &Path,
         key: &Path,
@@ -102,12 +102,12 @@
         Self::from_pem(&read_file(certificate)?, &read_file(key)?, &read_file(authority)?)
     }
 
-    /// Reads PEM text: the certificate chain with the process's own first, the
+    /// Reads PEM text: the certificate chain starting with the process's own, the
     /// private key, and the authority.
     ///
     /// # Errors
     ///
-    /// [`IdentityError`] with what a text doesn't hold, or that key and certificate don't fit.
+    /// [`IdentityError`] if a text lacks its item, or if key and certificate don't match.
     pub fn from_pem(
         certificate: &str,
         key: &str,
@@ -120,8 +120,8 @@
         let roots = root_store(authorities)?;
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         Ok(Self {
-            most_questions: MOST_QUESTIONS,
-            reset_key: ResetKey::of(key.secret_der()),
+            max_concurrent_requests: MAX_CONCURRENT_REQUESTS,
+            reset_key: ResetKey::derive_from(key.secret_der()),
             client: client_config(&provider, &roots, chain.clone(), key.clone_key())?,
             server: server_config(&provider, &roots, chain, key)?,
         })
@@ -129,23 +129,23 @@
 }
 
 impl LinkIdentity {
-    /// Lets a peer have at most so many questions open at once; further ones wait for answers.
+    /// Limits the requests that a peer may have open at once; further ones wait.
     ///
-    /// A connection sets memory aside for each that may come, on both sides: 1.7 MB for the 12,000
-    /// of an entry and its sidecar, as measured with 34 connections in one process.
-    pub fn with_max_concurrent_requests(self, most_questions: u32) -> Self {
-        Self { most_questions, ..self }
+    /// A connection allocates memory for each of these requests, on both sides: 1.7 MB for the
+    /// 12,000 of an entry and its sidecar, measured with 34 connections in one process.
+    pub fn with_max_concurrent_requests(self, max_concurrent_requests: u32) -> Self {
+        Self { max_concurrent_requests, ..self }
     }
 
     pub(crate) fn client_config(&self) -> ClientConfig {
         let mut config = ClientConfig::new(self.client.clone());
-        config.transport_config(transport_config(self.most_questions));
+        config.transport_config(transport_config(self.max_concurrent_requests));
         config
     }
 
     pub(crate) fn server_config(&self) -> ServerConfig {
         let mut config = ServerConfig::with_crypto(self.server.clone());
-        config.transport_config(transport_config(self.most_questions));
+        config.transport_config(transport_config(self.max_concurrent_requests));
         config
     }
 }
@@ -192,7 +192,7 @@
         .with_client_auth_cert(chain, key)
         .change_context(IdentityError::Unusable)?;
     config.alpn_protocols = vec![PROTOCOL.to_vec()];
-    // A resumed session would skip the look at the peer's certificate.
+    // A resumed session would skip the verification of the peer's certificate.
     config.resumption = Resumption::disabled();
     let config = QuicClientConfig::try_from(config).change_context(IdentityError::Unusable)?;
     Ok(Arc::new(config))
--- a/crates/sagespool-link/src/lib.rs
+++ b/crates/sagespool-link/src/lib.rs
@@ -1,14 +1,14 @@
 //! Typed messages between the processes of the fleet, over QUIC.
 //!
-//! A [`LinkEndpoint`] is one UDP socket. It asks peers, each over one shared
-//! connection, and hands their requests to a handler; a peer is whoever has a
-//! certificate of the fleet's authority ([`LinkIdentity`]). A request is
-//! answered by one reply or by a stream of events.
+//! A [`LinkEndpoint`] is one UDP socket. It sends requests to peers, over one
+//! shared connection each, and passes their requests to a handler. Every process
+//! with a certificate of the fleet's authority is a peer ([`LinkIdentity`]). A
+//! request is answered by one reply or by a stream of events.
 //!
-//! Whether a request that failed may have run is the one thing that callers
-//! must be able to rely on, so [`LinkError::definitely_not_handled`] is strict: it is
-//! true only if no byte of the request left this process, or if the peer said
-//! that it turned the request away before its handler saw it.
+//! Callers must be able to rely on whether a failed request may have run, so
+//! [`LinkError::definitely_not_handled`] is strict: it is true only if no byte of the
+//! request left this process, or if the peer reported that it rejected the
+//! request before it reached the handler.
 //!
 //! ```
 //! use std::sync::Arc;
@@ -33,13 +33,13 @@
 //! let handler: PeerHandler =
 //!     Arc::new(|call| Box::pin(async move { call.responder.reply(PeerReply::Done).await }));
 //! let any_port = "127.0.0.1:0".parse()?;
-//! # let fault = |report: error_stack::Report<_>| report.to_string();
+//! # let text = |report: error_stack::Report<_>| report.to_string();
 //! # let identity = || identity().map_err(|report| report.to_string());
-//! let server = LinkEndpoint::start(any_port, identity()?, handler.clone()).map_err(fault)?;
-//! let client = LinkEndpoint::start(any_port, identity()?, handler).map_err(fault)?;
-//! let question = PeerRequest::Status(StatusQuery { branch: None, running: 0 });
-//! let limit = Duration::from_secs(5);
-//! let reply = smol::block_on(client.request(server.local_address(), &question, limit))?;
+//! let server = LinkEndpoint::start(any_port, identity()?, handler.clone()).map_err(text)?;
+//! let client = LinkEndpoint::start(any_port, identity()?, handler).map_err(text)?;
+//! let request = PeerRequest::Status(StatusQuery { branch: None, running: 0 });
+//! let timeout = Duration::from_secs(5);
+//! let reply = smol::block_on(client.request(server.local_address(), &request, timeout))?;
 //! assert_eq!(reply, PeerReply::Done);
 //! # Ok(())
 //! # }
--- a/crates/sagespool-link/src/peers.rs
+++ b/crates/sagespool-link/src/peers.rs
@@ -1,4 +1,4 @@
-//! The connections to all peers: one for each address, shared by all requests.
+//! The connections to all peers: one per address, shared by all requests.
 
 use std::collections::HashMap;
 use std::collections::hash_map::RandomState;
@@ -14,130 +14,132 @@
 
 const SHARD_COUNT: usize = 16;
 
-/// The connections by peer, in shards under a lock each.
+/// The connections by peer address, in shards with a lock each.
 #[derive(Debug, Default)]
 pub(crate) struct PeerTable {
     hasher: RandomState,
-    shards: [Mutex<HashMap<SocketAddr, PeerSlot>>; SHARD_COUNT],
+    shards: [Mutex<HashMap<SocketAddr, PeerState>>; SHARD_COUNT],
 }
 
 #[derive(Debug, Default)]
-struct PeerSlot {
+struct PeerState {
     connection: Option<Arc<PeerConnection>>,
-    preparation: Option<PeerPreparation>,
+    waiter: Option<PreparationWaiter>,
 }
 
-/// What a preparation gives: a connection whose peer just answered.
-pub(crate) type PreparedConnection = Result<Arc<PeerConnection>, LinkError>;
+/// The result of a preparation: a connection whose peer has just replied.
+pub(crate) type PreparationResult = Result<Arc<PeerConnection>, LinkError>;
 
-/// A connection being made or tried, which any number of requests wait for.
+/// Waits for a connection that is being opened or probed. Any number of requests
+/// share one.
 #[derive(Debug, Clone)]
-pub(crate) struct PeerPreparation {
-    outcome: Arc<OnceLock<PreparedConnection>>,
+pub(crate) struct PreparationWaiter {
+    outcome: Arc<OnceLock<PreparationResult>>,
     done: Receiver<()>,
 }
 
-/// The side of a preparation that does the work; dropping it wakes the waiters.
+/// The preparation of a connection; dropping it wakes the waiters.
 #[derive(Debug)]
-pub(crate) struct PreparationWork {
-    outcome: Arc<OnceLock<PreparedConnection>>,
-    /// The connection that was there before, to be tried first.
+pub(crate) struct PreparationTask {
+    outcome: Arc<OnceLock<PreparationResult>>,
+    /// The existing connection, to be probed first.
     pub(crate) stale: Option<Arc<PeerConnection>>,
     _done: Sender<()>,
 }
 
-/// How a request comes to a connection.
-pub(crate) enum PeerAccess {
-    /// Use this one.
+/// The result of looking up a connection for a request.
+pub(crate) enum ConnectionLookup {
+    /// A connection with recent contact.
     Ready(Arc<PeerConnection>),
-    /// Somebody prepares one: wait.
-    Wait(PeerPreparation),
-    /// Prepare one, and wait like the others.
-    Prepare(PeerPreparation, PreparationWork),
+    /// Another request prepares one; wait for it.
+    Wait(PreparationWaiter),
+    /// Prepare one, and wait for it like the others.
+    Prepare(PreparationWaiter, PreparationTask),
 }
 
-impl PeerPreparation {
-    fn begin(stale: Option<Arc<PeerConnection>>) -> (Self, PreparationWork) {
+impl PreparationWaiter {
+    fn begin(stale: Option<Arc<PeerConnection>>) -> (Self, PreparationTask) {
         let (sender, done) = async_channel::bounded(1);
         let outcome = Arc::new(OnceLock::new());
-        let work = PreparationWork { outcome: outcome.clone(), stale, _done: sender };
-        (Self { outcome, done }, work)
+        let task = PreparationTask { outcome: outcome.clone(), stale, _done: sender };
+        (Self { outcome, done }, task)
     }
 
     fn is_abandoned(&self) -> bool {
         self.done.is_closed()
     }
 
-    /// Waits for the outcome; nothing if the work was abandoned.
-    pub(crate) async fn wait(&self) -> Option<PreparedConnection> {
-        // Nothing is ever sent: the channel closes when the work is over.
+    /// Waits for the outcome; `None` if the task was abandoned.
+    pub(crate) async fn wait(&self) -> Option<PreparationResult> {
+        // Nothing is ever sent: the channel closes when the task is dropped.
         let _ = self.done.recv().await;
         self.outcome.get().cloned()
     }
 }
 
 impl PeerTable {
-    fn shard(&self, peer: SocketAddr) -> MutexGuard<'_, HashMap<SocketAddr, PeerSlot>> {
-        let place = self.hasher.hash_one(peer) as usize % SHARD_COUNT;
-        self.shards[place].lock().unwrap_or_else(PoisonError::into_inner)
+    fn shard(&self, peer: SocketAddr) -> MutexGuard<'_, HashMap<SocketAddr, PeerState>> {
+        let shard_index = self.hasher.hash_one(peer) as usize % SHARD_COUNT;
+        self.shards[shard_index].lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The way to a connection to a peer. Of concurrent requests only one is
-    /// told to prepare a connection.
-    pub(crate) fn access(&self, peer: SocketAddr, now: ClockTime) -> PeerAccess {
+    /// Looks up the connection to a peer. Only one of several concurrent requests
+    /// gets [`ConnectionLookup::Prepare`].
+    pub(crate) fn get_or_prepare(&self, peer: SocketAddr, now: ClockTime) -> ConnectionLookup {
         let mut shard = self.shard(peer);
-        let slot = shard.entry(peer).or_default();
-        if let Some(connection) = &slot.connection
+        let state = shard.entry(peer).or_default();
+        if let Some(connection) = &state.connection
             && connection.is_fresh(now)
         {
-            return PeerAccess::Ready(connection.clone());
+            return ConnectionLookup::Ready(connection.clone());
         }
-        if let Some(preparation) = &slot.preparation
-            && !preparation.is_abandoned()
+        if let Some(waiter) = &state.waiter
+            && !waiter.is_abandoned()
         {
-            return PeerAccess::Wait(preparation.clone());
+            return ConnectionLookup::Wait(waiter.clone());
         }
-        let (preparation, work) = PeerPreparation::begin(slot.connection.clone());
-        slot.preparation = Some(preparation.clone());
-        PeerAccess::Prepare(preparation, work)
+        let (waiter, task) = PreparationWaiter::begin(state.connection.clone());
+        state.waiter = Some(waiter.clone());
+        ConnectionLookup::Prepare(waiter, task)
     }
 
-    /// Ends a preparation with its outcome, for all who wait.
-    pub(crate) fn prepared(
+    /// Ends a preparation and passes its outcome to all waiters.
+    pub(crate) fn complete_preparation(
         &self,
         peer: SocketAddr,
-        work: PreparationWork,
-        outcome: PreparedConnection,
+        task: PreparationTask,
+        outcome: PreparationResult,
     ) {
         let mut shard = self.shard(peer);
-        let slot = shard.entry(peer).or_default();
-        slot.preparation = None;
+        let state = shard.entry(peer).or_default();
+        state.waiter = None;
         if let Ok(connection) = &outcome {
-            slot.connection = Some(connection.clone());
+            state.connection = Some(connection.clone());
         }
-        if slot.connection.is_none() {
+        if state.connection.is_none() {
             shard.remove(&peer);
         }
-        // Only this side ever sets it.
-        let _ = work.outcome.set(outcome);
+        // Can't be set already: only this task sets it.
+        let _ = task.outcome.set(outcome);
     }
 
-    /// Uses a connection that a peer made. The newest is the best: a peer makes
-    /// one when it has none, so an older one is most likely its predecessor's.
-    pub(crate) fn adopt(&self, peer: SocketAddr, connection: Arc<PeerConnection>) {
+    /// Uses a connection that a peer has opened. The newest replaces an older one:
+    /// a peer opens one when it has none, so the older one most likely belongs to
+    /// a previous process at that address.
+    pub(crate) fn set_connection(&self, peer: SocketAddr, connection: Arc<PeerConnection>) {
         self.shard(peer).entry(peer).or_default().connection = Some(connection);
     }
 
-    /// Forgets a connection that is of no more use.
-    pub(crate) fn forget(&self, peer: SocketAddr, connection: &Arc<PeerConnection>) {
+    /// Removes a connection, unless another has replaced it.
+    pub(crate) fn remove(&self, peer: SocketAddr, connection: &Arc<PeerConnection>) {
         let mut shard = self.shard(peer);
-        let Some(slot) = shard.get_mut(&peer) else {
+        let Some(state) = shard.get_mut(&peer) else {
             return;
         };
-        if slot.connection.as_ref().is_some_and(|held| Arc::ptr_eq(held, connection)) {
-            slot.connection = None;
+        if state.connection.as_ref().is_some_and(|current| Arc::ptr_eq(current, connection)) {
+            state.connection = None;
         }
-        if slot.connection.is_none() && slot.preparation.is_none() {
+        if state.connection.is_none() && state.waiter.is_none() {
             shard.remove(&peer);
         }
     }
--- a/crates/sagespool-link/src/server.rs
+++ b/crates/sagespool-link/src/server.rs
@@ -1,4 +1,4 @@
-//! The answering side: connections, requests, and the ways to answer one.
+//! The serving side: connections, requests and their responders.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -16,30 +16,30 @@
 use crate::frame::{
     FrameError, FrameKind, FrameReader, ReceivedFrame, encode_frame, probe_frame, request_class,
 };
-use crate::shared::{LinkShared, note_refusal, take_in};
+use crate::shared::{LinkShared, count_if_refused, serve_new_connection};
 
-/// Code of a stream whose request was turned away before the handler saw it.
-pub(crate) const CODE_TURNED_AWAY: VarInt = VarInt::from_u32(1);
-/// Code of a stream whose request could not be read, so that no handler saw it.
-pub(crate) const CODE_UNREADABLE: VarInt = VarInt::from_u32(2);
+/// Reset code of a stream whose request was rejected before it reached the handler.
+pub(crate) const CODE_REJECTED: VarInt = VarInt::from_u32(1);
+/// Reset code of a stream whose request could not be decoded, so that it never
+/// reached the handler.
+pub(crate) const CODE_UNDECODABLE: VarInt = VarInt::from_u32(2);
 
-/// What a process does with a request of a peer. Each call runs in a task of
-/// its own.
+/// Handles the requests of peers. Each call runs in a task of its own.
 pub type PeerHandler =
     Arc<dyn Fn(PeerCall) -> Pin<Box<dyn Future<Output = ()> + Send>> + Send + Sync>;
 
 /// A request of a peer.
 pub struct PeerCall {
-    /// Where it came from.
+    /// The address of the peer.
     pub from: SocketAddr,
-    /// The request.
+    /// The decoded request.
     pub request: PeerRequest,
-    /// The way to answer. Dropped without an answer, it ends the stream, and
-    /// the asker gets [`LinkError::Interrupted`].
+    /// Sends the reply. Dropped without a reply, it ends the stream, and the
+    /// requester gets [`LinkError::Interrupted`].
     pub responder: PeerResponder,
 }
 
-/// Serves every connection that a peer makes, until the link is closed.
+/// Accepts and serves the connections of peers until the link is closed.
 pub(crate) async fn accept_connections(shared: Arc<LinkShared>) {
     while let Some(incoming) = shared.endpoint.accept().await {
         if shared.is_closing() {
@@ -58,21 +58,21 @@
     match accepted {
         Ok(quic) => {
             let peer = quic.remote_address();
-            let connection = take_in(&shared, quic);
-            shared.peers.adopt(peer, connection);
+            let connection = serve_new_connection(&shared, quic);
+            shared.peers.set_connection(peer, connection);
         }
-        Err(error) => note_refusal(&shared, &error),
+        Err(error) => count_if_refused(&shared, &error),
     }
 }
 
 /// Serves the streams that a peer opens on a connection, until it is lost.
 pub(crate) async fn serve_connection(shared: Arc<LinkShared>, connection: Arc<PeerConnection>) {
-    shared.meter.connection_opened();
+    shared.meter.count_opened_connection();
     while let Ok((send, recv)) = connection.quic.accept_bi().await {
         smol::spawn(serve_stream(shared.clone(), connection.clone(), send, recv)).detach();
     }
-    shared.meter.connection_closed();
-    shared.peers.forget(connection.quic.remote_address(), &connection);
+    shared.meter.count_closed_connection();
+    shared.peers.remove(connection.quic.remote_address(), &connection);
 }
 
 async fn serve_stream(
@@ -83,46 +83,46 @@
 ) {
     let mut reader = FrameReader::new(recv);
     let frame = reader.next().await;
-    connection.heard(ClockTime::now());
-    reader.note_end().await;
+    connection.note_contact(ClockTime::now());
+    reader.poll_end().await;
     match frame {
         Ok(Some(frame)) if frame.kind == FrameKind::Probe => {
-            answer_probe(&shared.meter, &frame, send).await;
+            reply_to_probe(&shared.meter, &frame, send).await;
         }
         Ok(Some(frame)) if frame.kind == FrameKind::Request => {
-            // Counted before the look at `closing`, so that closing either turns
-            // this request away or waits for its answer.
-            let _count = CallCount::begin(&shared);
+            // Counted before `closing` is read, so that closing the link either
+            // rejects this request or waits for its reply.
+            let _call = CallGuard::begin(&shared);
             if shared.is_closing() {
-                return turn_away(send, reader, CODE_TURNED_AWAY);
+                return reject_request(send, reader, CODE_REJECTED);
             }
             match frame.decode::<PeerRequest>() {
                 Ok(request) => {
-                    shared.meter.frame_received(request_class(&request), frame.size());
+                    shared.meter.count_received_frame(request_class(&request), frame.size());
                     handle(&shared, &connection, request, send).await;
                 }
-                Err(_) => turn_away(send, reader, CODE_UNREADABLE),
+                Err(_) => reject_request(send, reader, CODE_UNDECODABLE),
             }
         }
-        // The asker gave up before its request was whole.
-        Ok(None) | Err(FrameError::CutShort) => drop(send.finish()),
-        _ => turn_away(send, reader, CODE_UNREADABLE),
+        // The requester cancelled before its request was complete.
+        Ok(None) | Err(FrameError::Truncated) => drop(send.finish()),
+        _ => reject_request(send, reader, CODE_UNDECODABLE),
     }
 }
 
-/// Tells the asker that no handler saw its request, or ever will.
-fn turn_away(mut send: SendStream, mut reader: FrameReader, code: VarInt) {
+/// Reports to the requester that its request was not passed to a handler and will not be.
+fn reject_request(mut send: SendStream, mut reader: FrameReader, code: VarInt) {
     reader.stop(code);
-    // Fails only if the asker gave the stream up already.
+    // Fails only if the requester has stopped the stream already.
     let _ = send.reset(code);
 }
 
-async fn answer_probe(meter: &TrafficMeter, probe: &ReceivedFrame, mut send: SendStream) {
-    meter.frame_received(TrafficClass::Control, probe.size());
-    let answer = probe_frame();
-    meter.frame_sent(TrafficClass::Control, answer.len());
-    // If the prober is gone, nobody waits for the answer.
-    if send.write_chunk(answer).await.is_ok() {
+async fn reply_to_probe(meter: &TrafficMeter, probe: &ReceivedFrame, mut send: SendStream) {
+    meter.count_received_frame(TrafficClass::Control, probe.size());
+    let reply = probe_frame();
+    meter.count_sent_frame(TrafficClass::Control, reply.len());
+    // A failed write means that the requester is gone.
+    if send.write_chunk(reply).await.is_ok() {
         let _ = send.finish();
     }
 }
@@ -135,33 +135,33 @@
 ) {
     let _guard = connection.begin_exchange();
     let from = connection.quic.remote_address();
-    let settled = send.stopped();
+    let acknowledged = send.stopped();
     let responder = PeerResponder { send, from, meter: shared.meter.clone() };
     (shared.handler)(PeerCall { from, request, responder }).await;
-    // The answer is on its way until the asker has it: closing the link before
-    // would cut it off.
-    let _ = settled.await;
+    // The call stays open until the reply is acknowledged: closing the link
+    // earlier would lose the reply.
+    let _ = acknowledged.await;
 }
 
 /// Counts a call as in progress until dropped.
-struct CallCount {
+struct CallGuard {
     shared: Arc<LinkShared>,
 }
 
-impl CallCount {
+impl CallGuard {
     fn begin(shared: &Arc<LinkShared>) -> Self {
-        shared.calls.fetch_add(1, Ordering::SeqCst);
+        shared.open_calls.fetch_add(1, Ordering::SeqCst);
         Self { shared: shared.clone() }
     }
 }
 
-impl Drop for CallCount {
+impl Drop for CallGuard {
     fn drop(&mut self) {
-        self.shared.calls.fetch_sub(1, Ordering::SeqCst);
+        self.shared.open_calls.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// The way to answer one request.
+/// Sends the reply, or the stream of events, for one request.
 pub struct PeerResponder {
     send: SendStream,
     from: SocketAddr,
@@ -169,81 +169,83 @@
 }
 
 impl PeerResponder {
-    /// Answers with one reply. Nobody hears of it if the asker is gone. In place
-    /// of a reply that no frame holds the asker gets [`PeerReply::Unsupported`].
+    /// Sends one reply; a failure to send it is ignored. A reply that is too
+    /// large for a frame is replaced by [`PeerReply::Unsupported`].
     pub async fn reply(mut self, reply: PeerReply) {
         self.write(reply).await;
     }
 
-    /// As [`Self::reply`], and waits until the asker has the reply or gave its
-    /// request up. False if the connection is lost before: it may have it or not.
+    /// As [`Self::reply`], and waits until the requester has acknowledged the
+    /// reply or cancelled its request. False if the connection is lost before:
+    /// the requester may or may not have the reply.
     pub async fn reply_acknowledged(mut self, reply: PeerReply) -> bool {
-        let settled = self.send.stopped();
+        let acknowledged = self.send.stopped();
         self.write(reply).await;
-        settled.await.is_ok()
+        acknowledged.await.is_ok()
     }
 
     async fn write(&mut self, reply: PeerReply) {
         let encoded = encode_frame(FrameKind::Reply, &reply).or_else(|error| {
             encode_frame(FrameKind::Reply, &PeerReply::Unsupported(error.to_string()))
         });
-        let frame = encoded.expect("a line of text is smaller than a frame");
-        self.meter.frame_sent(TrafficClass::Control, frame.len());
+        let frame = encoded.expect("a line of text fits into a frame");
+        self.meter.count_sent_frame(TrafficClass::Control, frame.len());
         if self.send.write_chunk(frame).await.is_ok() {
             let _ = self.send.finish();
         }
     }
 
-    /// Answers with a stream of events.
+    /// Replies with a stream of events.
     pub fn into_event_sender(self) -> EventSender {
-        EventSender { send: self.send, to: self.from, meter: self.meter, cut: false }
+        EventSender { send: self.send, to: self.from, meter: self.meter, incomplete: false }
     }
 
-    /// Resolves when the asker gave its request up or its connection is lost.
+    /// Resolves when the requester has cancelled its request or its connection is lost.
     pub fn requester_gone(&self) -> impl Future<Output = ()> + Send + 'static + use<> {
-        gone(&self.send)
+        stream_ended(&self.send)
     }
 }
 
-/// Sends the events that answer a request.
+/// Sends the events with which a request is answered.
 pub struct EventSender {
     send: SendStream,
     to: SocketAddr,
     meter: Arc<TrafficMeter>,
-    cut: bool,
+    /// The last event may be written only in part.
+    incomplete: bool,
 }
 
 impl EventSender {
     /// Sends one event; the last is a [`DispatchEvent::End`]. Waits while the
-    /// asker is slow to read.
+    /// requester is slow to read.
     ///
-    /// A send that was dropped before it returned may have sent a part of its
-    /// event: every later one fails, since the asker could not read it.
+    /// A send that was dropped before it returned may have written a part of its
+    /// event. Every later send fails, since the requester could not decode it.
     pub async fn send(&mut self, event: &DispatchEvent) -> Result<(), LinkError> {
-        if self.cut {
-            return Err(self.interrupted("an earlier event was cut off"));
+        if self.incomplete {
+            return Err(self.interrupted("an earlier event was sent only in part"));
         }
         let frame = encode_frame(FrameKind::Event, event)?;
         let size = frame.len();
-        self.cut = true;
+        self.incomplete = true;
         self.write(frame).await?;
-        self.cut = false;
-        self.meter.frame_sent(TrafficClass::Payload, size);
+        self.incomplete = false;
+        self.meter.count_sent_frame(TrafficClass::Payload, size);
         if matches!(event, DispatchEvent::End(_)) {
             let _ = self.send.finish();
         }
         Ok(())
     }
 
-    /// Waits until the asker has what was sent, or gave its stream up. False if the connection is
-    /// lost before: it may have it or not.
+    /// Waits until the requester has acknowledged all events or cancelled its stream. False if the
+    /// connection is lost before: the requester may or may not have the events.
     pub async fn wait_acknowledged(&self) -> bool {
         self.send.stopped().await.is_ok()
     }
 
     async fn write(&mut self, frame: Bytes) -> Result<(), LinkError> {
         self.send.write_chunk(frame).await.map_err(|error| match error {
-            WriteError::Stopped(_) => self.interrupted("the asker gave the stream up"),
+            WriteError::Stopped(_) => self.interrupted("the requester cancelled the stream"),
             WriteError::ConnectionLost(error) => self.interrupted(error),
             other => self.interrupted(other),
         })
@@ -253,18 +255,18 @@
         LinkError::Interrupted { peer: self.to, detail: detail.to_string() }
     }
 
-    /// Resolves when the asker dropped its stream or its connection is lost;
-    /// also some time after the end was sent. The future holds no borrow, so
-    /// that events can be sent beside it.
+    /// Resolves when the requester has dropped its stream or its connection is
+    /// lost; also some time after the end was sent. The future holds no borrow,
+    /// so that events can be sent while it is polled.
     pub fn requester_gone(&self) -> impl Future<Output = ()> + Send + 'static + use<> {
-        gone(&self.send)
+        stream_ended(&self.send)
     }
 }
 
-fn gone(send: &SendStream) -> impl Future<Output = ()> + Send + 'static + use<> {
+fn stream_ended(send: &SendStream) -> impl Future<Output = ()> + Send + 'static + use<> {
     let stopped = send.stopped();
     async move {
-        // Stopped by the asker, lost with the connection, or over: all the same here.
+        // Whether it was stopped, lost with the connection or completed doesn't matter here.
         let _ = stopped.await;
     }
 }
--- a/crates/sagespool-link/src/socket.rs
+++ b/crates/sagespool-link/src/socket.rs
@@ -1,4 +1,4 @@
-//! The UDP socket, with every datagram counted.
+//! The UDP socket, with counters of datagrams.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -11,21 +11,21 @@
 
 use crate::counters::TrafficMeter;
 
-/// A socket that counts what goes through it.
+/// A UDP socket that counts the datagrams it sends and receives.
 #[derive(Debug)]
-pub(crate) struct CountedSocket {
+pub(crate) struct MeteredSocket {
     socket: Arc<dyn AsyncUdpSocket>,
     meter: Arc<TrafficMeter>,
 }
 
-impl CountedSocket {
+impl MeteredSocket {
     pub(crate) fn bind(listen: SocketAddr, meter: Arc<TrafficMeter>) -> io::Result<Arc<Self>> {
         let socket = SmolRuntime.wrap_udp_socket(UdpSocket::bind(listen)?)?;
         Ok(Arc::new(Self { socket, meter }))
     }
 }
 
-impl AsyncUdpSocket for CountedSocket {
+impl AsyncUdpSocket for MeteredSocket {
     fn create_io_poller(self: Arc<Self>) -> Pin<Box<dyn UdpPoller>> {
         self.socket.clone().create_io_poller()
     }
@@ -34,7 +34,7 @@
         self.socket.try_send(transmit)?;
         let bytes = transmit.contents.len();
         let datagrams = transmit.segment_size.map_or(1, |size| bytes.div_ceil(size));
-        self.meter.datagrams_sent(datagrams, bytes);
+        self.meter.count_sent_datagrams(datagrams, bytes);
         Ok(())
     }
 
@@ -48,7 +48,7 @@
         if let Poll::Ready(Ok(count)) = &polled {
             for meta in &metas[..*count] {
                 let datagrams = meta.len.div_ceil(meta.stride.max(1));
-                self.meter.datagrams_received(datagrams, meta.len);
+                self.meter.count_received_datagrams(datagrams, meta.len);
             }
         }
         polled
--- a/crates/sagespool-link/src/time.rs
+++ b/crates/sagespool-link/src/time.rs
@@ -1,12 +1,12 @@
-//! Bounds on how long something may take.
+//! Timeouts for futures.
 
 use std::time::Duration;
 
 use futures_lite::future::or;
 use smol::Timer;
 
-/// What a future gives, or nothing if that takes longer than a limit. The
-/// future is polled first, so one that is ready costs no timer.
+/// The output of a future, or `None` if it isn't ready within a limit. The future
+/// is polled first, so one that is ready registers no timer.
 pub async fn within<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
     let timer = async {
         Timer::after(limit).await;
@@ -15,15 +15,15 @@
     or(async { Some(future.await) }, timer).await
 }
 
-/// How often [`within_ticks`] looks at the clock.
+/// The interval at which [`within_ticks`] counts time.
 const TICK: Duration = Duration::from_millis(100);
 
-/// As [`within`], but a stretch in which this process did not run counts as one
+/// As [`within`], but a period in which this process did not run counts as one
 /// tick, however long it was.
 ///
-/// Guards against a process that is paused, or starved of its processor, while
-/// it waits for a peer that answers at once: by a plain timer its time would be
-/// up before it reads the answer, and a peer that is well would seem gone.
+/// Guards against a process that is paused, or gets no processor time, while it
+/// waits for a peer that replies at once: a single timer would expire before the
+/// reply is read, and a healthy peer would be considered unreachable.
 pub(crate) async fn within_ticks<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
     let timer = async {
         for _ in 0..limit.as_millis().div_ceil(TICK.as_millis()) {
--- a/crates/sagespool-link/tests/identity_renewal.rs
+++ b/crates/sagespool-link/tests/identity_renewal.rs
@@ -26,7 +26,7 @@
         assert!(ask(&node, &new_node).await.unwrap_err().definitely_not_handled());
         assert!(ask(&new_node, &node).await.unwrap_err().definitely_not_handled());
 
-        node.renew(new.identity());
+        node.replace_identity(new.identity());
         assert_eq!(ask(&node, &old_node).await, Ok(PeerReply::Done));
         assert_eq!(ask(&new_node, &node).await, Ok(PeerReply::Done));
         assert_eq!(ask(&node, &new_node).await, Ok(PeerReply::Done));
@@ -45,7 +45,7 @@
         let done = || handler(async |call| call.responder.reply(PeerReply::Done).await);
         let node = endpoint(old.identity(), done());
         let new_node = endpoint(new.identity(), done());
-        node.renew(new.identity());
+        node.replace_identity(new.identity());
         let reply = node.request(new_node.local_address(), &question(), PATIENCE).await;
         assert_eq!(reply, Ok(PeerReply::Done));
     });
