--- a/crates/sagespool-link/src/endpoint.rs
+++ b/crates/sagespool-link/src/endpoint.rs
@@ -43,17 +43,17 @@
         identity: LinkIdentity,
         handler: PeerHandler,
     ) -> Result<Self, Report<LinkError>> {
-        let fault = || LinkError::ListenFailed { address: listen };
+        let error = || LinkError::ListenFailed { address: listen };
         let meter = Arc::new(TrafficMeter::default());
-        let socket = MeteredSocket::bind(listen, meter.clone()).change_context_lazy(fault)?;
+        let socket = MeteredSocket::bind(listen, meter.clone()).change_context_lazy(error)?;
         let endpoint = Endpoint::new_with_abstract_socket(
             identity.reset_key.endpoint_config(),
             Some(identity.server_config()),
             socket,
             Arc::new(SmolRuntime),
         )
-        .change_context_lazy(fault)?;
-        let address = endpoint.local_addr().change_context_lazy(fault)?;
+        .change_context_lazy(error)?;
+        let address = endpoint.local_addr().change_context_lazy(error)?;
         let shared = Arc::new(LinkShared::new(endpoint, &identity, handler, meter));
         smol::spawn(accept_connections(shared.clone())).detach();
         Ok(Self { shared, address })
--- a/crates/sagespool-link/tests/event_stream.rs
+++ b/crates/sagespool-link/tests/event_stream.rs
@@ -1,4 +1,4 @@
-//! One request, a stream of events.
+//! Requests that are answered by a stream of events.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests")]
 
@@ -8,10 +8,11 @@
 use sagespool_link::{EventSender, EventStream, LinkEndpoint, LinkError};
 use sagespool_messages::DispatchEvent;
 use support::{
-    PATIENCE, TestAuthority, attach, deaf, endpoint, event_handler, piece, soon, whole_end,
+    TEST_TIMEOUT, TestAuthority, attach_request, end_event, endpoint, event_handler,
+    silent_handler, token_event, within_timeout,
 };
 
-/// A client, and the senders of the streams that it opens at a server.
+/// A client, and the event senders of the streams that it opens at a server.
 struct EventFixture {
     server: LinkEndpoint,
     client: LinkEndpoint,
@@ -21,16 +22,16 @@
 impl EventFixture {
     fn start() -> Self {
         let authority = TestAuthority::new();
-        let (handing, senders) = event_handler();
-        let server = endpoint(authority.identity(), handing);
-        let client = endpoint(authority.identity(), deaf());
+        let (handler, senders) = event_handler();
+        let server = endpoint(authority.identity(), handler);
+        let client = endpoint(authority.identity(), silent_handler());
         Self { server, client, senders }
     }
 
     async fn open_stream(&self) -> (EventStream, EventSender) {
         let to = self.server.local_address();
-        let stream = self.client.open_stream(to, &attach(), PATIENCE).await.unwrap();
-        (stream, soon(self.senders.recv()).await.unwrap())
+        let stream = self.client.open_stream(to, &attach_request(), TEST_TIMEOUT).await.unwrap();
+        (stream, within_timeout(self.senders.recv()).await.unwrap())
     }
 }
 
@@ -39,15 +40,15 @@
     smol::block_on(async {
         let fixture = EventFixture::start();
         let (mut stream, mut sender) = fixture.open_stream().await;
-        let mut events: Vec<_> = (0..1000).map(piece).collect();
-        events.push(whole_end());
+        let mut events: Vec<_> = (0..1000).map(token_event).collect();
+        events.push(end_event());
         for event in &events {
             sender.send(event).await.unwrap();
         }
         for event in events {
-            assert_eq!(soon(stream.next()).await, Some(Ok(event)));
+            assert_eq!(within_timeout(stream.next()).await, Some(Ok(event)));
         }
-        assert_eq!(soon(stream.next()).await, None);
+        assert_eq!(within_timeout(stream.next()).await, None);
         let (sent, received) = (fixture.server.counters(), fixture.client.counters());
         assert_eq!(sent.payload_sent, received.payload_received);
     });
@@ -55,53 +56,53 @@
 
 #[test]
 fn dropped_stream() {
-    // A caller hangs up, and its entry drops the stream of events. The sidecar
-    // must hear of it while it waits for the engine's next token, and must get
-    // an error if it sends one, or the engine would go on for nobody.
+    // A caller disconnects, and its entry drops the stream of events. The sidecar
+    // must be notified while it waits for the engine's next token, and must get an
+    // error if it sends one. Otherwise the engine would generate for no caller.
     smol::block_on(async {
         let fixture = EventFixture::start();
         let (mut stream, mut sender) = fixture.open_stream().await;
-        sender.send(&piece(0)).await.unwrap();
-        assert_eq!(soon(stream.next()).await, Some(Ok(piece(0))));
+        sender.send(&token_event(0)).await.unwrap();
+        assert_eq!(within_timeout(stream.next()).await, Some(Ok(token_event(0))));
         let gone = sender.requester_gone();
         drop(stream);
-        soon(gone).await;
-        let error = sender.send(&piece(1)).await.unwrap_err();
+        within_timeout(gone).await;
+        let error = sender.send(&token_event(1)).await.unwrap_err();
         assert!(matches!(error, LinkError::Interrupted { .. }), "{error}");
     });
 }
 
 #[test]
 fn missing_end() {
-    // A sidecar's task dies in the middle of an answer. The entry must see an
-    // error: an answer that just stops would pass for a whole one.
+    // A sidecar's task ends in the middle of an answer. The entry must get an error:
+    // otherwise a truncated answer would count as complete.
     smol::block_on(async {
         let fixture = EventFixture::start();
         let (mut stream, mut sender) = fixture.open_stream().await;
-        sender.send(&piece(0)).await.unwrap();
+        sender.send(&token_event(0)).await.unwrap();
         drop(sender);
-        assert_eq!(soon(stream.next()).await, Some(Ok(piece(0))));
-        let error = soon(stream.next()).await.unwrap().unwrap_err();
+        assert_eq!(within_timeout(stream.next()).await, Some(Ok(token_event(0))));
+        let error = within_timeout(stream.next()).await.unwrap().unwrap_err();
         assert!(matches!(error, LinkError::Interrupted { .. }), "{error}");
         assert!(!error.definitely_not_handled());
-        assert_eq!(soon(stream.next()).await, None);
+        assert_eq!(within_timeout(stream.next()).await, None);
     });
 }
 
 #[test]
-fn cut_send() {
-    // The asker reads slowly, and the sidecar drops a send that waits for it.
-    // What was sent is a part of an event: another event behind it would be read
-    // as the rest of the first, and the caller would get garbage.
+fn partial_send() {
+    // The requester reads slowly, and the sidecar drops a send that waits for it.
+    // Only a part of the event was sent: the bytes of a later event would be decoded
+    // as the rest of the first, and the caller would get corrupt data.
     smol::block_on(async {
         let fixture = EventFixture::start();
         let (mut stream, mut sender) = fixture.open_stream().await;
         let large = DispatchEvent::Piece { at: 0, tokens: 0, data: vec![7; 4 << 20] };
         assert!(futures_lite::future::poll_once(sender.send(&large)).await.is_none());
-        let error = soon(sender.send(&piece(1))).await.unwrap_err();
+        let error = within_timeout(sender.send(&token_event(1))).await.unwrap_err();
         assert!(matches!(error, LinkError::Interrupted { .. }), "{error}");
         drop(sender);
-        let error = soon(stream.next()).await.unwrap().unwrap_err();
+        let error = within_timeout(stream.next()).await.unwrap().unwrap_err();
         assert!(matches!(error, LinkError::Interrupted { .. }), "{error}");
     });
 }
--- a/crates/sagespool-link/tests/identity_renewal.rs
+++ b/crates/sagespool-link/tests/identity_renewal.rs
@@ -1,52 +1,52 @@
-//! Another identity, without a restart.
+//! Replacing the identity without a restart.
 
 mod support;
 
 use sagespool_link::LinkEndpoint;
 use sagespool_messages::PeerReply;
-use support::{PATIENCE, TestAuthority, endpoint, handler, question};
+use support::{TEST_TIMEOUT, TestAuthority, endpoint, handler, status_request};
 
 #[test]
 fn renewed_authority() {
-    // Operators replace the fleet's authority. Processes are renewed one after
-    // another and keep their streams; a renewed one must be able to talk to a
-    // process that knows only the new authority, in both directions, and no
-    // longer to one that knows only the old.
+    // Operators replace the fleet's authority. Processes get their new identity one
+    // after another and keep their connections. Such a process must be able to connect
+    // to and from a process that trusts only the new authority, and must no longer
+    // connect to or from one that trusts only the old.
     smol::block_on(async {
         let (old, new) = (TestAuthority::new(), TestAuthority::new());
         let done = || handler(async |call| call.responder.reply(PeerReply::Done).await);
         let node = endpoint(old.identity(), done());
         let old_node = endpoint(old.identity(), done());
         let new_node = endpoint(new.identity(), done());
-        let ask = async |from: &LinkEndpoint, to: &LinkEndpoint| {
-            from.request(to.local_address(), &question(), PATIENCE).await
+        let request_status = async |from: &LinkEndpoint, to: &LinkEndpoint| {
+            from.request(to.local_address(), &status_request(), TEST_TIMEOUT).await
         };
 
-        assert_eq!(ask(&node, &old_node).await, Ok(PeerReply::Done));
-        assert!(ask(&node, &new_node).await.unwrap_err().definitely_not_handled());
-        assert!(ask(&new_node, &node).await.unwrap_err().definitely_not_handled());
+        assert_eq!(request_status(&node, &old_node).await, Ok(PeerReply::Done));
+        assert!(request_status(&node, &new_node).await.unwrap_err().definitely_not_handled());
+        assert!(request_status(&new_node, &node).await.unwrap_err().definitely_not_handled());
 
         node.replace_identity(new.identity());
-        assert_eq!(ask(&node, &old_node).await, Ok(PeerReply::Done));
-        assert_eq!(ask(&new_node, &node).await, Ok(PeerReply::Done));
-        assert_eq!(ask(&node, &new_node).await, Ok(PeerReply::Done));
+        assert_eq!(request_status(&node, &old_node).await, Ok(PeerReply::Done));
+        assert_eq!(request_status(&new_node, &node).await, Ok(PeerReply::Done));
+        assert_eq!(request_status(&node, &new_node).await, Ok(PeerReply::Done));
 
         let late_node = endpoint(old.identity(), done());
-        assert!(ask(&node, &late_node).await.unwrap_err().definitely_not_handled());
-        assert!(ask(&late_node, &node).await.unwrap_err().definitely_not_handled());
+        assert!(request_status(&node, &late_node).await.unwrap_err().definitely_not_handled());
+        assert!(request_status(&late_node, &node).await.unwrap_err().definitely_not_handled());
     });
 }
 
 #[test]
 fn renewed_client() {
-    // The renewed process is the first to speak: it must show its new certificate.
+    // The first connection of the renewed process must use its new certificate.
     smol::block_on(async {
         let (old, new) = (TestAuthority::new(), TestAuthority::new());
         let done = || handler(async |call| call.responder.reply(PeerReply::Done).await);
         let node = endpoint(old.identity(), done());
         let new_node = endpoint(new.identity(), done());
         node.replace_identity(new.identity());
-        let reply = node.request(new_node.local_address(), &question(), PATIENCE).await;
+        let reply = node.request(new_node.local_address(), &status_request(), TEST_TIMEOUT).await;
         assert_eq!(reply, Ok(PeerReply::Done));
     });
 }
--- a/crates/sagespool-link/tests/strange_frames.rs
+++ b/crates/sagespool-link/tests/malformed_frames.rs
@@ -1,4 +1,4 @@
-//! Peers that send what is no request.
+//! Peers that send malformed requests.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests")]
 
@@ -13,11 +13,14 @@
 use rustls_pki_types::pem::PemObject;
 use rustls_pki_types::{CertificateDer, PrivateKeyDer};
 use sagespool_messages::PeerReply;
-use support::{PATIENCE, TestAuthority, deaf, endpoint, handler, loopback, question, soon};
+use support::{
+    TEST_TIMEOUT, TestAuthority, endpoint, handler, loopback, silent_handler, status_request,
+    within_timeout,
+};
 
 const KIND_REQUEST: u8 = 1;
 
-/// A connection of a member of the fleet that speaks plain bytes.
+/// A connection with a certificate of the authority, for sending arbitrary bytes.
 async fn connect(authority: &TestAuthority, to: SocketAddr) -> (Endpoint, Connection) {
     let issued = authority.issue();
     let certificate = |text: &str| CertificateDer::from_pem_slice(text.as_bytes()).unwrap();
@@ -44,10 +47,10 @@
 }
 
 #[test]
-fn garbage_turned_away() {
-    // A peer of another version, or one that has gone mad, sends what this one
-    // can't read. It must be told that nothing ran, no handler may see it, no
-    // memory may be set aside for a length that it names, and others are served.
+fn malformed_requests_rejected() {
+    // A peer of another version, or a faulty one, sends bytes that can't be decoded.
+    // Its stream must be reset with the code for "not run", no handler may be called, no
+    // memory may be allocated for the announced length, and other peers are still served.
     smol::block_on(async {
         let authority = TestAuthority::new();
         let handled = Arc::new(AtomicUsize::new(0));
@@ -60,7 +63,7 @@
         let to = server.local_address();
         let (_endpoint, connection) = connect(&authority, to).await;
 
-        let status = postcard::to_stdvec(&question()).unwrap();
+        let status = postcard::to_stdvec(&status_request()).unwrap();
         let longer = [&status[..], &[0]].concat();
         let cases = [
             vec![0, 0, 0, 0],
@@ -72,21 +75,21 @@
         for bytes in cases {
             let (mut send, mut recv) = connection.open_bi().await.unwrap();
             send.write_all(&bytes).await.unwrap();
-            let ended = soon(recv.read_to_end(100)).await;
-            let turned_away = matches!(
+            let ended = within_timeout(recv.read_to_end(100)).await;
+            let rejected = matches!(
                 ended,
                 Err(ReadToEndError::Read(quinn::ReadError::Reset(code))) if code == 2u32.into()
             );
-            assert!(turned_away, "{bytes:?}: {ended:?}");
+            assert!(rejected, "{bytes:?}: {ended:?}");
         }
 
         let (mut send, mut recv) = connection.open_bi().await.unwrap();
         send.write_all(&frame(KIND_REQUEST, &status)[..5]).await.unwrap();
         send.finish().unwrap();
-        assert_eq!(soon(recv.read_to_end(100)).await, Ok(Vec::new()));
+        assert_eq!(within_timeout(recv.read_to_end(100)).await, Ok(Vec::new()));
 
         assert_eq!(handled.load(Ordering::SeqCst), 0);
-        let client = endpoint(authority.identity(), deaf());
-        assert_eq!(client.request(to, &question(), PATIENCE).await, Ok(PeerReply::Done));
+        let client = endpoint(authority.identity(), silent_handler());
+        assert_eq!(client.request(to, &status_request(), TEST_TIMEOUT).await, Ok(PeerReply::Done));
     });
 }
--- a/crates/sagespool-link/tests/many_streams.rs
+++ b/crates/sagespool-link/tests/many_streams.rs
@@ -1,7 +1,7 @@
-//! As many requests at once as an entry may have at one sidecar.
+//! The number of concurrent requests that an entry may have at one sidecar.
 //!
-//! In a file of its own: it keeps the process's one executor thread busy for
-//! longer than a handshake of another test may take.
+//! In a file of its own: it keeps the process's only executor thread busy for
+//! longer than the timeout of a handshake in another test.
 
 mod support;
 
@@ -11,39 +11,43 @@
 use async_channel::bounded;
 use sagespool_link::LinkEndpoint;
 use sagespool_messages::PeerReply;
-use support::{PATIENCE, TestAuthority, deaf, endpoint, handler, question, until};
+use support::{
+    TEST_TIMEOUT, TestAuthority, endpoint, handler, silent_handler, status_request, wait_until,
+};
 
 #[test]
-fn ten_thousand() {
+fn ten_thousand_requests() {
     // An entry may have ten thousand requests at one sidecar. With the library's
-    // hundred streams all but the first hundred would wait until their deadline.
+    // default of a hundred streams all later requests would wait until their deadline.
     const COUNT: usize = 10_000;
     smol::block_on(async {
         let authority = TestAuthority::new();
         let waiting = Arc::new(AtomicUsize::new(0));
-        let (gate, opened) = bounded::<()>(1);
-        let held = {
+        let (release, released) = bounded::<()>(1);
+        let blocking = {
             let waiting = waiting.clone();
             handler(move |call| {
-                let (waiting, opened) = (waiting.clone(), opened.clone());
+                let (waiting, released) = (waiting.clone(), released.clone());
                 async move {
                     waiting.fetch_add(1, Ordering::SeqCst);
-                    let _ = opened.recv().await;
+                    let _ = released.recv().await;
                     call.responder.reply(PeerReply::Done).await;
                 }
             })
         };
-        let server = endpoint(authority.identity(), held);
-        let client = endpoint(authority.identity(), deaf());
+        let server = endpoint(authority.identity(), blocking);
+        let client = endpoint(authority.identity(), silent_handler());
         let to = server.local_address();
-        let ask = |client: LinkEndpoint| {
-            smol::spawn(async move { client.request(to, &question(), PATIENCE * 2).await })
+        let send = |client: LinkEndpoint| {
+            smol::spawn(
+                async move { client.request(to, &status_request(), TEST_TIMEOUT * 2).await },
+            )
         };
-        let asked: Vec<_> = (0..COUNT).map(|_| ask(client.clone())).collect();
-        until(|| waiting.load(Ordering::SeqCst) == COUNT).await;
-        drop(gate);
-        for ask in asked {
-            assert_eq!(ask.await, Ok(PeerReply::Done));
+        let replies: Vec<_> = (0..COUNT).map(|_| send(client.clone())).collect();
+        wait_until(|| waiting.load(Ordering::SeqCst) == COUNT).await;
+        drop(release);
+        for reply in replies {
+            assert_eq!(reply.await, Ok(PeerReply::Done));
         }
     });
 }
--- a/crates/sagespool-link/tests/peer_loss.rs
+++ b/crates/sagespool-link/tests/peer_loss.rs
@@ -1,4 +1,4 @@
-//! Peers that die, are cut off, or come back as another process.
+//! Peers that are killed, disconnected, or replaced by another process.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests")]
 
@@ -11,15 +11,15 @@
 use sagespool_link::{LinkEndpoint, LinkError};
 use sagespool_messages::{PeerReply, PeerRequest};
 use support::{
-    PATIENCE, TestAuthority, UdpRelay, attach, deaf, endpoint, event_handler, handler, question,
-    soon, until,
+    TEST_TIMEOUT, TestAuthority, UdpRelay, attach_request, endpoint, event_handler, handler,
+    silent_handler, status_request, wait_until, within_timeout,
 };
 
-/// Longer than a connection counts as heard lately.
-const STALE_WHILE: Duration = Duration::from_millis(1100);
+/// Longer than a connection may be idle before it is probed.
+const STALE_AFTER: Duration = Duration::from_millis(1100);
 
-/// A server behind a relay. It answers questions, counts them, and keeps
-/// whatever else it is sent without an answer.
+/// A server behind a relay. It counts requests and replies to all but attach
+/// requests, which stay open.
 struct LossFixture {
     authority: TestAuthority,
     relay: UdpRelay,
@@ -45,12 +45,12 @@
             }),
         );
         let relay = UdpRelay::start(server.local_address());
-        let client = endpoint(authority.identity(), deaf());
+        let client = endpoint(authority.identity(), silent_handler());
         Self { authority, relay, client, handled }
     }
 
-    async fn request(&self) -> Result<PeerReply, LinkError> {
-        self.client.request(self.relay.address(), &question(), PATIENCE * 2).await
+    async fn request_status(&self) -> Result<PeerReply, LinkError> {
+        self.client.request(self.relay.address(), &status_request(), TEST_TIMEOUT * 2).await
     }
 
     fn handled(&self) -> usize {
@@ -59,48 +59,48 @@
 }
 
 #[test]
-fn peer_cut() {
-    // The network to a sidecar breaks while it runs a request; nothing says so.
-    // The entry must not wait for the deadline, nor take the request for not run.
-    // When the network is back, the next request gets a connection of its own.
+fn peer_disconnected() {
+    // The network to a sidecar fails without an error while it runs a request. The
+    // entry must not wait for the deadline, nor count the request as not run. When the
+    // network is restored, the next request gets a new connection.
     smol::block_on(async {
         let fixture = LossFixture::start();
-        let request = attach();
-        let asked = fixture.client.request(fixture.relay.address(), &request, PATIENCE * 2);
-        let cut = async {
-            until(|| fixture.handled() == 1).await;
-            fixture.relay.cut(true);
+        let request = attach_request();
+        let reply = fixture.client.request(fixture.relay.address(), &request, TEST_TIMEOUT * 2);
+        let disconnect = async {
+            wait_until(|| fixture.handled() == 1).await;
+            fixture.relay.set_dropping(true);
             std::future::pending().await
         };
-        let error = soon(futures_lite::future::or(asked, cut)).await.unwrap_err();
+        let error = within_timeout(futures_lite::future::or(reply, disconnect)).await.unwrap_err();
         assert!(matches!(error, LinkError::Interrupted { .. }), "{error}");
         assert!(!error.definitely_not_handled());
 
-        fixture.relay.cut(false);
-        assert_eq!(fixture.request().await, Ok(PeerReply::Done));
+        fixture.relay.set_dropping(false);
+        assert_eq!(fixture.request_status().await, Ok(PeerReply::Done));
         assert_eq!(fixture.client.counters().connections_opened, 2);
     });
 }
 
 #[test]
-fn stream_cut() {
-    // The network between an entry and a sidecar breaks with a stream open, in
-    // both directions (as if one were killed) or in one; the engine is silent, so
-    // no event is due either. The sidecar must learn that nobody hears it, and the
-    // entry that nothing more comes.
+fn stream_disconnected() {
+    // The network between an entry and a sidecar fails while a stream is open, in
+    // both directions (as if one were killed) or in one. The engine produces nothing,
+    // so no event is due. The sidecar must detect that the requester is gone, and the
+    // entry that the stream is lost.
     smol::block_on(async {
-        for (forth, back) in [(true, true), (true, false), (false, true)] {
+        for (to_target, to_client) in [(true, true), (true, false), (false, true)] {
             let authority = TestAuthority::new();
-            let (handing, senders) = event_handler();
-            let server = endpoint(authority.identity(), handing);
+            let (handler, senders) = event_handler();
+            let server = endpoint(authority.identity(), handler);
             let relay = UdpRelay::start(server.local_address());
-            let client = endpoint(authority.identity(), deaf());
+            let client = endpoint(authority.identity(), silent_handler());
             let mut stream =
-                client.open_stream(relay.address(), &attach(), PATIENCE).await.unwrap();
-            let sender = soon(senders.recv()).await.unwrap();
-            relay.cut_one_way(forth, back);
-            soon(sender.requester_gone()).await;
-            let error = soon(stream.next()).await.unwrap().unwrap_err();
+                client.open_stream(relay.address(), &attach_request(), TEST_TIMEOUT).await.unwrap();
+            let sender = within_timeout(senders.recv()).await.unwrap();
+            relay.set_dropping_by_direction(to_target, to_client);
+            within_timeout(sender.requester_gone()).await;
+            let error = within_timeout(stream.next()).await.unwrap().unwrap_err();
             assert!(matches!(error, LinkError::Interrupted { .. }), "{error}");
         }
     });
@@ -108,13 +108,13 @@
 
 #[test]
 fn silent_engine() {
-    // A request waits for its turn in the engine for longer than a lost peer is
-    // waited for, and not a byte is due. Both sides are there: the stream must
-    // stay open.
+    // A request is queued in the engine for longer than the limit for an unresponsive
+    // peer, and no byte is due. Both sides are alive: the stream must stay open.
     smol::block_on(async {
         let fixture = LossFixture::start();
         let to = fixture.relay.address();
-        let mut stream = fixture.client.open_stream(to, &attach(), PATIENCE).await.unwrap();
+        let mut stream =
+            fixture.client.open_stream(to, &attach_request(), TEST_TIMEOUT).await.unwrap();
         let ended = async {
             stream.next().await;
             true
@@ -129,28 +129,28 @@
 
 #[test]
 fn lost_while_idle() {
-    // A sidecar dies while nothing is in flight, so its connection looks well. A
-    // request written to it would be in doubt, and a non-idempotent one lost,
-    // though it never left this process's buffers.
+    // A sidecar is killed while nothing is in flight, so its connection appears to be
+    // open. A request written to it would be in doubt, and a non-idempotent one lost,
+    // although it never left this process's buffers.
     smol::block_on(async {
         let fixture = LossFixture::start();
-        assert_eq!(fixture.request().await, Ok(PeerReply::Done));
-        fixture.relay.cut(true);
-        smol::Timer::after(STALE_WHILE).await;
-        let error = soon(fixture.request()).await.unwrap_err();
+        assert_eq!(fixture.request_status().await, Ok(PeerReply::Done));
+        fixture.relay.set_dropping(true);
+        smol::Timer::after(STALE_AFTER).await;
+        let error = within_timeout(fixture.request_status()).await.unwrap_err();
         assert!(matches!(error, LinkError::Unreachable { .. }), "{error}");
         assert!(error.definitely_not_handled());
-        fixture.relay.cut(false);
-        assert_eq!(fixture.request().await, Ok(PeerReply::Done));
+        fixture.relay.set_dropping(false);
+        assert_eq!(fixture.request_status().await, Ok(PeerReply::Done));
         assert_eq!(fixture.handled(), 2);
     });
 }
 
 #[test]
 fn peer_replaced() {
-    // A sidecar is killed and started again at its address. Its successor knows
-    // no connection of its predecessor; without a word from it, requests would
-    // go on into the dead connection until it has been silent for too long.
+    // A sidecar is killed and restarted at its address. The new process has no state
+    // of the previous one's connections. Without a stateless reset, requests would be
+    // sent on the dead connection until its liveness check fails.
     smol::block_on(async {
         let fixture = LossFixture::start();
         let certificate = fixture.authority.issue();
@@ -158,14 +158,15 @@
         let first = endpoint(identity(), handler(async |_| std::future::pending().await));
         let done = handler(async |call| call.responder.reply(PeerReply::Done).await);
         let second = endpoint(identity(), done);
-        fixture.relay.lead_to(first.local_address());
+        fixture.relay.set_target(first.local_address());
 
         let to = fixture.relay.address();
-        let mut stream = fixture.client.open_stream(to, &attach(), PATIENCE).await.unwrap();
-        fixture.relay.lead_to(second.local_address());
-        let error = soon(stream.next()).await.unwrap().unwrap_err();
+        let mut stream =
+            fixture.client.open_stream(to, &attach_request(), TEST_TIMEOUT).await.unwrap();
+        fixture.relay.set_target(second.local_address());
+        let error = within_timeout(stream.next()).await.unwrap().unwrap_err();
         assert!(error.to_string().contains("reset by peer"), "{error}");
         assert!(!error.definitely_not_handled());
-        assert_eq!(fixture.request().await, Ok(PeerReply::Done));
+        assert_eq!(fixture.request_status().await, Ok(PeerReply::Done));
     });
 }
--- a/crates/sagespool-link/tests/support/mod.rs
+++ b/crates/sagespool-link/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! What the link's tests share: certificates, endpoints, a relay to cut.
-#![allow(dead_code, unused_imports, reason = "each test file uses a part")]
+//! Helpers of the link's tests: certificates, endpoints, handlers and a lossy relay.
+#![allow(dead_code, unused_imports, reason = "each test file uses some of it")]
 #![allow(clippy::unwrap_used, reason = "these are tests")]
 
 mod relay;
@@ -23,16 +23,16 @@
 
 pub use relay::UdpRelay;
 
-/// Long enough for any machine; only a fault makes a test wait for so long.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Long enough for any machine; only a failing test waits for so long.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// An authority with one key.
+/// A certificate authority with one key.
 pub struct TestAuthority {
     pub certificate: String,
     issuer: Issuer<'static, KeyPair>,
 }
 
-/// A certificate and its key, as PEM.
+/// A certificate and its key, as PEM text.
 pub struct TestCertificate {
     pub certificate: String,
     pub key: String,
@@ -65,7 +65,7 @@
     }
 }
 
-/// A handler from an async closure.
+/// A handler that calls an async closure.
 pub fn handler<F>(handle: impl Fn(PeerCall) -> F + Send + Sync + 'static) -> PeerHandler
 where
     F: Future<Output = ()> + Send + 'static,
@@ -73,24 +73,24 @@
     Arc::new(move |call| -> Pin<Box<dyn Future<Output = ()> + Send>> { Box::pin(handle(call)) })
 }
 
-/// A handler that opens a stream of events for each call and hands out its sender.
+/// A handler that opens a stream of events for each call, and the channel of their senders.
 pub fn event_handler() -> (PeerHandler, Receiver<EventSender>) {
-    let (hand_out, senders) = bounded(10);
-    let handing = handler(move |call| {
-        let hand_out = hand_out.clone();
+    let (opened, senders) = bounded(10);
+    let handler = handler(move |call| {
+        let opened = opened.clone();
         async move {
-            let _ = hand_out.send(call.responder.into_event_sender()).await;
+            let _ = opened.send(call.responder.into_event_sender()).await;
         }
     });
-    (handing, senders)
+    (handler, senders)
 }
 
-/// A handler that answers nothing.
-pub fn deaf() -> PeerHandler {
+/// A handler that drops every request without a reply.
+pub fn silent_handler() -> PeerHandler {
     handler(async |_| {})
 }
 
-/// An endpoint on a port that the system chooses.
+/// An endpoint on loopback, at a port that the system chooses.
 pub fn endpoint(identity: LinkIdentity, handler: PeerHandler) -> LinkEndpoint {
     LinkEndpoint::start(loopback(), identity, handler).unwrap()
 }
@@ -99,13 +99,13 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// A small question.
-pub fn question() -> PeerRequest {
+/// A small request.
+pub fn status_request() -> PeerRequest {
     PeerRequest::Status(StatusQuery { branch: None, running: 0 })
 }
 
 /// A request that is answered by events.
-pub fn attach() -> PeerRequest {
+pub fn attach_request() -> PeerRequest {
     PeerRequest::Attach(AttachRequest {
         request: RequestId(1),
         key: KeyDigest(2),
@@ -114,8 +114,8 @@
     })
 }
 
-/// A request with a body of so many bytes.
-pub fn dispatch(body: usize) -> PeerRequest {
+/// A dispatch request with a body of `body` bytes.
+pub fn dispatch_request(body: usize) -> PeerRequest {
     let grant = GrantId { holder: IncarnationId(4), number: 5 };
     PeerRequest::Dispatch(DispatchRequest {
         request: RequestId(1),
@@ -143,13 +143,13 @@
     })
 }
 
-/// A token of an answer.
-pub fn piece(at: u32) -> DispatchEvent {
+/// An event with one token of an answer.
+pub fn token_event(at: u32) -> DispatchEvent {
     DispatchEvent::Piece { at, tokens: 1, data: b" token".to_vec() }
 }
 
-/// The end of a whole answer.
-pub fn whole_end() -> DispatchEvent {
+/// The event that ends a complete answer.
+pub fn end_event() -> DispatchEvent {
     let grant = GrantId { holder: IncarnationId(4), number: 5 };
     DispatchEvent::End(DispatchEnd::Whole {
         charge: ChargeRecord {
@@ -166,21 +166,21 @@
     })
 }
 
-/// What a future gives, which it has to within [`PATIENCE`].
-pub async fn soon<T>(future: impl Future<Output = T>) -> T {
+/// The output of a future; panics after [`TEST_TIMEOUT`].
+pub async fn within_timeout<T>(future: impl Future<Output = T>) -> T {
     let timer = async {
-        smol::Timer::after(PATIENCE).await;
-        panic!("nothing happened for {PATIENCE:?}");
+        smol::Timer::after(TEST_TIMEOUT).await;
+        panic!("not ready within {TEST_TIMEOUT:?}");
     };
     futures_lite::future::or(future, timer).await
 }
 
-/// Waits until a condition holds, which it has to within [`PATIENCE`].
-pub async fn until(condition: impl Fn() -> bool) {
+/// Waits until a condition holds; panics after [`TEST_TIMEOUT`].
+pub async fn wait_until(condition: impl Fn() -> bool) {
     let holds = async {
         while !condition() {
             smol::Timer::after(Duration::from_millis(2)).await;
         }
     };
-    soon(holds).await;
+    within_timeout(holds).await;
 }
--- a/crates/sagespool-link/tests/support/relay.rs
+++ b/crates/sagespool-link/tests/support/relay.rs
@@ -1,4 +1,4 @@
-//! A relay of UDP datagrams that can be cut, or led to another target.
+//! A relay of UDP datagrams that can drop them, or switch to another target.
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -9,7 +9,7 @@
 
 use super::loopback;
 
-/// Stands before one target; clients send to its address.
+/// Relays between clients, which send to its address, and one target.
 pub struct UdpRelay {
     address: SocketAddr,
     state: Arc<RelayState>,
@@ -18,9 +18,9 @@
 struct RelayState {
     socket: Async<UdpSocket>,
     target: Mutex<SocketAddr>,
-    cut_forth: AtomicBool,
-    cut_back: AtomicBool,
-    ways: Mutex<HashMap<SocketAddr, Arc<Async<UdpSocket>>>>,
+    drop_to_target: AtomicBool,
+    drop_to_client: AtomicBool,
+    target_sockets: Mutex<HashMap<SocketAddr, Arc<Async<UdpSocket>>>>,
 }
 
 impl UdpRelay {
@@ -30,11 +30,11 @@
         let state = Arc::new(RelayState {
             socket,
             target: Mutex::new(target),
-            cut_forth: AtomicBool::new(false),
-            cut_back: AtomicBool::new(false),
-            ways: Mutex::default(),
+            drop_to_target: AtomicBool::new(false),
+            drop_to_client: AtomicBool::new(false),
+            target_sockets: Mutex::default(),
         });
-        smol::spawn(relay_forth(state.clone())).detach();
+        smol::spawn(forward_to_target(state.clone())).detach();
         Self { address, state }
     }
 
@@ -42,49 +42,53 @@
         self.address
     }
 
-    /// Drops every datagram from now on, or lets them pass again.
-    pub fn cut(&self, cut: bool) {
-        self.cut_one_way(cut, cut);
+    /// Starts or stops dropping all datagrams.
+    pub fn set_dropping(&self, dropping: bool) {
+        self.set_dropping_by_direction(dropping, dropping);
     }
 
-    /// The same for the way to the target and for the way back.
-    pub fn cut_one_way(&self, forth: bool, back: bool) {
-        self.state.cut_forth.store(forth, Ordering::SeqCst);
-        self.state.cut_back.store(back, Ordering::SeqCst);
+    /// Sets for each direction whether datagrams are dropped.
+    pub fn set_dropping_by_direction(&self, to_target: bool, to_client: bool) {
+        self.state.drop_to_target.store(to_target, Ordering::SeqCst);
+        self.state.drop_to_client.store(to_client, Ordering::SeqCst);
     }
 
-    /// Sends to another target from now on, as if it had the first one's address.
-    pub fn lead_to(&self, target: SocketAddr) {
+    /// Sends to another target, as if it had replaced the first at its address.
+    pub fn set_target(&self, target: SocketAddr) {
         *self.state.target.lock().unwrap() = target;
     }
 }
 
 impl RelayState {
-    fn way_of(self: &Arc<Self>, client: SocketAddr) -> Arc<Async<UdpSocket>> {
-        let mut ways = self.ways.lock().unwrap();
-        let new_way = || {
-            let way = Arc::new(Async::<UdpSocket>::bind(loopback()).unwrap());
-            smol::spawn(relay_back(self.clone(), client, way.clone())).detach();
-            way
+    fn socket_for(self: &Arc<Self>, client: SocketAddr) -> Arc<Async<UdpSocket>> {
+        let mut target_sockets = self.target_sockets.lock().unwrap();
+        let new_socket = || {
+            let socket = Arc::new(Async::<UdpSocket>::bind(loopback()).unwrap());
+            smol::spawn(forward_to_client(self.clone(), client, socket.clone())).detach();
+            socket
         };
-        ways.entry(client).or_insert_with(new_way).clone()
+        target_sockets.entry(client).or_insert_with(new_socket).clone()
     }
 }
 
-async fn relay_forth(state: Arc<RelayState>) {
+async fn forward_to_target(state: Arc<RelayState>) {
     let mut buffer = [0; 2048];
     while let Ok((size, client)) = state.socket.recv_from(&mut buffer).await {
         let target = *state.target.lock().unwrap();
-        if !state.cut_forth.load(Ordering::SeqCst) {
-            let _ = state.way_of(client).send_to(&buffer[..size], target).await;
+        if !state.drop_to_target.load(Ordering::SeqCst) {
+            let _ = state.socket_for(client).send_to(&buffer[..size], target).await;
         }
     }
 }
 
-async fn relay_back(state: Arc<RelayState>, client: SocketAddr, way: Arc<Async<UdpSocket>>) {
+async fn forward_to_client(
+    state: Arc<RelayState>,
+    client: SocketAddr,
+    socket: Arc<Async<UdpSocket>>,
+) {
     let mut buffer = [0; 2048];
-    while let Ok((size, _)) = way.recv_from(&mut buffer).await {
-        if !state.cut_back.load(Ordering::SeqCst) {
+    while let Ok((size, _)) = socket.recv_from(&mut buffer).await {
+        if !state.drop_to_client.load(Ordering::SeqCst) {
             let _ = state.socket.send_to(&buffer[..size], client).await;
         }
     }
--- a/crates/sagespool-link/tests/wrong_certificate.rs
+++ b/crates/sagespool-link/tests/untrusted_certificate.rs
@@ -1,4 +1,4 @@
-//! Who is let in, and who isn't.
+//! The verification of peers' certificates.
 
 mod support;
 
@@ -8,20 +8,22 @@
 
 use sagespool_link::{IdentityError, LinkError, LinkIdentity};
 use sagespool_messages::PeerReply;
-use support::{PATIENCE, TestAuthority, deaf, endpoint, handler, question, until};
+use support::{
+    TEST_TIMEOUT, TestAuthority, endpoint, handler, silent_handler, status_request, wait_until,
+};
 
 #[test]
-fn stranger_refused() {
-    // A process whose certificate is another authority's sends a request, or is
-    // sent one. A client of TLS 1.3 takes the connection for made before the
-    // server has looked at its certificate: the request would be in doubt, though
-    // the server never read it. It must count as not sent, and must not be handled.
+fn untrusted_peer_refused() {
+    // A process with a certificate of another authority sends or receives a request.
+    // A TLS 1.3 client considers the connection established before the server has
+    // verified its certificate: the request would be in doubt although the server never
+    // read it. It must count as not sent, and must not be handled.
     smol::block_on(async {
-        let (ours, theirs) = (TestAuthority::new(), TestAuthority::new());
-        let both = format!("{}{}", ours.certificate, theirs.certificate);
-        let stranger = || theirs.issue().trusting(&both);
-        let member = || ours.identity();
-        for (client, server) in [(stranger(), member()), (member(), stranger())] {
+        let (trusted_authority, other_authority) = (TestAuthority::new(), TestAuthority::new());
+        let both = format!("{}{}", trusted_authority.certificate, other_authority.certificate);
+        let untrusted = || other_authority.issue().trusting(&both);
+        let member = || trusted_authority.identity();
+        for (client, server) in [(untrusted(), member()), (member(), untrusted())] {
             let handled = Arc::new(AtomicUsize::new(0));
             let count = handled.clone();
             let counting = handler(move |call| {
@@ -29,14 +31,15 @@
                 call.responder.reply(PeerReply::Done)
             });
             let server = endpoint(server, counting);
-            let client = endpoint(client, deaf());
-            let error = client.request(server.local_address(), &question(), PATIENCE).await;
+            let client = endpoint(client, silent_handler());
+            let error =
+                client.request(server.local_address(), &status_request(), TEST_TIMEOUT).await;
             let error = error.unwrap_err();
             assert!(matches!(error, LinkError::Unreachable { .. }), "{error}");
             assert!(error.definitely_not_handled());
             assert_eq!(handled.load(Ordering::SeqCst), 0);
-            until(|| client.counters().handshakes_refused == 1).await;
-            until(|| server.counters().handshakes_refused == 1).await;
+            wait_until(|| client.counters().handshakes_refused == 1).await;
+            wait_until(|| server.counters().handshakes_refused == 1).await;
         }
     });
 }
--- a/crates/sagespool-log/src/level.rs
+++ b/crates/sagespool-log/src/level.rs
@@ -68,7 +68,7 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let fault = || ParseError::new("a log level", text, "`error`, `warn`, `info` or `debug`");
-        Self::ALL.into_iter().find(|level| level.as_str() == text).ok_or_else(fault)
+        let error = || ParseError::new("a log level", text, "`error`, `warn`, `info` or `debug`");
+        Self::ALL.into_iter().find(|level| level.as_str() == text).ok_or_else(error)
     }
 }
