--- a/crates/sagespool-cli/src/check.rs
+++ b/crates/sagespool-cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `sagespool check`: the same check that a process makes at its start.
+//! `sagespool check`: the validation that a process runs at its start.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -22,14 +22,14 @@
     help: "`sagespool check --help` lists the options",
 };
 
-/// Checks settings files, or the objects of a configuration, as a process does at its start. Every
-/// fault is shown at once, with its path in the file, what was found and what is allowed.
+/// Checks settings files, or the objects of a configuration, as a process does at its start. Shows
+/// every error at once, with its path in the file, what was found and what is allowed.
 ///
 /// Examples:
 /// $ sagespool check examples/entry.json examples/sidecar.json
 /// $ sagespool check --fleet fleet.json --branches branches.json
 ///
-/// Exit codes: 0 all are good, 1 there are faults or a file can't be read, 2 wrong arguments.
+/// Exit codes: 0 all are valid, 1 there are errors or a file can't be read, 2 wrong arguments.
 #[derive(Debug, Options)]
 struct CheckOptions {
     #[options(help = "print this help")]
@@ -44,7 +44,7 @@
     json: bool,
 }
 
-/// What was found in one file.
+/// The result of checking one file; an item of the `--json` output.
 #[derive(Serialize)]
 struct FileReport {
     file: String,
@@ -52,7 +52,7 @@
     faults: Vec<ValidationError>,
 }
 
-/// Checks the files; exit code 0 if all are good, else 1.
+/// Checks the files; exit code 0 if all are valid, else 1.
 pub fn run(arguments: &[String]) -> Result<ExitCode, Report<CommandError>> {
     match read_arguments::<CheckOptions>(&USAGE, arguments)? {
         Some(options) => check_all(&options),
@@ -73,18 +73,18 @@
     }
     check_configuration(options, &mut reports)?;
     show_reports(&reports, options.json);
-    let good = reports.iter().all(|report| report.faults.is_empty());
-    Ok(if good { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let all_valid = reports.iter().all(|report| report.faults.is_empty());
+    Ok(if all_valid { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
 fn check_settings(path: &Path) -> Result<FileReport, Report<CommandError>> {
-    let report = match load_any(path) {
+    let report = match describe_settings(path) {
         Ok(holds) => return Ok(new_report(path, holds, Vec::new())),
         Err(report) => report,
     };
     match report.current_context() {
-        SettingsError::Faulty(_, faults) => {
-            Ok(new_report(path, "settings".to_owned(), faults.faults.clone()))
+        SettingsError::Invalid(_, errors) => {
+            Ok(new_report(path, "settings".to_owned(), errors.errors.clone()))
         }
         SettingsError::Unreadable(_) => {
             Err(report.change_context(CommandError::Unreadable(path.into())))
@@ -92,8 +92,8 @@
     }
 }
 
-/// Loads a settings file of any role, and says in words what it holds.
-fn load_any(path: &Path) -> Result<String, Report<SettingsError>> {
+/// Loads a settings file of any role, and describes it by role and instance.
+fn describe_settings(path: &Path) -> Result<String, Report<SettingsError>> {
     let is_gateway_or_relay = fs::read_to_string(path).is_ok_and(|text| is_gateway_or_relay(&text));
     if !is_gateway_or_relay {
         let settings = load_process_settings(path)?;
@@ -107,7 +107,7 @@
     })
 }
 
-/// The objects by themselves, then what one refers to in the other.
+/// Checks each object alone, then the references between them.
 fn check_configuration(
     options: &CheckOptions,
     reports: &mut Vec<FileReport>,
@@ -116,8 +116,8 @@
         check_object(options.fleet.as_deref(), "classes and services", parse_fleet, reports)?;
     let branches = check_object(options.branches.as_deref(), "branches", parse_branches, reports)?;
     if let (Some(fleet), Some(branches)) = (fleet, branches) {
-        let report = reports.last_mut().expect("the report on the branches is there");
-        report.faults = check_together(fleet, &branches);
+        let report = reports.last_mut().expect("check_object pushed the report on the branches");
+        report.faults = cross_check(fleet, &branches);
     }
     Ok(())
 }
@@ -131,15 +131,15 @@
     let Some(path) = path else { return Ok(None) };
     let text =
         fs::read_to_string(path).change_context_lazy(|| CommandError::Unreadable(path.into()))?;
-    let (object, faults) = match read(&text) {
+    let (object, errors) = match read(&text) {
         Ok(object) => (Some(object), Vec::new()),
-        Err(faults) => (None, faults.faults),
+        Err(errors) => (None, errors.errors),
     };
-    reports.push(new_report(path, holds.to_owned(), faults));
+    reports.push(new_report(path, holds.to_owned(), errors));
     Ok(object)
 }
 
-fn check_together(fleet: FleetObject, branches: &BranchObject) -> Vec<ValidationError> {
+fn cross_check(fleet: FleetObject, branches: &BranchObject) -> Vec<ValidationError> {
     FleetConfiguration::build(ConfigVersion(0), fleet, [branches]).validation_errors()
 }
 
@@ -158,7 +158,7 @@
             println!("{}: good, {}", report.file, report.holds);
             continue;
         }
-        let faults = ValidationErrors { faults: report.faults.clone() };
-        println!("{}: {}, {faults}", report.file, report.holds);
+        let errors = ValidationErrors { errors: report.faults.clone() };
+        println!("{}: {}, {errors}", report.file, report.holds);
     }
 }
--- a/crates/sagespool-cli/tests/check_command.rs
+++ b/crates/sagespool-cli/tests/check_command.rs
@@ -1,4 +1,4 @@
-//! `sagespool check`, as an operator runs it.
+//! `sagespool check`, run as a process.
 
 #![allow(clippy::unwrap_used)]
 
@@ -20,7 +20,7 @@
     String::from_utf8(output.stderr.clone()).unwrap()
 }
 
-/// A directory with a good settings file and the certificates that it names.
+/// A directory with a valid settings file and the certificate files that it names.
 fn settings_directory() -> (tempfile::TempDir, PathBuf) {
     let directory = tempfile::tempdir().unwrap();
     let settings = json!({
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn good_settings() {
+fn valid_settings() {
     let (_directory, path) = settings_directory();
     let path = path.to_str().unwrap();
     let output = sagespool(&["check", path]);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn all_faults() {
+fn all_errors_at_once() {
     let (directory, path) = settings_directory();
     fs::remove_file(directory.path().join("entry-1.key")).unwrap();
     let missing_key = sagespool(&["check", path.to_str().unwrap()]);
@@ -77,13 +77,13 @@
     let output = sagespool(&["check", path.to_str().unwrap()]);
     assert_eq!(output.status.code(), Some(1));
     let text = stdout(&output);
-    assert!(text.contains("settings, 2 faults\n"), "{text}");
+    assert!(text.contains("settings, 2 errors\n"), "{text}");
     assert!(text.contains("\n  $.peers[0]: found \"nowhere\"; allowed: an address"), "{text}");
     assert!(text.contains("did you mean `stop_limit_ms`?"), "{text}");
 }
 
 #[test]
-fn json_faults() {
+fn json_output() {
     let (_directory, path) = settings_directory();
     change(&path, "centre", json!("Ghala"));
     let output = sagespool(&["check", "--json", path.to_str().unwrap()]);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn wrong_use() {
+fn usage_errors() {
     let nothing = sagespool(&["check"]);
     assert_eq!(nothing.status.code(), Some(2));
     assert!(stderr(&nothing).contains("help: sagespool check FILE"), "{}", stderr(&nothing));
@@ -109,17 +109,17 @@
 
 #[test]
 fn example_objects() {
-    for user in ["majan", "cedarline"] {
-        let directory = format!("{}/../../examples/{user}", env!("CARGO_MANIFEST_DIR"));
+    for example in ["majan", "cedarline"] {
+        let directory = format!("{}/../../examples/{example}", env!("CARGO_MANIFEST_DIR"));
         let (fleet, branches) =
             (format!("{directory}/fleet.json"), format!("{directory}/branches.json"));
         let output = sagespool(&["check", "--fleet", &fleet, "--branches", &branches]);
-        assert_eq!(output.status.code(), Some(0), "{user}: {}", stdout(&output));
+        assert_eq!(output.status.code(), Some(0), "{example}: {}", stdout(&output));
     }
 }
 
 #[test]
-fn loose_reference() {
+fn dangling_reference() {
     let directory = tempfile::tempdir().unwrap();
     let (fleet, branches) =
         (directory.path().join("fleet.json"), directory.path().join("branches.json"));
--- a/crates/sagespool-settings/examples/configuration_cost.rs
+++ b/crates/sagespool-settings/examples/configuration_cost.rs
@@ -1,5 +1,6 @@
-//! What the configuration costs a process: `cargo run --release -p sagespool-settings --example
-//! configuration_cost -- 57000`. Prints one JSON object; times in microseconds unless said so.
+//! Benchmark of the configuration: `cargo run --release -p sagespool-settings --example
+//! configuration_cost -- 57000` (the number of branches). Prints one JSON object; each member's
+//! name ends with its unit.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -19,16 +20,20 @@
     let count = std::env::args().nth(1).and_then(|text| text.parse().ok());
     let count = count.unwrap_or(DEFAULT_BRANCHES);
     let fleet = parse_fleet(include_str!("../../../examples/majan/fleet.json"))
-        .expect("the example is tested");
+        .expect("the example file is valid");
     let shards = split_branches(branches(count));
-    let values: Vec<_> =
-        shards.values().map(|shard| serde_json::to_value(shard).expect("plain data")).collect();
+    let values: Vec<_> = shards
+        .values()
+        .map(|shard| serde_json::to_value(shard).expect("plain data serializes"))
+        .collect();
     let largest = values.iter().map(|value| value.to_string().len()).max().unwrap_or_default();
 
     let before = resident_kilobytes();
     let started = Instant::now();
-    let objects: Vec<BranchObject> =
-        values.iter().map(|value| check_branches(value).expect("written by the schema")).collect();
+    let objects: Vec<BranchObject> = values
+        .iter()
+        .map(|value| check_branches(value).expect("serialized from valid objects"))
+        .collect();
     let checked = started.elapsed();
     let started = Instant::now();
     let configuration = FleetConfiguration::build(ConfigVersion(1), fleet, &objects);
@@ -42,7 +47,7 @@
         "check_all_us": checked.as_micros() as u64,
         "build_us": built.as_micros() as u64,
         "change_us": change_cost(&configuration),
-        "faults_us": faults_cost(&configuration),
+        "faults_us": cross_check_cost(&configuration),
         "known_token_ns": lookup_cost(&configuration, |at| token(at % count)),
         "unknown_token_ns": lookup_cost(&configuration, |at| format!("unknown-{at}")),
         "resident_kb": resident,
@@ -51,7 +56,7 @@
 }
 
 fn name(number: usize) -> BranchName {
-    format!("client-account-{number}").parse().expect("a plain name")
+    format!("client-account-{number}").parse().expect("a valid branch name")
 }
 
 fn token(number: usize) -> String {
@@ -64,14 +69,14 @@
     BranchObject { branches: (0..count).map(|number| (name(number), entry(number))).collect() }
 }
 
-/// Mean time until a changed object of one shard is in force.
+/// Mean time in microseconds to validate and apply a changed object of one shard.
 fn change_cost(configuration: &FleetConfiguration) -> u64 {
     let shard = branch_shard(&name(0));
     let object = configuration.shard(shard).expect("the shard of a branch").clone();
-    let value = serde_json::to_value(&object).expect("plain data");
+    let value = serde_json::to_value(&object).expect("plain data serializes");
     let started = Instant::now();
     for version in 0..CHANGES {
-        let mut object = check_branches(&value).expect("written by the schema");
+        let mut object = check_branches(&value).expect("serialized from valid objects");
         let entry = object.branches.get_mut(&name(0)).expect("the branch is in its shard");
         entry.key_hashes = vec![SecretHash::of(&token(version))];
         let version = ConfigVersion(version as u64);
@@ -80,7 +85,7 @@
     (started.elapsed() / CHANGES as u32).as_micros() as u64
 }
 
-fn faults_cost(configuration: &FleetConfiguration) -> u64 {
+fn cross_check_cost(configuration: &FleetConfiguration) -> u64 {
     let started = Instant::now();
     black_box(configuration.validation_errors());
     started.elapsed().as_micros() as u64
@@ -95,7 +100,7 @@
     (started.elapsed() / LOOKUPS as u32).as_nanos() as u64
 }
 
-/// From the kernel's figures for this process; 0 where there are none.
+/// The process's `VmRSS` from `/proc`; 0 if it isn't available.
 fn resident_kilobytes() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or_default();
--- a/crates/sagespool-settings/src/check/mod.rs
+++ b/crates/sagespool-settings/src/check/mod.rs
@@ -1,16 +1,16 @@
-//! Reading a JSON document with every fault collected.
+//! Reads typed values from a JSON document and collects every validation error.
 //!
-//! Each reader returns `None` exactly if it noted a fault, so that a caller
-//! reads all fields first and puts the value together at the end.
+//! Each reader returns `None` if and only if it recorded an error, so that a caller can read
+//! all fields before it builds its value.
 
-mod fault_log;
+mod error_collector;
 mod lists;
 mod node;
 mod object;
 mod scalars;
-mod words;
+mod text;
 
-pub(crate) use fault_log::FaultLog;
-pub(crate) use node::CheckNode;
+pub(crate) use error_collector::ErrorCollector;
+pub(crate) use node::ValueNode;
 pub(crate) use object::ObjectNode;
-pub(crate) use words::{field_path, nearest_of};
+pub(crate) use text::{field_path, nearest_of};
--- a/crates/sagespool-settings/src/check/node.rs
+++ b/crates/sagespool-settings/src/check/node.rs
@@ -1,62 +1,62 @@
-//! One value of a document, and objects.
+//! JSON values with their position in the document.
 
 use std::cell::RefCell;
 
 use serde_json::Value;
 
 use crate::ValidationError;
-use crate::check::words::{field_path, show_kind, show_value};
-use crate::check::{FaultLog, ObjectNode};
+use crate::check::text::{field_path, show_kind, show_value};
+use crate::check::{ErrorCollector, ObjectNode};
 
-/// One value of the document and where it stands.
+/// A value of the document and its JSON path.
 #[derive(Clone)]
-pub(crate) struct CheckNode<'a> {
+pub(crate) struct ValueNode<'a> {
     pub(super) value: &'a Value,
     pub(super) path: String,
-    pub(super) faults: &'a FaultLog,
+    pub(super) errors: &'a ErrorCollector,
 }
 
-impl<'a> CheckNode<'a> {
-    pub fn root(value: &'a Value, faults: &'a FaultLog) -> Self {
-        Self { value, path: "$".to_owned(), faults }
+impl<'a> ValueNode<'a> {
+    pub fn root(value: &'a Value, errors: &'a ErrorCollector) -> Self {
+        Self { value, path: "$".to_owned(), errors }
     }
 
-    /// Notes a fault that shows the value, cut to a readable length.
-    pub fn fault<T>(&self, allowed: impl Into<String>) -> Option<T> {
-        self.fault_with(show_value(self.value), allowed, None)
+    /// Records an error that shows the value, truncated if it is long.
+    pub fn reject<T>(&self, allowed: impl Into<String>) -> Option<T> {
+        self.reject_with(show_value(self.value), allowed, None)
     }
 
-    pub fn fault_with<T>(
+    pub fn reject_with<T>(
         &self,
         found: impl Into<String>,
         allowed: impl Into<String>,
         nearest: Option<String>,
     ) -> Option<T> {
         let (found, allowed) = (found.into(), allowed.into());
-        self.faults.note(ValidationError { path: self.path.clone(), found, allowed, nearest });
+        self.errors.push(ValidationError { path: self.path.clone(), found, allowed, nearest });
         None
     }
 
-    /// An object. Fields that `read` didn't ask for are faults.
+    /// Reads an object. Fields that `read` didn't access are errors.
     pub fn object<T>(self, read: impl FnOnce(&ObjectNode<'a>) -> Option<T>) -> Option<T> {
         let Value::Object(fields) = self.value else {
-            return self.fault_with(show_kind(self.value), "an object", None);
+            return self.reject_with(show_kind(self.value), "an object", None);
         };
         let object =
-            ObjectNode { fields, path: self.path, faults: self.faults, known: RefCell::default() };
+            ObjectNode { fields, path: self.path, errors: self.errors, known: RefCell::default() };
         let value = read(&object);
-        object.note_unknown();
+        object.reject_unknown_fields();
         value
     }
 
-    /// An object whose fields have names of the operator's choice.
-    pub fn entries<T>(self, read: impl Fn(&str, CheckNode<'a>) -> Option<T>) -> Option<Vec<T>> {
+    /// Reads an object whose field names are data, such as branch names.
+    pub fn entries<T>(self, read: impl Fn(&str, ValueNode<'a>) -> Option<T>) -> Option<Vec<T>> {
         let Value::Object(fields) = self.value else {
-            return self.fault_with(show_kind(self.value), "an object", None);
+            return self.reject_with(show_kind(self.value), "an object", None);
         };
         let read_one = |(name, value): (&String, &'a Value)| {
             let path = field_path(&self.path, name);
-            read(name, CheckNode { value, path, faults: self.faults })
+            read(name, ValueNode { value, path, errors: self.errors })
         };
         let items: Vec<Option<T>> = fields.iter().map(read_one).collect();
         items.into_iter().collect()
--- a/crates/sagespool-settings/src/check/object.rs
+++ b/crates/sagespool-settings/src/check/object.rs
@@ -1,56 +1,57 @@
-//! Objects whose fields are read by name.
+//! Reads the fields of a JSON object by name.
 
 use std::cell::RefCell;
 
 use serde_json::{Map, Value};
 
 use crate::ValidationError;
-use crate::check::words::{field_path, nearest_of, quote_all};
-use crate::check::{CheckNode, FaultLog};
+use crate::check::text::{field_path, nearest_of, quote_names};
+use crate::check::{ErrorCollector, ValueNode};
 
-/// An object whose fields are read by name.
+/// A JSON object. Tracks which fields were accessed, to reject the others as unknown.
 pub(crate) struct ObjectNode<'a> {
     pub(super) fields: &'a Map<String, Value>,
     pub(super) path: String,
-    pub(super) faults: &'a FaultLog,
+    pub(super) errors: &'a ErrorCollector,
     pub(super) known: RefCell<Vec<&'static str>>,
 }
 
 impl<'a> ObjectNode<'a> {
-    pub fn field(&self, name: &'static str) -> Option<CheckNode<'a>> {
-        self.know(&[name]);
+    pub fn field(&self, name: &'static str) -> Option<ValueNode<'a>> {
+        self.allow(&[name]);
         let value = self.fields.get(name)?;
-        Some(CheckNode { value, path: field_path(&self.path, name), faults: self.faults })
+        Some(ValueNode { value, path: field_path(&self.path, name), errors: self.errors })
     }
 
-    /// An object among the fields whose other fields are read elsewhere.
-    pub fn peek(&self, name: &str) -> Option<ObjectNode<'a>> {
+    /// An object field whose unknown fields are rejected by another reader; `None` if it isn't an
+    /// object.
+    pub fn peek_object(&self, name: &str) -> Option<ObjectNode<'a>> {
         let fields = self.fields.get(name)?.as_object()?;
         let path = field_path(&self.path, name);
-        Some(ObjectNode { fields, path, faults: self.faults, known: RefCell::default() })
+        Some(ObjectNode { fields, path, errors: self.errors, known: RefCell::default() })
     }
 
-    /// Fields that are allowed here, though not read.
-    pub fn know(&self, names: &[&'static str]) {
+    /// Accepts fields that aren't read here.
+    pub fn allow(&self, names: &[&'static str]) {
         self.known.borrow_mut().extend(names);
     }
 
     pub fn required<T>(
         &self,
         name: &'static str,
-        read: impl FnOnce(CheckNode<'a>) -> Option<T>,
+        read: impl FnOnce(ValueNode<'a>) -> Option<T>,
     ) -> Option<T> {
         match self.field(name) {
             Some(node) => read(node),
-            None => self.fault_at(name, "nothing", "this field is required"),
+            None => self.reject_field(name, "nothing", "this field is required"),
         }
     }
 
-    /// `Some(None)` if the field isn't there.
+    /// `Some(None)` if the field is absent.
     pub fn optional<T>(
         &self,
         name: &'static str,
-        read: impl FnOnce(CheckNode<'a>) -> Option<T>,
+        read: impl FnOnce(ValueNode<'a>) -> Option<T>,
     ) -> Option<Option<T>> {
         match self.field(name) {
             Some(node) => read(node).map(Some),
@@ -58,11 +59,11 @@
         }
     }
 
-    pub fn or<T>(
+    pub fn or_default<T>(
         &self,
         name: &'static str,
         default: T,
-        read: impl FnOnce(CheckNode<'a>) -> Option<T>,
+        read: impl FnOnce(ValueNode<'a>) -> Option<T>,
     ) -> Option<T> {
         match self.field(name) {
             Some(node) => read(node),
@@ -70,8 +71,8 @@
         }
     }
 
-    /// Notes a fault of a field, whether it is there or not.
-    pub fn fault_at<T>(
+    /// Records an error for a field, whether it is present or not.
+    pub fn reject_field<T>(
         &self,
         name: &str,
         found: impl Into<String>,
@@ -79,37 +80,37 @@
     ) -> Option<T> {
         let path = field_path(&self.path, name);
         let (found, allowed) = (found.into(), allowed.into());
-        self.faults.note(ValidationError { path, found, allowed, nearest: None });
+        self.errors.push(ValidationError { path, found, allowed, nearest: None });
         None
     }
 
-    /// Notes a fault further down, at a path from this object.
-    pub fn fault_below(&self, at: &str, found: String, allowed: String) {
-        let path = format!("{}.{at}", self.path);
-        self.faults.note(ValidationError { path, found, allowed, nearest: None });
+    /// Records an error at a path relative to this object.
+    pub fn reject_below(&self, subpath: &str, found: String, allowed: String) {
+        let path = format!("{}.{subpath}", self.path);
+        self.errors.push(ValidationError { path, found, allowed, nearest: None });
     }
 
-    /// Notes a fault if a field's word isn't one of the known ones.
-    pub fn note_unless_word(&self, name: &str, word: &str, words: &[&str]) {
-        if words.contains(&word) {
+    /// Records an error if `value`, the field's content, isn't one of `names`.
+    pub fn reject_unless_known(&self, name: &str, value: &str, names: &[&str]) {
+        if names.contains(&value) {
             return;
         }
-        self.faults.note(ValidationError {
+        self.errors.push(ValidationError {
             path: field_path(&self.path, name),
-            found: format!("{word:?}"),
-            allowed: format!("one of {}", quote_all(words)),
-            nearest: nearest_of(word, words),
+            found: format!("{value:?}"),
+            allowed: format!("one of {}", quote_names(names)),
+            nearest: nearest_of(value, names),
         });
     }
 
-    /// An unknown field's value isn't shown: it may be a secret under a misspelt name.
-    pub(super) fn note_unknown(&self) {
+    /// Doesn't show the value of an unknown field: it can be a secret under a misspelt name.
+    pub(super) fn reject_unknown_fields(&self) {
         let known = self.known.borrow();
         for name in self.fields.keys().filter(|name| !known.contains(&name.as_str())) {
-            self.faults.note(ValidationError {
+            self.errors.push(ValidationError {
                 path: field_path(&self.path, name),
                 found: "an unknown field".to_owned(),
-                allowed: format!("the fields {}", quote_all(&known)),
+                allowed: format!("the fields {}", quote_names(&known)),
                 nearest: nearest_of(name, &known),
             });
         }
--- a/crates/sagespool-settings/src/configuration/cross_check.rs
+++ b/crates/sagespool-settings/src/configuration/cross_check.rs
@@ -1,4 +1,4 @@
-//! What one object alone doesn't show.
+//! Checks across the objects of the configuration.
 
 use sagespool_types::BranchName;
 
@@ -9,95 +9,100 @@
 };
 
 impl FleetConfiguration {
-    /// Checks a change, before it is accepted, for what one object alone doesn't show: classes
-    /// and services that branches refer to, keys that two branches share.
+    /// Checks a change, before it is accepted, across objects: classes and services that branches
+    /// refer to, and keys that two branches share.
     ///
     /// # Errors
     ///
-    /// Every fault of `changed` that isn't in force already: an old one must not stop the
-    /// change that mends another.
+    /// Every error of `changed` that the present configuration doesn't have. Older errors don't
+    /// block a change, so that they can be corrected one at a time.
     pub fn check_change(&self, changed: &Self) -> Result<(), ValidationErrors> {
         let present = self.validation_errors();
-        let mut faults = changed.validation_errors();
-        faults.retain(|fault| !present.contains(fault));
-        if faults.is_empty() {
+        let mut errors = changed.validation_errors();
+        errors.retain(|error| !present.contains(error));
+        if errors.is_empty() {
             return Ok(());
         }
-        Err(ValidationErrors { faults })
+        Err(ValidationErrors { errors })
     }
 
-    /// Every reference that leads nowhere, every key that two branches share, every branch in
-    /// another shard than its own.
+    /// Every reference to an unknown class or service, every key that two branches share, and every
+    /// branch in a shard other than its own.
     pub fn validation_errors(&self) -> Vec<ValidationError> {
-        let mut faults = Vec::new();
+        let mut errors = Vec::new();
         for (shard, object) in (0..).zip(&self.shards) {
             let parent = format!("{}:$.branches", branch_object_key(shard));
             for (name, entry) in &object.branches {
                 let path = field_path(&parent, name.as_str());
-                self.note_misplaced(shard, name, &path, &mut faults);
-                self.note_shared_keys(name, entry, &path, &mut faults);
-                self.note_references(entry, &path, &mut faults);
+                self.check_shard(shard, name, &path, &mut errors);
+                self.check_shared_keys(name, entry, &path, &mut errors);
+                self.check_references(entry, &path, &mut errors);
             }
         }
-        faults
+        errors
     }
 
-    fn note_misplaced(
+    fn check_shard(
         &self,
         shard: u64,
         name: &BranchName,
         path: &str,
-        faults: &mut Vec<ValidationError>,
+        errors: &mut Vec<ValidationError>,
     ) {
         let own = branch_shard(name);
         if own == shard {
             return;
         }
         let allowed = format!("this branch only in {}", branch_object_key(own));
-        faults.push(new_fault(path.to_owned(), "a branch of another shard".to_owned(), allowed));
+        errors.push(new_error(path.to_owned(), "a branch of another shard".to_owned(), allowed));
     }
 
-    fn note_shared_keys(
+    fn check_shared_keys(
         &self,
         name: &BranchName,
         entry: &BranchConfig,
         path: &str,
-        faults: &mut Vec<ValidationError>,
+        errors: &mut Vec<ValidationError>,
     ) {
         for (index, hash) in entry.key_hashes.iter().enumerate() {
             if let Some(other) = self.tokens.other_owner(hash, name) {
                 let path = format!("{path}.key_hashes[{index}]");
                 let found = format!("a key that branch `{other}` has too");
-                faults.push(new_fault(path, found, "a key of its own for each branch".to_owned()));
+                errors.push(new_error(path, found, "a key of its own for each branch".to_owned()));
             }
         }
     }
 
-    fn note_references(&self, entry: &BranchConfig, path: &str, faults: &mut Vec<ValidationError>) {
+    fn check_references(
+        &self,
+        entry: &BranchConfig,
+        path: &str,
+        errors: &mut Vec<ValidationError>,
+    ) {
         let fleet = self.fleet();
         for (index, held) in entry.held_back.iter().enumerate() {
             if self.class(&held.class).is_none() {
                 let path = format!("{path}.held_back[{index}].class");
-                let words = fleet.classes.iter().map(|class| class.name.as_str()).collect();
-                faults.push(unknown_word(path, held.class.as_str(), words));
+                let names = fleet.classes.iter().map(|class| class.name.as_str()).collect();
+                errors.push(unknown_name(path, held.class.as_str(), names));
             }
         }
         for (index, rule) in entry.non_idempotent.iter().enumerate() {
             if self.service(&rule.service).is_none() {
                 let path = format!("{path}.non_idempotent[{index}].service");
-                let words = fleet.services.iter().map(|service| service.name.as_str()).collect();
-                faults.push(unknown_word(path, rule.service.as_str(), words));
+                let names = fleet.services.iter().map(|service| service.name.as_str()).collect();
+                errors.push(unknown_name(path, rule.service.as_str(), names));
             }
         }
     }
 }
 
-fn new_fault(path: String, found: String, allowed: String) -> ValidationError {
+fn new_error(path: String, found: String, allowed: String) -> ValidationError {
     ValidationError { path, found, allowed, nearest: None }
 }
 
-fn unknown_word(path: String, found: &str, words: Vec<&str>) -> ValidationError {
-    let nearest = nearest_of(found, &words);
-    let allowed = format!("one of `{}`", words.join("`, `"));
+fn unknown_name(path: String, found: &str, names: Vec<&str>) -> ValidationError {
+    let nearest = nearest_of(found, &names);
+    let allowed = format!("one of `{}`", names.join("`, `"));
     ValidationError { path, found: format!("{found:?}"), allowed, nearest }
 }
--- a/crates/sagespool-settings/src/configuration/index.rs
+++ b/crates/sagespool-settings/src/configuration/index.rs
@@ -1,4 +1,4 @@
-//! The configuration that a process has in force.
+//! The configuration that a process applies.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::{self, Debug};
@@ -8,16 +8,15 @@
 
 use crate::configuration::token::TokenIndex;
 use crate::{
-    BRANCH_SHARDS, BranchConfig, BranchObject, ClassConfig, FleetObject, ModelConfig,
+    BRANCH_SHARD_COUNT, BranchConfig, BranchObject, ClassConfig, FleetObject, ModelConfig,
     ServiceConfig, branch_shard, split_branches,
 };
 
-/// One state of the configuration, with the lookups of a request's way.
+/// One version of the configuration, with indexes for the lookups of the request path.
 ///
-/// A change makes a new one that shares what didn't change, so that with
-/// 57,000 branches a change of one of them costs one shard. What refers to a
-/// class or service that isn't there is without effect: two objects change
-/// one after the other, and the state between must not stop a process.
+/// A change makes a new version that shares the unchanged parts, so that with 57,000 branches a
+/// change of one branch copies one shard. References to a missing class or service have no
+/// effect: objects change one after the other, and the state in between must not stop a process.
 #[derive(Clone)]
 pub struct FleetConfiguration {
     version: ConfigVersion,
@@ -34,7 +33,7 @@
 }
 
 impl FleetConfiguration {
-    /// A configuration of checked objects, whichever shards the branches come in.
+    /// Builds a configuration from validated objects. The branches may be in any shard.
     pub fn build<'a>(
         version: ConfigVersion,
         fleet: FleetObject,
@@ -43,7 +42,7 @@
         let mut configuration = Self {
             version,
             fleet: Arc::new(FleetIndex::new(fleet)),
-            shards: vec![Arc::default(); BRANCH_SHARDS as usize],
+            shards: vec![Arc::default(); BRANCH_SHARD_COUNT as usize],
             tokens: TokenIndex::new(),
         };
         let all = branches.into_iter().flat_map(|object| object.branches.clone()).collect();
@@ -53,14 +52,14 @@
         configuration
     }
 
-    /// The same with another fleet object.
+    /// A copy with another fleet object.
     pub fn with_fleet(&self, version: ConfigVersion, fleet: FleetObject) -> Self {
         let mut changed = Self { version, ..self.clone() };
         changed.fleet = Arc::new(FleetIndex::new(fleet));
         changed
     }
 
-    /// The same with another object of one shard.
+    /// A copy with another object for one shard.
     pub fn with_branches(&self, version: ConfigVersion, shard: u64, object: BranchObject) -> Self {
         let mut changed = Self { version, ..self.clone() };
         changed.replace_shard(shard, object);
@@ -72,55 +71,56 @@
         self.version
     }
 
-    /// The fleet's object.
+    /// The object `configuration/fleet`.
     pub fn fleet(&self) -> &FleetObject {
         &self.fleet.object
     }
 
-    /// One shard of the branches.
+    /// The branches of one shard; `None` from [`BRANCH_SHARD_COUNT`](crate::BRANCH_SHARD_COUNT) up.
     pub fn shard(&self, shard: u64) -> Option<&BranchObject> {
         Some(self.shards.get(usize::try_from(shard).ok()?)?)
     }
 
-    /// Every branch, by shard and name.
+    /// Every branch, ordered by shard and name.
     pub fn branches(&self) -> impl Iterator<Item = (&BranchName, &BranchConfig)> {
         self.shards.iter().flat_map(|object| &object.branches)
     }
 
-    /// The branch that a bearer token belongs to; none if it is unknown or revoked.
+    /// The branch that a bearer token belongs to; `None` if the token is unknown, revoked, or
+    /// registered for two branches.
     pub fn branch_by_token(&self, token: &str) -> Option<&BranchName> {
         self.tokens.owner_of(token)
     }
 
-    /// A branch.
+    /// `None` if no branch in its own shard has this name.
     pub fn branch(&self, branch: &BranchName) -> Option<&BranchConfig> {
         self.shard(branch_shard(branch))?.branches.get(branch)
     }
 
-    /// A class.
+    /// `None` if no class has this name.
     pub fn class(&self, class: &ClassName) -> Option<&ClassConfig> {
-        let place = *self.fleet.classes.get(class)?;
-        Some(&self.fleet.object.classes[place])
+        let index = *self.fleet.classes.get(class)?;
+        Some(&self.fleet.object.classes[index])
     }
 
-    /// Every class.
+    /// Every class, in the order of the fleet object.
     pub fn classes(&self) -> impl Iterator<Item = &ClassConfig> {
         self.fleet.object.classes.iter()
     }
 
-    /// The class of requests that name none.
+    /// The class of requests that don't name one.
     pub fn default_class(&self) -> &ClassConfig {
         self.class(&self.fleet.object.default_class)
-            .expect("a checked object has its default class")
+            .expect("a validated fleet object has its default class")
     }
 
-    /// A service.
+    /// `None` if no service has this name.
     pub fn service(&self, service: &ServiceName) -> Option<&ServiceConfig> {
-        let place = *self.fleet.services.get(service)?;
-        Some(&self.fleet.object.services[place])
+        let index = *self.fleet.services.get(service)?;
+        Some(&self.fleet.object.services[index])
     }
 
-    /// Every service.
+    /// Every service, in the order of the fleet object.
     pub fn services(&self) -> impl Iterator<Item = &ServiceConfig> {
         self.fleet.object.services.iter()
     }
@@ -132,17 +132,17 @@
 
     /// The service whose engines serve a model.
     pub fn service_of_model(&self, model: &ModelName) -> Option<&ServiceConfig> {
-        let (place, _) = *self.fleet.models.get(model)?;
-        Some(&self.fleet.object.services[place])
+        let (index, _) = *self.fleet.models.get(model)?;
+        Some(&self.fleet.object.services[index])
     }
 
-    /// A model.
+    /// `None` if no service has this model.
     pub fn model(&self, model: &ModelName) -> Option<&ModelConfig> {
-        let (place, inner) = *self.fleet.models.get(model)?;
-        Some(&self.fleet.object.services[place].models[inner])
+        let (index, model_index) = *self.fleet.models.get(model)?;
+        Some(&self.fleet.object.services[index].models[model_index])
     }
 
-    /// Whether a call may never run twice, by the service's rules or the branch's.
+    /// Whether a call must not run twice, by a rule of the service or of the branch.
     pub fn is_non_idempotent(
         &self,
         branch: &BranchName,
@@ -150,13 +150,13 @@
         method: &str,
         path: &str,
     ) -> bool {
-        let service_says = self.service(service).is_some_and(|entry| {
+        let by_service = self.service(service).is_some_and(|entry| {
             entry.non_idempotent.iter().any(|rule| rule.matches(method, path))
         });
-        service_says || self.branch_declares(branch, service, method, path)
+        by_service || self.matches_branch_rule(branch, service, method, path)
     }
 
-    fn branch_declares(
+    fn matches_branch_rule(
         &self,
         branch: &BranchName,
         service: &ServiceName,
@@ -168,13 +168,13 @@
         rules.any(|rule| rule.route.matches(method, path))
     }
 
-    /// Keys of branches in a shard that isn't theirs are left out: the branch itself isn't found.
+    /// Doesn't index keys of branches that belong to another shard: lookups don't find these branches.
     fn replace_shard(&mut self, shard: u64, object: BranchObject) {
-        let Some(place) = usize::try_from(shard).ok().filter(|at| *at < self.shards.len()) else {
+        let Some(index) = usize::try_from(shard).ok().filter(|at| *at < self.shards.len()) else {
             return;
         };
-        let old = std::mem::replace(&mut self.shards[place], Arc::new(object));
-        let new = self.shards[place].clone();
+        let old = std::mem::replace(&mut self.shards[index], Arc::new(object));
+        let new = self.shards[index].clone();
         for (name, hash) in keys_missing_in(&old.branches, &new.branches) {
             self.tokens.remove(hash, name);
         }
@@ -198,13 +198,13 @@
 impl FleetIndex {
     fn new(object: FleetObject) -> Self {
         let classes = object.classes.iter().enumerate();
-        let classes = classes.map(|(place, class)| (class.name.clone(), place)).collect();
+        let classes = classes.map(|(index, class)| (class.name.clone(), index)).collect();
         let services = object.services.iter().enumerate();
-        let services = services.map(|(place, service)| (service.name.clone(), place)).collect();
+        let services = services.map(|(index, service)| (service.name.clone(), index)).collect();
         let mut models = HashMap::new();
-        for (place, service) in object.services.iter().enumerate() {
-            for (inner, model) in service.models.iter().enumerate() {
-                models.insert(model.name.clone(), (place, inner));
+        for (index, service) in object.services.iter().enumerate() {
+            for (model_index, model) in service.models.iter().enumerate() {
+                models.insert(model.name.clone(), (index, model_index));
             }
         }
         Self { object, classes, services, models }
--- a/crates/sagespool-settings/src/configuration/mod.rs
+++ b/crates/sagespool-settings/src/configuration/mod.rs
@@ -1,4 +1,4 @@
-//! The fleet's configuration: objects of the store, their check, and what is in force.
+//! The fleet's configuration: stored objects, their validation, and the indexed form.
 
 mod branches;
 mod cross_check;
@@ -15,6 +15,6 @@
 pub use index::FleetConfiguration;
 pub use route::{LimitConfig, RouteRule};
 pub use shard::{
-    BRANCH_SHARDS, CONFIGURATION_PREFIX, FLEET_OBJECT_KEY, branch_object_key, branch_object_shard,
-    branch_shard, split_branches,
+    BRANCH_SHARD_COUNT, CONFIGURATION_PREFIX, FLEET_OBJECT_KEY, branch_object_key,
+    branch_object_shard, branch_shard, split_branches,
 };
--- a/crates/sagespool-settings/src/configuration/route.rs
+++ b/crates/sagespool-settings/src/configuration/route.rs
@@ -1,58 +1,56 @@
-//! Rules that match a call by its method and path.
+//! Rules that match a call by its method and path, and request limits.
 
 use sagespool_types::derives;
 
-use crate::check::{CheckNode, ObjectNode};
+use crate::check::{ObjectNode, ValueNode};
 
 derives! { record;
-    /// Calls with a method (or any) whose path is a prefix or lies below it.
+    /// Matches calls by method (or any) and by a path prefix.
     pub struct RouteRule {
-        /// The method in capitals, or nothing for every method.
+        /// The method in capitals; `None` matches every method.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub method: Option<String>,
-        /// The path's beginning, from `/`, in whole segments: `/letters` is for `/letters` and
-        /// `/letters/7`, not for `/letterheads`.
+        /// The start of the path, from `/`, in whole segments: `/letters` matches `/letters` and
+        /// `/letters/7`, but not `/letterheads`.
         pub path_prefix: String,
     }
 }
 
 impl RouteRule {
-    /// Whether a call falls under the rule. `path` may have a query.
+    /// Whether the rule matches a call. `path` may include a query.
     pub fn matches(&self, method: &str, path: &str) -> bool {
         let method_fits =
             self.method.as_ref().is_none_or(|wanted| wanted.eq_ignore_ascii_case(method));
-        method_fits && CallPath::new(path).lies_below(&self.path_prefix)
+        method_fits && CallPath::new(path).is_below(&self.path_prefix)
     }
 }
 
 derives! { record;
-    /// Limits; nothing means unlimited.
+    /// Request limits; `None` means unlimited.
     #[derive(Default, Copy, Eq, bon::Builder)]
     pub struct LimitConfig {
         /// Requests running at once.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub running: Option<u32>,
-        /// Requests started a second.
+        /// Requests started per second.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub requests_per_second: Option<u32>,
     }
 }
 
 impl LimitConfig {
-    /// Whether nothing is limited.
+    /// Whether no limit is set.
     pub fn is_unlimited(&self) -> bool {
         self.running.is_none() && self.requests_per_second.is_none()
     }
 }
 
-/// A call's path, ready to be compared with rules.
+/// A normalized path, for comparison with rules.
 ///
-/// Guards against a non-idempotent call that passes as another: the service
-/// behind may decode `%6cetters`, ignore case, fold `//` and `/./` or resolve
-/// `..`, so a rule compared letter by letter would miss it, and a retry would
-/// run it twice. A path is compared both with `..` resolved and left as it
-/// stands. Where the service reads paths more strictly than that, a call is
-/// taken for non-idempotent without need, which costs a claim and no more.
+/// The service may decode `%6cetters`, ignore case, collapse `//` and `/./` or resolve `..`. A
+/// rule compared with the raw path would miss such a non-idempotent call, and a retry would run
+/// it twice. The path is compared both with `..` resolved and unresolved. If the service is
+/// stricter, a call may be treated as non-idempotent needlessly, which only costs a claim.
 pub(crate) struct CallPath {
     resolved: Vec<String>,
     literal: Vec<String>,
@@ -60,29 +58,29 @@
 
 impl CallPath {
     pub fn new(path: &str) -> Self {
-        let literal = segments_of(path);
-        Self { resolved: resolve(&literal), literal }
+        let literal = normalized_segments(path);
+        Self { resolved: resolve_dot_segments(&literal), literal }
     }
 
-    pub fn lies_below(&self, prefix: &str) -> bool {
-        let prefix = segments_of(prefix);
+    pub fn is_below(&self, prefix: &str) -> bool {
+        let prefix = normalized_segments(prefix);
         self.resolved.starts_with(&prefix) || self.literal.starts_with(&prefix)
     }
 }
 
-fn segments_of(path: &str) -> Vec<String> {
+fn normalized_segments(path: &str) -> Vec<String> {
     let path = path.split(['?', '#']).next().unwrap_or_default();
     let path = decode_fully(path).replace('\\', "/").to_lowercase();
-    let bare = path.split('/').map(without_parameters);
+    let bare = path.split('/').map(strip_parameters);
     bare.filter(|segment| !segment.is_empty() && *segment != ".").map(str::to_owned).collect()
 }
 
-/// `letters;v=1` names the same resource as `letters` for many services.
-fn without_parameters(segment: &str) -> &str {
+/// For many services `letters;v=1` names the same resource as `letters`.
+fn strip_parameters(segment: &str) -> &str {
     segment.split(';').next().unwrap_or_default()
 }
 
-fn resolve(literal: &[String]) -> Vec<String> {
+fn resolve_dot_segments(literal: &[String]) -> Vec<String> {
     let mut resolved = Vec::new();
     for segment in literal {
         if segment == ".." {
@@ -94,12 +92,12 @@
     resolved
 }
 
-/// A path that is still encoded after so many rounds is compared as it is.
-const MOST_DECODINGS: usize = 3;
+/// A path that is still encoded after this many rounds is compared as it is.
+const MAX_DECODE_ROUNDS: usize = 3;
 
 fn decode_fully(path: &str) -> String {
     let mut path = path.to_owned();
-    for _ in 0..MOST_DECODINGS {
+    for _ in 0..MAX_DECODE_ROUNDS {
         let decoded = decode_once(&path);
         if decoded == path {
             break;
@@ -114,9 +112,9 @@
     let mut decoded = Vec::with_capacity(bytes.len());
     let mut at = 0;
     while at < bytes.len() {
-        if let Some(byte) = encoded_byte(&bytes[at..]) {
+        if let Some(byte) = decode_percent(&bytes[at..]) {
             decoded.push(byte);
-            at += ENCODED_LENGTH;
+            at += ENCODED_BYTE_LEN;
         } else {
             decoded.push(bytes[at]);
             at += 1;
@@ -125,10 +123,10 @@
     String::from_utf8_lossy(&decoded).into_owned()
 }
 
-const ENCODED_LENGTH: usize = 3;
+const ENCODED_BYTE_LEN: usize = 3;
 
-fn encoded_byte(bytes: &[u8]) -> Option<u8> {
-    let [b'%', digits @ ..] = bytes.get(..ENCODED_LENGTH)? else { return None };
+fn decode_percent(bytes: &[u8]) -> Option<u8> {
+    let [b'%', digits @ ..] = bytes.get(..ENCODED_BYTE_LEN)? else { return None };
     let digits = std::str::from_utf8(digits).ok()?;
     if digits.starts_with('+') {
         return None;
@@ -136,7 +134,7 @@
     u8::from_str_radix(digits, 16).ok()
 }
 
-const LONGEST_PREFIX: usize = 256;
+const MAX_PREFIX_BYTES: usize = 256;
 const METHODS: [(&str, &str); 7] = [
     ("GET", "GET"),
     ("HEAD", "HEAD"),
@@ -153,22 +151,22 @@
     Some(RouteRule { method: method?.map(str::to_owned), path_prefix: path_prefix? })
 }
 
-fn read_prefix(node: CheckNode) -> Option<String> {
+fn read_prefix(node: ValueNode) -> Option<String> {
     const ALLOWED: &str = "a path from `/` of at most 256 bytes, without `?`, `#`, `%`, `;`, `..` \
                            or spaces";
     let text = node.text(ALLOWED)?;
     let plain = text.chars().all(|c| c.is_ascii_graphic() && !"?#%;\\".contains(c));
-    let fits = plain && text.starts_with('/') && text.len() <= LONGEST_PREFIX;
+    let fits = plain && text.starts_with('/') && text.len() <= MAX_PREFIX_BYTES;
     if !fits || text.split('/').any(|segment| segment == "..") {
-        return node.fault(ALLOWED);
+        return node.reject(ALLOWED);
     }
     Some(text.to_owned())
 }
 
-const GREATEST_LIMIT: u32 = 1_000_000;
+const MAX_LIMIT: u32 = 1_000_000;
 
 pub(crate) fn read_limits(object: &ObjectNode) -> Option<LimitConfig> {
-    let bound = |node: CheckNode| node.small_number(1..=GREATEST_LIMIT);
+    let bound = |node: ValueNode| node.number_u32(1..=MAX_LIMIT);
     let running = object.optional("running", bound);
     let requests_per_second = object.optional("requests_per_second", bound);
     Some(LimitConfig { running: running?, requests_per_second: requests_per_second? })
--- a/crates/sagespool-settings/src/document.rs
+++ b/crates/sagespool-settings/src/document.rs
@@ -1,58 +1,57 @@
-//! From text to a JSON document, with repeated fields noted, and from a document to what it holds.
+//! Parses JSON documents, rejecting repeated fields, and reads typed values from them.
 
 use std::fmt;
 
 use serde::de::{DeserializeSeed, Deserializer, Error, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Number, Value};
 
-use crate::check::{CheckNode, FaultLog, ObjectNode, field_path};
+use crate::check::{ErrorCollector, ObjectNode, ValueNode, field_path};
 use crate::{ValidationError, ValidationErrors};
 
-/// Reads what a document holds, with `read` for its fields; every fault at once.
+/// Reads an object from `document` with `read`; returns every error at once.
 pub(crate) fn check_document<T>(
     document: &Value,
     read: fn(&ObjectNode) -> Option<T>,
 ) -> Result<T, ValidationErrors> {
-    let faults = FaultLog::default();
-    let value = CheckNode::root(document, &faults).object(read);
-    faults.outcome(value)
+    let errors = ErrorCollector::default();
+    let value = ValueNode::root(document, &errors).object(read);
+    errors.into_result(value)
 }
 
-/// As [`check_document`], from a file's text; repeated fields are faults too.
+/// Like [`check_document`], but parses `text` first; repeated fields are also errors.
 pub(crate) fn check_text<T>(
     text: &str,
     read: fn(&ObjectNode) -> Option<T>,
 ) -> Result<T, ValidationErrors> {
-    let faults = FaultLog::default();
-    let document = read_document(text, &faults)?;
-    let value = CheckNode::root(&document, &faults).object(read);
-    faults.outcome(value)
+    let errors = ErrorCollector::default();
+    let document = read_document(text, &errors)?;
+    let value = ValueNode::root(&document, &errors).object(read);
+    errors.into_result(value)
 }
 
-/// Reads a text as one JSON document.
+/// Parses `text` as one JSON document.
 ///
-/// JSON readers usually keep the last of two fields with one name, in
-/// silence: an operator who edits the first sees no effect. Here the second
-/// is a fault.
-fn read_document(text: &str, faults: &FaultLog) -> Result<Value, ValidationErrors> {
+/// JSON parsers usually keep the last of two fields of one name without an error. An edit of
+/// the first one then has no effect, so a repeated field is an error here.
+fn read_document(text: &str, errors: &ErrorCollector) -> Result<Value, ValidationErrors> {
     let mut reader = serde_json::Deserializer::from_str(text);
-    let seed = ValueSeed { path: "$".to_owned(), faults };
-    let value = seed.deserialize(&mut reader).map_err(|fault| syntax_fault(&fault))?;
-    reader.end().map_err(|fault| syntax_fault(&fault))?;
+    let seed = ValueSeed { path: "$".to_owned(), errors };
+    let value = seed.deserialize(&mut reader).map_err(|error| syntax_error(&error))?;
+    reader.end().map_err(|error| syntax_error(&error))?;
     Ok(value)
 }
 
-fn syntax_fault(fault: &serde_json::Error) -> ValidationErrors {
-    let path = format!("line {} column {}", fault.line(), fault.column());
-    let found = fault.to_string();
+fn syntax_error(error: &serde_json::Error) -> ValidationErrors {
+    let path = format!("line {} column {}", error.line(), error.column());
+    let found = error.to_string();
     let found = found.split(" at line ").next().unwrap_or_default().to_owned();
     let allowed = "one JSON document".to_owned();
-    ValidationErrors { faults: vec![ValidationError { path, found, allowed, nearest: None }] }
+    ValidationErrors { errors: vec![ValidationError { path, found, allowed, nearest: None }] }
 }
 
 struct ValueSeed<'a> {
     path: String,
-    faults: &'a FaultLog,
+    errors: &'a ErrorCollector,
 }
 
 impl<'de> DeserializeSeed<'de> for ValueSeed<'_> {
@@ -74,8 +73,8 @@
         Ok(Value::Null)
     }
 
-    fn visit_bool<E: Error>(self, flag: bool) -> Result<Value, E> {
-        Ok(Value::Bool(flag))
+    fn visit_bool<E: Error>(self, boolean: bool) -> Result<Value, E> {
+        Ok(Value::Bool(boolean))
     }
 
     fn visit_u64<E: Error>(self, number: u64) -> Result<Value, E> {
@@ -98,7 +97,7 @@
         let mut list = Vec::new();
         loop {
             let path = format!("{}[{}]", self.path, list.len());
-            let seed = ValueSeed { path, faults: self.faults };
+            let seed = ValueSeed { path, errors: self.errors };
             let Some(item) = items.next_element_seed(seed)? else { return Ok(Value::Array(list)) };
             list.push(item);
         }
@@ -108,12 +107,12 @@
         let mut fields = Map::new();
         while let Some(name) = entries.next_key::<String>()? {
             let path = field_path(&self.path, &name);
-            let seed = ValueSeed { path: path.clone(), faults: self.faults };
+            let seed = ValueSeed { path: path.clone(), errors: self.errors };
             let value = entries.next_value_seed(seed)?;
             if fields.insert(name, value).is_some() {
-                let found = "the same field again".to_owned();
-                let allowed = "each field once".to_owned();
-                self.faults.note(ValidationError { path, found, allowed, nearest: None });
+                let found = "a repeated field".to_owned();
+                let allowed = "each field only once".to_owned();
+                self.errors.push(ValidationError { path, found, allowed, nearest: None });
             }
         }
         Ok(Value::Object(fields))
--- a/crates/sagespool-settings/src/process/file.rs
+++ b/crates/sagespool-settings/src/process/file.rs
@@ -1,4 +1,4 @@
-//! The settings file itself, and the files that it names.
+//! Loads the settings file of an entry or sidecar, and checks the files that it names.
 
 use std::fmt;
 use std::fs;
@@ -8,38 +8,39 @@
 
 use crate::{ProcessSettings, ValidationError, ValidationErrors, parse_process_settings};
 
-/// A settings file that can't be used.
+/// Why a settings file can't be used.
 #[derive(Debug)]
 pub enum SettingsError {
-    /// It can't be read.
+    /// The file can't be read.
     Unreadable(PathBuf),
-    /// Its content has faults.
-    Faulty(PathBuf, ValidationErrors),
+    /// The content has validation errors.
+    Invalid(PathBuf, ValidationErrors),
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreadable(path) => write!(f, "can't read settings {}", path.display()),
-            Self::Faulty(path, faults) => write!(f, "settings {}: {faults}", path.display()),
+            Self::Invalid(path, errors) => write!(f, "settings {}: {errors}", path.display()),
         }
     }
 }
 
 impl std::error::Error for SettingsError {}
 
-/// Reads and checks a settings file. Paths in it are taken from its own directory.
+/// Reads and validates a settings file. Relative paths in it start at its own directory.
 ///
 /// # Errors
 ///
-/// If it can't be read, or has faults, or names files that aren't there: all of them at once.
+/// If the file can't be read, has validation errors, or names files that don't exist. Reports all
+/// validation errors, or else all missing files.
 pub fn load_process_settings(path: &Path) -> Result<ProcessSettings, Report<SettingsError>> {
     let text =
         fs::read_to_string(path).change_context_lazy(|| SettingsError::Unreadable(path.into()))?;
-    let faulty = |faults| Report::new(SettingsError::Faulty(path.into(), faults));
-    let mut settings = parse_process_settings(&text).map_err(faulty)?;
+    let invalid = |errors| Report::new(SettingsError::Invalid(path.into(), errors));
+    let mut settings = parse_process_settings(&text).map_err(invalid)?;
     resolve_files(&mut settings, path.parent().unwrap_or(Path::new("")));
-    check_files(&settings).map_err(faulty)?;
+    check_files(&settings).map_err(invalid)?;
     Ok(settings)
 }
 
@@ -50,7 +51,7 @@
     }
 }
 
-/// Checks that the files that settings name are there. Their content is the link's business.
+/// Checks that the files named in the settings exist. The link checks their content.
 ///
 /// # Errors
 ///
@@ -62,19 +63,19 @@
         ("$.link.key", &link.key),
         ("$.link.authority", &link.authority),
     ];
-    let faults: Vec<ValidationError> =
+    let errors: Vec<ValidationError> =
         files.into_iter().filter_map(|(path, file)| missing_file(path, file)).collect();
-    if faults.is_empty() {
+    if errors.is_empty() {
         return Ok(());
     }
-    Err(ValidationErrors { faults })
+    Err(ValidationErrors { errors })
 }
 
 fn missing_file(path: &str, file: &Path) -> Option<ValidationError> {
     let found = match fs::metadata(file) {
         Ok(data) if data.is_file() => return None,
         Ok(_) => format!("`{}`, which isn't a file", file.display()),
-        Err(fault) => format!("`{}` ({fault})", file.display()),
+        Err(error) => format!("`{}` ({error})", file.display()),
     };
     let allowed = "the path of a PEM file that can be read".to_owned();
     Some(ValidationError { path: path.to_owned(), found, allowed, nearest: None })
--- a/crates/sagespool-settings/src/process/gateway.rs
+++ b/crates/sagespool-settings/src/process/gateway.rs
@@ -1,4 +1,4 @@
-//! What a gateway is told: an entry that forwards straight to upstreams.
+//! Settings of gateways, which forward requests directly to upstreams, and of relays.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -10,7 +10,7 @@
 use sagespool_log::LogLevel;
 use sagespool_types::{ByteCount, CentreName, InstanceName, RegionName};
 
-use crate::check::{CheckNode, ObjectNode};
+use crate::check::{ObjectNode, ValueNode};
 use crate::document::check_text;
 use crate::process::common::{LogSettings, read_log, read_peers};
 use crate::{SettingsError, ValidationErrors};
@@ -18,208 +18,208 @@
 /// The settings of a gateway.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GatewaySettings {
-    /// The instance's name. A later run under the same name replaces this one.
+    /// The instance's name. A later process with the same name replaces this one.
     pub instance: InstanceName,
-    /// Its region.
+    /// Region of the instance.
     pub region: RegionName,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub centre: CentreName,
-    /// Where callers connect (HTTP).
+    /// The HTTP listen address for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether this instance takes requests (HTTP).
+    /// The HTTP listen address for the load balancer's readiness checks.
     pub readiness: SocketAddr,
-    /// Where metrics are served (HTTP); nowhere if it isn't given.
+    /// The HTTP listen address for metrics; `None` disables it.
     pub metrics: Option<SocketAddr>,
-    /// Where other gateways reach this one (UDP); alone if it isn't given.
+    /// The UDP address of the link to other gateways; `None` runs this gateway without peers.
     pub link: Option<SocketAddr>,
-    /// The address of the link that others are told, if it differs from the one listened at.
+    /// The link address that peers connect to; `None` if it is the listen address.
     pub advertise: Option<SocketAddr>,
-    /// Links of other gateways to begin with.
+    /// Link addresses of the first peers to contact.
     pub peers: Vec<SocketAddr>,
     /// The platform's object API.
     pub object_api: SocketAddr,
-    /// Within which time a change in the store is in force here. Where it is given, instances of a
-    /// data centre follow the store for each other, as far as the time allows.
+    /// Time limits for applying changes of the store. If set, instances of a data centre watch the
+    /// store for each other, as far as the limits allow.
     pub in_force: Option<PropagationSettings>,
-    /// The regions of the data centres.
+    /// The region of each data centre.
     pub regions: BTreeMap<CentreName, RegionName>,
-    /// What all gateways together may send to a cold upstream.
+    /// Limits on what all gateways together send to a cold upstream.
     pub warmup: WarmupSettings,
     /// How long a graceful stop may take.
     pub stop_limit: Duration,
-    /// What may be sent to a second upstream, over all gateways.
+    /// Limits on retries at a second upstream, over all gateways.
     pub retries: RetrySettings,
     /// How much of a budget an instance takes at a time.
     pub grants: GrantSettings,
-    /// What the process may use; what isn't given is asked of the system.
+    /// Resource limits of the process; limits that aren't set are read from the system.
     pub limits: ResourceSettings,
-    /// The log.
+    /// Log settings.
     pub log: LogSettings,
 }
 
-/// The settings of a relay, which makes calls of the store for gateways.
+/// The settings of a relay, which makes store calls for gateways.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RelaySettings {
     /// The instance's name.
     pub instance: InstanceName,
-    /// Its region.
+    /// Region of the instance.
     pub region: RegionName,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub centre: CentreName,
-    /// Where gateways reach it (UDP).
+    /// The UDP address at which gateways reach it.
     pub link: SocketAddr,
-    /// The address of the link that others are told, if it differs from the one listened at.
+    /// The link address that peers connect to; `None` if it is the listen address.
     pub advertise: Option<SocketAddr>,
-    /// Links of others to begin with.
+    /// Link addresses of the first peers to contact.
     pub peers: Vec<SocketAddr>,
     /// The platform's object API.
     pub object_api: SocketAddr,
-    /// The log.
+    /// Log settings.
     pub log: LogSettings,
 }
 
-/// The settings of a process that serves requests without a sidecar of its own.
+/// The settings of a gateway or a relay, the roles that work without sidecars.
 #[derive(Debug, Clone, PartialEq)]
 pub enum GatewayOrRelaySettings {
-    /// Forwards requests straight to upstreams.
+    /// Forwards requests directly to upstreams.
     Gateway(Box<GatewaySettings>),
-    /// Makes calls of the store for gateways.
+    /// Makes store calls for gateways.
     Relay(RelaySettings),
 }
 
-/// What all gateways together may send to a second upstream, for each service.
+/// Limits on what all gateways together send to a second upstream, for each service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetrySettings {
-    /// Repeats for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeats beside them in a window.
+    /// Retries per window in addition to the ratio.
     pub slack: f64,
     /// The length of the window.
     pub window: Duration,
 }
 
-/// Within which time changes are in force at each gateway.
+/// Time limits for applying changes at each gateway.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PropagationSettings {
-    /// Changes of the configuration and of the list of upstreams.
+    /// For changes of the configuration and of the list of upstreams.
     pub changes: Duration,
-    /// Evacuations of data centres; they aren't followed if it isn't given.
+    /// For evacuations of data centres; `None` if evacuations aren't watched.
     pub evacuations: Option<Duration>,
 }
 
-/// What all gateways together may send to a cold upstream in a second.
+/// Limits on what all gateways together send to a cold upstream per second.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WarmupSettings {
-    /// Factor on what the upstream's service says of it.
+    /// Factor on the request rate that the upstream's service states for a cold upstream.
     pub overage: f64,
-    /// Requests beside that.
+    /// Requests per second in addition to that rate.
     pub slack: f64,
 }
 
 /// How much of a client account's budget an instance takes at a time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct GrantSettings {
-    /// The time that a supply lasts if the store is away. More serves callers through longer
-    /// outages; a killed instance gives up what it hadn't spent of it.
+    /// How long a supply lasts without the store. More covers longer outages, but a killed instance
+    /// loses the unspent part of its supplies.
     pub ahead: Duration,
-    /// The most that an instance takes ahead, of its even share of what is free.
+    /// The maximum that an instance takes ahead, as a fraction of its even share of the free budget.
     pub share: f64,
-    /// The most that may lie idle in supplies, of an account's total. A kill of all instances gives
-    /// up as much of each account at most, and later supplies are smaller by what was given up.
+    /// The maximum of unspent supplies, as a fraction of an account's total. If all instances are
+    /// killed, at most this part of each account is lost, and later supplies shrink by the loss.
     pub idle: f64,
 }
 
-/// What a process may use of its machine. What it takes in from callers is bounded by this.
+/// Resource limits of a process. The amount of work accepted from callers depends on them.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct ResourceSettings {
     /// Memory of the whole process.
     pub memory: Option<ByteCount>,
-    /// Descriptors that it may have open.
+    /// Open file descriptors.
     pub descriptors: Option<u32>,
 }
 
-/// The words under `role` that tell these settings from those of entries and sidecars.
-const ROLES: [(&str, DirectRole); 2] =
-    [("gateway", DirectRole::Gateway), ("relay", DirectRole::Relay)];
+/// The values of `role` for a gateway and a relay.
+const ROLES: [(&str, GatewayOrRelayRole); 2] =
+    [("gateway", GatewayOrRelayRole::Gateway), ("relay", GatewayOrRelayRole::Relay)];
 
 #[derive(Debug, Clone, Copy)]
-enum DirectRole {
+enum GatewayOrRelayRole {
     Gateway,
     Relay,
 }
 
 const DEFAULT_LOG: LogSettings = LogSettings { level: LogLevel::Info };
-const LONGEST_STOP_S: f64 = 86_400.0;
-const LONGEST_IN_FORCE_MS: u64 = 3_600_000;
-const LONGEST_WINDOW_S: f64 = 3_600.0;
-const MOST_SLACK: f64 = 1e9;
+const MAX_STOP_S: f64 = 86_400.0;
+const MAX_PROPAGATION_MS: u64 = 3_600_000;
+const MAX_RETRY_WINDOW_S: f64 = 3_600.0;
+const MAX_SLACK: f64 = 1e9;
 const DEFAULT_STOP_S: f64 = 30.0;
-/// Outages and cuts on the users' platform last up to nine seconds.
+/// Store outages and network partitions of the supported platforms last up to 9 s.
 const DEFAULT_GRANTS: GrantSettings =
-    GrantSettings { ahead: Duration::from_secs(10), share: 0.35, idle: DEFAULT_IDLE };
-/// Callers count on 97 in 100 of a total. A kill finds supplies three quarters full on average, so
-/// that a fleet that is killed once gives up three hundredths.
-const DEFAULT_IDLE: f64 = 0.04;
-const BYTES_IN_MB: u64 = 1 << 20;
-/// A gateway that knows its peers and carries a few requests takes some thirty megabytes.
-const LEAST_MEMORY_MB: u64 = 48;
-const MOST_MEMORY_MB: u64 = 1 << 24;
-/// The system's own files, the link, the store, and a connection on either side.
-const LEAST_DESCRIPTORS: u32 = 512;
-const MOST_DESCRIPTORS: u32 = 1 << 30;
-const LONGEST_AHEAD_S: f64 = 3_600.0;
+    GrantSettings { ahead: Duration::from_secs(10), share: 0.35, idle: DEFAULT_IDLE_SHARE };
+/// Callers can rely on 97 % of a total: supplies are three quarters full on average when instances
+/// are killed, so that one kill of the whole fleet loses 3 %.
+const DEFAULT_IDLE_SHARE: f64 = 0.04;
+const BYTES_PER_MB: u64 = 1 << 20;
+/// A gateway with its peers and a few requests in flight uses about 30 MB.
+const MIN_MEMORY_MB: u64 = 48;
+const MAX_MEMORY_MB: u64 = 1 << 24;
+/// Covers the process's own files, the link, the store, and a connection on either side.
+const MIN_DESCRIPTORS: u32 = 512;
+const MAX_DESCRIPTORS: u32 = 1 << 30;
+const MAX_GRANT_AHEAD_S: f64 = 3_600.0;
 const DEFAULT_WARMUP: WarmupSettings = WarmupSettings { overage: 1.0, slack: 0.0 };
-const MOST_OVERAGE: f64 = 100.0;
-const CENTRE_NAMES: &str = "the name of a data centre before its region";
+const MAX_WARMUP_OVERAGE: f64 = 100.0;
+const CENTRE_NAME_ALLOWED: &str = "the name of a data centre as the key of its region";
 const DEFAULT_RETRIES: RetrySettings =
     RetrySettings { ratio: 0.2, slack: 10.0, window: Duration::from_secs(10) };
 
-/// Whether a settings file is a gateway's or a relay's. A text that isn't a document is nobody's:
-/// the other roles' check tells what is wrong with it.
+/// Whether a settings file is a gateway's or a relay's. False for a text that isn't JSON: the
+/// check for the other roles reports its syntax error.
 pub fn is_gateway_or_relay(text: &str) -> bool {
     let document: Result<serde_json::Value, _> = serde_json::from_str(text);
-    document.is_ok_and(|document| ROLES.iter().any(|(word, _)| document["role"] == *word))
+    document.is_ok_and(|document| ROLES.iter().any(|(name, _)| document["role"] == *name))
 }
 
-/// Checks the text of a gateway's or a relay's settings file.
+/// Parses and validates the text of a gateway's or a relay's settings file.
 ///
 /// # Errors
 ///
-/// Every fault at once: its path, what was found and what is allowed.
+/// Every validation error at once, with its path, what was found and what is allowed.
 pub fn parse_gateway_or_relay(text: &str) -> Result<GatewayOrRelaySettings, ValidationErrors> {
-    check_text(text, read_direct)
+    check_text(text, read_gateway_or_relay)
 }
 
-/// Reads and checks a gateway's or a relay's settings file.
+/// Reads and validates a gateway's or a relay's settings file.
 ///
 /// # Errors
 ///
-/// If it can't be read, or has faults: all of them at once.
+/// If the file can't be read, or every validation error at once.
 pub fn load_gateway_or_relay(path: &Path) -> Result<GatewayOrRelaySettings, Report<SettingsError>> {
     let text =
         fs::read_to_string(path).change_context_lazy(|| SettingsError::Unreadable(path.into()))?;
     parse_gateway_or_relay(&text)
-        .map_err(|faults| Report::new(SettingsError::Faulty(path.into(), faults)))
+        .map_err(|errors| Report::new(SettingsError::Invalid(path.into(), errors)))
 }
 
-fn read_direct(object: &ObjectNode) -> Option<GatewayOrRelaySettings> {
+fn read_gateway_or_relay(object: &ObjectNode) -> Option<GatewayOrRelaySettings> {
     match object.required("role", |node| node.one_of(&ROLES))? {
-        DirectRole::Gateway => {
+        GatewayOrRelayRole::Gateway => {
             read_gateway(object).map(|gateway| GatewayOrRelaySettings::Gateway(Box::new(gateway)))
         }
-        DirectRole::Relay => read_relay(object).map(GatewayOrRelaySettings::Relay),
+        GatewayOrRelayRole::Relay => read_relay(object).map(GatewayOrRelaySettings::Relay),
     }
 }
 
 fn read_relay(object: &ObjectNode) -> Option<RelaySettings> {
-    let instance = object.required("instance", CheckNode::parse);
-    let region = object.required("region", CheckNode::parse);
-    let centre = object.required("centre", CheckNode::parse);
-    let link = object.required("link", CheckNode::reached_address);
-    let advertise = object.optional("advertise", CheckNode::reached_address);
-    let peers = object.or("peers", Vec::new(), read_peers);
-    let object_api = object.required("object_api", CheckNode::reached_address);
-    let log = object.or("log", DEFAULT_LOG, |node| node.object(read_log));
+    let instance = object.required("instance", ValueNode::parse);
+    let region = object.required("region", ValueNode::parse);
+    let centre = object.required("centre", ValueNode::parse);
+    let link = object.required("link", ValueNode::connect_address);
+    let advertise = object.optional("advertise", ValueNode::connect_address);
+    let peers = object.or_default("peers", Vec::new(), read_peers);
+    let object_api = object.required("object_api", ValueNode::connect_address);
+    let log = object.or_default("log", DEFAULT_LOG, |node| node.object(read_log));
     Some(RelaySettings {
         instance: instance?,
         region: region?,
@@ -233,26 +233,27 @@
 }
 
 fn read_gateway(object: &ObjectNode) -> Option<GatewaySettings> {
-    let instance = object.required("instance", CheckNode::parse);
-    let region = object.required("region", CheckNode::parse);
-    let centre = object.required("centre", CheckNode::parse);
-    let callers = object.required("callers", CheckNode::listen_address);
-    let readiness = object.required("readiness", CheckNode::listen_address);
-    let metrics = object.optional("metrics", CheckNode::listen_address);
-    let link = object.optional("link", CheckNode::reached_address);
-    let advertise = object.optional("advertise", CheckNode::reached_address);
-    let peers = object.or("peers", Vec::new(), read_peers);
-    let object_api = object.required("object_api", CheckNode::reached_address);
+    let instance = object.required("instance", ValueNode::parse);
+    let region = object.required("region", ValueNode::parse);
+    let centre = object.required("centre", ValueNode::parse);
+    let callers = object.required("callers", ValueNode::listen_address);
+    let readiness = object.required("readiness", ValueNode::listen_address);
+    let metrics = object.optional("metrics", ValueNode::listen_address);
+    let link = object.optional("link", ValueNode::connect_address);
+    let advertise = object.optional("advertise", ValueNode::connect_address);
+    let peers = object.or_default("peers", Vec::new(), read_peers);
+    let object_api = object.required("object_api", ValueNode::connect_address);
     let default_stop = Duration::from_secs_f64(DEFAULT_STOP_S);
     let stop_limit =
-        object.or("stop_limit_s", default_stop, |node| node.seconds(0.1..=LONGEST_STOP_S));
-    let in_force = object.optional("in_force", |node| node.object(read_in_force));
-    let regions = object.or("regions", BTreeMap::new(), read_regions);
-    let warmup = object.or("warmup", DEFAULT_WARMUP, |node| node.object(read_warmup));
-    let retries = object.or("retries", DEFAULT_RETRIES, |node| node.object(read_retries));
-    let grants = object.or("grants", DEFAULT_GRANTS, |node| node.object(read_grants));
-    let limits = object.or("limits", ResourceSettings::default(), |node| node.object(read_limits));
-    let log = object.or("log", DEFAULT_LOG, |node| node.object(read_log));
+        object.or_default("stop_limit_s", default_stop, |node| node.seconds(0.1..=MAX_STOP_S));
+    let in_force = object.optional("in_force", |node| node.object(read_propagation));
+    let regions = object.or_default("regions", BTreeMap::new(), read_regions);
+    let warmup = object.or_default("warmup", DEFAULT_WARMUP, |node| node.object(read_warmup));
+    let retries = object.or_default("retries", DEFAULT_RETRIES, |node| node.object(read_retries));
+    let grants = object.or_default("grants", DEFAULT_GRANTS, |node| node.object(read_grants));
+    let limits =
+        object.or_default("limits", ResourceSettings::default(), |node| node.object(read_limits));
+    let log = object.or_default("log", DEFAULT_LOG, |node| node.object(read_log));
     Some(GatewaySettings {
         instance: instance?,
         region: region?,
@@ -276,38 +277,40 @@
 }
 
 fn read_retries(object: &ObjectNode) -> Option<RetrySettings> {
-    let ratio = object.or("ratio", DEFAULT_RETRIES.ratio, |node| node.fraction(0.0..=100.0));
-    let slack = object.or("slack", DEFAULT_RETRIES.slack, |node| node.fraction(0.0..=MOST_SLACK));
-    let window =
-        object.or("window_s", DEFAULT_RETRIES.window, |node| node.seconds(0.1..=LONGEST_WINDOW_S));
+    let ratio = object.or_default("ratio", DEFAULT_RETRIES.ratio, |node| node.float(0.0..=100.0));
+    let slack =
+        object.or_default("slack", DEFAULT_RETRIES.slack, |node| node.float(0.0..=MAX_SLACK));
+    let window = object.or_default("window_s", DEFAULT_RETRIES.window, |node| {
+        node.seconds(0.1..=MAX_RETRY_WINDOW_S)
+    });
     Some(RetrySettings { ratio: ratio?, slack: slack?, window: window? })
 }
 
 fn read_grants(object: &ObjectNode) -> Option<GrantSettings> {
-    let ahead =
-        object.or("ahead_s", DEFAULT_GRANTS.ahead, |node| node.seconds(0.0..=LONGEST_AHEAD_S));
-    let share = object.or("share", DEFAULT_GRANTS.share, |node| node.fraction(0.0..=1.0));
-    let idle = object.or("idle", DEFAULT_GRANTS.idle, |node| node.fraction(0.0..=1.0));
+    let ahead = object
+        .or_default("ahead_s", DEFAULT_GRANTS.ahead, |node| node.seconds(0.0..=MAX_GRANT_AHEAD_S));
+    let share = object.or_default("share", DEFAULT_GRANTS.share, |node| node.float(0.0..=1.0));
+    let idle = object.or_default("idle", DEFAULT_GRANTS.idle, |node| node.float(0.0..=1.0));
     Some(GrantSettings { ahead: ahead?, share: share?, idle: idle? })
 }
 
-/// The configuration and the upstreams are followed in one way, within the shorter of their times.
-fn read_in_force(object: &ObjectNode) -> Option<PropagationSettings> {
-    let configuration = object.required("configuration_ms", read_in_force_time);
-    let upstreams = object.required("upstreams_ms", read_in_force_time);
-    let evacuations = object.optional("evacuations_ms", read_in_force_time);
+/// One watch covers the configuration and the upstreams, so the shorter of their limits applies.
+fn read_propagation(object: &ObjectNode) -> Option<PropagationSettings> {
+    let configuration = object.required("configuration_ms", read_propagation_time);
+    let upstreams = object.required("upstreams_ms", read_propagation_time);
+    let evacuations = object.optional("evacuations_ms", read_propagation_time);
     Some(PropagationSettings { changes: configuration?.min(upstreams?), evacuations: evacuations? })
 }
 
-fn read_in_force_time(node: CheckNode) -> Option<Duration> {
-    node.millis(100..=LONGEST_IN_FORCE_MS)
+fn read_propagation_time(node: ValueNode) -> Option<Duration> {
+    node.millis(100..=MAX_PROPAGATION_MS)
 }
 
-/// The region of each data centre, by the data centre's name.
-fn read_regions(node: CheckNode) -> Option<BTreeMap<CentreName, RegionName>> {
+/// The region of each data centre, by data centre name.
+fn read_regions(node: ValueNode) -> Option<BTreeMap<CentreName, RegionName>> {
     let entries = node.entries(|name, region| {
         let Ok(centre) = name.parse::<CentreName>() else {
-            return region.fault(CENTRE_NAMES);
+            return region.reject(CENTRE_NAME_ALLOWED);
         };
         Some((centre, region.parse()?))
     });
@@ -315,17 +318,17 @@
 }
 
 fn read_warmup(object: &ObjectNode) -> Option<WarmupSettings> {
-    let overage =
-        object.or("overage", DEFAULT_WARMUP.overage, |node| node.fraction(0.0..=MOST_OVERAGE));
-    let slack = object.or("slack", DEFAULT_WARMUP.slack, |node| node.fraction(0.0..=MOST_SLACK));
+    let overage = object
+        .or_default("overage", DEFAULT_WARMUP.overage, |node| node.float(0.0..=MAX_WARMUP_OVERAGE));
+    let slack =
+        object.or_default("slack", DEFAULT_WARMUP.slack, |node| node.float(0.0..=MAX_SLACK));
     Some(WarmupSettings { overage: overage?, slack: slack? })
 }
 
 fn read_limits(object: &ObjectNode) -> Option<ResourceSettings> {
-    let memory =
-        object.optional("memory_mb", |node| node.number(LEAST_MEMORY_MB..=MOST_MEMORY_MB))?;
+    let memory = object.optional("memory_mb", |node| node.number(MIN_MEMORY_MB..=MAX_MEMORY_MB))?;
     let descriptors = object
-        .optional("descriptors", |node| node.small_number(LEAST_DESCRIPTORS..=MOST_DESCRIPTORS))?;
-    let memory = memory.map(|megabytes| ByteCount(megabytes * BYTES_IN_MB));
+        .optional("descriptors", |node| node.number_u32(MIN_DESCRIPTORS..=MAX_DESCRIPTORS))?;
+    let memory = memory.map(|megabytes| ByteCount(megabytes * BYTES_PER_MB));
     Some(ResourceSettings { memory, descriptors })
 }
--- a/crates/sagespool-settings/src/process/mod.rs
+++ b/crates/sagespool-settings/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! The settings file of one process.
+//! The settings files of processes.
 
 mod common;
 mod entry;
--- a/crates/sagespool-settings/src/process/sidecar.rs
+++ b/crates/sagespool-settings/src/process/sidecar.rs
@@ -1,74 +1,78 @@
-//! What only a sidecar is told.
+//! Settings of sidecars.
 
 use std::net::SocketAddr;
 
 use sagespool_messages::UpstreamKind;
 use sagespool_types::{ByteCount, ModelName, ServiceName, UpstreamName};
 
-use crate::check::{CheckNode, ObjectNode};
+use crate::check::{ObjectNode, ValueNode};
 
 /// The settings of a sidecar.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SidecarSettings {
-    /// The upstream it stands beside.
+    /// The upstream beside which the sidecar runs.
     pub upstream: UpstreamSettings,
-    /// The answers it keeps. For how long is in the fleet's configuration.
+    /// The answer cache. The fleet's configuration has the retention time.
     pub answers: AnswerSettings,
 }
 
-/// The upstream that a sidecar stands beside.
+/// The upstream beside which a sidecar runs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UpstreamSettings {
-    /// Its name.
+    /// Name of the upstream.
     pub name: UpstreamName,
     /// Engine or plain service.
     pub kind: UpstreamKind,
-    /// The service it belongs to.
+    /// The service of the upstream.
     pub service: ServiceName,
-    /// Where it takes calls (HTTP).
+    /// Where the upstream accepts calls (HTTP).
     pub address: SocketAddr,
-    /// Whether it refuses orders with an old fencing number by itself.
+    /// Whether the upstream itself rejects orders with an old fencing number.
     pub honours_fence: bool,
-    /// How many requests it runs at once before it queues.
+    /// How many requests it runs at once; it queues further ones.
     pub capacity: u32,
-    /// The models that it has loaded at the start; empty for plain services.
+    /// The models that are loaded at the start; empty for plain services.
     pub models: Vec<ModelName>,
 }
 
-/// The answers that a sidecar keeps for callers who come back.
+/// The finished answers that a sidecar keeps for callers that reconnect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AnswerSettings {
-    /// The most memory they may take, all together.
+    /// Maximum memory of all kept answers together.
     pub most_bytes: ByteCount,
 }
 
-/// The fields that [`read_sidecar`] reads beside the common ones.
+/// The fields that [`read_sidecar`] reads in addition to the common ones.
 pub(crate) const SIDECAR_FIELDS: [&str; 2] = ["upstream", "answers"];
 
 const MEGABYTE: u64 = 1024 * 1024;
 const DEFAULT_ANSWERS: AnswerSettings = AnswerSettings { most_bytes: ByteCount(64 * MEGABYTE) };
-const GREATEST_ANSWERS: u64 = 64 * 1024 * MEGABYTE;
-const GREATEST_CAPACITY: u32 = 100_000;
+const MAX_ANSWER_BYTES: u64 = 64 * 1024 * MEGABYTE;
+const MAX_CAPACITY: u32 = 100_000;
 const KINDS: [(&str, UpstreamKind); 2] =
     [("engine", UpstreamKind::Engine), ("service", UpstreamKind::Service)];
 
 pub(crate) fn read_sidecar(object: &ObjectNode) -> Option<SidecarSettings> {
     let upstream = object.required("upstream", |node| node.object(read_upstream));
-    let answers = object.or("answers", DEFAULT_ANSWERS, |node| node.object(read_answers));
+    let answers = object.or_default("answers", DEFAULT_ANSWERS, |node| node.object(read_answers));
     Some(SidecarSettings { upstream: upstream?, answers: answers? })
 }
 
 fn read_upstream(object: &ObjectNode) -> Option<UpstreamSettings> {
-    let name = object.required("name", CheckNode::parse);
+    let name = object.required("name", ValueNode::parse);
     let kind = object.required("kind", |node| node.one_of(&KINDS));
-    let service = object.required("service", CheckNode::parse);
-    let address = object.required("address", CheckNode::reached_address);
-    let capacity = object.required("capacity", |node| node.small_number(1..=GREATEST_CAPACITY));
-    let honours_fence = object.or("honours_fence", false, CheckNode::flag);
-    let models = object.or("models", Vec::new(), |node| node.list_of_unique(CheckNode::parse));
+    let service = object.required("service", ValueNode::parse);
+    let address = object.required("address", ValueNode::connect_address);
+    let capacity = object.required("capacity", |node| node.number_u32(1..=MAX_CAPACITY));
+    let honours_fence = object.or_default("honours_fence", false, ValueNode::boolean);
+    let models = object.or_default("models", Vec::new(), |node| node.unique_list(ValueNode::parse));
     let (kind, models) = (kind?, models?);
     if kind == UpstreamKind::Service && !models.is_empty() {
-        return object.fault_at("models", "models of a plain service", "only an engine has models");
+        return object.reject_field(
+            "models",
+            "models of a plain service",
+            "only an engine has models",
+        );
     }
     Some(UpstreamSettings {
         name: name?,
@@ -82,8 +86,8 @@
 }
 
 fn read_answers(object: &ObjectNode) -> Option<AnswerSettings> {
-    let most_bytes = object.or("most_bytes", DEFAULT_ANSWERS.most_bytes, |node| {
-        node.number(MEGABYTE..=GREATEST_ANSWERS).map(ByteCount)
+    let most_bytes = object.or_default("most_bytes", DEFAULT_ANSWERS.most_bytes, |node| {
+        node.number(MEGABYTE..=MAX_ANSWER_BYTES).map(ByteCount)
     });
     Some(AnswerSettings { most_bytes: most_bytes? })
 }
--- a/crates/sagespool-settings/src/secret.rs
+++ b/crates/sagespool-settings/src/secret.rs
@@ -1,19 +1,19 @@
-//! Secrets that settings name.
+//! Secrets in settings.
 
 use std::fmt;
 
-/// A secret's text. Neither `Debug` nor `Display` shows it, so that it can't reach a log by
-/// way of the settings that hold it.
+/// A secret. `Debug` and `Display` print a placeholder, so that a secret doesn't get into a log
+/// with the settings that contain it.
 #[derive(Clone, PartialEq, Eq)]
 pub struct SecretText(String);
 
 impl SecretText {
-    /// Keeps a secret.
+    /// Wraps the plain text of a secret.
     pub fn new(text: impl Into<String>) -> Self {
         Self(text.into())
     }
 
-    /// The secret itself, for the header that carries it and nothing else.
+    /// The plain text, only for the header that carries it.
     pub fn reveal(&self) -> &str {
         &self.0
     }
--- a/crates/sagespool-settings/src/fault.rs
+++ b/crates/sagespool-settings/src/validation.rs
@@ -1,20 +1,20 @@
-//! What is wrong with a file or an object, every fault at once.
+//! Validation errors of a file or an object.
 
 use std::error::Error;
 use std::fmt;
 
 use serde::Serialize;
 
-/// One fault.
+/// One invalid, unknown or missing value.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ValidationError {
-    /// Where it is, as a JSON path: `$.link.listen`, `$.peers[1]`.
+    /// Its position as a JSON path: `$.link.listen`, `$.peers[1]`.
     pub path: String,
-    /// What was found there. Never a secret.
+    /// What the input has there. Never a secret.
     pub found: String,
-    /// What is allowed there.
+    /// What is accepted there.
     pub allowed: String,
-    /// For an unknown field or word: the nearest one that is known.
+    /// For an unknown field or value: the most similar known name, if one is similar enough.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub nearest: Option<String>,
 }
@@ -29,21 +29,21 @@
     }
 }
 
-/// Every fault of one file or object, in the order of their checks. Never empty.
+/// Every error of one file or object, in the order of the checks. Never empty.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ValidationErrors {
-    /// The faults.
-    pub faults: Vec<ValidationError>,
+    /// At least one error.
+    pub errors: Vec<ValidationError>,
 }
 
 impl fmt::Display for ValidationErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.faults.len() {
-            1 => write!(f, "1 fault")?,
-            count => write!(f, "{count} faults")?,
+        match self.errors.len() {
+            1 => write!(f, "1 error")?,
+            count => write!(f, "{count} errors")?,
         }
-        for fault in &self.faults {
-            write!(f, "\n  {fault}")?;
+        for error in &self.errors {
+            write!(f, "\n  {error}")?;
         }
         Ok(())
     }
--- a/crates/sagespool-settings/tests/example_files.rs
+++ b/crates/sagespool-settings/tests/example_files.rs
@@ -1,4 +1,4 @@
-//! The files under `examples/` fit the schema and each other.
+//! The files under `examples/` are valid and consistent with each other.
 
 #![allow(clippy::unwrap_used)]
 
@@ -24,15 +24,15 @@
 #[allow(dead_code)] // some fields are read by their type only
 struct DeploymentFile {
     region: RegionName,
-    centres: Vec<CentreShape>,
-    services: BTreeMap<ServiceName, ServiceShape>,
-    branches: BTreeMap<BranchName, BranchShape>,
+    centres: Vec<CentreSpec>,
+    services: BTreeMap<ServiceName, ServiceSpec>,
+    branches: BTreeMap<BranchName, BranchSpec>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 #[allow(dead_code)] // as above
-struct CentreShape {
+struct CentreSpec {
     name: CentreName,
     entries: u32,
     upstreams: BTreeMap<ServiceName, u32>,
@@ -41,7 +41,7 @@
 #[derive(Deserialize)]
 #[serde(untagged, deny_unknown_fields)]
 #[allow(dead_code)] // as above
-enum ServiceShape {
+enum ServiceSpec {
     Engine {
         capacity: u32,
         tokens_per_second: TokenRate,
@@ -56,7 +56,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct BranchShape {
+struct BranchSpec {
     token: String,
     prepaid: TokenCount,
 }
@@ -66,24 +66,24 @@
     fs::read_to_string(path).unwrap()
 }
 
-fn fleet_of(user: &str) -> FleetObject {
-    parse_fleet(&text_of(&format!("{user}/fleet.json"))).unwrap()
+fn fleet_of(fleet: &str) -> FleetObject {
+    parse_fleet(&text_of(&format!("{fleet}/fleet.json"))).unwrap()
 }
 
-fn branches_of(user: &str) -> BranchObject {
-    parse_branches(&text_of(&format!("{user}/branches.json"))).unwrap()
+fn branches_of(fleet: &str) -> BranchObject {
+    parse_branches(&text_of(&format!("{fleet}/branches.json"))).unwrap()
 }
 
-fn deployment_of(user: &str) -> DeploymentFile {
-    serde_json::from_str(&text_of(&format!("{user}/deployment.json"))).unwrap()
+fn deployment_of(fleet: &str) -> DeploymentFile {
+    serde_json::from_str(&text_of(&format!("{fleet}/deployment.json"))).unwrap()
 }
 
-fn configuration_of(user: &str) -> FleetConfiguration {
-    FleetConfiguration::build(ConfigVersion(1), fleet_of(user), [&branches_of(user)])
+fn configuration_of(fleet: &str) -> FleetConfiguration {
+    FleetConfiguration::build(ConfigVersion(1), fleet_of(fleet), [&branches_of(fleet)])
 }
 
 #[test]
-fn process_files() {
+fn valid_process_settings() {
     let entry = parse_process_settings(&text_of("entry.json")).unwrap();
     assert!(matches!(entry.role, RoleSettings::Entry(_)));
     let sidecar = parse_process_settings(&text_of("sidecar.json")).unwrap();
@@ -91,74 +91,75 @@
 }
 
 #[test]
-fn fitting_objects() {
-    for user in FLEETS {
-        assert_eq!(configuration_of(user).validation_errors(), [], "{user}");
+fn valid_fleet_objects() {
+    for fleet in FLEETS {
+        assert_eq!(configuration_of(fleet).validation_errors(), [], "{fleet}");
     }
 }
 
 #[test]
-fn development_keys() {
-    for user in FLEETS {
-        let configuration = configuration_of(user);
-        let deployment = deployment_of(user);
-        assert_eq!(deployment.branches.len(), configuration.branches().count(), "{user}");
+fn deployed_branches() {
+    for fleet in FLEETS {
+        let configuration = configuration_of(fleet);
+        let deployment = deployment_of(fleet);
+        assert_eq!(deployment.branches.len(), configuration.branches().count(), "{fleet}");
         for (name, branch) in &deployment.branches {
-            assert_eq!(configuration.branch_by_token(&branch.token), Some(name), "{user}");
+            assert_eq!(configuration.branch_by_token(&branch.token), Some(name), "{fleet}");
             let held_back = &configuration.branch(name).unwrap().held_back;
             let held_back: TokenCount = held_back.iter().map(|held| held.tokens).sum();
-            assert!(held_back < branch.prepaid, "{user}: {name}");
+            assert!(held_back < branch.prepaid, "{fleet}: {name}");
         }
     }
 }
 
 #[test]
 fn deployed_services() {
-    for user in FLEETS {
-        let configuration = configuration_of(user);
-        let deployment = deployment_of(user);
-        assert_eq!(deployment.services.len(), configuration.services().count(), "{user}");
+    for fleet in FLEETS {
+        let configuration = configuration_of(fleet);
+        let deployment = deployment_of(fleet);
+        assert_eq!(deployment.services.len(), configuration.services().count(), "{fleet}");
         for (name, shape) in &deployment.services {
             let service = configuration.service(name).unwrap();
             match shape {
-                ServiceShape::Engine { models, .. } => {
+                ServiceSpec::Engine { models, .. } => {
                     assert_eq!(service.kind, UpstreamKind::Engine);
                     assert!(models.iter().all(|model| configuration.model(model).is_some()));
                 }
-                ServiceShape::Service { .. } => assert_eq!(service.kind, UpstreamKind::Service),
+                ServiceSpec::Service { .. } => assert_eq!(service.kind, UpstreamKind::Service),
             }
         }
         for service in deployment.centres.iter().flat_map(|centre| centre.upstreams.keys()) {
-            assert!(deployment.services.contains_key(service), "{user}: {service}");
+            assert!(deployment.services.contains_key(service), "{fleet}: {service}");
         }
     }
 }
 
 #[test]
-fn sizes_of_today() {
-    // The users' own figures: data centres, engines, plain services, accounts.
+fn deployment_sizes() {
+    // Numbers of the two deployments: engines and plain services; each has 4 data centres and 10
+    // accounts.
     let rows = [
         ("majan", 9, "sage-core", 4, "portal-api"),
         ("cedarline", 12, "sage-drafting", 4, "summons-api"),
     ];
-    for (user, engines, core, services, plain) in rows {
-        let deployment = deployment_of(user);
+    for (fleet, engines, core, services, plain) in rows {
+        let deployment = deployment_of(fleet);
         let count = |service: &str| -> u32 {
             let service: ServiceName = service.parse().unwrap();
             deployment.centres.iter().filter_map(|centre| centre.upstreams.get(&service)).sum()
         };
-        assert_eq!(deployment.centres.len(), 4, "{user}");
-        assert_eq!(count(core), engines, "{user}");
-        assert_eq!(count(plain), services, "{user}");
-        assert_eq!(deployment.branches.len(), 10, "{user}");
+        assert_eq!(deployment.centres.len(), 4, "{fleet}");
+        assert_eq!(count(core), engines, "{fleet}");
+        assert_eq!(count(plain), services, "{fleet}");
+        assert_eq!(deployment.branches.len(), 10, "{fleet}");
     }
 }
 
 #[test]
-fn declared_calls() {
+fn non_idempotent_calls() {
     let rows = [("majan", "portal-api", "/letters"), ("cedarline", "summons-api", "/deferrals")];
-    for (user, service, path) in rows {
-        let configuration = configuration_of(user);
+    for (fleet, service, path) in rows {
+        let configuration = configuration_of(fleet);
         let service = service.parse().unwrap();
         for (branch, _) in configuration.branches() {
             assert!(configuration.is_non_idempotent(branch, &service, "POST", path), "{branch}");
--- a/crates/sagespool-settings/tests/fleet_schema.rs
+++ b/crates/sagespool-settings/tests/fleet_schema.rs
@@ -1,4 +1,4 @@
-//! The configuration's objects: their schema, and what is in force from them.
+//! The configuration objects: validation, lookups and shards.
 
 #![allow(clippy::unwrap_used)]
 
@@ -57,7 +57,7 @@
     FleetConfiguration::build(ConfigVersion(7), fleet(), [&branches()])
 }
 
-/// The value with another put at a JSON pointer; `null` removes the field.
+/// The value with the one at a JSON pointer replaced; `null` removes the field.
 fn changed(mut value: Value, pointer: &str, new: Value) -> Value {
     let (parent, name) = pointer.rsplit_once('/').unwrap();
     match value.pointer_mut(parent).unwrap() {
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn fleet_faults() {
+fn fleet_object_errors() {
     let lookup = fleet_value()["classes"][0].clone();
     let core = fleet_value()["services"][0].clone();
     let second_core = changed(core, "/name", json!("sage-spare"));
@@ -82,7 +82,7 @@
         ),
         ("/default_class", json!(null), "$.default_class: found nothing"),
         ("/classes", json!([]), "$.classes: found 0 entries; allowed: from 1 to 32"),
-        ("/classes/-", lookup, "$.classes[2]: found the same again"),
+        ("/classes/-", lookup, "$.classes[2]: found a duplicate entry"),
         (
             "/classes/0/priority",
             json!(256),
@@ -140,14 +140,14 @@
         ("/clases", json!([]), "$.clases: found an unknown field; allowed: the fields `classes`"),
     ];
     for (pointer, value, expected) in rows {
-        let faults = check_fleet(&changed(fleet_value(), pointer, value.clone())).unwrap_err();
-        assert_eq!(faults.faults.len(), 1, "{pointer}: {faults}");
-        assert!(faults.to_string().contains(expected), "{pointer}: {faults}");
+        let errors = check_fleet(&changed(fleet_value(), pointer, value.clone())).unwrap_err();
+        assert_eq!(errors.errors.len(), 1, "{pointer}: {errors}");
+        assert!(errors.to_string().contains(expected), "{pointer}: {errors}");
     }
 }
 
 #[test]
-fn branch_faults() {
+fn branch_object_errors() {
     let rows: &[(&str, Value, &str)] = &[
         ("/branches", json!([]), "$.branches: found a list; allowed: an object"),
         (
@@ -179,7 +179,7 @@
         (
             "/branches/ruwi-bids/held_back/-",
             json!({"class": "lookup", "tokens": 1}),
-            "$.branches.ruwi-bids.held_back[1]: found the same again",
+            "$.branches.ruwi-bids.held_back[1]: found a duplicate entry",
         ),
         (
             "/branches/ruwi-bids/held_back/0/tokens",
@@ -188,49 +188,49 @@
         ),
     ];
     for (pointer, value, expected) in rows {
-        let faults =
+        let errors =
             check_branches(&changed(branches_value(), pointer, value.clone())).unwrap_err();
-        assert_eq!(faults.faults.len(), 1, "{pointer}: {faults}");
-        assert!(faults.to_string().contains(expected), "{pointer}: {faults}");
+        assert_eq!(errors.errors.len(), 1, "{pointer}: {errors}");
+        assert!(errors.to_string().contains(expected), "{pointer}: {errors}");
     }
 }
 
 #[test]
-fn every_fault() {
+fn all_errors_at_once() {
     let value = changed(fleet_value(), "/classes/0/priority", json!("high"));
     let value = changed(value, "/answer_retention_ms", json!(90_000_000));
     let value = changed(value, "/services/1/price", json!(null));
     let value = changed(value, "/typo", json!(1));
-    let faults = check_fleet(&value).unwrap_err();
-    let paths: Vec<&str> = faults.faults.iter().map(|fault| fault.path.as_str()).collect();
+    let errors = check_fleet(&value).unwrap_err();
+    let paths: Vec<&str> = errors.errors.iter().map(|error| error.path.as_str()).collect();
     let expected =
         ["$.classes[0].priority", "$.services[1].price", "$.answer_retention_ms", "$.typo"];
     assert_eq!(paths, expected);
 }
 
 #[test]
-fn unseen_keys() {
-    // An operator writes a key where its hash belongs. The refusal is logged by every process that
-    // watches the object, so the key itself must not be in it.
+fn clear_text_keys_hidden() {
+    // An operator enters a key in place of its hash. Every process that watches the object logs the
+    // error, so it must not contain the key.
     let value =
         json!({"branches": {"ruwi-bids": {"key_hashes": ["my-clear-key", ["my-clear-key"]]}}});
-    let faults = check_branches(&value).unwrap_err();
-    assert_eq!(faults.faults.len(), 2);
-    assert!(!faults.to_string().contains("my-clear-key"), "{faults}");
+    let errors = check_branches(&value).unwrap_err();
+    assert_eq!(errors.errors.len(), 2);
+    assert!(!errors.to_string().contains("my-clear-key"), "{errors}");
 }
 
 #[test]
 fn repeated_branch() {
     let hash = SecretHash::of("k");
     let entry = format!("\"ruwi-bids\": {{\"key_hashes\": [\"{hash}\"]}}");
-    let faults = parse_branches(&format!("{{\"branches\": {{{entry}, {entry}}}}}")).unwrap_err();
-    assert_eq!(faults.faults[0].path, "$.branches.ruwi-bids");
+    let errors = parse_branches(&format!("{{\"branches\": {{{entry}, {entry}}}}}")).unwrap_err();
+    assert_eq!(errors.errors[0].path, "$.branches.ruwi-bids");
     assert!(parse_fleet(&fleet_value().to_string()).is_ok());
 }
 
 #[test]
-fn written_back() {
-    // What a process writes to the store must pass the check of every other process.
+fn round_trip() {
+    // Objects that a process writes to the store must be valid for every other process.
     let fleet = fleet();
     assert_eq!(check_fleet(&serde_json::to_value(&fleet).unwrap()).unwrap(), fleet);
     let branches = branches();
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn found_entries() {
+fn lookups() {
     let configuration = configuration();
     assert_eq!(configuration.version(), ConfigVersion(7));
     assert_eq!(configuration.default_class().name.as_str(), "draft");
@@ -256,10 +256,9 @@
 }
 
 #[test]
-fn disguised_paths() {
-    // A caller sends a clarification letter, gets no answer and sends it again, with a path that
-    // the portal takes for `/letters` and the router doesn't: the ministry has the letter twice.
-    // Cause: the rule compared letter by letter with the path as it came.
+fn equivalent_paths() {
+    // If rules are compared with the raw path, a path that the service reads as `/letters` isn't
+    // recognized as non-idempotent: a retry after a lost answer posts the letter twice.
     let configuration = configuration();
     let branch: BranchName = "control-room".parse().unwrap();
     let service = "portal-api".parse().unwrap();
@@ -293,7 +292,7 @@
 }
 
 #[test]
-fn added_rules() {
+fn branch_rules() {
     let configuration = configuration();
     let service = "portal-api".parse().unwrap();
     let (ruwi, room) = ("ruwi-bids".parse().unwrap(), "control-room".parse().unwrap());
@@ -308,11 +307,10 @@
 }
 
 #[test]
-fn loose_references() {
-    // Two operators at once: one removes a class, the other holds tokens back for it. Both objects
-    // are good by themselves, and a process that refuses their sum would go on with an old
-    // configuration for ever. So it is in force without effect, and the next change is told of
-    // what is wrong only if it is the cause.
+fn dangling_references() {
+    // One operator removes a class while another holds back tokens for it. Both objects are valid
+    // alone, and a process that rejected the combination would keep an old configuration for ever.
+    // So the reference is applied without effect, and only a change that causes it is rejected.
     let mut object = branches();
     let name: BranchName = "ruwi-bids".parse().unwrap();
     let entry = object.branches.get_mut(&name).unwrap();
@@ -325,13 +323,13 @@
 
     let present = configuration();
     let changed = present.with_branches(ConfigVersion(8), shard, object);
-    let faults = present.check_change(&changed).unwrap_err();
+    let errors = present.check_change(&changed).unwrap_err();
     let key = branch_object_key(shard);
-    let paths: Vec<&str> = faults.faults.iter().map(|fault| fault.path.as_str()).collect();
+    let paths: Vec<&str> = errors.errors.iter().map(|error| error.path.as_str()).collect();
     let held = format!("{key}:$.branches.ruwi-bids.held_back[0].class");
     let rule = format!("{key}:$.branches.ruwi-bids.non_idempotent[0].service");
     assert_eq!(paths, [held, rule]);
-    assert_eq!(faults.faults[0].nearest.as_deref(), Some("lookup"));
+    assert_eq!(errors.errors[0].nearest.as_deref(), Some("lookup"));
 
     assert_eq!(changed.branch(&name).unwrap().held_back.len(), 1);
     let later = changed.with_fleet(ConfigVersion(9), fleet());
@@ -345,14 +343,14 @@
     for key in ["configuration/branches/4096", "configuration/branches/07", "configuration/fleet"] {
         assert_eq!(branch_object_shard(key), None, "{key}");
     }
-    // Fixed for ever: another figure would lose every branch that is in the store.
+    // Must never change: with another shard, every stored branch would be lost.
     assert_eq!(branch_shard(&"ruwi-bids".parse().unwrap()), 1375);
 }
 
 #[test]
 fn even_shards() {
-    // A change goes through the fleet as its whole object, with 2 KB a second for all control: 57,000
-    // branches must spread over their objects, and leave none out.
+    // A change is sent through the fleet as the whole object, with 2 KB per second for all control
+    // traffic: 57,000 branches must spread evenly over the objects and leave none empty.
     let entry = BranchConfig::builder().key_hashes(vec![SecretHash::of("k"); 2]).build();
     let name = |number: u32| format!("client-account-{number}").parse().unwrap();
     let branches = (0..57_000).map(|number| (name(number), entry.clone())).collect();
--- a/crates/sagespool-settings/tests/gateway_settings.rs
+++ b/crates/sagespool-settings/tests/gateway_settings.rs
@@ -15,13 +15,13 @@
 fn example_gateway() {
     assert!(is_gateway_or_relay(GATEWAY));
     let Ok(GatewayOrRelaySettings::Gateway(gateway)) = parse_gateway_or_relay(GATEWAY) else {
-        panic!("a gateway's settings");
+        panic!("not a gateway");
     };
     assert_eq!(gateway.instance.as_str(), "gateway-1");
     assert_eq!(gateway.stop_limit, Duration::from_secs(8));
     assert_eq!(gateway.retries.window, Duration::from_secs(10));
     assert_eq!(gateway.grants.ahead, Duration::from_secs(3));
-    let in_force = gateway.in_force.expect("times in which changes are in force");
+    let in_force = gateway.in_force.expect("the example sets `in_force`");
     assert_eq!(in_force.changes, Duration::from_secs(4));
     assert_eq!(in_force.evacuations, Some(Duration::from_secs(5)));
     assert_eq!(gateway.regions.len(), 2);
@@ -43,8 +43,8 @@
 }
 
 #[test]
-fn every_fault() {
-    // What is replaced in the example, by what, and the fault that it makes.
+fn single_errors() {
+    // Each row: a text in the example, its replacement, and the error that results.
     let cases = [
         ("\"centre\": \"east\",", "", "$.centre: found nothing"),
         ("\"127.0.0.1:8301\"", "\"here\"", "$.callers: found \"here\""),
@@ -66,7 +66,7 @@
     for (from, to, expected) in cases {
         let text = GATEWAY.replace(from, to);
         assert_ne!(text, GATEWAY, "{from}");
-        let faults = parse_gateway_or_relay(&text).expect_err(from).to_string();
-        assert!(faults.contains(expected), "{from}: {faults}");
+        let errors = parse_gateway_or_relay(&text).expect_err(from).to_string();
+        assert!(errors.contains(expected), "{from}: {errors}");
     }
 }
--- a/crates/sagespool-settings/tests/process_settings.rs
+++ b/crates/sagespool-settings/tests/process_settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a process: what is taken, and what a person is told of its faults.
+//! Settings files of entries and sidecars: parsed values and validation errors.
 
 #![allow(clippy::unwrap_used)]
 
@@ -69,10 +69,10 @@
 }
 
 fn check(file: &Value) -> Result<ProcessSettings, String> {
-    parse_process_settings(&file.to_string()).map_err(|faults| faults.to_string())
+    parse_process_settings(&file.to_string()).map_err(|errors| errors.to_string())
 }
 
-/// The file with a value put at a JSON pointer; `null` removes the field.
+/// The file with the value at a JSON pointer replaced; `null` removes the field.
 fn changed(mut file: Value, pointer: &str, value: Value) -> Value {
     let (parent, name) = pointer.rsplit_once('/').unwrap();
     let fields = file.pointer_mut(parent).unwrap().as_object_mut().unwrap();
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn whole_entry() {
+fn entry_settings() {
     let settings = check(&entry_file()).unwrap();
     assert_eq!(settings.instance.as_str(), "entry-ghala-1");
     assert_eq!(settings.stop_limit, Duration::from_secs(5));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn whole_sidecar() {
+fn sidecar_settings() {
     let settings = check(&sidecar_file()).unwrap();
     let RoleSettings::Sidecar(sidecar) = settings.role else { panic!("not a sidecar") };
     assert_eq!(sidecar.upstream.kind, UpstreamKind::Engine);
@@ -113,8 +113,8 @@
 }
 
 #[test]
-fn single_faults() {
-    // Each row: what is changed in a good file, and the one line that a person must be told.
+fn single_errors() {
+    // Each row: a change of a valid file, and the one error that it must give.
     let entry: &[(&str, Value, &str)] = &[
         ("/instance", json!(null), "$.instance: found nothing; allowed: this field is required"),
         (
@@ -122,13 +122,13 @@
             json!("Entry 1"),
             "$.instance: found \"Entry 1\"; allowed: an instance name (1",
         ),
-        ("/centre", json!(7), "$.centre: found 7; allowed: a text"),
+        ("/centre", json!(7), "$.centre: found 7; allowed: a string"),
         (
             "/role",
             json!("entri"),
             "$.role: found \"entri\"; allowed: one of `entry`, `sidecar`; did you mean `entry`?",
         ),
-        ("/link", json!("127.0.0.1:7101"), "$.link: found a text; allowed: an object"),
+        ("/link", json!("127.0.0.1:7101"), "$.link: found a string; allowed: an object"),
         (
             "/link/listen",
             json!("localhost:7101"),
@@ -137,7 +137,7 @@
         (
             "/link/listen",
             json!("0.0.0.0:7101"),
-            "$.link.advertise: found nothing; allowed: required where",
+            "$.link.advertise: found nothing; allowed: required if `listen`",
         ),
         (
             "/link/advertise",
@@ -169,7 +169,7 @@
         (
             "/peers",
             json!(["127.0.0.1:7102", "127.0.0.1:7102"]),
-            "$.peers[1]: found the same again; allowed: each only once",
+            "$.peers[1]: found a duplicate entry; allowed: each entry only once",
         ),
         ("/policy/routing", json!("roundrobin"), "did you mean `round-robin`?"),
         (
@@ -197,9 +197,9 @@
         ("/odd name", json!(1), "$[\"odd name\"]: found an unknown field"),
     ];
     for (pointer, value, expected) in entry {
-        let faults = check(&changed(entry_file(), pointer, value.clone())).unwrap_err();
-        assert!(faults.starts_with("1 fault\n  "), "{pointer}: {faults}");
-        assert!(faults.contains(expected), "{pointer}: {faults}");
+        let errors = check(&changed(entry_file(), pointer, value.clone())).unwrap_err();
+        assert!(errors.starts_with("1 error\n  "), "{pointer}: {errors}");
+        assert!(errors.contains(expected), "{pointer}: {errors}");
     }
 
     let sidecar: &[(&str, Value, &str)] = &[
@@ -223,23 +223,23 @@
         ("/policy", json!({}), "$.policy: found an unknown field"),
     ];
     for (pointer, value, expected) in sidecar {
-        let faults = check(&changed(sidecar_file(), pointer, value.clone())).unwrap_err();
-        assert!(faults.starts_with("1 fault\n  "), "{pointer}: {faults}");
-        assert!(faults.contains(expected), "{pointer}: {faults}");
+        let errors = check(&changed(sidecar_file(), pointer, value.clone())).unwrap_err();
+        assert!(errors.starts_with("1 error\n  "), "{pointer}: {errors}");
+        assert!(errors.contains(expected), "{pointer}: {errors}");
     }
 }
 
 #[test]
-fn every_fault() {
-    // An operator mends one fault, starts the process, is told of the next, and so on through a
-    // night: each start must tell all. Here six faults of different sorts in one file.
+fn all_errors_at_once() {
+    // All errors must be reported at once; else an operator has to restart the process to see each
+    // next one. Here one file has seven errors of different kinds.
     let file = changed(entry_file(), "/instance", json!(null));
     let file = changed(file, "/link/listen", json!("here"));
     let file = changed(file, "/platform/instance_lst", json!("127.0.0.1:1"));
     let file = changed(file, "/peers", json!(["x", "127.0.0.1:7102", "y"]));
     let file = changed(file, "/policy/budget", json!({"static-split": {"entres": 3}}));
-    let faults = parse_process_settings(&file.to_string()).unwrap_err();
-    let mut paths: Vec<&str> = faults.faults.iter().map(|fault| fault.path.as_str()).collect();
+    let errors = parse_process_settings(&file.to_string()).unwrap_err();
+    let mut paths: Vec<&str> = errors.errors.iter().map(|error| error.path.as_str()).collect();
     paths.sort_unstable();
     let expected = [
         "$.instance",
@@ -250,13 +250,13 @@
         "$.policy.budget.static-split.entres",
         "$.policy.budget.static-split.entries",
     ];
-    assert_eq!(paths, expected, "{faults}");
-    let unknown = faults.faults.iter().find(|fault| fault.path == "$.platform.instance_lst");
+    assert_eq!(paths, expected, "{errors}");
+    let unknown = errors.errors.iter().find(|error| error.path == "$.platform.instance_lst");
     assert_eq!(unknown.unwrap().nearest.as_deref(), Some("instance_list"));
 }
 
 #[test]
-fn broken_text() {
+fn syntax_errors() {
     let cases = [
         ("", "line 1 column 0"),
         ("{\n  \"role\": \"entry\",\n}", "line 3 column 1"),
@@ -264,41 +264,40 @@
         ("[1, 2", "line 1 column 5"),
     ];
     for (text, place) in cases {
-        let faults = parse_process_settings(text).unwrap_err();
-        assert_eq!(faults.faults.len(), 1, "{faults}");
-        assert_eq!(faults.faults[0].path, place, "{faults}");
+        let errors = parse_process_settings(text).unwrap_err();
+        assert_eq!(errors.errors.len(), 1, "{errors}");
+        assert_eq!(errors.errors[0].path, place, "{errors}");
     }
-    let faults = parse_process_settings("[]").unwrap_err();
-    assert_eq!(faults.faults[0].to_string(), "$: found a list; allowed: an object");
+    let errors = parse_process_settings("[]").unwrap_err();
+    assert_eq!(errors.errors[0].to_string(), "$: found a list; allowed: an object");
 }
 
 #[test]
 fn deep_nesting() {
-    // A file of nothing but opening brackets: a reader that recurses without bound overflows its
-    // stack and takes the process down instead of naming the fault.
-    let faults = parse_process_settings(&"[".repeat(1_000_000)).unwrap_err();
-    assert_eq!(faults.faults.len(), 1);
-    assert!(faults.faults[0].found.contains("recursion limit"), "{faults}");
+    // A parser without a recursion limit overflows the stack on a file of opening brackets, and the
+    // process crashes instead of reporting an error.
+    let errors = parse_process_settings(&"[".repeat(1_000_000)).unwrap_err();
+    assert_eq!(errors.errors.len(), 1);
+    assert!(errors.errors[0].found.contains("recursion limit"), "{errors}");
 }
 
 #[test]
 fn repeated_field() {
-    // An operator adds a second `stop_limit_ms` at the end and edits the first: nothing changes,
-    // and nobody says why. Cause: JSON readers keep the last of two fields in silence.
+    // JSON parsers keep the last of two fields of one name without an error. An operator who edits
+    // the first `stop_limit_ms` then sees no effect.
     let text = entry_file().to_string();
     let text = text.replacen('{', "{\"stop_limit_ms\": 100, ", 1);
-    let faults = parse_process_settings(&text).unwrap_err();
+    let errors = parse_process_settings(&text).unwrap_err();
     assert_eq!(
-        faults.to_string(),
-        "1 fault\n  $.stop_limit_ms: found the same field again; allowed: each field once"
+        errors.to_string(),
+        "1 error\n  $.stop_limit_ms: found a repeated field; allowed: each field only once"
     );
 }
 
 #[test]
 fn hidden_secrets() {
-    // A token shows up in the log of a process, or on the screen of `sagespool check`, by way of
-    // the settings that hold it: printed for debugging, or quoted in the fault of a field that is
-    // misspelt, of the wrong type, or meant for a path.
+    // A token must not appear in a log or in the output of `sagespool check`: neither by `Debug` of
+    // the settings, nor in the error of a field that is misspelt, has the wrong type, or is a path.
     let settings = check(&entry_file()).unwrap();
     assert!(!format!("{settings:?}").contains(TOKEN));
     assert!(!format!("{}", settings.platform.token.as_ref().unwrap()).contains(TOKEN));
@@ -315,8 +314,8 @@
         ("/peers", json!(TOKEN)),
     ];
     for (pointer, value) in faulty {
-        let faults = check(&changed(entry_file(), pointer, value)).unwrap_err();
-        assert!(!faults.contains(TOKEN), "{pointer}: {faults}");
+        let errors = check(&changed(entry_file(), pointer, value)).unwrap_err();
+        assert!(!errors.contains(TOKEN), "{pointer}: {errors}");
     }
 }
 
@@ -327,15 +326,15 @@
 }
 
 #[test]
-fn named_files() {
+fn missing_certificate_files() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("entry.json");
     fs::write(&path, entry_file().to_string()).unwrap();
     write_files(directory.path(), &["authority.pem"]);
 
     let report = load_process_settings(&path).unwrap_err();
-    let SettingsError::Faulty(_, faults) = report.current_context() else { panic!("{report:?}") };
-    let paths: Vec<&str> = faults.faults.iter().map(|fault| fault.path.as_str()).collect();
+    let SettingsError::Invalid(_, errors) = report.current_context() else { panic!("{report:?}") };
+    let paths: Vec<&str> = errors.errors.iter().map(|error| error.path.as_str()).collect();
     assert_eq!(paths, ["$.link.certificate", "$.link.key"]);
 
     write_files(directory.path(), &["entry-ghala-1.pem", "entry-ghala-1.key"]);
@@ -344,12 +343,12 @@
 
     fs::remove_file(directory.path().join("authority.pem")).unwrap();
     fs::create_dir(directory.path().join("authority.pem")).unwrap();
-    let faults = check_files(&settings).unwrap_err();
-    assert!(faults.to_string().contains("which isn't a file"), "{faults}");
+    let errors = check_files(&settings).unwrap_err();
+    assert!(errors.to_string().contains("which isn't a file"), "{errors}");
 }
 
 #[test]
-fn missing_settings() {
+fn missing_settings_file() {
     let report = load_process_settings(Path::new("/nowhere/settings.json")).unwrap_err();
     assert!(matches!(report.current_context(), SettingsError::Unreadable(_)));
     assert!(report.to_string().contains("can't read settings /nowhere/settings.json"));
--- a/crates/sagespool-settings/tests/token_lookup.rs
+++ b/crates/sagespool-settings/tests/token_lookup.rs
@@ -1,4 +1,4 @@
-//! Which branch a bearer token belongs to, through changes of the configuration.
+//! Lookup of branches by bearer token, across changes of the configuration.
 
 #![allow(clippy::unwrap_used)]
 
@@ -36,7 +36,8 @@
     FleetConfiguration::build(ConfigVersion(1), fleet(), [&object(branches)])
 }
 
-/// The configuration after the branch's object has changed to hold this branch alone.
+/// The configuration after the object of the branch's shard was replaced by one with only this
+/// branch.
 fn changed(present: &FleetConfiguration, name: &str, tokens: &[&str]) -> FleetConfiguration {
     let version = ConfigVersion(present.version().0 + 1);
     present.with_branches(version, branch_shard(&branch(name)), object(&[(name, tokens)]))
@@ -59,9 +60,9 @@
 }
 
 #[test]
-fn near_hash() {
-    // The index looks at the first bytes of a hash only. A hash that shares them must not open the
-    // branch of the other: a caller may try tokens until the first bytes fit.
+fn hash_prefix_collision() {
+    // The index is keyed by the first bytes of a hash. A token whose hash shares only these must be
+    // rejected: a caller could try tokens until the first bytes match.
     let hash = SecretHash::of("k1").to_string();
     let near: SecretHash = format!("{}{}", &hash[..48], "0".repeat(16)).parse().unwrap();
     let entry = BranchConfig::builder().key_hashes(vec![near]).build();
@@ -72,8 +73,8 @@
 
 #[test]
 fn replaced_key() {
-    // A branch's key leaks; the operator adds a new one, then revokes the old. If the old one's
-    // hash stayed in the index, whoever has the leaked key would go on spending.
+    // An operator replaces a leaked key. If the hash of the revoked key stayed in the index, the
+    // leaked key could still be used to spend tokens.
     let first = configuration(&[("ruwi-bids", &["old"])]);
     let both = changed(&first, "ruwi-bids", &["old", "new"]);
     assert_eq!(owner(&both, "old"), Some("ruwi-bids"));
@@ -82,7 +83,7 @@
     assert_eq!(owner(&last, "old"), None);
     assert_eq!(owner(&last, "new"), Some("ruwi-bids"));
 
-    // Requests that began under an earlier version go on with it, unchanged.
+    // Earlier versions stay unchanged for the requests that use them.
     assert_eq!(owner(&first, "new"), None);
     assert_eq!(owner(&both, "old"), Some("ruwi-bids"));
 }
@@ -99,38 +100,38 @@
 
 #[test]
 fn shared_key() {
-    // Two operators give two branches the same key at once, in two objects. A request with it
-    // would be billed to whichever branch is found first, which may be the wrong one: it opens
-    // neither, the change is refused where it is seen, and taking it from one mends the other.
+    // Two operators register the same key for two branches at once, in two objects. A request with
+    // it could be billed to the wrong branch. So the key is rejected, `check_change` reports it, and
+    // its removal from one branch makes it valid for the other.
     let present = configuration(&[("ruwi-bids", &["same"]), ("dhofar", &["own"])]);
     let shared = changed(&present, "dhofar", &["own", "same"]);
     assert_eq!(owner(&shared, "same"), None);
     assert_eq!(owner(&shared, "own"), Some("dhofar"));
-    let faults = present.check_change(&shared).unwrap_err().to_string();
-    assert!(faults.contains("dhofar.key_hashes[1]: found a key that branch `ruwi-bids` has too"));
+    let errors = present.check_change(&shared).unwrap_err().to_string();
+    assert!(errors.contains("dhofar.key_hashes[1]: found a key that branch `ruwi-bids` has too"));
 
-    let mended = changed(&shared, "dhofar", &["own"]);
-    assert_eq!(owner(&mended, "same"), Some("ruwi-bids"));
-    assert_eq!(shared.check_change(&mended), Ok(()));
+    let corrected = changed(&shared, "dhofar", &["own"]);
+    assert_eq!(owner(&corrected, "same"), Some("ruwi-bids"));
+    assert_eq!(shared.check_change(&corrected), Ok(()));
 }
 
 #[test]
 fn misplaced_branch() {
-    // An object of one shard holds a branch of another, by a mistake of whoever wrote it. If its
-    // key were good, its requests would find no entry of the branch, hence no limits.
+    // An object has a branch of another shard, by an error of its writer. If the key were accepted,
+    // its requests would find no configuration of the branch, hence no limits.
     let other = (branch_shard(&branch("ruwi-bids")) + 1) % 64;
     let present = configuration(&[("dhofar", &["own"])]);
     let version = ConfigVersion(2);
     let changed = present.with_branches(version, other, object(&[("ruwi-bids", &["k1"])]));
     assert_eq!(owner(&changed, "k1"), None);
     assert!(changed.branch(&branch("ruwi-bids")).is_none());
-    let faults = present.check_change(&changed).unwrap_err().to_string();
-    assert!(faults.contains("found a branch of another shard; allowed: this branch only in"));
+    let errors = present.check_change(&changed).unwrap_err().to_string();
+    assert!(errors.contains("found a branch of another shard; allowed: this branch only in"));
 }
 
 #[test]
 fn many_branches() {
-    // At the size designed for every branch must be found, and a change must leave the rest alone.
+    // At the design size of 57,000 branches each one is found, and a change leaves the others intact.
     let names: Vec<String> = (0..57_000).map(|number| format!("account-{number}")).collect();
     let tokens: Vec<String> = (0..57_000).map(|number| format!("key-{number}")).collect();
     let entry =
