--- a/crates/sagespool-cli/src/arguments.rs
+++ b/crates/sagespool-cli/src/arguments.rs
@@ -1,4 +1,4 @@
-//! Reading the arguments of the command line.
+//! Parses command line arguments.
 
 use error_stack::Report;
 use gumdrop::Options;
@@ -6,20 +6,19 @@
 
 use crate::error::CommandError;
 
-/// How a command is called: its synopsis, and where its help is.
+/// The usage texts of a command.
 pub struct CommandUsage {
-    /// What to type, without the options.
+    /// The command line, without the options.
     pub synopsis: &'static str,
-    /// What a person can do after a wrong option.
+    /// Shown after an invalid option.
     pub help: &'static str,
 }
 
-/// Reads arguments; nothing if they ask for the help, which is printed on the standard
-/// error then.
+/// Parses arguments. Returns `None` after printing the help to standard error, if it was requested.
 ///
 /// # Errors
 ///
-/// [`CommandError::Options`] with the option that may have been meant.
+/// [`CommandError::Options`] with the most similar known option.
 pub fn read_arguments<T: Options>(
     usage: &CommandUsage,
     arguments: &[String],
@@ -36,7 +35,7 @@
     Ok(Some(options))
 }
 
-/// The option most like the one that a fault of gumdrop's quotes, if that is none.
+/// The known option most similar to an unrecognized one in gumdrop's error message.
 fn nearest_option<T: Options>(message: &str) -> Option<String> {
     let quoted = message.strip_prefix("unrecognized option `")?.strip_suffix('`')?;
     let known: Vec<&str> =
--- a/crates/sagespool-cli/src/certificates.rs
+++ b/crates/sagespool-cli/src/certificates.rs
@@ -1,4 +1,4 @@
-//! `sagespool certificates`: a development set for the link.
+//! `sagespool certificates`: link certificates for a development fleet.
 
 use std::fs::{self, OpenOptions};
 use std::io::Write;
@@ -18,10 +18,10 @@
 use crate::arguments::{CommandUsage, read_arguments};
 use crate::error::CommandError;
 
-/// Makes certificates with which a development fleet's processes know each other.
+/// Creates certificates for mutual authentication in a development fleet.
 ///
-/// Writes `authority.pem` and `authority.key`, and `NAME.pem` and `NAME.key` for each name. Run again
-/// with the same directory it keeps the authority, and adds or renews the names.
+/// Writes `authority.pem` and `authority.key`, and `NAME.pem` and `NAME.key` for each name. If the
+/// directory already has an authority, keeps it, and adds or renews the names.
 ///
 /// Example:
 /// $ sagespool certificates examples/certificates --names entry-1,sidecar-1
@@ -31,15 +31,15 @@
 struct CertificateOptions {
     #[options(help = "print this help")]
     help: bool,
-    #[options(free, help = "the directory to write to; made if it isn't there")]
+    #[options(free, help = "the directory to write to; created if missing")]
     directory: Option<PathBuf>,
-    #[options(no_short, meta = "A,B", help = "the processes to make certificates for")]
+    #[options(no_short, meta = "A,B", help = "the processes to create certificates for")]
     names: Option<String>,
 }
 
 const AUTHORITY_NAME: &str = "authority";
-const AUTHORITY_TITLE: &str = "sagespool development authority";
-/// The name, beside 127.0.0.1, that every certificate of the set is good for.
+const AUTHORITY_COMMON_NAME: &str = "sagespool development authority";
+/// The DNS name, beside 127.0.0.1, for which every certificate is valid.
 const SERVER_NAME: &str = "sagespool";
 const EXAMPLE: &str = "sagespool certificates DIR --names entry-1,sidecar-1";
 const USAGE: CommandUsage = CommandUsage {
@@ -49,17 +49,16 @@
 
 /// Writes `authority.pem`, and `NAME.pem` and `NAME.key` for each name.
 ///
-/// An authority that is there from an earlier run is kept, so that processes
-/// that trust it accept the new certificates: a set is added to, and renewed,
-/// by running the command again.
+/// Keeps an existing authority, so that processes that trust it accept the new certificates:
+/// running the command again adds or renews certificates.
 pub fn run(arguments: &[String]) -> Result<ExitCode, Report<CommandError>> {
     match read_arguments::<CertificateOptions>(&USAGE, arguments)? {
-        Some(options) => make_set(&options),
+        Some(options) => create_certificates(&options),
         None => Ok(ExitCode::SUCCESS),
     }
 }
 
-fn make_set(options: &CertificateOptions) -> Result<ExitCode, Report<CommandError>> {
+fn create_certificates(options: &CertificateOptions) -> Result<ExitCode, Report<CommandError>> {
     let usage = |message| Report::new(CommandError::Usage { message, help: EXAMPLE });
     let directory =
         options.directory.as_deref().ok_or_else(|| usage("the directory is missing"))?;
@@ -67,7 +66,7 @@
     let names = parse_names(names)?;
     fs::create_dir_all(directory)
         .change_context_lazy(|| CommandError::Unwritable(directory.into()))?;
-    let authority = take_authority(directory)?;
+    let authority = load_or_create_authority(directory)?;
     for name in &names {
         write_certificate(directory, name, &authority)?;
     }
@@ -79,11 +78,11 @@
     let mut names: Vec<InstanceName> = Vec::new();
     for part in text.split(',') {
         let name: InstanceName =
-            part.trim().parse().map_err(|fault| Report::new(CommandError::Argument(fault)))?;
+            part.trim().parse().map_err(|error| Report::new(CommandError::Argument(error)))?;
         if name.as_str() == AUTHORITY_NAME {
             let help = "any other name: this one is the authority's own";
-            let fault = ParseError::new("a name for a process's certificate", part, help);
-            return Err(Report::new(CommandError::Argument(fault)));
+            let error = ParseError::new("a name for a process's certificate", part, help);
+            return Err(Report::new(CommandError::Argument(error)));
         }
         if names.contains(&name) {
             return Err(Report::new(CommandError::RepeatedName(name.to_string())));
@@ -93,23 +92,29 @@
     Ok(names)
 }
 
-/// The authority that is there, or a new one.
-fn take_authority(directory: &Path) -> Result<Issuer<'static, KeyPair>, Report<CommandError>> {
+/// The existing authority, or a new one.
+fn load_or_create_authority(
+    directory: &Path,
+) -> Result<Issuer<'static, KeyPair>, Report<CommandError>> {
     let certificate_path = file_path(directory, AUTHORITY_NAME, "pem");
     let key_path = file_path(directory, AUTHORITY_NAME, "key");
     match (certificate_path.exists(), key_path.exists()) {
         (true, true) => read_authority(&key_path),
         (false, false) => new_authority(&certificate_path, &key_path),
-        (true, false) => Err(incomplete("`authority.key` is missing beside `authority.pem`")),
-        (false, true) => Err(incomplete("`authority.pem` is missing beside `authority.key`")),
+        (true, false) => {
+            Err(incomplete_authority("`authority.key` is missing beside `authority.pem`"))
+        }
+        (false, true) => {
+            Err(incomplete_authority("`authority.pem` is missing beside `authority.key`"))
+        }
     }
 }
 
-/// What the certificate says is the same each time, so only the key is read.
+/// The authority's certificate parameters are constant, so only the key is read.
 fn read_authority(key_path: &Path) -> Result<Issuer<'static, KeyPair>, Report<CommandError>> {
     let text = fs::read_to_string(key_path)
         .change_context_lazy(|| CommandError::Unreadable(key_path.into()))?;
-    let key = KeyPair::from_pem(&text).map_err(failed)?;
+    let key = KeyPair::from_pem(&text).map_err(certificate_error)?;
     Ok(Issuer::new(authority_params()?, key))
 }
 
@@ -117,38 +122,39 @@
     certificate_path: &Path,
     key_path: &Path,
 ) -> Result<Issuer<'static, KeyPair>, Report<CommandError>> {
-    let key = KeyPair::generate().map_err(failed)?;
+    let key = KeyPair::generate().map_err(certificate_error)?;
     let params = authority_params()?;
-    let certificate = params.self_signed(&key).map_err(failed)?;
+    let certificate = params.self_signed(&key).map_err(certificate_error)?;
     write_secret(key_path, &key.serialize_pem())?;
     write_file(certificate_path, &certificate.pem())?;
     Ok(Issuer::new(params, key))
 }
 
 fn authority_params() -> Result<CertificateParams, Report<CommandError>> {
-    let mut params = CertificateParams::new(Vec::new()).map_err(failed)?;
-    params.distinguished_name.push(DnType::CommonName, AUTHORITY_TITLE);
+    let mut params = CertificateParams::new(Vec::new()).map_err(certificate_error)?;
+    params.distinguished_name.push(DnType::CommonName, AUTHORITY_COMMON_NAME);
     params.is_ca = IsCa::Ca(BasicConstraints::Constrained(0));
     params.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::CrlSign];
     Ok(params)
 }
 
-/// Good for both ends of a connection, for 127.0.0.1 and the name `sagespool`.
-/// It doesn't run out in a developer's lifetime: the set is for development.
+/// Valid for client and server authentication, for 127.0.0.1 and the name `sagespool`. Keeps
+/// the default validity of rcgen, until the year 4096: the certificates are for development.
 fn write_certificate(
     directory: &Path,
     name: &InstanceName,
     authority: &Issuer<'static, KeyPair>,
 ) -> Result<(), Report<CommandError>> {
-    let mut params = CertificateParams::new(vec![SERVER_NAME.to_owned()]).map_err(failed)?;
+    let mut params =
+        CertificateParams::new(vec![SERVER_NAME.to_owned()]).map_err(certificate_error)?;
     params.subject_alt_names.push(SanType::IpAddress(IpAddr::V4(Ipv4Addr::LOCALHOST)));
     params.distinguished_name.push(DnType::CommonName, name.as_str());
     params.use_authority_key_identifier_extension = true;
     params.key_usages = vec![KeyUsagePurpose::DigitalSignature];
     params.extended_key_usages =
         vec![ExtendedKeyUsagePurpose::ServerAuth, ExtendedKeyUsagePurpose::ClientAuth];
-    let key = KeyPair::generate().map_err(failed)?;
-    let certificate = params.signed_by(&key, authority).map_err(failed)?;
+    let key = KeyPair::generate().map_err(certificate_error)?;
+    let certificate = params.signed_by(&key, authority).map_err(certificate_error)?;
     write_secret(&file_path(directory, name.as_str(), "key"), &key.serialize_pem())?;
     write_file(&file_path(directory, name.as_str(), "pem"), &certificate.pem())
 }
@@ -167,29 +173,29 @@
     replace_file(path, text, READABLE_BY_OWNER)
 }
 
-/// Guards a process that renews its certificate meanwhile against half a
-/// file: the new one takes the old one's place whole, by a rename. What an
-/// interrupted run left is removed, as it may be readable by others.
+/// Writes a new file and renames it, so that a process that loads its certificate meanwhile never
+/// reads a partial file. Removes the file of an interrupted run first, because others may be able
+/// to read it.
 fn replace_file(path: &Path, text: &str, mode: u32) -> Result<(), Report<CommandError>> {
     let unwritable = || CommandError::Unwritable(path.into());
-    let mut fresh = path.as_os_str().to_owned();
-    fresh.push(".new");
-    let fresh = PathBuf::from(fresh);
-    if fresh.exists() {
-        fs::remove_file(&fresh).change_context_lazy(unwritable)?;
+    let mut temporary = path.as_os_str().to_owned();
+    temporary.push(".new");
+    let temporary = PathBuf::from(temporary);
+    if temporary.exists() {
+        fs::remove_file(&temporary).change_context_lazy(unwritable)?;
     }
     let mut options = OpenOptions::new();
     options.write(true).create_new(true).mode(mode);
-    let mut file = options.open(&fresh).change_context_lazy(unwritable)?;
+    let mut file = options.open(&temporary).change_context_lazy(unwritable)?;
     file.write_all(text.as_bytes()).change_context_lazy(unwritable)?;
     drop(file);
-    fs::rename(&fresh, path).change_context_lazy(unwritable)
+    fs::rename(&temporary, path).change_context_lazy(unwritable)
 }
 
-fn incomplete(detail: &str) -> Report<CommandError> {
+fn incomplete_authority(detail: &str) -> Report<CommandError> {
     Report::new(CommandError::Certificate(detail.to_owned()))
 }
 
-fn failed(error: rcgen::Error) -> Report<CommandError> {
+fn certificate_error(error: rcgen::Error) -> Report<CommandError> {
     Report::new(CommandError::Certificate(error.to_string()))
 }
--- a/crates/sagespool-cli/src/error.rs
+++ b/crates/sagespool-cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command couldn't do its work.
+//! Errors of the command line tool.
 
 use std::error::Error;
 use std::fmt;
@@ -6,45 +6,45 @@
 
 use sagespool_types::ParseError;
 
-/// Why a command couldn't do its work.
+/// Why a command failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommandError {
-    /// The command's arguments don't go together.
+    /// Arguments are missing, or don't go together.
     Usage {
-        /// What is wrong with them.
+        /// What is wrong.
         message: &'static str,
-        /// What to give instead.
+        /// What to enter instead.
         help: &'static str,
     },
-    /// An option that there isn't, or one whose value is missing or wrong.
+    /// An unknown option, or one whose value is missing or invalid.
     Options {
         /// What is wrong.
         message: String,
-        /// The option that may have been meant.
+        /// The most similar known option.
         nearest: Option<String>,
-        /// Where the options are listed.
+        /// How to list the options.
         help: &'static str,
     },
-    /// One of the arguments is not what it should be.
+    /// An invalid argument.
     Argument(ParseError),
-    /// A name was given twice.
+    /// A name occurs twice.
     RepeatedName(String),
     /// A file or directory can't be read.
     Unreadable(PathBuf),
     /// A file or directory can't be written.
     Unwritable(PathBuf),
-    /// A certificate can't be made from what is there.
+    /// A certificate can't be created from the present files.
     Certificate(String),
-    /// The operator's input can't be read.
+    /// Standard input can't be read.
     Input,
 }
 
 impl CommandError {
-    /// What a person can do about it.
+    /// What the operator can do about it.
     pub fn help(&self) -> &'static str {
         match self {
             Self::Usage { help, .. } | Self::Options { help, .. } => help,
-            Self::Argument(fault) => fault.help,
+            Self::Argument(error) => error.help,
             Self::RepeatedName(_) => "give each name once",
             Self::Input => "give the line as an argument",
             Self::Unreadable(_) | Self::Unwritable(_) => "check the path and its permissions",
@@ -55,7 +55,7 @@
         }
     }
 
-    /// What may have been meant.
+    /// The most similar known option, for an unknown one.
     pub fn nearest(&self) -> Option<&str> {
         match self {
             Self::Options { nearest, .. } => nearest.as_deref(),
@@ -69,7 +69,7 @@
             Self::Usage { .. }
             | Self::Options { .. }
             | Self::Argument(_)
-            | Self::RepeatedName(_) => crate::USAGE_FAULT,
+            | Self::RepeatedName(_) => crate::EXIT_USAGE,
             _ => 1,
         }
     }
@@ -80,7 +80,7 @@
         match self {
             Self::Usage { message, .. } => f.write_str(message),
             Self::Options { message, .. } => f.write_str(message),
-            Self::Argument(fault) => write!(f, "`{}` is not {}", fault.found, fault.wanted),
+            Self::Argument(error) => write!(f, "`{}` is not {}", error.found, error.wanted),
             Self::RepeatedName(name) => write!(f, "the name `{name}` was given twice"),
             Self::Unreadable(path) => write!(f, "can't read `{}`", path.display()),
             Self::Unwritable(path) => write!(f, "can't write `{}`", path.display()),
--- a/crates/sagespool-cli/src/line_client.rs
+++ b/crates/sagespool-cli/src/line_client.rs
@@ -1,4 +1,4 @@
-//! Sending a line to an entry, and to the next where one doesn't answer.
+//! Sends an operator line to an entry, and to the next one if the first doesn't answer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,37 +7,37 @@
 use sagespool_operations::{ErrorReply, LINE_PATH, LineRequest, OperatorAnswer, OperatorError};
 use trillium_client::{Client, Status};
 
-/// Beside a command's own waiting time: asking members, reading the store, putting in force.
-const ANSWER_LIMIT: Duration = Duration::from_secs(15);
+/// In addition to a command's own wait: queries to members, store reads, rollout.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What became of a line.
+/// The result of sending a line to the entries.
 #[derive(Debug)]
-pub enum LineEnd {
+pub enum LineOutcome {
     /// An entry answered.
     Answer(Box<OperatorAnswer>),
-    /// An entry refused.
+    /// An entry refused the line.
     Refused(Box<OperatorError>),
     /// No entry answered.
     NoAnswer {
-        /// Each entry, and why not.
+        /// Each entry, with the reason.
         tried: Vec<String>,
-        /// True if the line may have come to one.
-        may_have_come: bool,
+        /// True if an entry may have received the line.
+        may_have_arrived: bool,
     },
 }
 
-/// What one entry said.
-enum EntryEnd {
+/// The result of sending a line to one entry.
+enum EntryOutcome {
     Answer(Box<OperatorAnswer>),
-    /// A refusal; another entry may do better with some.
+    /// A refusal; for some reasons the next entry is tried.
     Refused(Box<OperatorError>),
-    Silent {
-        why: String,
-        may_have_come: bool,
+    NoAnswer {
+        reason: String,
+        may_have_arrived: bool,
     },
 }
 
-/// Sends lines to entries.
+/// Sends operator lines to entries over HTTP.
 pub struct LineClient {
     client: Client,
     entries: Vec<SocketAddr>,
@@ -52,49 +52,52 @@
         Self { client, entries, token }
     }
 
-    /// Sends a line. The next entry is tried where one can't be reached, or says that it can't serve
-    /// now: a command has an id, so that two that get it do it once.
-    pub async fn send(&self, request: &LineRequest) -> LineEnd {
+    /// Sends a line. Tries the next entry if one can't be reached or can't serve the line at present.
+    /// A command that reaches two entries runs once, because both get the same command id.
+    pub async fn send(&self, request: &LineRequest) -> LineOutcome {
         let mut tried = Vec::new();
         let mut refused = None;
-        let mut came = false;
+        let mut any_arrived = false;
         for entry in &self.entries {
-            match self.ask(*entry, request).await {
-                EntryEnd::Answer(answer) => return LineEnd::Answer(answer),
-                EntryEnd::Refused(fault) if !may_differ_elsewhere(&fault) => {
-                    return LineEnd::Refused(fault);
+            match self.send_to(*entry, request).await {
+                EntryOutcome::Answer(answer) => return LineOutcome::Answer(answer),
+                EntryOutcome::Refused(error) if !may_succeed_elsewhere(&error) => {
+                    return LineOutcome::Refused(error);
                 }
-                EntryEnd::Refused(fault) => {
-                    tried.push(format!("{entry}: {}", fault.message));
-                    came |= fault.may_be_under_way;
-                    refused = Some(fault);
+                EntryOutcome::Refused(error) => {
+                    tried.push(format!("{entry}: {}", error.message));
+                    any_arrived |= error.may_be_under_way;
+                    refused = Some(error);
                 }
-                EntryEnd::Silent { why, may_have_come } => {
-                    tried.push(format!("{entry}: {why}"));
-                    came |= may_have_come;
+                EntryOutcome::NoAnswer { reason, may_have_arrived } => {
+                    tried.push(format!("{entry}: {reason}"));
+                    any_arrived |= may_have_arrived;
                 }
             }
         }
         match refused {
-            Some(mut fault) => {
-                fault.may_be_under_way |= came;
-                LineEnd::Refused(fault)
+            Some(mut error) => {
+                error.may_be_under_way |= any_arrived;
+                LineOutcome::Refused(error)
             }
-            None => LineEnd::NoAnswer { tried, may_have_come: came },
+            None => LineOutcome::NoAnswer { tried, may_have_arrived: any_arrived },
         }
     }
 
-    async fn ask(&self, entry: SocketAddr, request: &LineRequest) -> EntryEnd {
+    async fn send_to(&self, entry: SocketAddr, request: &LineRequest) -> EntryOutcome {
         let wait = Duration::from_millis(request.wait_ms.unwrap_or_default());
-        let late = async {
-            smol::Timer::after(wait + ANSWER_LIMIT).await;
-            EntryEnd::Silent { why: "no answer in time".to_owned(), may_have_come: true }
+        let timeout = async {
+            smol::Timer::after(wait + ANSWER_TIMEOUT).await;
+            EntryOutcome::NoAnswer {
+                reason: "timed out waiting for the answer".to_owned(),
+                may_have_arrived: true,
+            }
         };
-        self.exchange(entry, request).or(late).await
+        self.post_line(entry, request).or(timeout).await
     }
 
-    async fn exchange(&self, entry: SocketAddr, request: &LineRequest) -> EntryEnd {
-        let silent = |why: String| EntryEnd::Silent { why, may_have_come: true };
+    async fn post_line(&self, entry: SocketAddr, request: &LineRequest) -> EntryOutcome {
+        let no_answer = |reason: String| EntryOutcome::NoAnswer { reason, may_have_arrived: true };
         let body = serde_json::to_string(request).expect("a request is plain data");
         let sent = self
             .client
@@ -105,31 +108,32 @@
             .await;
         let mut conn = match sent {
             Ok(conn) => conn,
-            Err(error) => return silent(error.to_string()),
+            Err(error) => return no_answer(error.to_string()),
         };
         let status = conn.status();
         let text = match conn.response_body().read_string().await {
             Ok(text) => text,
-            Err(error) => return silent(format!("the answer broke off: {error}")),
+            Err(error) => return no_answer(format!("incomplete response body: {error}")),
         };
         read_answer(status, &text)
     }
 }
 
-fn read_answer(status: Option<Status>, text: &str) -> EntryEnd {
+fn read_answer(status: Option<Status>, text: &str) -> EntryOutcome {
     if status == Some(Status::Ok) {
         if let Ok(answer) = serde_json::from_str(text) {
-            return EntryEnd::Answer(Box::new(answer));
+            return EntryOutcome::Answer(Box::new(answer));
         }
     } else if let Ok(reply) = serde_json::from_str::<ErrorReply>(text) {
-        return EntryEnd::Refused(Box::new(reply.error));
+        return EntryOutcome::Refused(Box::new(reply.error));
     }
     let status = status.map_or_else(|| "no status".to_owned(), |status| status.to_string());
-    let why = format!("what answers is no entry of this version ({status})");
-    EntryEnd::Silent { why, may_have_come: true }
+    let reason = format!("the server is not an entry of this version ({status})");
+    EntryOutcome::NoAnswer { reason, may_have_arrived: true }
 }
 
-/// An entry that has no configuration, is leaving, or can't reach the store says nothing of others.
-fn may_differ_elsewhere(fault: &OperatorError) -> bool {
-    ["not-ready", "leaving", "store-unreachable"].contains(&fault.code.as_str())
+/// An entry without configuration, one that is leaving, or one that can't reach the store: these
+/// reasons don't apply to other entries.
+fn may_succeed_elsewhere(error: &OperatorError) -> bool {
+    ["not-ready", "leaving", "store-unreachable"].contains(&error.code.as_str())
 }
--- a/crates/sagespool-cli/src/main.rs
+++ b/crates/sagespool-cli/src/main.rs
@@ -14,10 +14,10 @@
 
 use crate::error::CommandError;
 
-/// Exit code of a command that was given wrongly.
-const USAGE_FAULT: u8 = 2;
+/// Exit code for wrong arguments.
+const EXIT_USAGE: u8 = 2;
 
-/// Commands that work on files here and ask no fleet.
+/// Commands that work on local files, without a fleet.
 const LOCAL_COMMANDS: [&str; 2] = ["check", "certificates"];
 
 fn main() -> ExitCode {
--- a/crates/sagespool-cli/src/operate.rs
+++ b/crates/sagespool-cli/src/operate.rs
@@ -1,4 +1,4 @@
-//! `sagespool LINE`: asking and commanding a fleet.
+//! `sagespool LINE`: sends queries and commands to a fleet.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -14,26 +14,26 @@
 
 use crate::arguments::{CommandUsage, read_arguments};
 use crate::error::CommandError;
-use crate::line_client::{LineClient, LineEnd};
+use crate::line_client::{LineClient, LineOutcome};
 use crate::prompt;
-use crate::{LOCAL_COMMANDS, USAGE_FAULT};
+use crate::{EXIT_USAGE, LOCAL_COMMANDS};
 
-/// Exit code if a command isn't as wished, or was refused.
-const NOT_GOOD: u8 = 1;
-/// Exit code if no entry answered: what became of a command isn't known.
-const NO_ANSWER: u8 = 3;
+/// Exit code if a command was refused, or an item of it failed.
+const EXIT_FAILURE: u8 = 1;
+/// Exit code if no entry answered; whether a command was accepted is unknown.
+const EXIT_NO_ANSWER: u8 = 3;
 
 const DEFAULT_WAIT_SECONDS: u64 = 60;
-/// An entry is asked anew after so long, while a command goes on.
-const ROUND_WAIT: Duration = Duration::from_secs(10);
+/// The longest wait of one request; while the command still runs, the request is repeated.
+const MAX_REQUEST_WAIT: Duration = Duration::from_secs(10);
 
 const USAGE: CommandUsage = CommandUsage {
     synopsis: "sagespool [OPTIONS] [LINE]\n       sagespool check --help\n       sagespool certificates --help",
     help: "`sagespool --help` lists the options",
 };
 
-/// Asks and commands a sagespool fleet: a line of the operators' language goes to any entry. Without a
-/// line there is a prompt (`exit` ends it); lines may also come from a file on the standard input.
+/// Sends queries and commands to a sagespool fleet: a line of the operator language goes to any entry.
+/// Without a line it starts a prompt (`exit` ends it), or runs the lines of a file on standard input.
 ///
 /// Examples:
 /// $ sagespool help
@@ -44,10 +44,10 @@
 /// $ sagespool --command 01a23846c0f2b8aaa80b29b62b43082a 'top-up ruwi-bids 500_000'
 ///
 /// Exit codes:
-///   0  answered; every item of a command is as wished
-///   1  refused, or an item of the command is not (known to be) as wished
+///   0  answered; every item of a command succeeded
+///   1  refused, or an item of the command failed or has an unknown result
 ///   2  the line or the options are wrong; nothing was done
-///   3  no entry answered; of a command it isn't known whether it was taken
+///   3  no entry answered; whether a command was accepted is unknown
 #[derive(Debug, Options)]
 struct OperateOptions {
     #[options(help = "print this help")]
@@ -59,7 +59,7 @@
     #[options(
         meta = "IP:PORT",
         parse(try_from_str = "parse_entry"),
-        help = "an entry; several are tried in turn (default: SAGESPOOL_ENTRY, parted by commas)"
+        help = "an entry; several are tried in turn (default: SAGESPOOL_ENTRY, separated by commas)"
     )]
     entry: Vec<SocketAddr>,
     #[options(meta = "KEY", help = "the operator's key (default: SAGESPOOL_TOKEN)")]
@@ -69,7 +69,7 @@
     #[options(
         no_short,
         meta = "ID",
-        help = "the command's id, to give a command again; else a new one"
+        help = "the id of a command, to repeat it (default: a new id)"
     )]
     command: Option<CommandId>,
     #[options(
@@ -81,10 +81,10 @@
     wait: Option<u64>,
 }
 
-const ENTRY_VARIABLE: &str = "SAGESPOOL_ENTRY";
-const TOKEN_VARIABLE: &str = "SAGESPOOL_TOKEN";
+const ENTRY_ENV: &str = "SAGESPOOL_ENTRY";
+const TOKEN_ENV: &str = "SAGESPOOL_TOKEN";
 
-/// Carries out the line, or those that are typed; the exit code says how it went.
+/// Runs the line of the arguments, or those from standard input; returns the exit code.
 pub fn run(arguments: &[String]) -> Result<ExitCode, Report<CommandError>> {
     let Some(options) = read_arguments::<OperateOptions>(&USAGE, arguments)? else {
         return Ok(ExitCode::SUCCESS);
@@ -99,14 +99,14 @@
     run_line(&options, &options.line.join(" ")).map(ExitCode::from)
 }
 
-/// Carries out one line; 0 if all is as wished.
+/// Runs one line; 0 on success.
 fn run_line(options: &OperateOptions, line: &str) -> Result<u8, Report<CommandError>> {
-    // A line that is wrong is told so here: nothing has to be reached for that.
+    // Parse errors are reported locally, without a connection to an entry.
     let parsed = match parse_line(line) {
         Ok(parsed) => parsed,
-        Err(fault) => {
-            show_fault(options, &suggest_local(fault).into());
-            return Ok(USAGE_FAULT);
+        Err(error) => {
+            show_operator_error(options, &suggest_local(error).into());
+            return Ok(EXIT_USAGE);
         }
     };
     if let OperatorLine::Query(OperatorQuery::Help { word }) = &parsed {
@@ -118,17 +118,17 @@
     let command =
         is_command.then(|| options.command.unwrap_or_else(|| new_command_id(WallTime::now())));
     let wait = Duration::from_secs(options.wait.unwrap_or(DEFAULT_WAIT_SECONDS));
-    let end = smol::block_on(send(&client, line, command, wait));
-    Ok(show_end(options, command, end))
+    let outcome = smol::block_on(send(&client, line, command, wait));
+    Ok(show_outcome(options, command, outcome))
 }
 
-/// A first word that begins no line may be meant for a command that works on files.
-fn suggest_local(mut fault: LineError) -> LineError {
-    let first = fault.line.split_whitespace().next().unwrap_or_default();
-    if fault.at.start == 0 && fault.nearest.is_none() {
-        fault.nearest = nearest_of(first, &LOCAL_COMMANDS);
+/// Suggests a local command for an unknown first word.
+fn suggest_local(mut error: LineError) -> LineError {
+    let first = error.line.split_whitespace().next().unwrap_or_default();
+    if error.at.start == 0 && error.nearest.is_none() {
+        error.nearest = nearest_of(first, &LOCAL_COMMANDS);
     }
-    fault
+    error
 }
 
 fn parse_entry(text: &str) -> Result<SocketAddr, ParseError> {
@@ -143,16 +143,16 @@
     if !options.entry.is_empty() {
         return Ok(options.entry.clone());
     }
-    let text = std::env::var(ENTRY_VARIABLE).unwrap_or_default();
+    let text = std::env::var(ENTRY_ENV).unwrap_or_default();
     let parts = text.split(',').map(str::trim).filter(|part| !part.is_empty());
     let entries: Result<Vec<SocketAddr>, _> = parts.map(parse_entry).collect();
-    let entries = entries.map_err(|fault| {
-        let message = format!("{ENTRY_VARIABLE} names no entry: {fault}");
+    let entries = entries.map_err(|error| {
+        let message = format!("{ENTRY_ENV} names no entry: {error}");
         Report::new(CommandError::Options { message, nearest: None, help: USAGE.help })
     })?;
     if entries.is_empty() {
         return Err(Report::new(CommandError::Usage {
-            message: "no entry is named",
+            message: "no entry is given",
             help: "give `--entry IP:PORT`, or set SAGESPOOL_ENTRY",
         }));
     }
@@ -160,7 +160,7 @@
 }
 
 fn token(options: &OperateOptions) -> Result<String, Report<CommandError>> {
-    let given = options.token.clone().or_else(|| std::env::var(TOKEN_VARIABLE).ok());
+    let given = options.token.clone().or_else(|| std::env::var(TOKEN_ENV).ok());
     given.filter(|token| !token.is_empty()).ok_or_else(|| {
         Report::new(CommandError::Usage {
             message: "the operator's key is missing",
@@ -169,27 +169,28 @@
     })
 }
 
-/// Sends the line until it is answered; a command until it has ended or the time is up. Giving it again
-/// is safe: it has the same id.
+/// Sends the line until it is answered; a command until it has ended or the wait is over. Repeating a
+/// command is safe because its id stays the same.
 async fn send(
     client: &LineClient,
     line: &str,
     command: Option<CommandId>,
     wait: Duration,
-) -> LineEnd {
+) -> LineOutcome {
     let deadline = ClockTime::now().after(wait);
     loop {
-        let left = deadline.since(ClockTime::now());
+        let remaining = deadline.since(ClockTime::now());
         let request = LineRequest {
             line: line.to_owned(),
             command,
             json: Some(true),
-            wait_ms: command.map(|_| left.min(ROUND_WAIT).as_millis() as u64),
+            wait_ms: command.map(|_| remaining.min(MAX_REQUEST_WAIT).as_millis() as u64),
         };
-        let end = client.send(&request).await;
-        let goes_on = matches!(&end, LineEnd::Answer(answer) if is_running(answer));
-        if command.is_none() || !goes_on || ClockTime::now() >= deadline {
-            return end;
+        let outcome = client.send(&request).await;
+        let is_running_command =
+            matches!(&outcome, LineOutcome::Answer(answer) if is_running(answer));
+        if command.is_none() || !is_running_command || ClockTime::now() >= deadline {
+            return outcome;
         }
     }
 }
@@ -198,34 +199,34 @@
     matches!(&answer.answer, AnswerBody::Command(command) if command.state == CommandState::Running)
 }
 
-fn show_end(options: &OperateOptions, command: Option<CommandId>, end: LineEnd) -> u8 {
-    match end {
-        LineEnd::Answer(answer) => {
+fn show_outcome(options: &OperateOptions, command: Option<CommandId>, outcome: LineOutcome) -> u8 {
+    match outcome {
+        LineOutcome::Answer(answer) => {
             show_answer(options, &answer);
             let is_success = match &answer.answer {
                 AnswerBody::Command(answer) if command.is_some() => answer.is_success(),
                 _ => true,
             };
-            if is_success { 0 } else { NOT_GOOD }
+            if is_success { 0 } else { EXIT_FAILURE }
         }
-        LineEnd::Refused(fault) => {
-            show_fault(options, &fault);
-            again_hint(command, fault.may_be_under_way);
-            if fault.line.is_some() { USAGE_FAULT } else { NOT_GOOD }
+        LineOutcome::Refused(error) => {
+            show_operator_error(options, &error);
+            show_retry_hint(command, error.may_be_under_way);
+            if error.line.is_some() { EXIT_USAGE } else { EXIT_FAILURE }
         }
-        LineEnd::NoAnswer { tried, may_have_come } => {
+        LineOutcome::NoAnswer { tried, may_have_arrived } => {
             let message = format!("no entry answered\n  {}", tried.join("\n  "));
             let help = "check the addresses, or try another entry";
-            show_fault(options, &OperatorError::new("no-answer", message, help));
-            again_hint(command, may_have_come);
-            NO_ANSWER
+            show_operator_error(options, &OperatorError::new("no-answer", message, help));
+            show_retry_hint(command, may_have_arrived);
+            EXIT_NO_ANSWER
         }
     }
 }
 
-fn again_hint(command: Option<CommandId>, may_be_under_way: bool) {
+fn show_retry_hint(command: Option<CommandId>, may_be_under_way: bool) {
     if let Some(command) = command.filter(|_| may_be_under_way) {
-        eprintln!("the command may be under way: give it again with `--command {command}`");
+        eprintln!("the command may be running: repeat it with `--command {command}`");
     }
 }
 
@@ -238,18 +239,18 @@
     }
 }
 
-fn show_fault(options: &OperateOptions, fault: &OperatorError) {
+fn show_operator_error(options: &OperateOptions, error: &OperatorError) {
     if options.json {
-        let value = serde_json::json!({"error": fault});
+        let value = serde_json::json!({"error": error});
         println!("{value:#}");
-    } else if fault.line.is_some() {
-        eprintln!("error: {fault}");
+    } else if error.line.is_some() {
+        eprintln!("error: {error}");
     } else {
-        eprintln!("error[{}]: {fault}", fault.code);
+        eprintln!("error[{}]: {error}", error.code);
     }
 }
 
-/// Help needs no fleet, so its answer rests on nothing.
+/// Help needs no fleet, so its JSON has no `basis` member.
 fn show_help(options: &OperateOptions, word: Option<&str>) {
     let answer = HelpAnswer::about(word);
     if options.json {
@@ -261,8 +262,6 @@
         println!("{}\n    {}", line.usage, line.summary);
     }
     if word.is_none() {
-        println!(
-            "\n`sagespool --help` lists the options; docs/OPERATORS.md says what each line does"
-        );
+        println!("\n`sagespool --help` lists the options; docs/OPERATORS.md describes each line");
     }
 }
--- a/crates/sagespool-cli/src/prompt.rs
+++ b/crates/sagespool-cli/src/prompt.rs
@@ -1,4 +1,4 @@
-//! The interactive prompt: one line after the other.
+//! The interactive prompt, and scripts from standard input.
 
 use std::io::{self, BufRead, IsTerminal, Write};
 use std::process::ExitCode;
@@ -8,12 +8,12 @@
 use crate::error::CommandError;
 
 const PROMPT: &str = "sagespool> ";
-const ENDINGS: [&str; 2] = ["exit", "quit"];
+const EXIT_LINES: [&str; 2] = ["exit", "quit"];
 
-/// Reads lines from the standard input and carries each out. Without a terminal it is a script: no
-/// prompt, and the exit code is the worst of its lines'.
+/// Reads lines from standard input and runs each. Without a terminal the input is a script: there is
+/// no prompt, and the exit code is the highest one of its lines.
 pub fn run(
-    carry_out: impl Fn(&str) -> Result<u8, Report<CommandError>>,
+    run_line: impl Fn(&str) -> Result<u8, Report<CommandError>>,
 ) -> Result<ExitCode, Report<CommandError>> {
     let input = io::stdin();
     let is_terminal = input.is_terminal();
@@ -22,11 +22,11 @@
     for line in input.lock().lines() {
         let line = line.change_context(CommandError::Input)?;
         let line = line.trim();
-        if ENDINGS.contains(&line) {
+        if EXIT_LINES.contains(&line) {
             break;
         }
         if !line.is_empty() && !line.starts_with('#') {
-            worst = worst.max(carry_out(line)?);
+            worst = worst.max(run_line(line)?);
         }
         show_prompt(is_terminal);
     }
--- a/crates/sagespool-cli/tests/certificates_command.rs
+++ b/crates/sagespool-cli/tests/certificates_command.rs
@@ -1,4 +1,4 @@
-//! `sagespool certificates`: the set must do for mutual authentication.
+//! `sagespool certificates`: the certificates must work for mutual authentication.
 
 #![allow(clippy::unwrap_used)]
 
@@ -24,7 +24,7 @@
 }
 
 #[track_caller]
-fn make_good(directory: &Path, names: &str) {
+fn make_valid(directory: &Path, names: &str) {
     let output = make(directory, names);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
 }
@@ -56,24 +56,24 @@
     verifier.verify_server_cert(certificate, &[], &name, &[], UnixTime::now()).is_ok()
 }
 
-fn key_fits(directory: &Path, name: &str) -> bool {
+fn key_matches(directory: &Path, name: &str) -> bool {
     let key = PrivateKeyDer::from_pem_file(directory.join(format!("{name}.key"))).unwrap();
     let chain = vec![certificate(directory, name)];
     CertifiedKey::from_der(chain, key, &provider()).unwrap().keys_match().is_ok()
 }
 
 #[test]
-fn whole_set() {
+fn mutual_authentication() {
     let directory = tempfile::tempdir().unwrap();
     let directory = directory.path().join("certificates");
-    make_good(&directory, "entry-1,sidecar-1");
+    make_valid(&directory, "entry-1,sidecar-1");
     for name in ["entry-1", "sidecar-1"] {
         let certificate = certificate(&directory, name);
         assert!(accepted_as_client(&directory, &certificate));
         assert!(accepted_as_server(&directory, &certificate, "127.0.0.1"));
         assert!(accepted_as_server(&directory, &certificate, "sagespool"));
         assert!(!accepted_as_server(&directory, &certificate, "127.0.0.2"));
-        assert!(key_fits(&directory, name));
+        assert!(key_matches(&directory, name));
         let key = fs::metadata(directory.join(format!("{name}.key"))).unwrap();
         assert_eq!(key.permissions().mode() & 0o777, 0o600);
     }
@@ -81,19 +81,19 @@
 
 #[test]
 fn added_names() {
-    // A developer adds a process to a fleet that runs, and renews another's certificate. If the
-    // command made a new authority, every running process would refuse both.
+    // A process is added to a running fleet, and another's certificate is renewed. With a new
+    // authority, the running processes would reject both.
     let directory = tempfile::tempdir().unwrap();
     let directory = directory.path();
-    make_good(directory, "entry-1");
+    make_valid(directory, "entry-1");
     let authority = certificate(directory, "authority");
     let first = certificate(directory, "entry-1");
-    make_good(directory, "entry-1,entry-2");
+    make_valid(directory, "entry-1,entry-2");
     assert_eq!(certificate(directory, "authority"), authority);
     assert_ne!(certificate(directory, "entry-1"), first);
     for name in ["entry-1", "entry-2"] {
         assert!(accepted_as_client(directory, &certificate(directory, name)));
-        assert!(key_fits(directory, name));
+        assert!(key_matches(directory, name));
     }
     assert!(accepted_as_client(directory, &first));
 }
@@ -101,13 +101,13 @@
 #[test]
 fn other_authority() {
     let (one, other) = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
-    make_good(one.path(), "entry-1");
-    make_good(other.path(), "entry-1");
+    make_valid(one.path(), "entry-1");
+    make_valid(other.path(), "entry-1");
     assert!(!accepted_as_client(one.path(), &certificate(other.path(), "entry-1")));
 }
 
 #[test]
-fn wrong_names() {
+fn invalid_names() {
     let directory = tempfile::tempdir().unwrap();
     for names in ["", "../entry", "entry 1", "entry-1,entry-1", "authority", "entry-1,"] {
         let output = make(directory.path(), names);
@@ -118,9 +118,9 @@
 }
 
 #[test]
-fn lost_key() {
+fn missing_authority_key() {
     let directory = tempfile::tempdir().unwrap();
-    make_good(directory.path(), "entry-1");
+    make_valid(directory.path(), "entry-1");
     fs::remove_file(directory.path().join("authority.key")).unwrap();
     let output = make(directory.path(), "entry-2");
     assert_eq!(output.status.code(), Some(1));
--- a/crates/sagespool-cli/tests/operate_lines.rs
+++ b/crates/sagespool-cli/tests/operate_lines.rs
@@ -1,4 +1,4 @@
-//! `sagespool LINE`, as an operator types it, without a fleet.
+//! `sagespool LINE`, run as a process without a fleet.
 
 #![allow(clippy::unwrap_used)]
 
@@ -26,7 +26,7 @@
     String::from_utf8(output.stderr.clone()).unwrap()
 }
 
-/// An address at which nothing listens.
+/// The address of a closed port.
 fn nowhere() -> String {
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     listener.local_addr().unwrap().to_string()
@@ -60,7 +60,8 @@
     assert_eq!(bad_entry.status.code(), Some(2));
 }
 
-/// A wrong option is told with the one that may be meant, and a wrong value with what is allowed.
+/// The error for an unknown option suggests a similar one; the error for a value names what is
+/// allowed.
 #[test]
 fn wrong_options() {
     let cases: [(&[&str], &str); 7] = [
@@ -98,8 +99,8 @@
     assert!(options.contains("--entry") && options.contains("sagespool check"), "{options}");
 }
 
-/// No entry can be reached. Of a command nobody can say whether it was taken, so its id is shown: given
-/// again with it, it is done once.
+/// No entry can be reached. Whether a command was accepted is unknown, so its id is shown: a retry with
+/// the same id runs the command at most once.
 #[test]
 fn no_answer() {
     let (first, second) = (nowhere(), nowhere());
@@ -115,7 +116,8 @@
     assert!(stderr(&output).contains(wanted), "{}", stderr(&output));
 }
 
-/// Lines from a file: comments and empty ones are passed over, and the worst line gives the exit code.
+/// A script on standard input: skips comments and empty lines, and exits with the highest exit code of
+/// its lines.
 #[test]
 fn script_lines() {
     let mut child = sagespool(&["--entry", &nowhere(), "--token", "k"])
