--- a/crates/sagespool-settings/examples/configuration_cost.rs
+++ b/crates/sagespool-settings/examples/configuration_cost.rs
@@ -64,9 +64,9 @@
 }
 
 fn branches(count: usize) -> BranchObject {
-    let entry =
+    let config =
         |number| BranchConfig::builder().key_hashes(vec![SecretHash::of(&token(number))]).build();
-    BranchObject { branches: (0..count).map(|number| (name(number), entry(number))).collect() }
+    BranchObject { branches: (0..count).map(|number| (name(number), config(number))).collect() }
 }
 
 /// Mean time in microseconds to validate and apply a changed object of one shard.
@@ -77,8 +77,8 @@
     let started = Instant::now();
     for version in 0..CHANGES {
         let mut object = check_branches(&value).expect("serialized from valid objects");
-        let entry = object.branches.get_mut(&name(0)).expect("the branch is in its shard");
-        entry.key_hashes = vec![SecretHash::of(&token(version))];
+        let config = object.branches.get_mut(&name(0)).expect("the branch is in its shard");
+        config.key_hashes = vec![SecretHash::of(&token(version))];
         let version = ConfigVersion(version as u64);
         black_box(configuration.with_branches(version, shard, object));
     }
--- a/crates/sagespool-settings/src/configuration/branches.rs
+++ b/crates/sagespool-settings/src/configuration/branches.rs
@@ -119,8 +119,8 @@
             node.reject_with(format!("{name:?}"), allowed, None)
         }
     };
-    let entry = node.object(read_branch);
-    Some((name?, entry?))
+    let config = node.object(read_branch);
+    Some((name?, config?))
 }
 
 fn read_branch(object: &ObjectNode) -> Option<BranchConfig> {
--- a/crates/sagespool-settings/src/configuration/cross_check.rs
+++ b/crates/sagespool-settings/src/configuration/cross_check.rs
@@ -32,11 +32,11 @@
         let mut errors = Vec::new();
         for (shard, object) in (0..).zip(&self.shards) {
             let parent = format!("{}:$.branches", branch_object_key(shard));
-            for (name, entry) in &object.branches {
+            for (name, config) in &object.branches {
                 let path = field_path(&parent, name.as_str());
                 self.check_shard(shard, name, &path, &mut errors);
-                self.check_shared_keys(name, entry, &path, &mut errors);
-                self.check_references(entry, &path, &mut errors);
+                self.check_shared_keys(name, config, &path, &mut errors);
+                self.check_references(config, &path, &mut errors);
             }
         }
         errors
@@ -60,11 +60,11 @@
     fn check_shared_keys(
         &self,
         name: &BranchName,
-        entry: &BranchConfig,
+        config: &BranchConfig,
         path: &str,
         errors: &mut Vec<ValidationError>,
     ) {
-        for (index, hash) in entry.key_hashes.iter().enumerate() {
+        for (index, hash) in config.key_hashes.iter().enumerate() {
             if let Some(other) = self.tokens.other_owner(hash, name) {
                 let path = format!("{path}.key_hashes[{index}]");
                 let found = format!("a key that branch `{other}` has too");
@@ -75,19 +75,19 @@
 
     fn check_references(
         &self,
-        entry: &BranchConfig,
+        config: &BranchConfig,
         path: &str,
         errors: &mut Vec<ValidationError>,
     ) {
         let fleet = self.fleet();
-        for (index, held) in entry.held_back.iter().enumerate() {
+        for (index, held) in config.held_back.iter().enumerate() {
             if self.class(&held.class).is_none() {
                 let path = format!("{path}.held_back[{index}].class");
                 let names = fleet.classes.iter().map(|class| class.name.as_str()).collect();
                 errors.push(unknown_name(path, held.class.as_str(), names));
             }
         }
-        for (index, rule) in entry.non_idempotent.iter().enumerate() {
+        for (index, rule) in config.non_idempotent.iter().enumerate() {
             if self.service(&rule.service).is_none() {
                 let path = format!("{path}.non_idempotent[{index}].service");
                 let names = fleet.services.iter().map(|service| service.name.as_str()).collect();
--- a/crates/sagespool-settings/src/configuration/index.rs
+++ b/crates/sagespool-settings/src/configuration/index.rs
@@ -150,8 +150,8 @@
         method: &str,
         path: &str,
     ) -> bool {
-        let by_service = self.service(service).is_some_and(|entry| {
-            entry.non_idempotent.iter().any(|rule| rule.matches(method, path))
+        let by_service = self.service(service).is_some_and(|config| {
+            config.non_idempotent.iter().any(|rule| rule.matches(method, path))
         });
         by_service || self.matches_branch_rule(branch, service, method, path)
     }
@@ -163,8 +163,8 @@
         method: &str,
         path: &str,
     ) -> bool {
-        let Some(entry) = self.branch(branch) else { return false };
-        let mut rules = entry.non_idempotent.iter().filter(|rule| rule.service == *service);
+        let Some(config) = self.branch(branch) else { return false };
+        let mut rules = config.non_idempotent.iter().filter(|rule| rule.service == *service);
         rules.any(|rule| rule.route.matches(method, path))
     }
 
@@ -217,9 +217,9 @@
     from: &'a BranchMap,
     other: &'a BranchMap,
 ) -> impl Iterator<Item = (&'a BranchName, &'a SecretHash)> {
-    from.iter().flat_map(move |(name, entry)| {
-        let kept = other.get(name).map_or(&[][..], |entry| &entry.key_hashes);
-        let missing = entry.key_hashes.iter().filter(move |hash| !kept.contains(hash));
+    from.iter().flat_map(move |(name, config)| {
+        let kept = other.get(name).map_or(&[][..], |config| &config.key_hashes);
+        let missing = config.key_hashes.iter().filter(move |hash| !kept.contains(hash));
         missing.map(move |hash| (name, hash))
     })
 }
--- a/crates/sagespool-settings/src/configuration/shard.rs
+++ b/crates/sagespool-settings/src/configuration/shard.rs
@@ -35,9 +35,9 @@
 /// Distributes branches over their shards; empty shards are omitted.
 pub fn split_branches(object: BranchObject) -> BTreeMap<u64, BranchObject> {
     let mut shards: BTreeMap<u64, BranchObject> = BTreeMap::new();
-    for (name, entry) in object.branches {
+    for (name, config) in object.branches {
         let shard = shards.entry(branch_shard(&name)).or_default();
-        shard.branches.insert(name, entry);
+        shard.branches.insert(name, config);
     }
     shards
 }
--- a/crates/sagespool-settings/tests/fleet_schema.rs
+++ b/crates/sagespool-settings/tests/fleet_schema.rs
@@ -222,8 +222,9 @@
 #[test]
 fn repeated_branch() {
     let hash = SecretHash::of("k");
-    let entry = format!("\"ruwi-bids\": {{\"key_hashes\": [\"{hash}\"]}}");
-    let errors = parse_branches(&format!("{{\"branches\": {{{entry}, {entry}}}}}")).unwrap_err();
+    let branch_json = format!("\"ruwi-bids\": {{\"key_hashes\": [\"{hash}\"]}}");
+    let errors =
+        parse_branches(&format!("{{\"branches\": {{{branch_json}, {branch_json}}}}}")).unwrap_err();
     assert_eq!(errors.errors[0].path, "$.branches.ruwi-bids");
     assert!(parse_fleet(&fleet_value().to_string()).is_ok());
 }
@@ -313,11 +314,11 @@
     // So the reference is applied without effect, and only a change that causes it is rejected.
     let mut object = branches();
     let name: BranchName = "ruwi-bids".parse().unwrap();
-    let entry = object.branches.get_mut(&name).unwrap();
-    entry.held_back =
+    let config = object.branches.get_mut(&name).unwrap();
+    config.held_back =
         vec![ClassHoldback { class: "lookups".parse().unwrap(), tokens: TokenCount(1) }];
     let route = RouteRule { method: None, path_prefix: "/".to_owned() };
-    entry.non_idempotent = vec![BranchRule { service: "portal".parse().unwrap(), route }];
+    config.non_idempotent = vec![BranchRule { service: "portal".parse().unwrap(), route }];
     let shard = branch_shard(&name);
     let object = split_branches(object).remove(&shard).unwrap();
 
@@ -351,9 +352,9 @@
 fn even_shards() {
     // A change is sent through the fleet as the whole object, with 2 KB per second for all control
     // traffic: 57,000 branches must spread evenly over the objects and leave none empty.
-    let entry = BranchConfig::builder().key_hashes(vec![SecretHash::of("k"); 2]).build();
+    let config = BranchConfig::builder().key_hashes(vec![SecretHash::of("k"); 2]).build();
     let name = |number: u32| format!("client-account-{number}").parse().unwrap();
-    let branches = (0..57_000).map(|number| (name(number), entry.clone())).collect();
+    let branches = (0..57_000).map(|number| (name(number), config.clone())).collect();
     let shards = split_branches(BranchObject { branches });
     assert_eq!(shards.len(), 4096);
     for object in shards.values() {
@@ -364,9 +365,9 @@
 
 quickcheck! {
     fn own_shard(numbers: Vec<u16>) -> bool {
-        let entry = BranchConfig::builder().build();
+        let config = BranchConfig::builder().build();
         let name = |number: &u16| -> BranchName { format!("b-{number}").parse().unwrap() };
-        let branches = numbers.iter().map(|number| (name(number), entry.clone())).collect();
+        let branches = numbers.iter().map(|number| (name(number), config.clone())).collect();
         let object = BranchObject { branches };
         let shards = split_branches(object.clone());
         let count: usize = shards.values().map(|shard| shard.branches.len()).sum();
--- a/crates/sagespool-settings/tests/token_lookup.rs
+++ b/crates/sagespool-settings/tests/token_lookup.rs
@@ -24,11 +24,11 @@
 }
 
 fn object(branches: &[(&str, &[&str])]) -> BranchObject {
-    let entry = |tokens: &[&str]| {
+    let config = |tokens: &[&str]| {
         let key_hashes = tokens.iter().map(|token| SecretHash::of(token)).collect();
         BranchConfig::builder().key_hashes(key_hashes).build()
     };
-    let branches = branches.iter().map(|(name, tokens)| (branch(name), entry(tokens))).collect();
+    let branches = branches.iter().map(|(name, tokens)| (branch(name), config(tokens))).collect();
     BranchObject { branches }
 }
 
@@ -65,8 +65,8 @@
     // rejected: a caller could try tokens until the first bytes match.
     let hash = SecretHash::of("k1").to_string();
     let near: SecretHash = format!("{}{}", &hash[..48], "0".repeat(16)).parse().unwrap();
-    let entry = BranchConfig::builder().key_hashes(vec![near]).build();
-    let object = BranchObject { branches: [(branch("ruwi-bids"), entry)].into() };
+    let config = BranchConfig::builder().key_hashes(vec![near]).build();
+    let object = BranchObject { branches: [(branch("ruwi-bids"), config)].into() };
     let configuration = FleetConfiguration::build(ConfigVersion(1), fleet(), [&object]);
     assert_eq!(owner(&configuration, "k1"), None);
 }
@@ -134,16 +134,16 @@
     // At the design size of 57,000 branches each one is found, and a change leaves the others intact.
     let names: Vec<String> = (0..57_000).map(|number| format!("account-{number}")).collect();
     let tokens: Vec<String> = (0..57_000).map(|number| format!("key-{number}")).collect();
-    let entry =
+    let config =
         |token: &String| BranchConfig::builder().key_hashes(vec![SecretHash::of(token)]).build();
     let pairs = names.iter().zip(&tokens);
-    let all = pairs.map(|(name, token)| (branch(name), entry(token))).collect();
+    let all = pairs.map(|(name, token)| (branch(name), config(token))).collect();
     let all = BranchObject { branches: all };
     let configuration = FleetConfiguration::build(ConfigVersion(1), fleet(), [&all]);
 
     let shard = branch_shard(&branch(&names[0]));
     let mut object = split_branches(all).remove(&shard).unwrap();
-    object.branches.insert(branch(&names[0]), entry(&"fresh".to_owned()));
+    object.branches.insert(branch(&names[0]), config(&"fresh".to_owned()));
     let changed = configuration.with_branches(ConfigVersion(2), shard, object);
 
     assert_eq!(owner(&changed, &tokens[0]), None);
