--- a/crates/sagespool-operations/src/command/floor.rs
+++ b/crates/sagespool-operations/src/command/floor.rs
@@ -1,36 +1,36 @@
-//! Ids of commands, and forgetting old commands without ever doing one twice.
+//! Command ids, and pruning of old command records without executing a command twice.
 //!
-//! The store keeps a bounded number of commands. An id begins with its time,
-//! so that the lowest ids are forgotten first, and the floor, an object of its
-//! own, says up to which id some have been. An id at or below the floor that
-//! has no record may be one that was done and forgotten: it is refused, never
-//! done again. No clock is trusted for that: a clock that is wrong makes ids
-//! that are forgotten early, or refused, not ids that are done twice.
+//! The store keeps a bounded number of command records. An id begins with its
+//! time, so that the lowest ids are pruned first. The floor, an object of its
+//! own, holds the highest pruned id. An id at or below the floor without a
+//! record may belong to a command that was executed and pruned: it is refused
+//! and never executed again. This doesn't depend on clocks: a wrong clock
+//! makes ids that are pruned early or refused, not ids that are executed twice.
 
 use sagespool_types::{CommandId, WallTime, derives};
 
-/// The key of the floor's object.
+/// The store key of the floor.
 pub const COMMAND_FLOOR_KEY: &str = "command-floor";
 
-/// Bits of an id below its time.
+/// Random bits of an id, below its time.
 const RANDOM_BITS: u32 = 80;
 
-/// A new id.
+/// Creates an id with the given time and a random part.
 pub fn new_command_id(now: WallTime) -> CommandId {
     let random = CommandId::random().0 & ((1 << RANDOM_BITS) - 1);
     CommandId((u128::from(now.0) << RANDOM_BITS) | random)
 }
 
-/// The time that an id begins with.
+/// The time in an id.
 pub fn command_id_time(command: CommandId) -> WallTime {
     WallTime((command.0 >> RANDOM_BITS) as u64)
 }
 
 derives! { record;
-    /// Up to which id commands may have been forgotten.
+    /// The id up to which command records may have been pruned.
     #[derive(Copy, Eq)]
     pub struct CommandFloor {
-        /// The highest id that was forgotten.
+        /// The highest pruned id.
         pub highest: CommandId,
     }
 }
@@ -42,12 +42,12 @@
 }
 
 impl CommandFloor {
-    /// True if a command without a record may have been done and forgotten.
+    /// True if a command without a record may have been executed and pruned.
     pub fn covers(&self, command: CommandId) -> bool {
         self.highest.0 > 0 && command <= self.highest
     }
 
-    /// Raises the floor; false if it is as high already.
+    /// Raises the floor; false if it is at least as high already.
     pub fn raise(&mut self, to: CommandId) -> bool {
         let raised = to > self.highest;
         self.highest = self.highest.max(to);
@@ -55,19 +55,19 @@
     }
 }
 
-/// Which commands to forget.
+/// Which command records to prune.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PrunePlan {
-    /// The floor to write first, so that none of them can be done again.
+    /// The floor to write first, so that none of the commands can be executed again.
     pub floor: CommandId,
-    /// The commands to delete then.
+    /// The commands whose records to delete after that.
     pub commands: Vec<CommandId>,
 }
 
-/// The lowest ids beyond `most`, if there are any.
-pub fn plan_pruning(mut present: Vec<CommandId>, most: usize) -> Option<PrunePlan> {
+/// Plans to prune the lowest ids until `max_kept` remain; `None` if there are no more than that.
+pub fn plan_pruning(mut present: Vec<CommandId>, max_kept: usize) -> Option<PrunePlan> {
     present.sort_unstable();
-    let surplus = present.len().checked_sub(most)?;
+    let surplus = present.len().checked_sub(max_kept)?;
     present.truncate(surplus);
     let floor = *present.last()?;
     Some(PrunePlan { floor, commands: present })
--- a/crates/sagespool-operations/src/command/item.rs
+++ b/crates/sagespool-operations/src/command/item.rs
@@ -11,61 +11,61 @@
 use crate::ConfigEdit;
 
 derives! { record;
-    /// Something to do: items that are carried out one after the other, each with its own outcome.
+    /// Items that are executed in order, each with its own outcome.
     pub struct OperatorCommand {
         /// The items.
         pub items: Vec<CommandItem>,
-        /// The version of the configuration that the operator saw: edits are made only if what they
-        /// change has not changed since.
+        /// The configuration version that the operator saw: an edit is made only if the fields that
+        /// it changes have not changed since. `None` for no condition.
         pub seen: Option<ConfigVersion>,
     }
 }
 
 derives! { record;
-    /// One thing to do.
+    /// One action of a command.
     #[serde(rename_all = "kebab-case")]
     pub enum CommandItem {
         /// Add prepaid tokens.
         TopUp {
-            /// To this branch.
+            /// The branch.
             branch: BranchName,
-            /// So many.
+            /// The amount to add.
             tokens: TokenCount,
         },
         /// Edit the configuration.
         Edit(ConfigEdit),
-        /// Give an upstream no new work, or give it work again.
+        /// Drain an upstream, or end its drain.
         Drain {
-            /// The upstream, or the instance of the sidecar beside it.
+            /// The upstream, or the instance of its sidecar.
             name: TargetName,
-            /// True to drain.
+            /// True to drain, false to end the drain.
             on: bool,
         },
         /// Stop a process gracefully.
         Stop {
-            /// Its instance.
+            /// The process's instance.
             instance: InstanceName,
         },
-        /// Give an order to an engine.
+        /// Send an order to an engine.
         Order {
             /// The engine.
             upstream: UpstreamName,
             /// The order.
             order: EngineOrder,
         },
-        /// Free the tokens in doubt under a grant.
+        /// Release the tokens in doubt under a grant.
         Release {
             /// The branch.
             branch: BranchName,
             /// The grant.
             grant: GrantId,
         },
-        /// Let a stopped request run again.
+        /// Lift the quarantine of a content.
         Lift {
-            /// What it asks for.
+            /// The digest of the quarantined content.
             content: ContentDigest,
         },
-        /// Carry out no further item of a command.
+        /// Cancel the items of a command that have not started.
         Cancel {
             /// The command.
             command: CommandId,
@@ -74,7 +74,7 @@
 }
 
 derives! { record;
-    /// The name of an upstream or of an instance, whichever there is.
+    /// A name that may be an upstream's or an instance's.
     #[derive(Eq, PartialOrd, Ord)]
     #[serde(transparent)]
     pub struct TargetName(UpstreamName);
@@ -92,9 +92,9 @@
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
         let name: Result<UpstreamName, ParseError> = text.parse();
-        let fault =
-            |fault| ParseError { wanted: "the name of an upstream or an instance", ..fault };
-        name.map(Self).map_err(fault)
+        let to_error =
+            |error| ParseError { wanted: "the name of an upstream or an instance", ..error };
+        name.map(Self).map_err(to_error)
     }
 }
 
@@ -104,7 +104,7 @@
     }
 }
 
-/// The item as a line would say it.
+/// The item in the syntax of a command line.
 impl fmt::Display for CommandItem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
--- a/crates/sagespool-operations/src/command/mod.rs
+++ b/crates/sagespool-operations/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! What operators command, how it goes, and how it is remembered.
+//! Operators' commands, their outcomes and their stored records.
 
 mod floor;
 mod item;
--- a/crates/sagespool-operations/src/command/outcome.rs
+++ b/crates/sagespool-operations/src/command/outcome.rs
@@ -1,4 +1,4 @@
-//! How an item of a command went.
+//! Outcomes of a command's items.
 
 use std::fmt;
 
@@ -8,28 +8,28 @@
 use crate::FieldChange;
 
 derives! { value;
-    /// How an item went.
+    /// The result of an item.
     #[serde(rename_all = "kebab-case")]
     pub enum OutcomeState {
-        /// Done by this command.
+        /// Executed by this command.
         Done,
-        /// It was so already; nothing changed.
+        /// The requested state existed already; nothing changed.
         Already,
-        /// Not done, and it won't be as it stands.
+        /// Not executed; the same item would be refused again.
         Refused,
-        /// Not done: what it changes has changed since the version that the operator saw.
+        /// Not executed: the object has changed since the version that the operator saw.
         Conflict,
-        /// Not done, for now: a new command may do it.
+        /// Not executed because of a temporary failure; a new command may succeed.
         Failed,
-        /// It may have been done.
+        /// It may have been executed.
         Unknown,
-        /// Not begun when the command was cancelled.
+        /// Not started when the command was cancelled.
         Cancelled,
     }
 }
 
 impl OutcomeState {
-    /// The state as programs read it.
+    /// The state's name in JSON and in tables.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Done => "done",
@@ -42,7 +42,7 @@
         }
     }
 
-    /// True if what was wanted is so.
+    /// True if the requested state holds.
     pub fn is_success(self) -> bool {
         matches!(self, Self::Done | Self::Already)
     }
@@ -55,26 +55,26 @@
 }
 
 derives! { record;
-    /// How an item went, and what a person has to know of it.
+    /// The result of an item with its details.
     #[derive(Builder)]
     pub struct ItemOutcome {
-        /// How it went.
+        /// The result.
         pub state: OutcomeState,
-        /// What happened, and what to do about it.
+        /// What happened and what the operator can do about it.
         #[builder(into)]
         pub message: String,
-        /// The known name that may have been meant.
+        /// The known name closest to one that was not found.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub nearest: Option<String>,
-        /// What changed: by this item if it was done, since the version that the operator saw if it
-        /// is a conflict.
+        /// For an executed edit: the fields that it changed. For a conflict: the fields that changed
+        /// since the version that the operator saw.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         #[builder(default)]
         pub changes: Vec<FieldChange>,
-        /// The version of the configuration's object that has the change, or stands in its way.
+        /// The version of the configuration object with the change, or with the conflicting one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub version: Option<ConfigVersion>,
-        /// The fencing number that the order carried.
+        /// The fencing number of the order.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub fence: Option<FenceNumber>,
         /// Tokens that were added or released.
@@ -84,7 +84,7 @@
 }
 
 impl ItemOutcome {
-    /// An outcome that a message says all of.
+    /// An outcome with a message and no further details.
     pub fn new(state: OutcomeState, message: impl Into<String>) -> Self {
         Self::builder().state(state).message(message).build()
     }
--- a/crates/sagespool-operations/src/command/record.rs
+++ b/crates/sagespool-operations/src/command/record.rs
@@ -1,9 +1,9 @@
-//! The store's object of one command.
+//! The stored record of one command.
 //!
-//! A command is written down before its first item is carried out, and each
-//! outcome as it is known. Whoever gives the same id again, through whichever
-//! entry, finds what became of it; an entry that died in the middle leaves a
-//! record that another can take up.
+//! A command is recorded before its first item is executed, and each outcome
+//! when it is known. Submitting the same id again, through any entry, returns
+//! the recorded outcomes. If an entry stops in the middle, another entry can
+//! take over the record.
 
 use std::fmt;
 
@@ -13,57 +13,58 @@
 
 use super::{CommandItem, ItemOutcome, OperatorCommand, OutcomeState};
 
-/// Every command's object, and nothing else, has a key that begins so.
+/// Key prefix of command records; no other object has it.
 pub const COMMANDS_PREFIX: &str = "commands/";
 
-/// The key of a command's object.
+/// The store key of a command's record.
 pub fn command_key(command: CommandId) -> String {
     format!("{COMMANDS_PREFIX}{command}")
 }
 
 derives! { value;
-    /// Who carries a command out.
+    /// The process that executes a command.
     pub struct CommandExecutor {
-        /// The entry.
+        /// The executing entry.
         pub incarnation: IncarnationId,
-        /// Raised whenever the command is taken up anew, so that one that was only paused sees that
-        /// it has been relieved.
+        /// Incremented at each take-over, so that an earlier executor that was only paused detects
+        /// that it has been replaced.
         pub turn: u32,
     }
 }
 
 derives! { record;
-    /// An operator's wish that no further item be begun.
+    /// A recorded request to start no further items.
     pub struct CancelRecord {
-        /// The command that said so.
+        /// The command that requested it.
         pub command: CommandId,
-        /// By the wall clock of the entry that took it.
+        /// When it was requested, by the wall clock of the entry that received it.
         pub at: WallTime,
     }
 }
 
 derives! { record;
-    /// One item, and how it went.
+    /// One item and its outcome.
     pub struct ItemRecord {
         /// The item.
         pub item: CommandItem,
-        /// How it went; nothing until it is known.
+        /// The outcome; `None` until it is known.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub outcome: Option<ItemOutcome>,
         /// For a top-up: the newest command in the branch's account before this one was recorded.
-        /// While the account still lists it, one that isn't listed after it was surely not applied.
+        /// While the account still lists that command, a top-up that isn't listed after it was not
+        /// applied.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub account_mark: Option<CommandId>,
     }
 }
 
 derives! { value;
-    /// Whether a command goes on.
+    /// Whether a command is still being executed.
     #[serde(rename_all = "kebab-case")]
     pub enum CommandState {
         /// Some items have no outcome yet.
         Running,
-        /// Every item has its outcome.
+        /// Every item has an outcome.
         Ended,
     }
 }
@@ -77,64 +78,64 @@
     }
 }
 
-/// What became of a wish to cancel.
+/// The result of a request to cancel.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CancelOutcome {
-    /// Noted: no further item is begun.
+    /// Recorded: no further item is started.
     Noted,
-    /// It was noted before.
+    /// A cancellation was recorded before.
     Already,
-    /// Every item has its outcome already.
+    /// Every item has an outcome already.
     Ended,
 }
 
-/// The item to carry out next.
+/// The item to execute next.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NextItem {
-    /// Its place among the items.
+    /// Its index among the items.
     pub index: usize,
     /// The item.
     pub item: CommandItem,
-    /// Set if an earlier executor may have begun it: after this revision of the store.
+    /// Set if an earlier executor may have started it: only after this store revision.
     pub begun_after: Option<StoreRevision>,
 }
 
 derives! { value;
-    /// An item that an earlier executor may have begun.
+    /// An item that an earlier executor may have started.
     pub struct BegunItem {
-        /// Its place among the items.
+        /// Its index among the items.
         pub index: usize,
-        /// The record's version before: whatever the earlier executor did for the item has a later
-        /// revision of the store, so that an object which hasn't changed since wasn't changed by it.
+        /// The record's version at the take-over. All writes of the earlier executor for this item
+        /// have a later store revision, so it has not changed an object whose revision is not later.
         pub after: StoreRevision,
     }
 }
 
 derives! { record;
-    /// A command as the store keeps it.
+    /// The stored form of a command.
     pub struct CommandRecord {
         /// Its id.
         pub command: CommandId,
-        /// The line that it came as.
+        /// The submitted line.
         pub line: String,
         /// The operator's branch.
         pub by: BranchName,
         /// When it was recorded, by the recording entry's wall clock.
         pub at: WallTime,
-        /// The version that the operator saw.
+        /// The configuration version that the operator saw; `None` for no condition.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub seen: Option<ConfigVersion>,
-        /// Who carries it out.
+        /// The current executor.
         pub executor: CommandExecutor,
-        /// The item that an earlier executor may have begun without noting its outcome.
+        /// The item that an earlier executor may have started without recording its outcome.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub begun: Option<BegunItem>,
-        /// True once its id was found to be above the floor, with the first outcome that was noted.
-        /// Until then whoever takes it up has to look: the record itself may be one made anew for a
-        /// command that was done and forgotten.
+        /// Set with the first outcome, after the id was found to be above the floor. Until then each
+        /// executor must check the floor: the record may be a second one, of a command that was
+        /// executed and pruned.
         #[serde(default, skip_serializing_if = "std::ops::Not::not")]
         pub admitted: bool,
-        /// Set once somebody wants it cancelled.
+        /// Set once cancellation was requested.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub cancel: Option<CancelRecord>,
         /// Its items.
@@ -143,23 +144,23 @@
 }
 
 impl CommandRecord {
-    /// A record of a command that nobody has begun to carry out.
+    /// Creates the record of a command that is not started.
     pub fn new(
         command: CommandId,
         line: &str,
         by: &BranchName,
-        wish: OperatorCommand,
+        operator_command: OperatorCommand,
         executor: IncarnationId,
         at: WallTime,
     ) -> Self {
-        let items = wish.items.into_iter();
+        let items = operator_command.items.into_iter();
         let items = items.map(|item| ItemRecord { item, outcome: None, account_mark: None });
         Self {
             command,
             line: line.to_owned(),
             by: by.clone(),
             at,
-            seen: wish.seen,
+            seen: operator_command.seen,
             executor: CommandExecutor { incarnation: executor, turn: 0 },
             begun: None,
             admitted: false,
@@ -168,41 +169,41 @@
         }
     }
 
-    /// Whether it goes on.
+    /// Whether items without an outcome remain.
     pub fn state(&self) -> CommandState {
-        match self.next_place() {
+        match self.next_index() {
             Some(_) => CommandState::Running,
             None => CommandState::Ended,
         }
     }
 
-    /// True if it is the same command given again: the same line by the same operator. The other
-    /// case is an id that two commands share, of which only one must be carried out.
+    /// True if the same command was submitted again: the same line by the same operator. Otherwise two
+    /// commands share an id, and only the recorded one may be executed.
     pub fn is_same(&self, line: &str, by: &BranchName) -> bool {
         self.line == line && self.by == *by
     }
 
-    fn next_place(&self) -> Option<usize> {
+    fn next_index(&self) -> Option<usize> {
         self.items.iter().position(|item| item.outcome.is_none())
     }
 
-    /// The item to carry out next; none if all have their outcome.
+    /// The item to execute next; `None` if all items have an outcome.
     pub fn next_item(&self) -> Option<NextItem> {
-        let index = self.next_place()?;
+        let index = self.next_index()?;
         let item = self.items[index].item.clone();
         let begun = self.begun.filter(|begun| begun.index == index);
         Some(NextItem { index, item, begun_after: begun.map(|begun| begun.after) })
     }
 
-    /// Makes another the executor of a record that was read at a version. The earlier one, if it is only
-    /// paused, sees the higher turn before it changes anything more in the store.
+    /// Makes `incarnation` the executor of a record that was read at `version`. An earlier executor that
+    /// is only paused detects the higher turn before its next change in the store.
     pub fn take_over(
         &mut self,
         incarnation: IncarnationId,
         version: StoreRevision,
     ) -> CommandExecutor {
-        let next = self.next_place();
-        // Of several executors that may have begun the same item, the first counts.
+        let next = self.next_index();
+        // If several executors may have started the same item, the first one's revision counts.
         if self.begun.map(|begun| begun.index) != next {
             self.begun = next.map(|index| BegunItem { index, after: version });
         }
@@ -210,7 +211,7 @@
         self.executor
     }
 
-    /// Notes how an item went; the first word on it counts. Its id was admitted before.
+    /// Records an item's outcome, unless it has one. The caller has checked the id against the floor.
     pub fn set_outcome(&mut self, index: usize, outcome: ItemOutcome) {
         self.admitted = true;
         if let Some(item) = self.items.get_mut(index) {
@@ -218,21 +219,21 @@
         }
     }
 
-    /// Ends every item that has no outcome, since the id is at or below the floor.
+    /// Ends every item without an outcome, because the id is at or below the floor.
     ///
-    /// A record that nobody has taken up before was made by this time of giving the command: it surely
-    /// did nothing this time, and what an earlier, forgotten time did can't be known.
+    /// A record without a take-over was created by the current submission, which has executed nothing;
+    /// what an earlier, pruned submission did is unknown.
     pub fn refuse_pruned(&mut self) {
         let outcome = match self.executor.turn {
-            0 => ItemOutcome::new(OutcomeState::Refused, FORGOTTEN),
-            _ => ItemOutcome::new(OutcomeState::Unknown, FORGOTTEN),
+            0 => ItemOutcome::new(OutcomeState::Refused, PRUNED),
+            _ => ItemOutcome::new(OutcomeState::Unknown, PRUNED),
         };
         for item in &mut self.items {
             item.outcome.get_or_insert_with(|| outcome.clone());
         }
     }
 
-    /// Notes a wish to cancel.
+    /// Records a request to cancel.
     pub fn request_cancel(&mut self, note: CancelRecord) -> CancelOutcome {
         if self.state() == CommandState::Ended {
             return CancelOutcome::Ended;
@@ -244,10 +245,10 @@
         CancelOutcome::Noted
     }
 
-    /// If somebody wants it cancelled, ends the items that haven't begun.
+    /// Ends the items that have not started, if cancellation was requested.
     ///
-    /// An item that an earlier executor may have begun is not said to be cancelled, since it may
-    /// have been done.
+    /// An item that an earlier executor may have started gets the state `unknown` instead of
+    /// `cancelled`, since it may have been executed.
     pub fn cancel_remaining(&mut self) {
         if self.cancel.is_none() {
             return;
@@ -255,12 +256,12 @@
         let begun = self.begun.map(|begun| begun.index);
         for (index, item) in self.items.iter_mut().enumerate() {
             let outcome =
-                if begun == Some(index) { cancelled_while_begun() } else { cancelled_before() };
+                if begun == Some(index) { cancelled_in_doubt() } else { cancelled_unstarted() };
             item.outcome.get_or_insert(outcome);
         }
     }
 
-    /// The highest version that an edit of this command itself gave an object of the configuration.
+    /// The highest version that this command's own edits gave a configuration object.
     pub fn own_version(&self, object: &str) -> Option<ConfigVersion> {
         let edits = self.items.iter().filter(|item| match &item.item {
             CommandItem::Edit(edit) => edit.object_key() == object,
@@ -273,16 +274,19 @@
     }
 }
 
-const FORGOTTEN: &str = "the command's id is as old as commands that are forgotten, so that nobody can \
-                         tell whether it was done before; it was not done now. Look, and give a new \
-                         command if it is still wanted";
+const PRUNED: &str = "the command's id is as old as commands whose records are deleted, so it is unknown \
+                      whether it was executed before; it was not executed now. Check the state, and \
+                      submit a new command if it is still needed";
 
-fn cancelled_before() -> ItemOutcome {
-    ItemOutcome::new(OutcomeState::Cancelled, "the command was cancelled before this was begun")
+fn cancelled_unstarted() -> ItemOutcome {
+    ItemOutcome::new(
+        OutcomeState::Cancelled,
+        "the command was cancelled before this item was started",
+    )
 }
 
-fn cancelled_while_begun() -> ItemOutcome {
-    let message = "the entry that had begun this was lost and the command was cancelled: it may have \
-                   been done; ask for its state";
+fn cancelled_in_doubt() -> ItemOutcome {
+    let message = "the entry that executed this item was lost and the command was cancelled: the item \
+                   may have been executed; check its state";
     ItemOutcome::new(OutcomeState::Unknown, message)
 }
--- a/crates/sagespool-operations/src/fence.rs
+++ b/crates/sagespool-operations/src/fence.rs
@@ -1,44 +1,45 @@
-//! The store's object that numbers the orders to one upstream.
+//! The stored object with the fencing number of the orders to one upstream.
 //!
-//! Operators race each other through different entries, and an order may be
-//! held up on its way. Each order takes the next number of its upstream by a
-//! conditional update, and the sidecar, or the engine, refuses a lower number
-//! than it has seen. The object also keeps whether the upstream is drained, so
-//! that a sidecar that starts anew can find it there.
+//! Operators may send orders through different entries at the same time, and an
+//! order may be delayed. Each order takes the upstream's next number by a
+//! conditional update, and the sidecar or the engine rejects a number lower
+//! than one it has seen. The object also records whether the upstream is
+//! drained, so that a restarted sidecar can read it.
 
 use std::collections::BTreeMap;
 
 use sagespool_messages::EngineOrder;
 use sagespool_types::{CommandId, FenceNumber, UpstreamName, derives};
 
-/// Every upstream's object, and nothing else, has a key that begins so.
+/// Key prefix of the upstreams' objects; no other object has it.
 pub const FENCES_PREFIX: &str = "fences/";
 
-/// Things that are kept apart; of more, some orders are told to be overtaken without need.
-const MOST_SUBJECTS: usize = 256;
+/// Limit on recorded subjects per upstream. Beyond it, some orders are reported as superseded although
+/// they are not.
+const MAX_SUBJECTS: usize = 256;
 
-/// The key of an upstream's object.
+/// The store key of an upstream's object.
 pub fn fence_key(upstream: &UpstreamName) -> String {
     format!("{FENCES_PREFIX}{upstream}")
 }
 
 derives! { value;
-    /// One item of one command, in one turn of carrying it out.
+    /// One execution of one item of a command.
     pub struct FenceHolder {
         /// The command.
         pub command: CommandId,
-        /// The item's place.
+        /// The item's index in the command.
         pub item: usize,
-        /// The turn: a command that is taken up anew takes a new number, so that what its earlier
-        /// executor still has under way is refused.
+        /// The executor's turn ([`crate::CommandExecutor::turn`]). After a take-over the order gets a
+        /// new number, so that a delayed order of the earlier executor is rejected.
         pub turn: u32,
-        /// How often the item has taken a number anew in this turn.
+        /// How often the item has taken a new number in this turn.
         pub renewal: u32,
     }
 }
 
 impl FenceHolder {
-    /// True if it is the same item, in whichever turn.
+    /// True if both are the same item of the same command, in any turn.
     pub fn is_same_item(&self, other: &Self) -> bool {
         (self.command, self.item) == (other.command, other.item)
     }
@@ -49,18 +50,18 @@
     pub struct FenceRecord {
         /// The newest order's number.
         pub number: FenceNumber,
-        /// Whose it is.
+        /// The item that the newest number was assigned to.
         pub holder: FenceHolder,
-        /// Whether the newest order to drain, or to drain no more, says that the upstream is drained.
+        /// Whether the upstream is drained according to the newest drain or undrain order.
         #[serde(default)]
         pub drained: bool,
-        /// The number of the newest order about each thing: `drain`, `model sage`, …
+        /// The number of the newest order on each subject: `drain`, `model sage`, …
         #[serde(default)]
         pub subjects: BTreeMap<String, FenceNumber>,
     }
 }
 
-/// What an order is about: two orders about different things don't stand against each other.
+/// The subject of an order. Orders on different subjects don't supersede each other.
 fn subject_of(order: &EngineOrder) -> String {
     match order {
         EngineOrder::Drain(_) => "drain".to_owned(),
@@ -70,8 +71,8 @@
 }
 
 impl FenceRecord {
-    /// The record after one more order. The same holder again, since the answer of its write was
-    /// lost, gets the number that it has: `None`, nothing to write.
+    /// The record with one more order. `None` if the holder has the newest number already, because the
+    /// reply to its earlier write was lost: nothing is to be written.
     pub fn with_order(
         present: Option<&Self>,
         holder: FenceHolder,
@@ -87,14 +88,14 @@
         };
         let mut subjects = present.map(|record| record.subjects.clone()).unwrap_or_default();
         subjects.insert(subject_of(order), number);
-        while subjects.len() > MOST_SUBJECTS {
+        while subjects.len() > MAX_SUBJECTS {
             subjects.pop_first();
         }
         Some(Self { number, holder, drained, subjects })
     }
 
-    /// Whether an order with that number still is the newest about its thing. Overtaken only by orders
-    /// about others, it may be given again with a new number.
+    /// Whether an order with this number is the newest on its subject. If only orders on other subjects
+    /// came later, it may be sent again with a new number.
     pub fn is_newest(&self, order: &EngineOrder, number: FenceNumber) -> bool {
         self.subjects.get(&subject_of(order)) == Some(&number)
     }
--- a/crates/sagespool-operations/src/load_turn.rs
+++ b/crates/sagespool-operations/src/load_turn.rs
@@ -1,10 +1,9 @@
-//! The store's object that lets one model be loaded at a time.
+//! The stored lease that limits the fleet to one model load at a time.
 //!
-//! The weight store is limited in its rate, and engines ask it by themselves.
-//! Loads that operators order through several entries at once take turns, so
-//! that the fleet as a whole asks for one model at a time. It is a courtesy,
-//! not a lock: whoever holds a turn for too long is passed over, by wall
-//! clocks that may be wrong, and all that comes of it is two loads at once.
+//! The weight store has a rate limit, and engines read from it on their own.
+//! Loads that operators order through several entries therefore run one after
+//! the other. The lease is advisory: it expires by wall clocks that may be
+//! wrong, and the worst result is two loads at once.
 
 use std::time::Duration;
 
@@ -12,30 +11,30 @@
 
 use crate::FenceHolder;
 
-/// The key of the object.
+/// The store key of the lease.
 pub const LOAD_LEASE_KEY: &str = "load-turn";
 
-/// A turn that has lasted so long is over.
-const LONGEST_TURN: Duration = Duration::from_secs(120);
+/// The lease expires after this time, so that a stopped entry doesn't block all loads.
+const LEASE_DURATION: Duration = Duration::from_secs(120);
 
 derives! { record;
-    /// Whose turn it is.
+    /// The holder of the lease.
     #[derive(Default)]
     pub struct LoadLease {
-        /// The item that loads; nothing if none does.
+        /// The item that loads a model; `None` if the lease is free.
         pub holder: Option<FenceHolder>,
-        /// Since when, by its entry's wall clock.
+        /// When it was acquired or renewed, by the entry's wall clock.
         pub since: Option<WallTime>,
     }
 }
 
 impl LoadLease {
-    /// Gives the turn to an item; false if it is another's.
+    /// Acquires or renews the lease; false if another item holds it and it hasn't expired.
     pub fn try_acquire(&mut self, holder: FenceHolder, now: WallTime) -> bool {
         let held_for = self.since.map_or(0, |since| now.0.saturating_sub(since.0));
-        let is_over = u128::from(held_for) >= LONGEST_TURN.as_millis();
+        let is_expired = u128::from(held_for) >= LEASE_DURATION.as_millis();
         let is_others = self.holder.is_some_and(|other| !other.is_same_item(&holder));
-        if is_others && !is_over {
+        if is_others && !is_expired {
             return false;
         }
         self.holder = Some(holder);
@@ -43,7 +42,8 @@
         true
     }
 
-    /// Ends a turn; false if it isn't the holder's, also if the item was taken up anew meanwhile.
+    /// Releases the lease; false if `holder` doesn't hold it, also if a later turn of the same item
+    /// has it.
     pub fn release(&mut self, holder: FenceHolder) -> bool {
         let is_own = self.holder == Some(holder);
         if is_own {
--- a/crates/sagespool-operations/src/spend.rs
+++ b/crates/sagespool-operations/src/spend.rs
@@ -1,22 +1,23 @@
-//! What a branch has spent at one moment, as bounds that are true.
+//! Lower and upper bounds of a branch's spend at one point in time.
 //!
-//! The moment is that of one read of the branch's book. The read alone says
-//! that the spend is at least what is settled, and at most that and all that
-//! is granted or in doubt. What holders of grants say narrows it, but each
-//! speaks of another moment than the read's, and a charge may be settled in
-//! between: added up, it would count twice. Two facts make a sum that is true:
+//! The point in time is one read of the branch's book. The read alone gives a
+//! lower bound (what is settled) and an upper bound (what is settled, granted
+//! or in doubt). The usage that holders of grants report narrows the bounds.
+//! But a holder reports at another time than the read, and a charge may be
+//! settled in between, so a plain sum would count it twice. Two rules keep the
+//! bounds correct:
 //!
-//! - What a grant has used only grows. A holder's word taken *before* the read
-//!   bounds it at the read from below; one taken *after* the read, with what is
-//!   held for running requests, from above.
-//! - It is counted for each grant by itself. What the book has settled under a
-//!   grant and what its holder has used are two views of the same charges, so
-//!   the greater of the two counts, never their sum. A grant that the book
-//!   doesn't list is closed: the branch's settled sum has it already.
+//! - The use of a grant only grows. Usage that a holder reported *before* the
+//!   read is a lower bound at the read; usage reported *after* the read, plus
+//!   reservations of running requests, is an upper bound.
+//! - Each grant is counted separately. What the book has settled under a grant
+//!   and what its holder has used are two views of the same charges, so the
+//!   greater of the two counts, never their sum. A grant that the book doesn't
+//!   list is closed and already part of the branch's settled total.
 //!
-//! Of a grant that is sealed or in doubt its holder's word doesn't count:
-//! others settle it. Of one whose holder doesn't answer, all of it may be
-//! spent.
+//! The holder's usage of a sealed or doubtful grant is ignored, because other
+//! instances settle that grant. If a holder doesn't reply, its whole grant may
+//! be spent.
 
 use std::collections::HashMap;
 
@@ -25,42 +26,43 @@
 use sagespool_types::{BranchName, GrantId, IncarnationId, TokenCount, derives};
 
 derives! { value;
-    /// Bounds of a number of tokens.
+    /// Lower and upper bound of a number of tokens.
     pub struct TokenRange {
-        /// At least so many.
+        /// The lower bound.
         pub least: TokenCount,
-        /// At most so many; nothing if that isn't known.
+        /// The upper bound; `None` if it is unknown.
         pub most: Option<TokenCount>,
     }
 }
 
 impl TokenRange {
-    /// A number that is known exactly.
+    /// A range with equal bounds.
     pub fn exactly(tokens: TokenCount) -> Self {
         Self { least: tokens, most: Some(tokens) }
     }
 
-    /// At least so many, and no upper bound.
+    /// A range without an upper bound.
     pub fn at_least(tokens: TokenCount) -> Self {
         Self { least: tokens, most: None }
     }
 }
 
-/// What the holders of grants said of them, in one round of questions.
+/// Usage that holders reported for their grants in one round of status queries.
 #[derive(Debug, Clone, Default)]
 pub struct HolderUsage {
-    answered: HashMap<IncarnationId, HashMap<GrantId, GrantUse>>,
+    grants_by_holder: HashMap<IncarnationId, HashMap<GrantId, GrantUse>>,
 }
 
 impl HolderUsage {
-    /// The words in these answers that concern a branch.
+    /// Collects a branch's grant usage from status replies.
     ///
-    /// A process speaks of its own grants only: an answer from another run of it at the same address
-    /// says nothing of them.
+    /// Only usage of the replying incarnation's own grants counts: another incarnation at the same
+    /// address can't report on them.
     pub fn of<'a>(branch: &BranchName, replies: impl IntoIterator<Item = &'a StatusReply>) -> Self {
-        let mut answered: HashMap<IncarnationId, HashMap<GrantId, GrantUse>> = HashMap::new();
+        let mut grants_by_holder: HashMap<IncarnationId, HashMap<GrantId, GrantUse>> =
+            HashMap::new();
         for reply in replies {
-            let held = answered.entry(reply.from).or_default();
+            let held = grants_by_holder.entry(reply.from).or_default();
             let spend = reply.spend.iter().filter(|status| status.branch == *branch);
             for usage in spend.flat_map(|status| &status.grants) {
                 if usage.grant.holder == reply.from {
@@ -68,36 +70,36 @@
                 }
             }
         }
-        Self { answered }
+        Self { grants_by_holder }
     }
 
-    fn answered(&self, holder: IncarnationId) -> bool {
-        self.answered.contains_key(&holder)
+    fn has_reply(&self, holder: IncarnationId) -> bool {
+        self.grants_by_holder.contains_key(&holder)
     }
 
-    fn word(&self, grant: &GrantId) -> Option<&GrantUse> {
-        self.answered.get(&grant.holder)?.get(grant)
+    fn usage(&self, grant: &GrantId) -> Option<&GrantUse> {
+        self.grants_by_holder.get(&grant.holder)?.get(grant)
     }
 
-    fn used_in_all(&self) -> TokenCount {
-        self.answered.values().flat_map(HashMap::values).map(|word| word.used).sum()
+    fn total_used(&self) -> TokenCount {
+        self.grants_by_holder.values().flat_map(HashMap::values).map(|usage| usage.used).sum()
     }
 }
 
-/// What is known of a branch's spend at the read of its book.
+/// A branch's spend at the read of its book.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SpendEstimate {
-    /// What the book alone says, exactly.
+    /// The figures of the book alone, which are exact.
     pub book: SpendBounds,
-    /// The spend.
+    /// Bounds of the spend.
     pub spent: TokenRange,
-    /// Held for running requests under the grants that the book lists, when their holders were asked
+    /// Reservations of running requests under the grants in the book, as their holders reported
     /// after the read.
     pub reserved: TokenRange,
 }
 
 impl SpendEstimate {
-    /// Combines a read of the book with what the holders said before and after it.
+    /// Combines a read of the book with the usage that holders reported before and after it.
     pub fn combine(
         book: &BookRecord,
         branch: &BranchName,
@@ -110,48 +112,49 @@
             return Self { book: bounds, spent: none, reserved: none };
         };
         let (mut least, mut most) = (account.settled, account.settled);
-        let mut held = TokenRange::exactly(TokenCount::ZERO);
+        let mut reserved = TokenRange::exactly(TokenCount::ZERO);
         for (grant, record) in &account.grants {
-            let is_told = !record.is_unaccounted();
-            least += at_least(record, before.word(grant).filter(|_| is_told));
-            let after_word = after.word(grant).filter(|_| is_told);
-            most += at_most(record, after_word);
-            held = add_held(held, record, after_word, is_told && after.answered(grant.holder));
+            let is_accounted = !record.is_unaccounted();
+            least += used_at_least(record, before.usage(grant).filter(|_| is_accounted));
+            let usage_after = after.usage(grant).filter(|_| is_accounted);
+            most += used_at_most(record, usage_after);
+            let has_reply = is_accounted && after.has_reply(grant.holder);
+            reserved = add_reserved(reserved, record, usage_after, has_reply);
         }
         let spent = TokenRange { least, most: Some(most) };
-        Self { book: bounds, spent, reserved: held }
+        Self { book: bounds, spent, reserved }
     }
 
-    /// What is known while the book can't be read: the spend is at least what the holders that answer
-    /// have used under the grants that they hold.
-    pub fn without_book(words: &HolderUsage) -> TokenRange {
-        TokenRange::at_least(words.used_in_all())
+    /// Bounds of the spend if the book can't be read: at least what the holders that replied have
+    /// used under their grants.
+    pub fn without_book(usage: &HolderUsage) -> TokenRange {
+        TokenRange::at_least(usage.total_used())
     }
 }
 
-fn at_least(record: &GrantRecord, word: Option<&GrantUse>) -> TokenCount {
+fn used_at_least(record: &GrantRecord, usage: Option<&GrantUse>) -> TokenCount {
     if record.is_unaccounted() {
         return record.settled + record.known_use();
     }
-    record.settled.max(word.map_or(TokenCount::ZERO, |word| word.used))
+    record.settled.max(usage.map_or(TokenCount::ZERO, |usage| usage.used))
 }
 
-fn at_most(record: &GrantRecord, word: Option<&GrantUse>) -> TokenCount {
-    let Some(word) = word else { return record.amount };
-    (word.used + word.reserved).max(record.settled).min(record.amount)
+fn used_at_most(record: &GrantRecord, usage: Option<&GrantUse>) -> TokenCount {
+    let Some(usage) = usage else { return record.amount };
+    (usage.used + usage.reserved).max(record.settled).min(record.amount)
 }
 
-fn add_held(
-    held: TokenRange,
+fn add_reserved(
+    sum: TokenRange,
     record: &GrantRecord,
-    word: Option<&GrantUse>,
-    answered: bool,
+    usage: Option<&GrantUse>,
+    has_reply: bool,
 ) -> TokenRange {
-    let (least, most) = match word {
-        Some(word) => (word.reserved, word.reserved),
-        // Its holder answered and lists it no more: it was closed, and nothing runs under it.
-        None if answered => (TokenCount::ZERO, TokenCount::ZERO),
+    let (least, most) = match usage {
+        Some(usage) => (usage.reserved, usage.reserved),
+        // The holder replied without this grant: the grant is closed and no request runs under it.
+        None if has_reply => (TokenCount::ZERO, TokenCount::ZERO),
         None => (TokenCount::ZERO, record.unsettled_amount()),
     };
-    TokenRange { least: held.least + least, most: held.most.map(|sum| sum + most) }
+    TokenRange { least: sum.least + least, most: sum.most.map(|sum| sum + most) }
 }
