--- a/crates/sagespool-operations/src/edit/apply.rs
+++ b/crates/sagespool-operations/src/edit/apply.rs
@@ -1,4 +1,4 @@
-//! Making an edit on an object as it is in the store.
+//! Applying an edit to a stored configuration object.
 
 use sagespool_settings::{
     BranchObject, FleetObject, ValidationErrors, check_branches, check_fleet,
@@ -9,12 +9,12 @@
 use super::{ConfigEdit, FieldChange, branch, changes_between, fleet};
 use crate::nearest_of;
 
-/// Why an edit can't be made.
+/// Why an edit can't be applied.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EditError {
-    /// Why, for a person.
+    /// The reason, for the operator.
     pub message: String,
-    /// The known name that may have been meant.
+    /// The known name closest to one that was not found.
     pub nearest: Option<String>,
 }
 
@@ -28,7 +28,7 @@
         Self { message, nearest: nearest_of(name, known) }
     }
 
-    fn faulty(what: &str, faults: &ValidationErrors) -> Self {
+    fn invalid(what: &str, faults: &ValidationErrors) -> Self {
         Self::new(format!("{what}: {faults}"))
     }
 }
@@ -36,25 +36,25 @@
 /// An object after an edit.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EditedObject {
-    /// Its value, checked by the schema.
+    /// Its value; it conforms to the schema.
     pub value: Value,
-    /// What the edit changed; nothing if it was so already.
+    /// The changed fields; empty if the object had the requested values already.
     pub changes: Vec<FieldChange>,
 }
 
 impl ConfigEdit {
-    /// Makes the edit on the present value of its object; nothing for an object that isn't there.
+    /// Applies the edit to the present value of its object; `None` if the object doesn't exist.
     ///
-    /// The result is checked by the schema before anybody can accept it. What one object alone doesn't
-    /// show is checked by [`sagespool_settings::FleetConfiguration::check_change`].
+    /// The result is checked against the schema. Checks that involve several objects are in
+    /// [`sagespool_settings::FleetConfiguration::check_change`].
     ///
     /// # Errors
-    /// If the present value isn't valid, the edit can't be made on it, or its result isn't valid.
+    /// If the present value is invalid, the edit doesn't apply to it, or the result is invalid.
     pub fn apply(&self, present: Option<&Value>) -> Result<EditedObject, EditError> {
         match self {
             Self::Branch { branch, change } => {
                 let object = present.map_or(Ok(BranchObject::default()), check_branches);
-                let object = object.map_err(|faults| present_faulty(&faults))?;
+                let object = object.map_err(|faults| present_invalid(&faults))?;
                 edited(&object, check_branches, |object| branch::apply(object, branch, change))
             }
             Self::Class { class, change } => {
@@ -72,12 +72,14 @@
 }
 
 fn present_fleet(present: Option<&Value>) -> Result<FleetObject, EditError> {
-    let present = present.ok_or_else(|| EditError::new("the fleet has no classes yet"))?;
-    check_fleet(present).map_err(|faults| present_faulty(&faults))
+    let present = present.ok_or_else(|| {
+        EditError::new("the store has no object with the fleet's classes and services yet")
+    })?;
+    check_fleet(present).map_err(|faults| present_invalid(&faults))
 }
 
-/// Both states are written anew before they are compared: a field that the store leaves to its default
-/// has not changed.
+/// Serializes both states before the comparison, so that a field that the stored object omits and one
+/// with its default value compare as equal.
 fn edited<T: Clone + Serialize>(
     present: &T,
     check: fn(&Value) -> Result<T, ValidationErrors>,
@@ -86,7 +88,7 @@
     let mut object = present.clone();
     change(&mut object)?;
     let value = to_value(&object);
-    check(&value).map_err(|faults| edited_faulty(&faults))?;
+    check(&value).map_err(|faults| edited_invalid(&faults))?;
     let changes = changes_between(&to_value(present), &value);
     Ok(EditedObject { value, changes })
 }
@@ -95,10 +97,10 @@
     serde_json::to_value(object).expect("an object of the configuration is plain data")
 }
 
-fn present_faulty(faults: &ValidationErrors) -> EditError {
-    EditError::faulty("the object in the store isn't valid; mend it there first", faults)
+fn present_invalid(faults: &ValidationErrors) -> EditError {
+    EditError::invalid("the stored object is not valid; correct it in the store first", faults)
 }
 
-fn edited_faulty(faults: &ValidationErrors) -> EditError {
-    EditError::faulty("the result would not be valid", faults)
+fn edited_invalid(faults: &ValidationErrors) -> EditError {
+    EditError::invalid("the result would not be valid", faults)
 }
--- a/crates/sagespool-operations/src/edit/branch.rs
+++ b/crates/sagespool-operations/src/edit/branch.rs
@@ -7,7 +7,7 @@
 
 use super::{BranchChange, EditError, HashPrefix, write_declaration};
 
-/// Makes an edit of a branch; what is so already stays.
+/// Applies an edit to a branch. Fields that have the requested value already stay unchanged.
 pub(super) fn apply(
     object: &mut BranchObject,
     branch: &BranchName,
@@ -25,10 +25,10 @@
         BranchChange::Create(_) => {}
         BranchChange::Weight(weight) => entry.weight = *weight,
         BranchChange::Limit(change) => change.apply(&mut entry.limits),
-        BranchChange::HoldBack(held) => hold_back(entry, held),
+        BranchChange::HoldBack(holdback) => set_holdback(entry, holdback),
         BranchChange::Declare { rule, declared } => declare(entry, rule, *declared),
         BranchChange::AddKey(hash) => add_key(entry, hash),
-        BranchChange::RevokeKey(start) => return revoke_key(entry, start),
+        BranchChange::RevokeKey(prefix) => return revoke_key(entry, prefix),
     }
     Ok(())
 }
@@ -41,7 +41,7 @@
     match object.branches.get(branch) {
         Some(present) if present == entry => Ok(()),
         Some(_) => {
-            let message = format!("branch `{branch}` is there already, and not as wished");
+            let message = format!("branch `{branch}` already exists with other settings");
             Err(EditError::new(message))
         }
         None => {
@@ -51,10 +51,10 @@
     }
 }
 
-fn hold_back(entry: &mut BranchConfig, held: &ClassHoldback) {
-    entry.held_back.retain(|present| present.class != held.class);
-    if held.tokens.0 > 0 {
-        entry.held_back.push(held.clone());
+fn set_holdback(entry: &mut BranchConfig, holdback: &ClassHoldback) {
+    entry.held_back.retain(|present| present.class != holdback.class);
+    if holdback.tokens.0 > 0 {
+        entry.held_back.push(holdback.clone());
         entry.held_back.sort_by(|a, b| a.class.cmp(&b.class));
     }
 }
@@ -74,14 +74,16 @@
     }
 }
 
-/// A key that isn't there counts as revoked; a beginning that two keys share names neither.
-fn revoke_key(entry: &mut BranchConfig, start: &HashPrefix) -> Result<(), EditError> {
-    let fitting = entry.key_hashes.iter().filter(|hash| start.fits(hash)).count();
-    if fitting > 1 {
-        let message = format!("{fitting} keys begin with `{start}`: give more of the hash");
+/// Removes the key whose hash has the prefix. An unknown key counts as revoked. A prefix that several
+/// keys share is refused, so that no key is revoked by mistake.
+fn revoke_key(entry: &mut BranchConfig, prefix: &HashPrefix) -> Result<(), EditError> {
+    let matching = entry.key_hashes.iter().filter(|hash| prefix.matches(hash)).count();
+    if matching > 1 {
+        let message =
+            format!("{matching} keys begin with `{prefix}`: give more digits of the hash");
         return Err(EditError::new(message));
     }
-    entry.key_hashes.retain(|hash| !start.fits(hash));
+    entry.key_hashes.retain(|hash| !prefix.matches(hash));
     Ok(())
 }
 
@@ -94,15 +96,15 @@
         BranchChange::Create(entry) => write_create(f, branch, entry),
         BranchChange::Weight(weight) => write!(f, "set branch {branch} weight {weight}"),
         BranchChange::Limit(change) => write!(f, "set branch {branch} {change}"),
-        BranchChange::HoldBack(held) => {
-            write!(f, "hold-back {branch} {} {}", held.class, held.tokens)
+        BranchChange::HoldBack(holdback) => {
+            write!(f, "hold-back {branch} {} {}", holdback.class, holdback.tokens)
         }
         BranchChange::Declare { rule, declared } => {
             write_declaration(f, &rule.service, &rule.route, *declared)?;
             write!(f, " for {branch}")
         }
         BranchChange::AddKey(hash) => write!(f, "add key {branch} {hash}"),
-        BranchChange::RevokeKey(start) => write!(f, "revoke key {branch} {start}"),
+        BranchChange::RevokeKey(prefix) => write!(f, "revoke key {branch} {prefix}"),
     }
 }
 
--- a/crates/sagespool-operations/src/edit/change.rs
+++ b/crates/sagespool-operations/src/edit/change.rs
@@ -1,4 +1,4 @@
-//! What is different between two states of an object.
+//! Differences between two states of an object.
 
 use std::fmt;
 
@@ -6,23 +6,23 @@
 use serde_json::{Map, Value};
 
 derives! { record;
-    /// One field, before and after.
+    /// A changed field with its values before and after.
     pub struct FieldChange {
         /// Its path: `branches.ruwi-bids.weight`.
         pub path: String,
-        /// Its value before; nothing if it wasn't there.
+        /// Its value before; `None` if it was absent.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub before: Option<Value>,
-        /// Its value after; nothing if it isn't there any more.
+        /// Its value after; `None` if it was removed.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub after: Option<Value>,
     }
 }
 
 impl FieldChange {
-    /// True if it concerns a place or a part of it.
-    pub fn lies_below(&self, place: &str) -> bool {
-        let rest = self.path.strip_prefix(place);
+    /// True if the field is at `path` or below it.
+    pub fn is_within(&self, path: &str) -> bool {
+        let rest = self.path.strip_prefix(path);
         rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('.'))
     }
 }
@@ -37,8 +37,8 @@
     }
 }
 
-/// Every field that differs. Items of lists that have names are told apart by these, other lists are
-/// compared whole.
+/// Lists every field that differs. Lists whose items all have a `name` are compared item by item under
+/// these names, other lists as a whole.
 pub fn changes_between(before: &Value, after: &Value) -> Vec<FieldChange> {
     let mut changes = Vec::new();
     compare("", Some(before), Some(after), &mut changes);
@@ -75,7 +75,7 @@
     }
 }
 
-/// The fields of an object, or the items of a list by their names.
+/// The fields of an object, or the items of a list keyed by their names.
 fn fields_of(value: &Value) -> Option<Map<String, Value>> {
     match value {
         Value::Object(fields) => Some(fields.clone()),
--- a/crates/sagespool-operations/src/edit/fleet.rs
+++ b/crates/sagespool-operations/src/edit/fleet.rs
@@ -5,7 +5,7 @@
 
 use super::{ClassChange, EditError, ServiceChange};
 
-/// Makes an edit of a class.
+/// Applies an edit to a class.
 pub(super) fn apply_class(
     object: &mut FleetObject,
     class: &ClassName,
@@ -22,7 +22,7 @@
     Ok(())
 }
 
-/// Makes an edit of a service.
+/// Applies an edit to a service.
 pub(super) fn apply_service(
     object: &mut FleetObject,
     service: &ServiceName,
--- a/crates/sagespool-operations/src/edit/mod.rs
+++ b/crates/sagespool-operations/src/edit/mod.rs
@@ -1,4 +1,4 @@
-//! Edits of the configuration, as changes of its objects.
+//! Edits of the configuration objects.
 
 mod apply;
 mod branch;
@@ -18,35 +18,35 @@
 use sagespool_types::{BranchName, ClassName, ParseError, SecretHash, ServiceName, derives};
 
 derives! { record;
-    /// One edit.
+    /// One edit of the configuration.
     #[serde(rename_all = "kebab-case")]
     pub enum ConfigEdit {
-        /// Of a branch.
+        /// An edit of a branch.
         Branch {
             /// The branch.
             branch: BranchName,
-            /// What changes.
+            /// The change.
             change: BranchChange,
         },
-        /// Of a class.
+        /// An edit of a class.
         Class {
             /// The class.
             class: ClassName,
-            /// What changes.
+            /// The change.
             change: ClassChange,
         },
-        /// Of a service.
+        /// An edit of a service.
         Service {
             /// The service.
             service: ServiceName,
-            /// What changes.
+            /// The change.
             change: ServiceChange,
         },
     }
 }
 
 impl ConfigEdit {
-    /// The key of the store's object that it changes.
+    /// The store key of the object that it changes.
     pub fn object_key(&self) -> String {
         match self {
             Self::Branch { branch, .. } => branch_object_key(branch_shard(branch)),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Where in its object the fields are that it is about, as the beginning of their path.
+    /// The path in the object below which the edited fields are.
     pub fn place(&self) -> String {
         match self {
             Self::Branch { branch, .. } => format!("branches.{branch}"),
@@ -65,53 +65,53 @@
 }
 
 derives! { record;
-    /// What changes of a branch.
+    /// A change of a branch.
     #[serde(rename_all = "kebab-case")]
     pub enum BranchChange {
-        /// It is new.
+        /// Create the branch.
         Create(BranchConfig),
-        /// Its weight.
+        /// Set its weight.
         Weight(u32),
-        /// One of its limits.
+        /// Set one of its limits.
         Limit(LimitChange),
-        /// What is held back for a class; 0 for nothing.
+        /// Set the tokens that are held back for a class; 0 removes the holdback.
         HoldBack(ClassHoldback),
-        /// Which of its calls may never run twice.
+        /// Declare calls of the branch non-idempotent, or withdraw the declaration.
         Declare {
             /// The calls.
             rule: BranchRule,
-            /// True if they may never run twice.
+            /// True if the calls must never run twice.
             declared: bool,
         },
-        /// One more key.
+        /// Add a key.
         AddKey(SecretHash),
-        /// One key less.
+        /// Remove the key whose hash has this prefix.
         RevokeKey(HashPrefix),
     }
 }
 
 derives! { record;
-    /// What changes of a class.
+    /// A change of a class.
     #[serde(rename_all = "kebab-case")]
     pub enum ClassChange {
-        /// Its priority; lower goes first.
+        /// Set its priority; lower values go first.
         Priority(u8),
-        /// One of its limits.
+        /// Set one of its limits.
         Limit(LimitChange),
     }
 }
 
 derives! { record;
-    /// What changes of a service.
+    /// A change of a service.
     #[serde(rename_all = "kebab-case")]
     pub enum ServiceChange {
-        /// One of the limits of each of its upstreams.
+        /// Set a limit that applies to each of its upstreams.
         Limit(LimitChange),
-        /// Which of its calls may never run twice.
+        /// Declare calls of the service non-idempotent, or withdraw the declaration.
         Declare {
             /// The calls.
             route: RouteRule,
-            /// True if they may never run twice.
+            /// True if the calls must never run twice.
             declared: bool,
         },
     }
@@ -121,25 +121,25 @@
     /// A kind of limit.
     #[serde(rename_all = "kebab-case")]
     pub enum LimitKind {
-        /// Requests at once.
+        /// Concurrent requests.
         Running,
-        /// Requests a second.
+        /// Requests per second.
         Rate,
     }
 }
 
 derives! { value;
-    /// A limit and its new value; nothing for none.
+    /// A new value of a limit.
     pub struct LimitChange {
-        /// Which.
+        /// The kind of limit.
         pub kind: LimitKind,
-        /// The limit.
+        /// The new value; `None` removes the limit.
         pub limit: Option<u32>,
     }
 }
 
 impl LimitChange {
-    /// Makes the change.
+    /// Sets the limit.
     pub(crate) fn apply(self, limits: &mut LimitConfig) {
         match self.kind {
             LimitKind::Running => limits.running = self.limit,
@@ -149,19 +149,19 @@
 }
 
 derives! { record;
-    /// A key's hash, or its beginning.
+    /// The hash of a key, or a prefix of it: 8 to 64 lower-case hexadecimal digits.
     #[derive(Eq)]
     #[serde(try_from = "String", into = "String")]
     pub struct HashPrefix(String);
 }
 
-/// Fewer digits would name another branch's key by mistake too easily.
-const FEWEST_DIGITS: usize = 8;
-const ALL_DIGITS: usize = 64;
+/// A shorter prefix of another branch's key, given by mistake, would match too easily.
+const MIN_HASH_DIGITS: usize = 8;
+const MAX_HASH_DIGITS: usize = 64;
 
 impl HashPrefix {
-    /// Whether a hash begins so.
-    pub fn fits(&self, hash: &SecretHash) -> bool {
+    /// True if the hash has this prefix.
+    pub fn matches(&self, hash: &SecretHash) -> bool {
         hash.as_str().starts_with(&self.0)
     }
 }
@@ -171,7 +171,8 @@
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
         let is_digit = |c: char| c.is_ascii_digit() || ('a'..='f').contains(&c);
-        if !(FEWEST_DIGITS..=ALL_DIGITS).contains(&text.len()) || !text.chars().all(is_digit) {
+        if !(MIN_HASH_DIGITS..=MAX_HASH_DIGITS).contains(&text.len()) || !text.chars().all(is_digit)
+        {
             let help = "8 to 64 lower-case hexadecimal digits";
             return Err(ParseError::new("a key hash or its beginning", text, help));
         }
@@ -187,7 +188,7 @@
 
 sagespool_types::string_conversions!(HashPrefix);
 
-/// The edit as a line would say it.
+/// The edit in the syntax of a command line.
 impl fmt::Display for ConfigEdit {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
--- a/crates/sagespool-operations/src/line/fault.rs
+++ b/crates/sagespool-operations/src/line/error.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a line, and where.
+//! Errors in a line, with their position.
 
 use std::error::Error;
 use std::fmt;
@@ -8,19 +8,19 @@
 use super::LineSpan;
 
 derives! { record;
-    /// A line that says nothing that can be asked or done. Nothing was done.
+    /// A line that is neither a valid query nor a valid command. Nothing was executed.
     #[derive(Eq)]
     pub struct LineError {
         /// The line.
         pub line: String,
-        /// The place in it that is wrong.
+        /// The position of the error in the line.
         pub at: LineSpan,
-        /// What is wrong there.
+        /// The error at this position.
         pub message: String,
-        /// The known word most like the one that stands there.
+        /// The known word closest to the one at this position.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub nearest: Option<String>,
-        /// What would be accepted.
+        /// The accepted syntax, or what to do instead.
         pub help: String,
     }
 }
@@ -40,14 +40,14 @@
         Self { nearest, ..self }
     }
 
-    /// A fault at the first place where a word stands that the line was read from, found only when
-    /// the line was looked at beside the fleet: an unknown branch, for example.
+    /// An error at the first occurrence of `word`, for errors that are found only after parsing, when the
+    /// line is compared with the fleet's state: an unknown branch, for example.
     pub fn at_word(line: &str, word: &str, message: impl Into<String>, known: &[&str]) -> Self {
-        let found = super::words::split_words(line).unwrap_or_default();
-        let place = found.iter().find(|found| found.text == word);
+        let words = super::words::split_words(line).unwrap_or_default();
+        let position = words.iter().find(|candidate| candidate.text == word);
         let end = line.chars().count();
-        let at = place.map_or(LineSpan { start: 0, end }, |found| found.span);
-        let help = "see `help`, or ask for the names that there are";
+        let at = position.map_or(LineSpan { start: 0, end }, |found| found.span);
+        let help = "see `help`, or list the known names with a query";
         Self::new(line, at, message, help).with_nearest(super::nearest_of(word, known))
     }
 }
--- a/crates/sagespool-operations/src/line/items.rs
+++ b/crates/sagespool-operations/src/line/items.rs
@@ -1,4 +1,4 @@
-//! Lines that command: one item, or several parted by commas.
+//! Parsing of commands: one item, or several separated by commas.
 
 use sagespool_messages::EngineOrder;
 use sagespool_types::{BranchName, TokenCount, UpstreamName};
@@ -8,10 +8,10 @@
 use super::{LineError, changes};
 use crate::CommandItem;
 
-/// Most items of one command: its record stays far below the store's limit of 1 MB.
-const MOST_ITEMS: usize = 200;
-/// More tokens than any budget; sums of them stay far from overflowing.
-const MOST_TOKENS: u64 = 1 << 53;
+/// Limit on the items of one command. It keeps the record far below the store's limit of 1 MB.
+const MAX_ITEMS: usize = 200;
+/// More than any budget, and small enough that sums can't overflow.
+const MAX_TOKENS: u64 = 1 << 53;
 
 /// Reads a command's items.
 pub(super) fn read_items(
@@ -22,13 +22,13 @@
         LineVerb::Load => read_loads(reader),
         LineVerb::Unload => read_unloads(reader),
         _ => {
-            changes::read_noun(verb, reader)?;
+            changes::read_object_keyword(verb, reader)?;
             read_each(reader, |reader| read_item(verb, reader))
         }
     }
 }
 
-/// Items up to the last comma.
+/// Reads items that are separated by commas.
 fn read_each(
     reader: &mut LineReader,
     read: impl Fn(&mut LineReader) -> Result<CommandItem, LineError>,
@@ -36,12 +36,12 @@
     let mut items: Vec<CommandItem> = Vec::new();
     loop {
         let item = read(reader)?;
-        if items.len() == MOST_ITEMS {
-            return Err(reader.fault_at_last(format!("a command has at most {MOST_ITEMS} items")));
+        if items.len() == MAX_ITEMS {
+            return Err(reader.error_at_last(format!("a command has at most {MAX_ITEMS} items")));
         }
-        if let Some(branch) = topped_up_twice(&items, &item) {
-            let message = format!("`{branch}` is topped up twice; give one sum");
-            return Err(reader.fault_at_last(message));
+        if let Some(branch) = repeated_top_up(&items, &item) {
+            let message = format!("`{branch}` is topped up twice in one command; add the amounts");
+            return Err(reader.error_at_last(message));
         }
         items.push(item);
         if !reader.accepts_comma() {
@@ -50,9 +50,9 @@
     }
 }
 
-/// Guards against one half of a top-up that is taken for a repetition of the other: the book knows a
-/// top-up by the command's id.
-fn topped_up_twice<'a>(items: &[CommandItem], item: &'a CommandItem) -> Option<&'a BranchName> {
+/// The branch of `item` if an earlier item tops it up too. The book identifies a top-up by the command's
+/// id, so it would treat the second one as a repetition and not apply it.
+fn repeated_top_up<'a>(items: &[CommandItem], item: &'a CommandItem) -> Option<&'a BranchName> {
     let CommandItem::TopUp { branch, .. } = item else { return None };
     let same = |earlier: &CommandItem| matches!(earlier, CommandItem::TopUp { branch: other, .. } if other == branch);
     items.iter().any(same).then_some(branch)
@@ -62,7 +62,7 @@
     let item = match verb {
         LineVerb::TopUp => CommandItem::TopUp {
             branch: reader.value("a branch name")?,
-            tokens: TokenCount(reader.number("a number of tokens", 1..=MOST_TOKENS)?),
+            tokens: TokenCount(reader.number("a number of tokens", 1..=MAX_TOKENS)?),
         },
         LineVerb::Drain | LineVerb::Undrain => CommandItem::Drain {
             name: reader.value("the name of an upstream or an instance")?,
--- a/crates/sagespool-operations/src/line/mod.rs
+++ b/crates/sagespool-operations/src/line/mod.rs
@@ -1,7 +1,7 @@
-//! From a line to a query or a command.
+//! Parsing of a line into a query or a command.
 
 mod changes;
-mod fault;
+mod error;
 mod items;
 mod nearest;
 mod queries;
@@ -9,7 +9,7 @@
 mod verbs;
 mod words;
 
-pub use fault::LineError;
+pub use error::LineError;
 pub use nearest::nearest_of;
 pub use verbs::{VerbHelp, verb_help};
 pub use words::LineSpan;
@@ -19,27 +19,27 @@
 
 use crate::{OperatorCommand, OperatorQuery};
 
-/// What a line says.
+/// A parsed line.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OperatorLine {
-    /// A question.
+    /// A query, which changes nothing.
     Query(OperatorQuery),
-    /// Something to do.
+    /// A command.
     Command(OperatorCommand),
 }
 
-/// Reads a line.
+/// Parses a line.
 ///
 /// # Errors
-/// The first fault: its place in the line, and the known word that may have been meant.
+/// The first error, with its position in the line and the closest known word.
 ///
 /// ```
 /// use sagespool_operations::{OperatorLine, parse_line};
 ///
 /// assert!(matches!(parse_line("top-up ruwi-bids 5_000"), Ok(OperatorLine::Command(_))));
-/// let fault = parse_line("spned ruwi-bids").expect_err("the word is misspelt");
-/// assert_eq!(fault.nearest.as_deref(), Some("spend"));
-/// assert_eq!((fault.at.start, fault.at.end), (0, 5));
+/// let error = parse_line("spned ruwi-bids").expect_err("the word is misspelt");
+/// assert_eq!(error.nearest.as_deref(), Some("spend"));
+/// assert_eq!((error.at.start, error.at.end), (0, 5));
 /// ```
 pub fn parse_line(line: &str) -> Result<OperatorLine, LineError> {
     let mut reader = LineReader::new(line)?;
@@ -53,12 +53,12 @@
     Ok(OperatorLine::Command(OperatorCommand { items, seen }))
 }
 
-/// `if version V`, behind a command that edits the configuration.
+/// Reads an optional `if version V` at the end of a command that edits the configuration.
 fn read_condition(
     verb: LineVerb,
     reader: &mut LineReader,
 ) -> Result<Option<sagespool_types::ConfigVersion>, LineError> {
-    if !changes::is_change(verb) || !reader.accepts("if") {
+    if !changes::is_edit(verb) || !reader.accepts("if") {
         return Ok(None);
     }
     reader.expect("version")?;
--- a/crates/sagespool-operations/src/line/queries.rs
+++ b/crates/sagespool-operations/src/line/queries.rs
@@ -1,10 +1,10 @@
-//! Lines that ask.
+//! Parsing of queries.
 
 use super::reader::LineReader;
 use super::verbs::{LineVerb, read_help_word};
 use crate::{ConfigSection, LineError, OperatorQuery};
 
-/// Reads the rest of a query; nothing if the verb is a command's.
+/// Reads the rest of a query; `None` if the verb belongs to a command.
 pub(super) fn read_query(
     verb: LineVerb,
     reader: &mut LineReader,
@@ -14,7 +14,7 @@
         LineVerb::Running => OperatorQuery::Running { branch: optional_branch(reader)? },
         LineVerb::Upstreams => OperatorQuery::Upstreams,
         LineVerb::Members => OperatorQuery::Members,
-        LineVerb::Configuration => OperatorQuery::Configuration { place: read_place(reader)? },
+        LineVerb::Configuration => OperatorQuery::Configuration { place: read_section(reader)? },
         LineVerb::Request => OperatorQuery::Request { request: reader.value("a request id")? },
         LineVerb::Key => OperatorQuery::Key {
             branch: reader.value("a branch name")?,
@@ -53,25 +53,25 @@
     if reader.is_at_end() { Ok(None) } else { read_help_word(reader).map(Some) }
 }
 
-fn read_place(reader: &mut LineReader) -> Result<Option<ConfigSection>, LineError> {
+fn read_section(reader: &mut LineReader) -> Result<Option<ConfigSection>, LineError> {
     #[derive(Clone, Copy)]
-    enum PlaceWord {
+    enum SectionKind {
         Branch,
         Class,
         Service,
     }
-    const WORDS: [(&str, PlaceWord); 3] = [
-        ("branch", PlaceWord::Branch),
-        ("class", PlaceWord::Class),
-        ("service", PlaceWord::Service),
+    const KINDS: [(&str, SectionKind); 3] = [
+        ("branch", SectionKind::Branch),
+        ("class", SectionKind::Class),
+        ("service", SectionKind::Service),
     ];
     if reader.is_at_end() {
         return Ok(None);
     }
-    let place = match reader.one_of("`branch`, `class` or `service`", &WORDS)? {
-        PlaceWord::Branch => ConfigSection::Branch(reader.value("a branch name")?),
-        PlaceWord::Class => ConfigSection::Class(reader.value("a class name")?),
-        PlaceWord::Service => ConfigSection::Service(reader.value("a service name")?),
+    let section = match reader.one_of("`branch`, `class` or `service`", &KINDS)? {
+        SectionKind::Branch => ConfigSection::Branch(reader.value("a branch name")?),
+        SectionKind::Class => ConfigSection::Class(reader.value("a class name")?),
+        SectionKind::Service => ConfigSection::Service(reader.value("a service name")?),
     };
-    Ok(Some(place))
+    Ok(Some(section))
 }
--- a/crates/sagespool-operations/src/line/verbs.rs
+++ b/crates/sagespool-operations/src/line/verbs.rs
@@ -1,9 +1,9 @@
-//! The first word of a line.
+//! Verbs (the first word of a line) and their help.
 
 use super::LineReader;
 use crate::LineError;
 
-/// What a line begins with.
+/// The first word of a line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LineVerb {
     Spend,
@@ -35,12 +35,12 @@
     Cancel,
 }
 
-/// A query or a command, for the help.
+/// Help for a query or a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VerbHelp {
-    /// Its first word.
+    /// The verb.
     pub word: &'static str,
-    /// How it is written.
+    /// Its syntax.
     pub usage: &'static str,
     /// What it does.
     pub summary: &'static str,
@@ -61,29 +61,44 @@
         "spend",
         LineVerb::Spend,
         "spend [BRANCH[, BRANCH]…]",
-        "what branches have spent, as bounds that are true",
+        "shows the spend of branches, as lower and upper bounds",
     ),
-    entry("running", LineVerb::Running, "running [BRANCH]", "the requests that run, and where"),
-    entry("upstreams", LineVerb::Upstreams, "upstreams", "the upstreams and their load"),
-    entry("members", LineVerb::Members, "members", "the processes of the fleet"),
+    entry(
+        "running",
+        LineVerb::Running,
+        "running [BRANCH]",
+        "lists running requests and their upstreams",
+    ),
+    entry("upstreams", LineVerb::Upstreams, "upstreams", "lists the upstreams and their load"),
+    entry("members", LineVerb::Members, "members", "lists the processes of the fleet"),
     entry(
         "configuration",
         LineVerb::Configuration,
         "configuration [branch NAME | class NAME | service NAME]",
-        "the configuration, its versions, and where it is in force",
+        "shows the configuration, its versions and the processes that have applied it",
+    ),
+    entry("request", LineVerb::Request, "request ID", "shows what is recorded about a request"),
+    entry(
+        "key",
+        LineVerb::Key,
+        "key BRANCH KEY",
+        "shows what is recorded about a caller's idempotency key",
     ),
-    entry("request", LineVerb::Request, "request ID", "what is known of a request"),
-    entry("key", LineVerb::Key, "key BRANCH KEY", "what is known of a caller's idempotency key"),
-    entry("quarantine", LineVerb::Quarantine, "quarantine", "the requests that are stopped"),
-    entry("commands", LineVerb::Commands, "commands", "the newest commands, finished or not"),
-    entry("command", LineVerb::Command, "command ID", "one command and its items' outcomes"),
-    entry("help", LineVerb::Help, "help [WORD]", "this list, or one line of it"),
+    entry("quarantine", LineVerb::Quarantine, "quarantine", "lists the quarantined requests"),
+    entry("commands", LineVerb::Commands, "commands", "lists the newest commands, finished or not"),
+    entry(
+        "command",
+        LineVerb::Command,
+        "command ID",
+        "shows a command and the outcomes of its items",
+    ),
+    entry("help", LineVerb::Help, "help [WORD]", "shows this list, or the help for one verb"),
     entry(
         "create",
         LineVerb::Create,
         "create branch NAME key-hash HASH [key-hash HASH]… [operator] [weight N] [running N] [rate N] \
          [if version V]",
-        "a new branch; top it up next",
+        "creates a branch; top it up next",
     ),
     entry(
         "top-up",
@@ -96,40 +111,45 @@
         LineVerb::Set,
         "set BRANCH weight N | set [branch|class|service] NAME limit running|rate N|none | \
          set class NAME priority N [if version V]",
-        "a weight, a priority or a limit",
+        "sets a weight, a priority or a limit",
     ),
     entry(
         "hold-back",
         LineVerb::HoldBack,
         "hold-back BRANCH CLASS TOKENS [if version V]",
-        "keeps tokens of a branch for one class; 0 keeps none",
+        "holds back tokens of a branch for one class; 0 removes the holdback",
     ),
     entry(
         "non-idempotent",
         LineVerb::NonIdempotent,
         "non-idempotent SERVICE METHOD|any PATH [for BRANCH] [if version V]",
-        "declares calls that may never run twice",
+        "declares calls that must never run twice",
     ),
     entry(
         "idempotent",
         LineVerb::Idempotent,
         "idempotent SERVICE METHOD|any PATH [for BRANCH] [if version V]",
-        "takes such a declaration back",
+        "withdraws such a declaration",
     ),
-    entry("add", LineVerb::Add, "add key BRANCH HASH [if version V]", "one more key of a branch"),
+    entry("add", LineVerb::Add, "add key BRANCH HASH [if version V]", "adds a key to a branch"),
     entry(
         "revoke",
         LineVerb::Revoke,
         "revoke key BRANCH HASH [if version V]",
-        "takes a key from a branch; the hash's first 8 digits may do",
+        "removes a key from a branch; the first 8 digits of its hash suffice if they are unique",
     ),
     entry(
         "drain",
         LineVerb::Drain,
         "drain UPSTREAM|INSTANCE[, …]…",
-        "gives an upstream no new work; what runs ends",
+        "drains upstreams: they get no new requests, and running ones finish",
+    ),
+    entry(
+        "undrain",
+        LineVerb::Undrain,
+        "undrain UPSTREAM|INSTANCE[, …]…",
+        "ends the drain of upstreams",
     ),
-    entry("undrain", LineVerb::Undrain, "undrain UPSTREAM|INSTANCE[, …]…", "gives it work again"),
     entry("stop", LineVerb::Stop, "stop INSTANCE[, INSTANCE]…", "stops processes gracefully"),
     entry(
         "load",
@@ -141,43 +161,43 @@
         "unload",
         LineVerb::Unload,
         "unload MODEL on UPSTREAM[, UPSTREAM]…",
-        "takes a model off engines",
+        "unloads a model from engines",
     ),
     entry(
         "release",
         LineVerb::Release,
         "release BRANCH GRANT[, BRANCH GRANT]…",
-        "frees tokens in doubt: you vouch that nothing unaccounted ran",
+        "releases tokens in doubt; use it only if no unaccounted request has run",
     ),
-    entry("lift", LineVerb::Lift, "lift CONTENT[, CONTENT]…", "lets a stopped request run again"),
+    entry("lift", LineVerb::Lift, "lift CONTENT[, CONTENT]…", "lifts the quarantine of requests"),
     entry(
         "cancel",
         LineVerb::Cancel,
         "cancel COMMAND",
-        "stops a command's items that haven't begun",
+        "cancels the items of a command that have not started",
     ),
 ];
 
-/// Every query and command, or those with a word.
+/// The help for every query and command, or for the one with this verb.
 pub fn verb_help(word: Option<&str>) -> Vec<VerbHelp> {
     let all = VERBS.iter().map(|(_, help)| *help);
     all.filter(|help| word.is_none_or(|word| help.word == word)).collect()
 }
 
-/// Reads the first word; from then on faults show how its line is written.
+/// Reads the first word. Later errors show the usage of this verb.
 pub(super) fn read_verb(reader: &mut LineReader) -> Result<LineVerb, LineError> {
-    let place = reader.one_of("a query or a command", &places())?;
-    let (verb, help) = VERBS[place];
+    let index = reader.one_of("a query or a command", &verb_indices())?;
+    let (verb, help) = VERBS[index];
     reader.set_usage(help.usage);
     Ok(verb)
 }
 
-/// Reads a word that must be the first of some line.
+/// Reads the name of a verb.
 pub(super) fn read_help_word(reader: &mut LineReader) -> Result<String, LineError> {
-    let place = reader.one_of("a query or a command", &places())?;
-    Ok(VERBS[place].1.word.to_owned())
+    let index = reader.one_of("a query or a command", &verb_indices())?;
+    Ok(VERBS[index].1.word.to_owned())
 }
 
-fn places() -> Vec<(&'static str, usize)> {
-    VERBS.iter().enumerate().map(|(place, (_, help))| (help.word, place)).collect()
+fn verb_indices() -> Vec<(&'static str, usize)> {
+    VERBS.iter().enumerate().map(|(index, (_, help))| (help.word, index)).collect()
 }
--- a/crates/sagespool-operations/src/line/words.rs
+++ b/crates/sagespool-operations/src/line/words.rs
@@ -1,24 +1,24 @@
-//! Splitting a line into words, with the place of each.
+//! Splitting of a line into words with their positions.
 
 use sagespool_types::derives;
 
 use crate::LineError;
 
 derives! { value;
-    /// A place in a line, counted in characters from 0; the end is not part of it.
+    /// A range of characters in a line, counted from 0; the end is exclusive.
     pub struct LineSpan {
-        /// Its first character.
+        /// The first character.
         pub start: usize,
-        /// The character after its last.
+        /// The character after the last one.
         pub end: usize,
     }
 }
 
-/// What a word of a line is.
+/// The kind of a word.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum WordKind {
     Bare,
-    /// Written between double quotes: any text, never a keyword.
+    /// In double quotes: any text, never a keyword.
     Quoted,
     /// The comma between two items.
     Comma,
@@ -32,10 +32,10 @@
     pub kind: WordKind,
 }
 
-/// The words of a line, in order.
+/// Splits a line into its words.
 ///
 /// # Errors
-/// If a quoted text has no end.
+/// If a quoted text is not closed.
 pub(super) fn split_words(line: &str) -> Result<Vec<LineWord>, LineError> {
     let characters: Vec<char> = line.chars().collect();
     let mut words = Vec::new();
@@ -70,7 +70,7 @@
     LineWord { text, span, kind: WordKind::Bare }
 }
 
-/// A text between double quotes, in which `\` takes the next character as it is.
+/// Reads a text in double quotes, in which `\` escapes the next character.
 fn quoted(line: &str, characters: &[char], start: usize) -> Result<LineWord, LineError> {
     let mut text = String::new();
     let mut at = start + 1;
@@ -91,6 +91,6 @@
         }
     }
     let span = LineSpan { start, end: characters.len() };
-    let message = "the quoted text has no end";
-    Err(LineError::new(line, span, message, "close it with `\"`"))
+    let message = "the quoted text is not closed";
+    Err(LineError::new(line, span, message, "end it with `\"`"))
 }
--- a/crates/sagespool-operations/tests/config_edits.rs
+++ b/crates/sagespool-operations/tests/config_edits.rs
@@ -1,4 +1,4 @@
-//! Edits of the configuration's objects, and what is said to have changed.
+//! Edits of the configuration objects and the changes that they report.
 
 #![allow(clippy::unwrap_used)]
 
@@ -91,7 +91,7 @@
     assert!(apply(&line, &first.value).unwrap().changes.is_empty());
     let other = format!("create branch dhofar key-hash {} weight 5", SecretHash::of("k"));
     let refusal = apply(&other, &first.value).unwrap_err();
-    assert!(refusal.message.contains("there already"), "{refusal:?}");
+    assert!(refusal.message.contains("already exists with other settings"), "{refusal:?}");
 }
 
 #[test]
@@ -118,14 +118,19 @@
     assert_eq!(undone.len(), 1, "{undone:?}");
 }
 
-/// What can't be done says so, and names what may have been meant.
+/// A refused edit has a reason, and the closest known name if one is similar.
 #[test]
 fn refused_edits() {
     let table = [
         ("set ruwi-bid weight 5", branches(), "no branch `ruwi-bid`", Some("ruwi-bids")),
         ("set class loopkup priority 1", fleet(), "no class `loopkup`", Some("lookup")),
         ("set service xyz limit rate 1", fleet(), "no service `xyz`", None),
-        ("set ruwi-bids weight 5", json!({"branches": {"Ruwi": {}}}), "isn't valid", None),
+        (
+            "set ruwi-bids weight 5",
+            json!({"branches": {"Ruwi": {}}}),
+            "stored object is not valid",
+            None,
+        ),
         ("non-idempotent notes any /a?b", fleet(), "result would not be valid", None),
     ];
     for (line, present, message, nearest) in table {
@@ -136,9 +141,9 @@
     assert!(edit("set class lookup priority 1").apply(None).is_err());
 }
 
-/// Two keys whose hashes begin alike: revoking by the beginning must not take one of them by chance.
+/// Two key hashes share a prefix: revoking by this prefix must not remove an arbitrary one of them.
 #[test]
-fn shared_beginning() {
+fn shared_hash_prefix() {
     let key = |end: &str| format!("01234567{}{end}", "0".repeat(55));
     let present = json!({"branches": {"a": {"key_hashes": [key("1"), key("2")]}}});
     let refusal = apply("revoke key a 01234567", &present).unwrap_err();
@@ -162,6 +167,6 @@
     ];
     assert_eq!(texts, wanted);
     let change = &changes_between(&before, &after)[1];
-    assert!(change.lies_below("list.y") && change.lies_below("list"));
-    assert!(!change.lies_below("list.y.nn") && !change.lies_below("lis"));
+    assert!(change.is_within("list.y") && change.is_within("list"));
+    assert!(!change.is_within("list.y.nn") && !change.is_within("lis"));
 }
