--- a/crates/sagespool-operations/src/answer/basis.rs
+++ b/crates/sagespool-operations/src/answer/basis.rs
@@ -1,4 +1,4 @@
-//! What an answer rests on.
+//! Sources of an answer.
 
 use std::fmt;
 
@@ -6,12 +6,12 @@
 use sagespool_types::{IncarnationId, InstanceName, StoreRevision, WallTime, derives};
 
 derives! { record;
-    /// A process, as an answer names it.
+    /// The identity of a process in an answer.
     #[derive(Eq, PartialOrd, Ord)]
     pub struct MemberLabel {
         /// Its instance.
         pub instance: InstanceName,
-        /// This run of it.
+        /// Its incarnation.
         pub incarnation: IncarnationId,
         /// Its role.
         pub role: MemberRole,
@@ -19,7 +19,7 @@
 }
 
 impl MemberLabel {
-    /// The label of a member.
+    /// Creates the label of a member.
     pub fn of(member: &MemberInfo) -> Self {
         let MemberInfo { instance, incarnation, role, .. } = member;
         Self { instance: instance.clone(), incarnation: *incarnation, role: *role }
@@ -33,51 +33,51 @@
 }
 
 derives! { record;
-    /// A process that was asked and didn't answer.
+    /// A process that was queried and did not reply.
     pub struct SilentMember {
         /// The process.
         #[serde(flatten)]
         pub member: MemberLabel,
-        /// Why, as far as the asker knows.
+        /// The reason that the querying entry observed.
         pub why: String,
     }
 }
 
 derives! { record;
-    /// What an answer knows of the store.
+    /// How an answer used the store.
     #[serde(rename_all = "kebab-case")]
     pub enum StoreBasis {
-        /// Nothing in the answer comes from it.
+        /// The answer contains nothing from the store.
         NotAsked,
-        /// It was read when it stood at this revision, or at a later one.
+        /// The store was read at this revision or a later one.
         Read {
             /// The revision.
             revision: StoreRevision,
         },
-        /// It couldn't be read.
+        /// The store could not be read.
         Silent {
-            /// Why.
+            /// The reason.
             why: String,
         },
     }
 }
 
 derives! { record;
-    /// What an answer rests on: when and by whom it was put together, and who said what is in it.
+    /// The sources of an answer: the entry that compiled it, when, and the processes that replied.
     pub struct AnswerBasis {
-        /// The entry that put it together. "Every member" means: every one that this entry knows.
+        /// The entry that compiled it. "All members" are the members in this entry's member table.
         pub entry: MemberLabel,
-        /// When it began, by the entry's wall clock.
+        /// When it started, by the entry's wall clock.
         pub from: WallTime,
-        /// When it had everything, by the same clock.
+        /// When it had all replies, by the same clock.
         pub to: WallTime,
-        /// What it knows of the store.
+        /// How the store was used.
         pub store: StoreBasis,
-        /// The processes that answered, the entry itself among them if it was asked.
+        /// The processes that replied, including the entry itself if it was queried.
         pub answered: Vec<MemberLabel>,
-        /// Those that didn't.
+        /// The processes that did not reply.
         pub silent: Vec<SilentMember>,
-        /// What a reader has to know of the figures.
+        /// Remarks on how to read the figures.
         #[serde(default)]
         pub notes: Vec<String>,
     }
--- a/crates/sagespool-operations/src/answer/commands.rs
+++ b/crates/sagespool-operations/src/answer/commands.rs
@@ -1,4 +1,4 @@
-//! Answers about commands.
+//! Answers to `commands`, to `command` and to each command.
 
 use sagespool_types::{BranchName, CommandId, WallTime, derives};
 
@@ -8,37 +8,37 @@
 derives! { record;
     /// The newest commands, the newest first.
     pub struct CommandsAnswer {
-        /// One row a command; nothing if the store couldn't be read.
+        /// One row per command; `None` if the store could not be read.
         pub rows: Option<Vec<CommandSummary>>,
     }
 }
 
 derives! { record;
-    /// A command in short.
+    /// Summary of a command.
     pub struct CommandSummary {
         /// The command.
         pub command: CommandId,
-        /// Its line.
+        /// The submitted line.
         pub line: String,
         /// The operator's branch.
         pub by: BranchName,
         /// When it was recorded, by the recording entry's wall clock.
         pub at: WallTime,
-        /// Whether it goes on.
+        /// Whether items without an outcome remain.
         pub state: CommandState,
-        /// Whether somebody wants it cancelled.
+        /// Whether cancellation was requested.
         pub cancelled: bool,
-        /// Items with an outcome.
+        /// Number of items with an outcome.
         pub ended: usize,
-        /// Items whose outcome is as wished.
+        /// Number of items that succeeded (see [`crate::OutcomeState::is_success`]).
         pub good: usize,
-        /// Items in all.
+        /// Number of all items.
         pub items: usize,
     }
 }
 
 impl CommandSummary {
-    /// A record in short.
+    /// Summarizes a record.
     pub fn of(record: &CommandRecord) -> Self {
         let outcomes = record.items.iter().filter_map(|item| item.outcome.as_ref());
         Self {
@@ -56,42 +56,42 @@
 }
 
 derives! { record;
-    /// A command, and how each of its items went.
+    /// A command and the outcomes of its items.
     pub struct CommandAnswer {
         /// The command.
         pub command: CommandId,
-        /// Its line.
+        /// The submitted line.
         pub line: String,
         /// The operator's branch.
         pub by: BranchName,
         /// When it was recorded, by the recording entry's wall clock.
         pub at: WallTime,
-        /// Whether it goes on.
+        /// Whether items without an outcome remain.
         pub state: CommandState,
-        /// True if it was recorded before this time of giving it.
+        /// True if it was recorded by an earlier submission.
         pub repeated: bool,
-        /// Whether somebody wants it cancelled.
+        /// Whether cancellation was requested.
         pub cancelled: bool,
         /// Its items.
         pub items: Vec<ItemAnswer>,
-        /// Where its newest change of the configuration is in force, if it made one.
+        /// The processes that have applied its newest configuration change, if it made one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub in_force: Option<ConfigRollout>,
     }
 }
 
 derives! { record;
-    /// An item, and how it went.
+    /// An item and its outcome.
     pub struct ItemAnswer {
-        /// The item, as a line would say it.
+        /// The item in the syntax of a command line.
         pub item: String,
-        /// How it went; nothing if that isn't known yet.
+        /// The outcome; `None` if it is not known yet.
         pub outcome: Option<ItemOutcome>,
     }
 }
 
 impl CommandAnswer {
-    /// A record as an answer.
+    /// Creates the answer from a record.
     pub fn of(record: &CommandRecord, repeated: bool) -> Self {
         let items = record
             .items
@@ -110,7 +110,7 @@
         }
     }
 
-    /// True if every item has its outcome and all are as wished.
+    /// True if every item has an outcome and succeeded.
     pub fn is_success(&self) -> bool {
         let is_success = |item: &ItemAnswer| {
             item.outcome.as_ref().is_some_and(|outcome| outcome.state.is_success())
--- a/crates/sagespool-operations/src/answer/configuration.rs
+++ b/crates/sagespool-operations/src/answer/configuration.rs
@@ -1,4 +1,4 @@
-//! Answers about the configuration.
+//! Answers to `configuration`, and where configuration versions are applied.
 
 use sagespool_messages::{MemberInfo, MemberRole};
 use sagespool_types::{ConfigVersion, StoreRevision, derives};
@@ -7,38 +7,38 @@
 use super::MemberLabel;
 
 derives! { record;
-    /// The configuration, and where it is in force.
+    /// The configuration objects and the processes that have applied them.
     pub struct ConfigurationAnswer {
-        /// The version that the answering entry has in force; nothing if it has none yet.
+        /// The version that the answering entry has applied; `None` if it has none yet.
         pub entry_version: Option<ConfigVersion>,
-        /// The store's objects and their versions; nothing if the store couldn't be read.
+        /// The stored objects and their versions; `None` if the store could not be read.
         pub objects: Option<Vec<ConfigObjectRow>>,
-        /// Where the newest version known here is in force.
+        /// The processes that have applied the newest version known to the answering entry.
         pub in_force: ConfigRollout,
-        /// The part that was asked for.
+        /// The requested section, if there was one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub shown: Option<ShownSection>,
     }
 }
 
 derives! { record;
-    /// An object of the configuration.
+    /// A configuration object.
     pub struct ConfigObjectRow {
         /// Its key in the store.
         pub key: String,
-        /// Its version: the revision of the store at which it last changed.
+        /// Its version: the store revision of its last change.
         pub version: StoreRevision,
-        /// How many classes and services, or branches, it holds.
+        /// Number of classes and services, or of branches, in it.
         pub holds: u64,
     }
 }
 
 derives! { record;
-    /// A part of the configuration.
+    /// A section of the configuration with its value.
     pub struct ShownSection {
-        /// Which: `branch ruwi-bids`.
+        /// The section, such as `branch ruwi-bids`.
         pub place: String,
-        /// The version of the object that it is in: the one to give behind `if version`.
+        /// The version of the object that contains it, for use in `if version`.
         pub version: ConfigVersion,
         /// Its value.
         pub value: Value,
@@ -46,70 +46,71 @@
 }
 
 derives! { record;
-    /// A process, and the configuration that it was last known to have in force.
+    /// A process and the configuration version that it last reported as applied.
     pub struct ConfigMember {
         /// The process.
         #[serde(flatten)]
         pub member: MemberLabel,
-        /// Its version then.
+        /// The version.
         pub version: ConfigVersion,
     }
 }
 
 derives! { record;
-    /// Where a version is in force, among the processes of one role.
+    /// Which processes of one role have applied a version.
     pub struct RoleRollout {
         /// The version.
         pub version: ConfigVersion,
-        /// Processes that said that they have it, or a later one, in force. Versions never go back, so
-        /// it is so for as long as they run.
+        /// Processes that reported this version or a later one as applied. Applied versions never
+        /// decrease while a process runs.
         pub members: Vec<MemberLabel>,
-        /// Processes that haven't said so yet, with the version that they last told.
+        /// Processes that have not reported it yet, with the version that they last reported.
         pub not_known: Vec<ConfigMember>,
     }
 }
 
 derives! { record;
-    /// Where a change is in force. Entries take over the whole configuration; sidecars take over classes
-    /// and services, and their version is that of the one object that holds these.
+    /// Which processes have applied a change. Entries apply the whole configuration. Sidecars apply
+    /// classes and services only, and their version is that of the one object with these.
     #[derive(Default)]
     pub struct ConfigRollout {
-        /// At entries.
+        /// Entries; `None` if the change doesn't concern them.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub entries: Option<RoleRollout>,
-        /// At sidecars; nothing if the change doesn't concern them.
+        /// Sidecars; `None` if the change doesn't concern them.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub sidecars: Option<RoleRollout>,
     }
 }
 
 impl ConfigRollout {
-    /// Every process that isn't known to have it in force.
+    /// The processes that have not reported the version as applied.
     pub fn not_known(&self) -> impl Iterator<Item = &ConfigMember> {
         let rows = self.entries.iter().chain(&self.sidecars);
         rows.flat_map(|row| &row.not_known)
     }
 }
 
-/// The versions that processes must have in force, by their role.
+/// The versions that processes must have applied, by role.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct RequiredVersions {
-    /// At entries.
+    /// The version for entries; `None` if there is no requirement.
     pub entries: Option<ConfigVersion>,
-    /// At sidecars; nothing if what is asked for doesn't concern them.
+    /// The version for sidecars; `None` if there is no requirement.
     pub sidecars: Option<ConfigVersion>,
 }
 
-/// Where versions are in force, by what is known of the members.
+/// Lists which members have reported the versions as applied.
 pub fn config_rollout(wanted: RequiredVersions, members: &[MemberInfo]) -> ConfigRollout {
-    let row = |version, role| force_row(version, members.iter().filter(|info| info.role == role));
+    let row =
+        |version, role| role_rollout(version, members.iter().filter(|info| info.role == role));
     ConfigRollout {
         entries: wanted.entries.map(|version| row(version, MemberRole::Entry)),
         sidecars: wanted.sidecars.map(|version| row(version, MemberRole::Sidecar)),
     }
 }
 
-fn force_row<'a>(
+fn role_rollout<'a>(
     version: ConfigVersion,
     members: impl Iterator<Item = &'a MemberInfo>,
 ) -> RoleRollout {
--- a/crates/sagespool-operations/src/answer/fleet.rs
+++ b/crates/sagespool-operations/src/answer/fleet.rs
@@ -1,4 +1,4 @@
-//! Answers about what runs, and where.
+//! Answers to `running`, `upstreams`, `members` and `quarantine`.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,50 +13,50 @@
 use super::MemberLabel;
 
 derives! { record;
-    /// What runs, as the sidecars that answered said.
+    /// Running requests, as listed by the sidecars that replied.
     pub struct RunningAnswer {
-        /// One row a request.
+        /// One row per request.
         pub rows: Vec<RunningRow>,
-        /// Sidecars that run more than they listed.
+        /// Sidecars whose lists were truncated: they run more requests.
         pub cut: Vec<InstanceName>,
     }
 }
 
 derives! { record;
-    /// A request that runs.
+    /// A running request.
     pub struct RunningRow {
         /// The instance of the sidecar.
         pub instance: InstanceName,
-        /// Its upstream.
+        /// Its upstream; `None` if the sidecar's reply names none.
         pub upstream: Option<UpstreamName>,
         /// The request.
         pub request: RequestId,
         /// The attempt.
         pub attempt: AttemptNumber,
-        /// The branch that pays.
+        /// The branch that is charged.
         pub branch: BranchName,
         /// The class.
         pub class: ClassName,
-        /// For how long it runs, in milliseconds.
+        /// Running time in milliseconds.
         pub running_ms: u64,
-        /// Tokens so far.
+        /// Tokens used so far.
         pub used: TokenCount,
     }
 }
 
 derives! { value;
-    /// What an upstream is up to.
+    /// The state of an upstream.
     #[serde(rename_all = "kebab-case")]
     pub enum UpstreamState {
-        /// It takes work.
+        /// It accepts requests.
         Serving,
-        /// An operator has ordered that it be given no new work.
+        /// Drained by an operator: it gets no new requests.
         Drained,
         /// Its sidecar or its instance is leaving.
         Leaving,
-        /// Its sidecar finds it not answering.
+        /// It does not respond to its sidecar.
         Unhealthy,
-        /// Its sidecar doesn't answer this entry.
+        /// Its sidecar does not reply to this entry.
         Silent,
     }
 }
@@ -74,9 +74,9 @@
 }
 
 derives! { record;
-    /// The upstreams, as their sidecars say.
+    /// The upstreams, as reported by their sidecars.
     pub struct UpstreamsAnswer {
-        /// One row an upstream.
+        /// One row per upstream.
         pub rows: Vec<UpstreamRow>,
     }
 }
@@ -88,36 +88,36 @@
         pub upstream: UpstreamName,
         /// Its service.
         pub service: ServiceName,
-        /// Engine or plain service.
+        /// Engine or other service.
         pub kind: UpstreamKind,
-        /// The sidecar beside it.
+        /// Its sidecar.
         pub sidecar: MemberLabel,
         /// Its data centre.
         pub centre: CentreName,
-        /// What it is up to.
+        /// Its state.
         pub state: UpstreamState,
-        /// Attempts in flight at its sidecar; nothing if it didn't answer.
+        /// Attempts in flight at its sidecar; `None` if the sidecar did not reply.
         pub in_flight: Option<u32>,
-        /// Requests running, as the upstream last reported, with a lag.
+        /// Running requests according to the upstream's last report, which lags behind.
         pub running: u32,
-        /// Requests waiting in it, likewise.
+        /// Requests queued in it, from the same report.
         pub waiting: u32,
-        /// Requests that it runs at once before it queues.
+        /// Requests that it runs concurrently before it queues.
         pub capacity: u32,
-        /// Tokens a second, likewise.
+        /// Tokens per second, from the same report.
         pub tokens_per_second: u32,
-        /// The models that it has loaded.
+        /// The loaded models.
         pub models: Vec<ModelName>,
-        /// Whether the newest order to drain says that it is drained; nothing if the store couldn't be
-        /// read.
+        /// Whether it is drained according to the newest drain or undrain order; `None` if the store could
+        /// not be read.
         pub drain_ordered: Option<bool>,
     }
 }
 
 derives! { record;
-    /// The processes that the entry knows.
+    /// The processes in the entry's member table.
     pub struct MembersAnswer {
-        /// One row a process.
+        /// One row per process.
         pub rows: Vec<MemberRow>,
     }
 }
@@ -125,39 +125,40 @@
 derives! { record;
     /// A process.
     pub struct MemberRow {
-        /// Which.
+        /// Its identity.
         pub member: MemberLabel,
         /// Its data centre.
         pub centre: CentreName,
-        /// Where its link is reached.
+        /// The address of its link.
         pub address: SocketAddr,
         /// Whether it is leaving.
         pub leaving: bool,
-        /// The configuration that it has in force: this version at least, since versions never go back.
+        /// The configuration version that it last reported as applied; a lower bound, as versions never
+        /// decrease.
         pub config: ConfigVersion,
-        /// For how long it runs, in milliseconds; nothing if it didn't answer.
+        /// Uptime in milliseconds; `None` if it did not reply.
         pub up_ms: Option<u64>,
-        /// Requests in flight, if it answered.
+        /// Requests in flight; `None` if it did not reply.
         pub in_flight: Option<u32>,
     }
 }
 
 derives! { record;
-    /// The stopped requests.
+    /// The quarantined requests.
     pub struct QuarantineAnswer {
-        /// One row a content; nothing if the store couldn't be read.
+        /// One row per content; `None` if the store could not be read.
         pub rows: Option<Vec<QuarantineRow>>,
     }
 }
 
 derives! { record;
-    /// A stopped request, by what it asks for.
+    /// A quarantined request, identified by its content.
     pub struct QuarantineRow {
-        /// What it asks for.
+        /// The digest of its content.
         pub content: ContentDigest,
-        /// Since when, by the wall clock of the entry that wrote it.
+        /// The start of the quarantine, by the wall clock of the entry that recorded it.
         pub since: WallTime,
-        /// The crashes that stopped it.
+        /// The upstream crashes that led to the quarantine.
         pub crashes: Vec<CrashNote>,
     }
 }
--- a/crates/sagespool-operations/src/answer/history.rs
+++ b/crates/sagespool-operations/src/answer/history.rs
@@ -1,4 +1,4 @@
-//! Answers about one request or one key.
+//! Answers to `request` and `key`.
 
 use std::fmt;
 
@@ -8,22 +8,22 @@
 };
 
 derives! { record;
-    /// What is known of a request or a key.
+    /// The recorded facts about a request or a key.
     pub struct HistoryAnswer {
-        /// What was asked: `request …` or `key …`.
+        /// The query: `request …` or `key …`.
         pub about: String,
-        /// The key's digest, if a key was asked for or found.
+        /// The key's digest, if a key was given or found.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub key: Option<KeyDigest>,
-        /// What is known, and who says so.
+        /// The facts with their sources.
         pub notes: Vec<HistoryNote>,
-        /// What follows from it, and what doesn't.
+        /// What the facts imply, and what they don't.
         pub conclusion: String,
     }
 }
 
 derives! { record;
-    /// Who says something.
+    /// The source of a fact.
     #[serde(rename_all = "kebab-case")]
     pub enum HistorySource {
         /// The store.
@@ -43,40 +43,40 @@
 }
 
 derives! { record;
-    /// One fact, and who says so.
+    /// One fact with its source.
     pub struct HistoryNote {
-        /// Who.
+        /// The source.
         pub source: HistorySource,
-        /// What.
+        /// The fact.
         pub fact: HistoryFact,
     }
 }
 
 derives! { record;
-    /// One fact.
+    /// One fact about a request or a key.
     #[serde(tag = "fact", rename_all = "kebab-case")]
     pub enum HistoryFact {
-        /// A claim: this request alone may run under the key, and at this sidecar alone.
+        /// A claim: only this request may run under the key, and only at this sidecar.
         Claimed {
             /// The key.
             key: KeyDigest,
             /// The request.
             request: RequestId,
-            /// What it asks for.
+            /// The digest of its content.
             content: ContentDigest,
             /// The sidecar.
             sidecar: IncarnationId,
             /// The attempt.
             attempt: AttemptNumber,
-            /// When, by the claiming home's wall clock.
+            /// The time of the claim, by the claiming home's wall clock.
             at: WallTime,
         },
-        /// The key was claimed, longer ago than details are kept.
+        /// The key was claimed so long ago that the details are no longer stored.
         ClaimedLongAgo {
             /// The key.
             key: KeyDigest,
         },
-        /// The request runs here.
+        /// The request runs at this sidecar.
         Running {
             /// The request.
             request: RequestId,
@@ -86,22 +86,22 @@
             branch: BranchName,
             /// The class.
             class: ClassName,
-            /// For how long, in milliseconds.
+            /// Running time in milliseconds.
             running_ms: u64,
-            /// Tokens so far.
+            /// Tokens used so far.
             used: TokenCount,
         },
-        /// The key's request runs here, or its whole answer is kept here.
+        /// The key's request runs at this sidecar, or its complete answer is stored there.
         AnswerHere {
             /// The request.
             request: RequestId,
         },
-        /// The key's request was here, and its answer can't be had.
+        /// The key's request was at this sidecar, but its answer is no longer available.
         AnswerLost {
             /// The request.
             request: RequestId,
         },
-        /// The key's request is being settled here at this moment.
+        /// The state of the key's request is being settled at this sidecar.
         Pending,
     }
 }
--- a/crates/sagespool-operations/src/answer/mod.rs
+++ b/crates/sagespool-operations/src/answer/mod.rs
@@ -1,4 +1,4 @@
-//! Answers, typed: what programs read, and what tables are made of.
+//! Typed answers, serialized as JSON or rendered as tables.
 
 mod basis;
 mod commands;
@@ -25,9 +25,9 @@
 use crate::VerbHelp;
 
 derives! { record;
-    /// An answer, and what it rests on.
+    /// An answer and its sources.
     pub struct OperatorAnswer {
-        /// What it rests on.
+        /// Its sources.
         pub basis: AnswerBasis,
         /// The answer.
         pub answer: AnswerBody,
@@ -62,17 +62,17 @@
 }
 
 derives! { record;
-    /// How lines are written.
+    /// The syntax of lines.
     pub struct HelpAnswer {
-        /// One for each kind of line.
+        /// One entry per verb.
         pub lines: Vec<HelpLine>,
     }
 }
 
 derives! { record;
-    /// How one kind of line is written.
+    /// The syntax of one kind of line.
     pub struct HelpLine {
-        /// The line.
+        /// The syntax.
         pub usage: String,
         /// What it does.
         pub summary: String,
@@ -80,7 +80,7 @@
 }
 
 impl HelpAnswer {
-    /// The lines that begin with a word, or all.
+    /// The help for a verb, or for all if `word` is `None`.
     pub fn about(word: Option<&str>) -> Self {
         let line = |help: VerbHelp| HelpLine {
             usage: help.usage.to_owned(),
--- a/crates/sagespool-operations/src/answer/spend.rs
+++ b/crates/sagespool-operations/src/answer/spend.rs
@@ -5,26 +5,26 @@
 use crate::TokenRange;
 
 derives! { record;
-    /// What branches have spent.
+    /// The spend of branches.
     pub struct SpendAnswer {
-        /// One row a branch, each at the moment of its own book's read.
+        /// One row per branch, each as of the read of its own book.
         pub rows: Vec<SpendRow>,
-        /// How many branches there are beyond these rows.
+        /// Number of branches that are not in the rows.
         pub left_out: u64,
     }
 }
 
 derives! { record;
-    /// What one branch has spent.
+    /// The spend of one branch.
     pub struct SpendRow {
         /// The branch.
         pub branch: BranchName,
-        /// What its book says; nothing if it couldn't be read.
+        /// The figures of its book; `None` if the book could not be read.
         pub book: Option<BookFigures>,
-        /// Held for running requests, when the holders of grants were asked.
+        /// Reservations of running requests when the holders of grants were queried.
         pub running: TokenRange,
-        /// The spend at the moment of the book's read: what ended requests have used, whether it is
-        /// settled yet or not, and at most what running ones may use.
+        /// Bounds of the spend at the read of the book: what ended requests have used, settled or not;
+        /// the upper bound includes what running requests may use.
         pub spent: TokenRange,
         /// The grants that are in doubt.
         #[serde(default)]
@@ -33,29 +33,29 @@
 }
 
 derives! { record;
-    /// What a branch's book says, exactly, at its version.
+    /// The figures of a branch's book, exact at its version.
     pub struct BookFigures {
-        /// The book's version: the revision of the store at which it last changed.
+        /// The book's version: the store revision of its last change.
         pub version: StoreRevision,
-        /// All that was ever prepaid.
+        /// Total of all top-ups.
         pub prepaid: TokenCount,
         /// Spent and settled.
         pub settled: TokenCount,
-        /// Granted to processes that account for it, and not settled.
+        /// Granted and not settled; the holders account for it.
         pub granted: TokenCount,
-        /// Granted and not settled, and nobody can account for it.
+        /// Granted and not settled; no holder accounts for it.
         pub in_doubt: TokenCount,
-        /// Granted to nobody.
+        /// Not granted.
         pub free: TokenCount,
     }
 }
 
 derives! { record;
-    /// A grant that nobody can account for.
+    /// A grant that no holder accounts for.
     pub struct GrantInDoubt {
         /// The grant.
         pub grant: GrantId,
-        /// What of it isn't settled.
+        /// Its amount that is neither settled nor known to be used.
         pub tokens: TokenCount,
     }
 }
--- a/crates/sagespool-operations/src/lib.rs
+++ b/crates/sagespool-operations/src/lib.rs
@@ -1,13 +1,13 @@
-//! The operators' language, without any I/O.
+//! The operator language: queries, commands and their answers, without I/O.
 //!
-//! A line is read by [`parse_line`] into an [`OperatorQuery`] or an
-//! [`OperatorCommand`]; faults point at the place and suggest the nearest
-//! word. An [`OperatorAnswer`] is typed data that says what it rests on, for
-//! programs as JSON and for people as tables ([`render_answer`]). The decisions
-//! behind the answers stand here too: what a spend's bounds are
-//! ([`SpendEstimate`]), how an edit changes an object of the configuration
-//! ([`ConfigEdit`]), and how a command is recorded so that giving it again does
-//! it once ([`CommandRecord`], [`CommandFloor`], [`FenceRecord`]).
+//! [`parse_line`] parses a line into an [`OperatorQuery`] or an
+//! [`OperatorCommand`]; errors have a position and suggest the closest known
+//! word. An [`OperatorAnswer`] is typed data with its sources, serialized as
+//! JSON for programs and rendered as tables for people ([`render_answer`]).
+//! The logic behind the answers is here too: the bounds of a branch's spend
+//! ([`SpendEstimate`]), the edits of configuration objects ([`ConfigEdit`]),
+//! and the records that make commands idempotent ([`CommandRecord`],
+//! [`CommandFloor`], [`FenceRecord`]).
 
 mod answer;
 mod command;
--- a/crates/sagespool-operations/src/query.rs
+++ b/crates/sagespool-operations/src/query.rs
@@ -1,11 +1,11 @@
-//! What operators ask.
+//! Operators' queries.
 
 use std::fmt;
 
 use sagespool_types::{BranchName, ClassName, CommandId, RequestId, ServiceName, derives};
 
 derives! { record;
-    /// A part of the configuration to show.
+    /// A section of the configuration.
     #[serde(rename_all = "kebab-case")]
     pub enum ConfigSection {
         /// A branch.
@@ -28,41 +28,41 @@
 }
 
 derives! { record;
-    /// A question.
+    /// A query, which changes nothing.
     #[serde(rename_all = "kebab-case")]
     pub enum OperatorQuery {
-        /// What branches have spent; all of them if none is named.
+        /// The spend of branches.
         Spend {
-            /// The branches.
+            /// The branches; empty for all.
             branches: Vec<BranchName>,
         },
-        /// What runs, and where.
+        /// The running requests and their upstreams.
         Running {
-            /// Only this branch's.
+            /// The branch; `None` for all.
             branch: Option<BranchName>,
         },
-        /// The upstreams.
+        /// The upstreams with their load.
         Upstreams,
-        /// The processes.
+        /// The processes of the fleet.
         Members,
-        /// The configuration, and where it is in force.
+        /// The configuration and the processes that have applied it.
         Configuration {
-            /// The part to show.
+            /// The section to show; `None` for none.
             place: Option<ConfigSection>,
         },
-        /// What is known of a request.
+        /// The recorded facts about a request.
         Request {
             /// The request.
             request: RequestId,
         },
-        /// What is known of a caller's key.
+        /// The recorded facts about a caller's idempotency key.
         Key {
             /// The branch.
             branch: BranchName,
-            /// The key, as the caller gave it.
+            /// The key, as the caller sent it.
             key: String,
         },
-        /// Requests that are stopped since they take upstreams down.
+        /// Requests that are quarantined because they crash upstreams.
         Quarantine,
         /// The newest commands.
         Commands,
@@ -71,9 +71,9 @@
             /// The command.
             command: CommandId,
         },
-        /// How lines are written.
+        /// The syntax of lines.
         Help {
-            /// Only those that begin with this word.
+            /// The verb; `None` for all.
             word: Option<String>,
         },
     }
--- a/crates/sagespool-operations/src/render/commands.rs
+++ b/crates/sagespool-operations/src/render/commands.rs
@@ -4,21 +4,22 @@
 use super::{column_table, show_time};
 use crate::{CommandAnswer, CommandState, CommandSummary, CommandsAnswer, ItemAnswer};
 
-const SHOWN_LINE: usize = 48;
+/// Limit on the characters of a line in the list.
+const MAX_SHOWN_CHARS: usize = 48;
 
 pub(super) fn render_list(answer: &CommandsAnswer) -> String {
     let Some(rows) = &answer.rows else {
-        return "the commands can't be known now".to_owned();
+        return "commands unknown: the store could not be read".to_owned();
     };
     if rows.is_empty() {
         return "no command is recorded".to_owned();
     }
-    let header = ["command", "at", "by", "state", "items", "as wished", "line"];
+    let header = ["command", "at", "by", "state", "items", "succeeded", "line"];
     column_table(&header, &[], rows.iter().map(show_summary))
 }
 
 fn show_summary(row: &CommandSummary) -> Vec<String> {
-    let mut line: String = row.line.chars().take(SHOWN_LINE).collect();
+    let mut line: String = row.line.chars().take(MAX_SHOWN_CHARS).collect();
     if line.len() < row.line.len() {
         line.push('…');
     }
@@ -41,7 +42,7 @@
 pub(super) fn render_one(answer: &CommandAnswer) -> String {
     let mut text = format!("command {}: {}", answer.command, answer.state);
     if answer.repeated {
-        text.push_str(", given before");
+        text.push_str(", submitted before");
     }
     if answer.cancelled {
         text.push_str(", cancelled");
@@ -59,7 +60,7 @@
 
 fn show_item(item: &ItemAnswer) -> String {
     let Some(outcome) = &item.outcome else {
-        return format!("{}: not ended yet", item.item);
+        return format!("{}: not finished yet", item.item);
     };
     let mut text = format!("{}: {}, {}", item.item, outcome.state, outcome.message);
     if let Some(nearest) = &outcome.nearest {
--- a/crates/sagespool-operations/src/render/configuration.rs
+++ b/crates/sagespool-operations/src/render/configuration.rs
@@ -14,7 +14,7 @@
             let header = ["object", "version", "holds"];
             text.push_str(&column_table(&header, &[1, 2], objects.iter().map(show_object)));
         }
-        None => text.push_str("the store's versions can't be known now"),
+        None => text.push_str("stored versions unknown: the store could not be read"),
     }
     let version = show_option(answer.entry_version);
     text.push_str(&format!("\nin force at the answering entry: version {version}\n"));
@@ -26,14 +26,14 @@
     vec![row.key.clone(), row.version.to_string(), row.holds.to_string()]
 }
 
-/// Where a change is in force; members that aren't known to have it are named.
+/// Counts the members that have applied a change and lists those that have not reported it.
 pub(super) fn render_in_force(in_force: &ConfigRollout) -> String {
     let rows = [("entries", &in_force.entries), ("sidecars", &in_force.sidecars)];
     let mut lines = Vec::new();
     for (role, row) in rows {
         let Some(row) = row else { continue };
-        let (there, all) = (row.members.len(), row.members.len() + row.not_known.len());
-        lines.push(format!("version {} is in force at {there} of {all} {role}", row.version));
+        let (applied, all) = (row.members.len(), row.members.len() + row.not_known.len());
+        lines.push(format!("version {} is in force at {applied} of {all} {role}", row.version));
     }
     let not_known = in_force.not_known();
     lines.extend(not_known.map(|other| {
--- a/crates/sagespool-operations/src/render/fleet.rs
+++ b/crates/sagespool-operations/src/render/fleet.rs
@@ -1,4 +1,4 @@
-//! What runs, and where, as tables.
+//! Running requests, upstreams, members and quarantined requests as tables.
 
 use super::{column_table, show_option, show_time};
 use crate::{
@@ -10,7 +10,7 @@
     let header = ["request", "attempt", "branch", "class", "upstream", "for ms", "tokens"];
     let mut text = column_table(&header, &[1, 5, 6], answer.rows.iter().map(show_running));
     for instance in &answer.cut {
-        text.push_str(&format!("\n{instance} runs more than it listed"));
+        text.push_str(&format!("\n{instance} runs more requests than it listed"));
     }
     text
 }
@@ -94,10 +94,10 @@
 
 pub(super) fn render_quarantine(answer: &QuarantineAnswer) -> String {
     let Some(rows) = &answer.rows else {
-        return "what is stopped can't be known now".to_owned();
+        return "quarantined requests unknown: the store could not be read".to_owned();
     };
     if rows.is_empty() {
-        return "nothing is stopped".to_owned();
+        return "no request is quarantined".to_owned();
     }
     let header = ["content", "since", "crashes", "upstreams"];
     column_table(&header, &[2], rows.iter().map(show_quarantine))
--- a/crates/sagespool-operations/src/render/mod.rs
+++ b/crates/sagespool-operations/src/render/mod.rs
@@ -1,4 +1,4 @@
-//! Answers as tables, for people.
+//! Answers as plain-text tables.
 
 mod basis;
 mod commands;
@@ -10,7 +10,7 @@
 use crate::{AnswerBody, HelpAnswer, HistoryAnswer, OperatorAnswer};
 use table::{column_table, show_option, show_time};
 
-/// An answer as a person reads it: its tables, then what it rests on.
+/// Renders an answer as text: its tables, then its sources.
 pub fn render_answer(answer: &OperatorAnswer) -> String {
     let body = match &answer.answer {
         AnswerBody::Spend(answer) => spend::render(answer),
--- a/crates/sagespool-operations/src/render/spend.rs
+++ b/crates/sagespool-operations/src/render/spend.rs
@@ -1,4 +1,4 @@
-//! `spend` as a table.
+//! Answers to `spend` as tables.
 
 use super::{column_table, show_option};
 use crate::{BookFigures, SpendAnswer, SpendRow, TokenRange};
@@ -17,7 +17,7 @@
         text.push_str(&format!("\nin doubt: {tokens} of {branch} under grant {grant}"));
     }
     if answer.left_out > 0 {
-        text.push_str(&format!("\n{} more branches; name those wanted", answer.left_out));
+        text.push_str(&format!("\n{} more branches; name the ones to show", answer.left_out));
     }
     text
 }
--- a/crates/sagespool-operations/src/render/table.rs
+++ b/crates/sagespool-operations/src/render/table.rs
@@ -1,10 +1,10 @@
-//! Plain columns.
+//! Tables of plain columns.
 
 use chrono::{DateTime, SecondsFormat};
 use comfy_table::{CellAlignment, Table, presets};
 use sagespool_types::WallTime;
 
-/// A table of columns, without lines. Columns named in `numbers` are set to the right.
+/// Renders a table without borders. The columns with the indices in `numbers` are right-aligned.
 pub(super) fn column_table(
     header: &[&str],
     numbers: &[usize],
@@ -16,9 +16,9 @@
     for row in rows {
         table.add_row(row);
     }
-    for (place, column) in table.column_iter_mut().enumerate() {
+    for (index, column) in table.column_iter_mut().enumerate() {
         column.set_padding((0, 2));
-        if numbers.contains(&place) {
+        if numbers.contains(&index) {
             column.set_cell_alignment(CellAlignment::Right);
         }
     }
@@ -26,12 +26,12 @@
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// A value, or `-`.
+/// Renders a value, or `-` for `None`.
 pub(super) fn show_option<T: ToString>(value: Option<T>) -> String {
     value.map_or_else(|| "-".to_owned(), |value| value.to_string())
 }
 
-/// A wall-clock time in UTC, to the millisecond.
+/// Renders a wall-clock time in UTC with milliseconds, or the plain number if it is out of range.
 pub(super) fn show_time(at: WallTime) -> String {
     let time = i64::try_from(at.0).ok().and_then(DateTime::from_timestamp_millis);
     time.map_or_else(|| at.to_string(), |time| time.to_rfc3339_opts(SecondsFormat::Millis, true))
--- a/crates/sagespool-operations/src/wire.rs
+++ b/crates/sagespool-operations/src/wire.rs
@@ -1,4 +1,4 @@
-//! What an operator's program and an entry say to each other over HTTP.
+//! HTTP requests and responses between an operator's client and an entry.
 
 use std::fmt;
 
@@ -6,55 +6,56 @@
 
 use crate::LineError;
 
-/// Where an entry takes operators' lines, by `POST`.
+/// The path to which operator lines are sent with `POST`.
 pub const LINE_PATH: &str = "/operator/line";
 
 derives! { record;
-    /// The body of a request.
+    /// The body of a request with one line.
     #[serde(deny_unknown_fields)]
     pub struct LineRequest {
-        /// The line.
+        /// The query or command.
         pub line: String,
-        /// The command's id, so that giving it again does it once. A query needs none.
+        /// The command's id: submitting a command again with the same id executes it once. Queries need
+        /// none.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub command: Option<CommandId>,
-        /// False for an answer as tables, for a person; else it is JSON.
+        /// `Some(false)` for an answer as plain-text tables; otherwise the answer is JSON.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub json: Option<bool>,
-        /// How long to wait for a command to end, in milliseconds.
+        /// How long to wait until the command has ended, in milliseconds.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub wait_ms: Option<u64>,
     }
 }
 
 derives! { record;
-    /// The body of a response that isn't an answer.
+    /// The body of an error response.
     pub struct ErrorReply {
-        /// What went wrong.
+        /// The error.
         pub error: OperatorError,
     }
 }
 
 derives! { record;
-    /// Why a line was neither answered nor carried out.
+    /// Why a line was neither answered nor executed.
     pub struct OperatorError {
-        /// For programs: `unknown-key`, `bad-line`, `store-unreachable`, …
+        /// The error code for programs: `unknown-key`, `bad-line`, `store-unreachable`, …
         pub code: String,
-        /// For a person.
+        /// The message for people.
         pub message: String,
-        /// What to do.
+        /// What the operator can do.
         pub help: String,
-        /// The place in the line, if that is what is wrong.
+        /// The position of the error, if the line itself is invalid.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub line: Option<LineError>,
-        /// True if the command may be under way all the same: give it again with the same id.
+        /// True if the command may be executing despite the error: submit it again with the same id.
         #[serde(default)]
         pub may_be_under_way: bool,
     }
 }
 
 impl OperatorError {
-    /// A fault; surely nothing was done.
+    /// An error before anything was executed.
     pub fn new(
         code: impl Into<String>,
         message: impl Into<String>,
@@ -66,16 +67,16 @@
 }
 
 impl From<LineError> for OperatorError {
-    fn from(fault: LineError) -> Self {
-        let (message, help) = (fault.message.clone(), fault.help.clone());
-        Self { line: Some(fault), ..Self::new("bad-line", message, help) }
+    fn from(error: LineError) -> Self {
+        let (message, help) = (error.message.clone(), error.help.clone());
+        Self { line: Some(error), ..Self::new("bad-line", message, help) }
     }
 }
 
 impl fmt::Display for OperatorError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.line {
-            Some(fault) => fault.fmt(f),
+            Some(error) => error.fmt(f),
             None => write!(f, "{}\nhelp: {}", self.message, self.help),
         }
     }
--- a/crates/sagespool-operations/tests/answer_text.rs
+++ b/crates/sagespool-operations/tests/answer_text.rs
@@ -1,4 +1,4 @@
-//! Answers as people and programs read them.
+//! Answers as rendered text and as JSON.
 
 #![allow(clippy::unwrap_used)]
 
@@ -69,9 +69,9 @@
 ruwi-bids   120000    41200    20000       700  58100       3000  41650 to 44900
 sohar            -        -        -         -      -  0 or more      12 or more
 in doubt: 700 of ruwi-bids under grant 00c0ffee00c0ffee-7
-3 more branches; name those wanted
+3 more branches; name the ones to show
 
-put together by entry entry-1 from 2023-11-14T22:13:20.000Z within 12 ms
+compiled by entry entry-1 from 2023-11-14T22:13:20.000Z within 12 ms
 store read at revision 812
 answered: 1 of 2 members
 no answer: entry entry-2 (no answer within 1 s)
@@ -126,17 +126,17 @@
     let text =
         render_answer(&OperatorAnswer { basis: basis(), answer: AnswerBody::Command(answer) });
     let wanted = "\
-command 00000000000000000000000000000007: running, given before
+command 00000000000000000000000000000007: running, submitted before
 top-up a 1: done, 1 added
 top-up b 2: refused, there is no branch `b`; did you mean `bb`?
-top-up c 3: not ended yet
+top-up c 3: not finished yet
 version 9 is in force at 1 of 2 entries
 not known to be in force: entry entry-2 (at version 8)
 ";
     assert!(text.starts_with(wanted), "\n{text}");
 }
 
-/// A command that has ended, one of its two items refused: the list shows that not all is as wished.
+/// A command has ended and one of its two items was refused: the list shows that only one succeeded.
 #[test]
 fn command_list() {
     let row = CommandSummary {
@@ -154,12 +154,13 @@
     let text = render_answer(&OperatorAnswer { basis: basis(), answer });
     let words: Vec<_> =
         text.lines().map(|line| line.split_whitespace().collect::<Vec<_>>()).collect();
-    assert_eq!(words[0], ["command", "at", "by", "state", "items", "as", "wished", "line"]);
+    assert_eq!(words[0], ["command", "at", "by", "state", "items", "succeeded", "line"]);
     assert_eq!(words[1][3..], ["ended", "2", "of", "2", "1", "top-up", "a", "1,", "b", "2"]);
 }
 
-/// A change of classes is told to be in force at a sidecar that has it not: its version is compared with
-/// that of the branches' newest object, which sidecars don't follow.
+/// Guards against reporting a change of classes as applied at a sidecar that hasn't applied it. That
+/// happens if the sidecar's version is compared with the version of the newest branch object, which
+/// sidecars don't follow.
 #[test]
 fn force_by_role() {
     let member = |instance: &str, role, config| MemberInfo {
