--- a/crates/sagespool-operations/tests/command_records.rs
+++ b/crates/sagespool-operations/tests/command_records.rs
@@ -1,4 +1,4 @@
-//! Commands as the store keeps them: done once, however often and through whomever they are given.
+//! Stored commands: each is executed once, however often and through whichever entry it is submitted.
 
 #![allow(clippy::unwrap_used)]
 
@@ -40,7 +40,7 @@
     assert_eq!((first.index, first.item.to_string()), (0, "top-up a 1".to_owned()));
     assert_eq!(first.begun_after, None);
     record.set_outcome(0, done());
-    record.set_outcome(0, ItemOutcome::new(OutcomeState::Failed, "a later word doesn't count"));
+    record.set_outcome(0, ItemOutcome::new(OutcomeState::Failed, "a later outcome is ignored"));
     assert_eq!(record.next_item().unwrap().index, 1);
     assert_eq!(record.state(), CommandState::Running);
     record.set_outcome(1, done());
@@ -49,8 +49,8 @@
     assert_eq!(states(&record), [Some(OutcomeState::Done); 2]);
 }
 
-/// An entry dies in the middle of a command. The one that takes it up may not assume that the item at
-/// which the first stood wasn't done; of the later ones it may.
+/// An entry stops in the middle of a command. The entry that takes over must assume that the first item
+/// without an outcome may have been started, and that the later ones were not.
 #[test]
 fn taken_over() {
     let mut record = record("top-up a 1, b 2, c 3");
@@ -59,18 +59,18 @@
     let executor = record.take_over(SECOND, StoreRevision(40));
     assert_eq!((executor.incarnation, executor.turn), (SECOND, before.turn + 1));
     assert_eq!(record.next_item().unwrap().begun_after, Some(StoreRevision(40)));
-    // The same entry may take it up again after it gave up: the turn tells the two apart. Since when the
-    // item may have been begun is the first one's to say.
+    // The same entry may take over again after it stopped executing: the turn differs. The revision after
+    // which the item may have been started stays that of the first take-over.
     assert_ne!(record.take_over(SECOND, StoreRevision(50)), executor);
     assert_eq!(record.next_item().unwrap().begun_after, Some(StoreRevision(40)));
     record.set_outcome(1, done());
     assert_eq!(record.next_item().unwrap().begun_after, None);
 }
 
-/// A command is cancelled while an entry that died may have done its second item: only the third is
-/// said to be cancelled.
+/// A command is cancelled while an entry that stopped may have executed its second item: only the third
+/// gets the state `cancelled`.
 #[test]
-fn cancelled_rest() {
+fn cancelled_remaining_items() {
     let mut fresh = record("top-up a 1, b 2");
     fresh.cancel_remaining();
     assert_eq!(states(&fresh), [None; 2]);
@@ -98,8 +98,8 @@
     assert!(!record.is_same("top-up a 1", &other));
 }
 
-/// Two edits of one object in one command, conditional on the version that the operator saw: the first
-/// one's own change must not look like another operator's to the second.
+/// Two edits of one object in one command, conditional on the version that the operator saw: the change
+/// by the first edit must not count as a conflict for the second.
 #[test]
 fn own_versions() {
     let mut record =
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn record_text() {
+fn record_serialization() {
     let mut record = record("load sage on engine-1, engine-2");
     record.set_outcome(0, done());
     record.request_cancel(cancel());
@@ -132,10 +132,10 @@
     assert_ne!(new_command_id(WallTime(1000)), early);
 }
 
-/// A top-up whose answer was lost is given again a week later, when its record was forgotten. It must
-/// not be applied a second time.
+/// The reply to a top-up is lost, and the top-up is submitted again a week later, after its record was
+/// pruned. It must not be applied a second time.
 #[test]
-fn forgotten_commands() {
+fn pruned_commands() {
     let present: Vec<CommandId> = [5, 3, 9, 7].map(CommandId).to_vec();
     assert_eq!(plan_pruning(present.clone(), 4), None);
     let plan = plan_pruning(present, 2).unwrap();
@@ -147,13 +147,13 @@
     assert!(floor.raise(plan.floor));
     assert!(!floor.raise(CommandId(4)));
     assert!(plan.commands.iter().all(|command| floor.covers(*command)));
-    // One that was never recorded is refused with them: nobody can tell.
+    // An id that was never recorded is refused too, since it can't be told from a pruned one.
     assert!(floor.covers(CommandId(4)));
     assert!(!floor.covers(CommandId(6)));
 }
 
-/// Two operators order one engine through different entries; each order gets a number of its own, and
-/// the same order, whose answer was lost, keeps its.
+/// Two operators send orders to one engine through different entries: each order gets its own number. An
+/// order that is sent again because its reply was lost keeps its number.
 #[test]
 fn fenced_orders() {
     let holder =
@@ -165,7 +165,7 @@
     assert_eq!(FenceRecord::with_order(Some(&first), holder(1, 0), &drain), None);
     let second = FenceRecord::with_order(Some(&first), holder(2, 0), &load).unwrap();
     assert_eq!((second.number, second.drained), (FenceNumber(2), true));
-    // Overtaken by an order about something else, the drain stands; a later one takes its place.
+    // An order on another subject doesn't supersede the drain; a later undrain does.
     assert!(second.is_newest(&drain, first.number));
     let third = FenceRecord::with_order(Some(&second), holder(1, 1), &undrain).unwrap();
     assert_eq!((third.number, third.drained), (FenceNumber(3), false));
@@ -176,22 +176,22 @@
     assert!(!fourth.is_newest(&load, second.number));
 }
 
-/// Two operators load models at once through different entries: one after the other. An entry that dies
-/// with the turn doesn't stop all loads for good.
+/// Two operators load models through different entries at the same time: the loads run one after the
+/// other. The lease of an entry that stopped expires, so that it doesn't block all loads.
 #[test]
-fn load_turns() {
+fn load_leases() {
     let holder =
         |command, turn| FenceHolder { command: CommandId(command), item: 0, turn, renewal: 0 };
-    let mut turn = LoadLease::default();
-    assert!(turn.try_acquire(holder(1, 0), WallTime(1000)));
+    let mut lease = LoadLease::default();
+    assert!(lease.try_acquire(holder(1, 0), WallTime(1000)));
     assert!(
-        turn.try_acquire(holder(1, 1), WallTime(1000)),
-        "taken up anew, it is still the item's"
+        lease.try_acquire(holder(1, 1), WallTime(1000)),
+        "a later turn of the same item renews it"
     );
-    assert!(!turn.try_acquire(holder(2, 0), WallTime(60_000)));
-    assert!(!turn.release(holder(2, 0)) && !turn.release(holder(1, 0)));
-    assert!(turn.try_acquire(holder(2, 0), WallTime(121_000)));
-    assert!(!turn.release(holder(1, 1)), "passed over, it doesn't end the other's turn");
-    assert!(turn.release(holder(2, 0)));
-    assert!(turn.try_acquire(holder(3, 0), WallTime(121_001)));
+    assert!(!lease.try_acquire(holder(2, 0), WallTime(60_000)));
+    assert!(!lease.release(holder(2, 0)) && !lease.release(holder(1, 0)));
+    assert!(lease.try_acquire(holder(2, 0), WallTime(121_000)));
+    assert!(!lease.release(holder(1, 1)), "an expired holder must not release the new lease");
+    assert!(lease.release(holder(2, 0)));
+    assert!(lease.try_acquire(holder(3, 0), WallTime(121_001)));
 }
--- a/crates/sagespool-operations/tests/config_edits.rs
+++ b/crates/sagespool-operations/tests/config_edits.rs
@@ -77,7 +77,7 @@
     for (line, wanted) in table {
         assert_eq!(changes(&line, &branches()), [wanted], "{line}");
         let edited = apply(&line, &branches()).unwrap().value;
-        assert!(changes(&line, &edited).is_empty(), "{line} a second time changes nothing");
+        assert!(changes(&line, &edited).is_empty(), "{line} a second time must change nothing");
         assert_eq!(edited["branches"]["sohar-hub"]["key_hashes"], json!([]), "{line}");
     }
 }
@@ -111,7 +111,7 @@
     for (line, wanted) in table {
         assert_eq!(changes(line, &fleet()), [wanted], "{line}");
         let edited = apply(line, &fleet()).unwrap().value;
-        assert!(changes(line, &edited).is_empty(), "{line} a second time changes nothing");
+        assert!(changes(line, &edited).is_empty(), "{line} a second time must change nothing");
     }
     let declared = apply("non-idempotent notes any /letters", &fleet()).unwrap().value;
     let undone = changes("idempotent notes any /letters", &declared);
--- a/crates/sagespool-operations/tests/line_parsing.rs
+++ b/crates/sagespool-operations/tests/line_parsing.rs
@@ -1,4 +1,4 @@
-//! Lines and what they mean; wrong lines and where they point.
+//! Parsing of valid lines; positions and suggestions of the errors in invalid ones.
 
 #![allow(clippy::unwrap_used)]
 
@@ -178,7 +178,7 @@
     for (line, wanted) in table {
         let item = one(&line);
         assert_eq!(item, wanted, "{line}");
-        // What an answer shows of an item can be given again and means the same.
+        // The rendered item parses into the same item.
         assert_eq!(one(&item.to_string()), wanted, "{line} as {item}");
     }
 }
@@ -199,9 +199,9 @@
     assert_eq!(created.seen, Some(ConfigVersion(9)));
 }
 
-/// What a person gets wrong, the place that the fault points at, and the word it suggests.
+/// Invalid lines, the text at the error's position, and the suggested word.
 #[test]
-fn wrong_lines() {
+fn invalid_lines() {
     let hash = SecretHash::of("a key");
     let long = "x".repeat(65);
     let table: Vec<(String, &str, Option<&str>)> = vec![
@@ -252,24 +252,24 @@
         ("lift xyz".into(), "xyz", None),
         ("cancel".into(), "", None),
     ];
-    for (line, place, nearest) in table {
-        let fault = parse_line(&line).expect_err(&line);
+    for (line, position, nearest) in table {
+        let error = parse_line(&line).expect_err(&line);
         let characters: Vec<char> = line.chars().collect();
-        let at = fault.at.start..fault.at.end.min(characters.len());
-        let pointed: String = if at.start >= characters.len() {
+        let at = error.at.start..error.at.end.min(characters.len());
+        let found: String = if at.start >= characters.len() {
             String::new()
         } else {
             characters[at].iter().collect()
         };
-        assert_eq!(pointed, place, "{line}: {fault}");
-        assert_eq!(fault.nearest.as_deref(), nearest, "{line}: {fault}");
+        assert_eq!(found, position, "{line}: {error}");
+        assert_eq!(error.nearest.as_deref(), nearest, "{line}: {error}");
     }
 }
 
 #[test]
-fn fault_text() {
-    let fault = parse_line("set ruwi-bids wieght 7").unwrap_err();
-    let text = fault.to_string();
+fn error_text() {
+    let error = parse_line("set ruwi-bids wieght 7").unwrap_err();
+    let text = error.to_string();
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines[0], "`wieght` is not `weight` or `limit`");
     assert_eq!(lines[1], "  set ruwi-bids wieght 7");
@@ -279,12 +279,12 @@
 }
 
 #[test]
-fn too_much() {
+fn limits_of_lines() {
     let many: Vec<String> = (0..201).map(|number| format!("b{number} 1")).collect();
-    let fault = parse_line(&format!("top-up {}", many.join(", "))).unwrap_err();
-    assert!(fault.message.contains("at most 200 items"), "{fault}");
-    let fault = parse_line(&format!("key a {}", "x".repeat(20_000))).unwrap_err();
-    assert!(fault.message.contains("longer than 16384 characters"), "{fault}");
+    let error = parse_line(&format!("top-up {}", many.join(", "))).unwrap_err();
+    assert!(error.message.contains("at most 200 items"), "{error}");
+    let error = parse_line(&format!("key a {}", "x".repeat(20_000))).unwrap_err();
+    assert!(error.message.contains("longer than 16384 characters"), "{error}");
 }
 
 #[test]
@@ -299,7 +299,7 @@
 }
 
 quickcheck! {
-    /// Whatever is typed, reading it ends, and a fault points into the line or just behind it.
+    /// Parsing terminates for every input, and the position of an error is in the line or just after it.
     fn any_line(words: Vec<String>) -> bool {
         let starts = ["", "spend ", "top-up a 5, ", "set a ", "create branch ", "key a "];
         let line = words.join(" ");
@@ -308,7 +308,7 @@
             let length = line.chars().count();
             match parse_line(&line) {
                 Ok(_) => true,
-                Err(fault) => fault.at.start < fault.at.end && fault.at.start <= length,
+                Err(error) => error.at.start < error.at.end && error.at.start <= length,
             }
         })
     }
--- a/crates/sagespool-operations/tests/spend_bounds.rs
+++ b/crates/sagespool-operations/tests/spend_bounds.rs
@@ -1,4 +1,4 @@
-//! The bounds of a branch's spend, while it is spent, settled and granted all along.
+//! Bounds of a branch's spend while charges, settlements and grants go on.
 
 #![allow(clippy::unwrap_used)]
 
@@ -48,7 +48,7 @@
     }
 }
 
-fn word(holder: u64, grants: &[(u64, u64, u64)]) -> StatusReply {
+fn usage_reply(holder: u64, grants: &[(u64, u64, u64)]) -> StatusReply {
     let from = IncarnationId(holder);
     let usage = |(number, used, reserved): &(u64, u64, u64)| GrantUse {
         grant: GrantId { holder: from, number: *number },
@@ -65,7 +65,7 @@
     reply(from, vec![status])
 }
 
-fn words(replies: &[StatusReply]) -> HolderUsage {
+fn holder_usage(replies: &[StatusReply]) -> HolderUsage {
     HolderUsage::of(&branch(), replies)
 }
 
@@ -94,23 +94,23 @@
     TokenRange { least: TokenCount(least), most: Some(TokenCount(most)) }
 }
 
-/// An operator is shown more spend than there was. A request ends, its home says that 30 are used and
-/// not settled; the home settles them, then the book is read: its 30 settled and the home's 30 are the
-/// same tokens.
+/// Guards against counting tokens twice. A request ends and its home reports 30 tokens as used and not
+/// settled. The home settles them before the book is read: the 30 settled tokens in the book and the 30
+/// used ones are the same.
 #[test]
 fn settled_meanwhile() {
-    let before = words(&[word(1, &[(0, 30, 0)])]);
-    let after = words(&[word(1, &[(0, 30, 0)])]);
+    let before = holder_usage(&[usage_reply(1, &[(0, 30, 0)])]);
+    let after = holder_usage(&[usage_reply(1, &[(0, 30, 0)])]);
     let estimate = combine(&book(100, 0, &[(1, 0, 50, 30)]), &before, &after);
     assert_eq!(estimate.spent, range(30, 30));
     assert_eq!(estimate.book.settled, TokenCount(30));
 }
 
-/// An operator is shown less spend than there was. The home dies after it answered; its grant was
-/// closed and another taken by the time that the book is read.
+/// Guards against an upper bound that is too low. The home stops after it replied; by the time that the
+/// book is read, its grant is closed and it has acquired another one.
 #[test]
 fn closed_meanwhile() {
-    let before = words(&[word(1, &[(0, 30, 10)])]);
+    let before = holder_usage(&[usage_reply(1, &[(0, 30, 10)])]);
     let closed = book(100, 38, &[(1, 1, 20, 0)]);
     let estimate = combine(&closed, &before, &HolderUsage::default());
     assert_eq!(estimate.spent, range(38, 58));
@@ -118,10 +118,10 @@
 }
 
 #[test]
-fn silent_holder() {
+fn holder_without_reply() {
     let book = book(200, 10, &[(1, 0, 50, 5), (2, 0, 40, 8)]);
-    let heard = words(&[word(1, &[(0, 7, 3)])]);
-    let estimate = combine(&book, &heard, &heard);
+    let usage = holder_usage(&[usage_reply(1, &[(0, 7, 3)])]);
+    let estimate = combine(&book, &usage, &usage);
     assert_eq!(estimate.spent, range(10 + 7 + 8, 10 + 10 + 40));
     assert_eq!(estimate.reserved, range(3, 3 + 32));
     let silent = combine(&book, &HolderUsage::default(), &HolderUsage::default());
@@ -129,40 +129,41 @@
     assert_eq!(silent.book.free, TokenCount(100));
 }
 
-/// A holder that was believed dead comes back and speaks of its grant, which sidecars settle
-/// meanwhile: its word doesn't narrow the bounds.
+/// A holder that was assumed dead returns and reports usage of its grant, while sidecars settle the
+/// grant: the report must not narrow the bounds.
 #[test]
 fn sealed_grant() {
     let mut book = book(100, 0, &[(1, 0, 50, 20)]);
-    let heard = words(&[word(1, &[(0, 25, 5)])]);
+    let usage = holder_usage(&[usage_reply(1, &[(0, 25, 5)])]);
     let grant = GrantId { holder: IncarnationId(1), number: 0 };
     let record = book.branches.get_mut(&branch()).unwrap().grants.get_mut(&grant).unwrap();
     record.sealed_by = Some(IncarnationId(9));
-    let estimate = combine(&book, &heard, &heard);
+    let estimate = combine(&book, &usage, &usage);
     assert_eq!(estimate.spent, range(20, 50));
     assert_eq!(estimate.book.in_doubt, TokenCount(30));
     assert_eq!(estimate.book.granted, TokenCount(0));
 }
 
-/// The entry that answered is another run of the holder at the same address: what it says of its
-/// predecessor's grants counts for nothing.
+/// The replying entry is another incarnation of the holder at the same address: what it reports on the
+/// earlier incarnation's grants must be ignored.
 #[test]
 fn other_incarnation() {
-    let mut stranger = word(1, &[(0, 40, 0)]);
-    stranger.from = IncarnationId(2);
-    let heard = words(&[stranger]);
-    let estimate = combine(&book(100, 0, &[(1, 0, 50, 5)]), &heard, &heard);
+    let mut other_run = usage_reply(1, &[(0, 40, 0)]);
+    other_run.from = IncarnationId(2);
+    let usage = holder_usage(&[other_run]);
+    let estimate = combine(&book(100, 0, &[(1, 0, 50, 5)]), &usage, &usage);
     assert_eq!(estimate.spent, range(5, 50));
     assert_eq!(estimate.reserved, range(0, 45));
 }
 
 #[test]
 fn without_book() {
-    let heard = words(&[word(1, &[(0, 30, 5), (1, 4, 0)]), word(2, &[(0, 6, 0)])]);
-    assert_eq!(SpendEstimate::without_book(&heard), TokenRange::at_least(TokenCount(40)));
+    let usage =
+        holder_usage(&[usage_reply(1, &[(0, 30, 5), (1, 4, 0)]), usage_reply(2, &[(0, 6, 0)])]);
+    assert_eq!(SpendEstimate::without_book(&usage), TokenRange::at_least(TokenCount(40)));
 }
 
-/// Something that happens in a small fleet.
+/// One step of the simulated fleet.
 #[derive(Debug, Clone)]
 enum FleetStep {
     Reserve {
@@ -171,15 +172,15 @@
     },
     Finish {
         home: usize,
-        place: usize,
+        index: usize,
         part: u64,
     },
-    /// A home writes its book; the answer of the write may be lost.
+    /// A home writes its book; the reply to the write may be lost.
     Write {
         home: usize,
         is_lost: bool,
     },
-    GiveBack {
+    ReturnUnspent {
         home: usize,
         amount: u64,
     },
@@ -194,9 +195,9 @@
         let amount = u64::arbitrary(g) % 40;
         match u8::arbitrary(g) % 10 {
             0..4 => Self::Reserve { home, amount: amount + 1 },
-            4..6 => Self::Finish { home, place: usize::arbitrary(g), part: amount },
+            4..6 => Self::Finish { home, index: usize::arbitrary(g), part: amount },
             6..8 => Self::Write { home, is_lost: bool::arbitrary(g) },
-            8 => Self::GiveBack { home, amount },
+            8 => Self::ReturnUnspent { home, amount },
             _ => Self::TopUp { amount },
         }
     }
@@ -204,8 +205,8 @@
 
 const HOMES: usize = 2;
 
-/// A book in a store, two homes that spend from it, and what they truly spent.
-struct SmallFleet {
+/// A stored book, two homes that spend from it, and their actual spend.
+struct SimulatedFleet {
     homes: Vec<HomeLedger>,
     book: BookRecord,
     version: StoreRevision,
@@ -215,7 +216,7 @@
     commands: u128,
 }
 
-impl SmallFleet {
+impl SimulatedFleet {
     fn new() -> Self {
         let policy = LedgerPolicy::builder().grant_ahead(Duration::from_secs(30)).build();
         let home =
@@ -229,17 +230,17 @@
             now: ClockTime(0),
             commands: 0,
         };
-        fleet.take(&FleetStep::TopUp { amount: 500 });
+        fleet.apply(&FleetStep::TopUp { amount: 500 });
         fleet
     }
 
-    fn take(&mut self, step: &FleetStep) {
+    fn apply(&mut self, step: &FleetStep) {
         self.now = self.now.after(Duration::from_millis(100));
         match step {
             FleetStep::Reserve { home, amount } => self.reserve(*home, *amount),
-            FleetStep::Finish { home, place, part } => self.finish(*home, *place, *part),
+            FleetStep::Finish { home, index, part } => self.finish(*home, *index, *part),
             FleetStep::Write { home, is_lost } => self.write(*home, *is_lost),
-            FleetStep::GiveBack { home, amount } => {
+            FleetStep::ReturnUnspent { home, amount } => {
                 self.homes[*home].return_unspent(&branch(), TokenCount(*amount), self.now);
             }
             FleetStep::TopUp { amount } => {
@@ -251,7 +252,7 @@
     }
 
     fn reserve(&mut self, home: usize, amount: u64) {
-        let order = ReserveRequest {
+        let request = ReserveRequest {
             request: RequestId(1),
             entry: IncarnationId(99),
             branch: branch(),
@@ -263,7 +264,7 @@
             amount: TokenCount(amount),
             time_left: Duration::from_secs(10),
         };
-        match self.homes[home].reserve(&order, self.now) {
+        match self.homes[home].reserve(&request, self.now) {
             ReserveDecision::Reserved(reserved) => {
                 self.running[home].push((reserved.charge, amount));
             }
@@ -273,12 +274,12 @@
         }
     }
 
-    fn finish(&mut self, home: usize, place: usize, part: u64) {
+    fn finish(&mut self, home: usize, index: usize, part: u64) {
         if self.running[home].is_empty() {
             return;
         }
-        let place = place % self.running[home].len();
-        let (charge, amount) = self.running[home].swap_remove(place);
+        let index = index % self.running[home].len();
+        let (charge, amount) = self.running[home].swap_remove(index);
         let used = part % (amount + 1);
         self.spent += used;
         let record = ChargeRecord {
@@ -322,18 +323,18 @@
     }
 }
 
-/// After how many steps a home answers, before the read and after it; none if it is silent.
+/// The steps at which a home replies before and after the read of the book; `None` for no reply.
 #[derive(Debug, Clone)]
-struct AskedHome {
+struct ReplyTimes {
     before: Option<usize>,
     after: Option<usize>,
 }
 
-/// A run of the fleet, and when the query's questions reach each home and the book.
+/// Steps of the fleet, and the steps at which a query gets the replies and reads the book.
 #[derive(Debug, Clone)]
 struct QueriedRun {
     steps: Vec<FleetStep>,
-    asked: Vec<AskedHome>,
+    replies: Vec<ReplyTimes>,
     read: usize,
 }
 
@@ -341,47 +342,47 @@
     fn arbitrary(g: &mut Gen) -> Self {
         let steps: Vec<FleetStep> = (0..60).map(|_| FleetStep::arbitrary(g)).collect();
         let read = usize::arbitrary(g) % steps.len();
-        let mut asked = Vec::new();
+        let mut replies = Vec::new();
         for _ in 0..HOMES {
             let before = usize::arbitrary(g) % (read + 1);
             let after = read + usize::arbitrary(g) % (steps.len() + 1 - read);
-            let answers = |g: &mut Gen| u8::arbitrary(g) % 5 > 0;
-            let before = answers(g).then_some(before);
-            asked.push(AskedHome { before, after: answers(g).then_some(after) });
+            let has_reply = |g: &mut Gen| u8::arbitrary(g) % 5 > 0;
+            let before = has_reply(g).then_some(before);
+            replies.push(ReplyTimes { before, after: has_reply(g).then_some(after) });
         }
-        Self { steps, asked, read }
+        Self { steps, replies, read }
     }
 }
 
-/// Whatever happens between the questions of one query, the spend at the moment of the book's read is
-/// within the bounds, and what runs then is within the upper one.
-fn true_bounds(run: QueriedRun) -> bool {
-    let mut fleet = SmallFleet::new();
+/// Whatever happens between the replies to one query, the spend at the read of the book is within the
+/// bounds, and the bounds are within what is settled and what is prepaid.
+fn bounds_hold(run: QueriedRun) -> bool {
+    let mut fleet = SimulatedFleet::new();
     let (mut before, mut after) = (Vec::new(), Vec::new());
     let mut read = None;
     for at in 0..=run.steps.len() {
-        let asked = |pick: fn(&AskedHome) -> Option<usize>| {
-            let homes = run.asked.iter().enumerate();
-            let due = homes.filter(|(_, asked)| pick(asked) == Some(at));
+        let replies = |pick: fn(&ReplyTimes) -> Option<usize>| {
+            let homes = run.replies.iter().enumerate();
+            let due = homes.filter(|(_, times)| pick(times) == Some(at));
             due.map(|(home, _)| fleet.reply(home)).collect::<Vec<_>>()
         };
-        before.extend(asked(|asked| asked.before));
+        before.extend(replies(|times| times.before));
         if at == run.read {
             read = Some((fleet.book.clone(), fleet.spent));
         }
-        after.extend(asked(|asked| asked.after));
+        after.extend(replies(|times| times.after));
         if let Some(step) = run.steps.get(at) {
-            fleet.take(step);
+            fleet.apply(step);
         }
     }
     let (book, spent) = read.unwrap();
-    let estimate = combine(&book, &words(&before), &words(&after));
+    let estimate = combine(&book, &holder_usage(&before), &holder_usage(&after));
     let (least, most) = (estimate.spent.least.0, estimate.spent.most.unwrap().0);
     let settled = estimate.book.settled.0;
     settled <= least && least <= spent && spent <= most && most <= estimate.book.prepaid.0
 }
 
 #[test]
-fn always_true() {
-    QuickCheck::new().tests(2000).quickcheck(true_bounds as fn(QueriedRun) -> bool);
+fn bounds_hold_for_random_runs() {
+    QuickCheck::new().tests(2000).quickcheck(bounds_hold as fn(QueriedRun) -> bool);
 }
--- a/crates/sagespool-report/examples/day_report.rs
+++ b/crates/sagespool-report/examples/day_report.rs
@@ -1,5 +1,5 @@
-//! Tells from gateways' logs what accounts were charged for, and where requests were lost:
-//! `day_report FILE...`, or standard input.
+//! Prints the account report and the loss report of gateway logs: `day_report FILE...`, or logs on
+//! standard input.
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader, Write};
@@ -14,8 +14,8 @@
     for text in source.split(b'\n') {
         let text = text?;
         if let Some(line) = LogLine::parse(&String::from_utf8_lossy(&text)) {
-            accounts.note(line);
-            losses.note(line);
+            accounts.add_line(line);
+            losses.add_line(line);
         }
     }
     Ok(())
--- a/crates/sagespool-report/src/accounts.rs
+++ b/crates/sagespool-report/src/accounts.rs
@@ -1,4 +1,4 @@
-//! What client accounts were charged for.
+//! Charges per client account.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,37 +8,37 @@
 
 use crate::LogLine;
 
-/// What one account's total went to, as far as the log tells.
+/// The use of one account's prepaid total, as far as the log shows it.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct AccountSpend {
-    /// The total, by the newest grant.
+    /// The prepaid total, from the newest grant.
     pub total: TokenCount,
-    /// Charged for requests that were answered whole.
+    /// Charged for requests with outcome `answered` or `failed` (a 5xx response of the upstream).
     pub answered: TokenCount,
-    /// Charged for requests that failed at an upstream or broke off: they may have run.
+    /// Charged for requests that failed at an upstream or were interrupted, since they may have run.
     pub failed: TokenCount,
-    /// Charged for requests whose callers left.
-    pub left: TokenCount,
-    /// Grants of runs that have ended, which count as spent.
+    /// Charged for requests whose callers disconnected.
+    pub caller_gone: TokenCount,
+    /// Grants of ended incarnations, which count as spent.
     pub closed: TokenCount,
-    /// What nobody was granted, by the newest grant.
+    /// Not granted to any instance, from the newest grant.
     pub free: TokenCount,
     /// Requests refused because the total was spent.
     pub refused_spent: u64,
-    /// Requests refused because the budget couldn't be asked for.
+    /// Requests refused because the budget was unreachable.
     pub refused_unreachable: u64,
-    /// Grants written.
+    /// Number of grants written.
     pub grants: u64,
-    /// Loans given.
+    /// Number of loans.
     pub loans: u64,
-    /// What was lent, from balance to balance; it is counted again where it is spent.
+    /// Lent from one instance's balance to another's; it is also counted where it is charged.
     pub lent: TokenCount,
 }
 
 impl AccountSpend {
-    /// What is neither charged nor free: given up by runs that ended, or idle in balances.
+    /// Neither charged nor free: written off by ended incarnations, or unused in balances.
     pub fn stranded(&self) -> TokenCount {
-        self.total.saturating_sub(self.answered + self.failed + self.left + self.free)
+        self.total.saturating_sub(self.answered + self.failed + self.caller_gone + self.free)
     }
 
     fn share(&self, part: TokenCount) -> String {
@@ -46,22 +46,22 @@
     }
 }
 
-/// All accounts' spending.
+/// The use of all accounts' prepaid totals.
 #[derive(Debug, Default)]
 pub struct AccountReport {
     accounts: BTreeMap<BranchName, AccountSpend>,
 }
 
 impl AccountReport {
-    /// Takes a line into account.
-    pub fn note(&mut self, line: LogLine<'_>) {
+    /// Adds a log line.
+    pub fn add_line(&mut self, line: LogLine<'_>) {
         let Some(branch) = line.value::<BranchName>("branch") else {
             return;
         };
         let spend = self.accounts.entry(branch).or_default();
         match line.event() {
-            "request-ended" => note_end(spend, line),
-            "grant-acknowledged" => note_grant(spend, line),
+            "request-ended" => add_request(spend, line),
+            "grant-acknowledged" => add_grant(spend, line),
             "budget-lent" => {
                 spend.loans += 1;
                 spend.lent += line.value("lent").unwrap_or_default();
@@ -70,17 +70,17 @@
         }
     }
 
-    /// One account's.
+    /// The spend of one account; `None` if no line names it.
     pub fn of(&self, branch: &BranchName) -> Option<&AccountSpend> {
         self.accounts.get(branch)
     }
 }
 
-fn note_end(spend: &mut AccountSpend, line: LogLine<'_>) {
+fn add_request(spend: &mut AccountSpend, line: LogLine<'_>) {
     let charged = line.value("charged").unwrap_or_default();
     match line.field("outcome") {
         Some("answered" | "failed") => spend.answered += charged,
-        Some("caller-gone") => spend.left += charged,
+        Some("caller-gone") => spend.caller_gone += charged,
         _ => spend.failed += charged,
     }
     match line.field("detail") {
@@ -90,7 +90,7 @@
     }
 }
 
-fn note_grant(spend: &mut AccountSpend, line: LogLine<'_>) {
+fn add_grant(spend: &mut AccountSpend, line: LogLine<'_>) {
     spend.grants += 1;
     spend.total = line.value("prepaid").unwrap_or(spend.total);
     spend.closed = line.value("closed").unwrap_or(spend.closed);
@@ -110,7 +110,7 @@
                 spend.total.to_string(),
                 spend.share(spend.answered),
                 spend.share(spend.failed),
-                spend.share(spend.left),
+                spend.share(spend.caller_gone),
                 spend.share(spend.stranded()),
                 spend.share(spend.free),
                 spend.share(spend.closed),
--- a/crates/sagespool-report/src/lib.rs
+++ b/crates/sagespool-report/src/lib.rs
@@ -1,8 +1,8 @@
-//! Reading gateways' logs afterwards.
+//! Reports from gateway logs.
 //!
-//! [`AccountReport`] tells for each client account what its total went to; [`LossReport`] tells when
-//! and why requests of each route weren't answered. Both need gateways' own log lines only, in any
-//! order of instances, and pass over what else stands between them.
+//! [`AccountReport`] breaks down the prepaid total of each client account. [`LossReport`] counts the
+//! requests of each route that were not answered, by time and reason. Both read only the gateways' own
+//! log lines, in any order of instances, and skip other text between them.
 
 mod accounts;
 mod line;
@@ -10,4 +10,4 @@
 
 pub use accounts::{AccountReport, AccountSpend};
 pub use line::LogLine;
-pub use losses::{LossCause, LossReport};
+pub use losses::{LossGroup, LossReport};
--- a/crates/sagespool-report/src/line.rs
+++ b/crates/sagespool-report/src/line.rs
@@ -1,42 +1,42 @@
-//! One line of a log.
+//! Parsing of one log line.
 
 use std::str::FromStr;
 
 use chrono::DateTime;
 
-/// A log line's fields.
+/// The fields of a log line.
 #[derive(Debug, Clone, Copy)]
 pub struct LogLine<'a> {
     fields: &'a str,
 }
 
 impl<'a> LogLine<'a> {
-    /// Finds the log line in a line of text. Whatever collected the logs may have put something
-    /// before it. Nothing if there is none.
+    /// Finds the log line in a line of text, after any prefix that a log collector added. `None` if
+    /// there is none.
     pub fn parse(text: &'a str) -> Option<Self> {
         let start = text.find("time=")?;
         let line = Self { fields: &text[start..] };
         line.field("event").map(|_| line)
     }
 
-    /// A field's text.
+    /// The text of a field, without its quotes; `None` if there is no such field.
     pub fn field(self, name: &str) -> Option<&'a str> {
         let values = self.fields.split_ascii_whitespace().filter_map(|pair| pair.split_once('='));
         let mut values = values.filter(|(key, _)| *key == name);
         values.next().map(|(_, value)| value.trim_matches('"'))
     }
 
-    /// A field's value; nothing if there is none or it is of another type.
+    /// The parsed value of a field; `None` if it is absent or doesn't parse.
     pub fn value<T: FromStr>(self, name: &str) -> Option<T> {
         self.field(name)?.parse().ok()
     }
 
-    /// What happened.
+    /// The name of the event; empty if there is none.
     pub fn event(self) -> &'a str {
         self.field("event").unwrap_or_default()
     }
 
-    /// When it was written, in milliseconds since 1970.
+    /// The time of the line in Unix milliseconds; `None` if it doesn't parse.
     pub fn millis(self) -> Option<i64> {
         let time = DateTime::parse_from_rfc3339(self.field("time")?).ok()?;
         Some(time.timestamp_millis())
--- a/crates/sagespool-report/tests/day_reports.rs
+++ b/crates/sagespool-report/tests/day_reports.rs
@@ -1,8 +1,8 @@
-//! Reports of a day's logs.
+//! Account and loss reports from log lines.
 
-#![allow(clippy::unwrap_used, reason = "helpers of tests")]
+#![allow(clippy::unwrap_used, reason = "test helpers")]
 
-use sagespool_report::{AccountReport, LogLine, LossCause, LossReport};
+use sagespool_report::{AccountReport, LogLine, LossGroup, LossReport};
 use sagespool_types::TokenCount;
 
 const LOG: &str = r#"
@@ -22,10 +22,10 @@
 #[test]
 fn account_spending() {
     let mut report = AccountReport::default();
-    lines().for_each(|line| report.note(line));
+    lines().for_each(|line| report.add_line(line));
     let spend = report.of(&"b-1".parse().unwrap()).unwrap();
     assert_eq!(spend.answered, TokenCount(500));
-    assert_eq!((spend.left, spend.failed), (TokenCount(60), TokenCount(40)));
+    assert_eq!((spend.caller_gone, spend.failed), (TokenCount(60), TokenCount(40)));
     assert_eq!(spend.stranded(), TokenCount(300));
     assert_eq!((spend.refused_spent, spend.grants, spend.loans), (1, 1, 1));
     let text = report.to_string();
@@ -35,14 +35,14 @@
 #[test]
 fn lost_requests() {
     let mut report = LossReport::default();
-    lines().for_each(|line| report.note(line));
-    let cause = |second: i64, reason: &str| LossCause {
+    lines().for_each(|line| report.add_line(line));
+    let group = |second: i64, reason: &str| LossGroup {
         second,
         route: "digest".to_owned(),
         reason: reason.to_owned(),
     };
-    assert_eq!(report.count(&cause(0, "caller-gone")), 1);
-    assert_eq!(report.count(&cause(2, "refused broken")), 1);
-    assert_eq!(report.count(&cause(2, "refused budget-spent")), 1);
-    assert_eq!(report.count(&cause(0, "answered")), 0);
+    assert_eq!(report.count(&group(0, "caller-gone")), 1);
+    assert_eq!(report.count(&group(2, "refused broken")), 1);
+    assert_eq!(report.count(&group(2, "refused budget-spent")), 1);
+    assert_eq!(report.count(&group(0, "answered")), 0);
 }
