--- a/crates/sagespool-operations/src/command/record.rs
+++ b/crates/sagespool-operations/src/command/record.rs
@@ -286,7 +286,7 @@
 }
 
 fn cancelled_in_doubt() -> ItemOutcome {
-    let message = "the entry that executed this item was lost and the command was cancelled: the item \
+    let message = "the entry that started this item was lost and the command was cancelled: the item \
                    may have been executed; check its state";
     ItemOutcome::new(OutcomeState::Unknown, message)
 }
--- a/crates/sagespool-operations/src/edit/apply.rs
+++ b/crates/sagespool-operations/src/edit/apply.rs
@@ -55,15 +55,17 @@
             Self::Branch { branch, change } => {
                 let object = present.map_or(Ok(BranchObject::default()), check_branches);
                 let object = object.map_err(|faults| present_invalid(&faults))?;
-                edited(&object, check_branches, |object| branch::apply(object, branch, change))
+                apply_checked(&object, check_branches, |object| {
+                    branch::apply(object, branch, change)
+                })
             }
             Self::Class { class, change } => {
-                edited(&present_fleet(present)?, check_fleet, |object| {
+                apply_checked(&present_fleet(present)?, check_fleet, |object| {
                     fleet::apply_class(object, class, change)
                 })
             }
             Self::Service { service, change } => {
-                edited(&present_fleet(present)?, check_fleet, |object| {
+                apply_checked(&present_fleet(present)?, check_fleet, |object| {
                     fleet::apply_service(object, service, change)
                 })
             }
@@ -80,7 +82,7 @@
 
 /// Serializes both states before the comparison, so that a field that the stored object omits and one
 /// with its default value compare as equal.
-fn edited<T: Clone + Serialize>(
+fn apply_checked<T: Clone + Serialize>(
     present: &T,
     check: fn(&Value) -> Result<T, ValidationErrors>,
     change: impl FnOnce(&mut T) -> Result<(), EditError>,
--- a/crates/sagespool-operations/src/edit/change.rs
+++ b/crates/sagespool-operations/src/edit/change.rs
@@ -79,12 +79,12 @@
 fn fields_of(value: &Value) -> Option<Map<String, Value>> {
     match value {
         Value::Object(fields) => Some(fields.clone()),
-        Value::Array(items) => items.iter().map(named).collect(),
+        Value::Array(items) => items.iter().map(name_and_item).collect(),
         _ => None,
     }
 }
 
-fn named(item: &Value) -> Option<(String, Value)> {
+fn name_and_item(item: &Value) -> Option<(String, Value)> {
     let name = item.get("name")?.as_str()?;
     Some((name.to_owned(), item.clone()))
 }
--- a/crates/sagespool-operations/src/line/reader.rs
+++ b/crates/sagespool-operations/src/line/reader.rs
@@ -64,7 +64,7 @@
         LineError::new(self.line, at, message, self.usage.clone())
     }
 
-    fn take(&mut self, wanted: impl Display) -> Result<LineWord, LineError> {
+    fn next_word(&mut self, wanted: impl Display) -> Result<LineWord, LineError> {
         let Some(word) = self.peek().cloned() else {
             return Err(self.error_at_end(wanted));
         };
@@ -81,7 +81,7 @@
         wanted: &str,
         known: &[(&'static str, T)],
     ) -> Result<T, LineError> {
-        let word = self.take(wanted)?;
+        let word = self.next_word(wanted)?;
         let found = known
             .iter()
             .find(|(text, _)| word.kind == WordKind::Bare && word.text.eq_ignore_ascii_case(text));
@@ -127,7 +127,7 @@
 
     /// Reads a word and parses it, for example as a name or an id.
     pub fn value<T: FromStr<Err = ParseError>>(&mut self, wanted: &str) -> Result<T, LineError> {
-        let word = self.take(wanted)?;
+        let word = self.next_word(wanted)?;
         word.text.parse().map_err(|error: ParseError| {
             let message = format!("`{}` is not {wanted}: {}", error.found, error.help);
             self.error_at_last(message)
@@ -136,12 +136,12 @@
 
     /// Reads a word as text.
     pub fn text(&mut self, wanted: &str) -> Result<String, LineError> {
-        Ok(self.take(wanted)?.text)
+        Ok(self.next_word(wanted)?.text)
     }
 
     /// Reads a whole number, in which `_` may separate digits.
     pub fn number(&mut self, wanted: &str, allowed: RangeInclusive<u64>) -> Result<u64, LineError> {
-        let word = self.take(wanted)?;
+        let word = self.next_word(wanted)?;
         let digits = word.text.replace('_', "");
         let is_decimal = digits.chars().all(|digit| digit.is_ascii_digit());
         let number = digits.parse().ok().filter(|number| is_decimal && allowed.contains(number));
--- a/crates/sagespool-operations/src/line/verbs.rs
+++ b/crates/sagespool-operations/src/line/verbs.rs
@@ -46,7 +46,7 @@
     pub summary: &'static str,
 }
 
-const fn entry(
+const fn verb_entry(
     word: &'static str,
     verb: LineVerb,
     usage: &'static str,
@@ -57,120 +57,140 @@
 
 /// Every query, then every command.
 const VERBS: [(LineVerb, VerbHelp); 27] = [
-    entry(
+    verb_entry(
         "spend",
         LineVerb::Spend,
         "spend [BRANCH[, BRANCH]…]",
         "shows the spend of branches, as lower and upper bounds",
     ),
-    entry(
+    verb_entry(
         "running",
         LineVerb::Running,
         "running [BRANCH]",
         "lists running requests and their upstreams",
     ),
-    entry("upstreams", LineVerb::Upstreams, "upstreams", "lists the upstreams and their load"),
-    entry("members", LineVerb::Members, "members", "lists the processes of the fleet"),
-    entry(
+    verb_entry("upstreams", LineVerb::Upstreams, "upstreams", "lists the upstreams and their load"),
+    verb_entry("members", LineVerb::Members, "members", "lists the processes of the fleet"),
+    verb_entry(
         "configuration",
         LineVerb::Configuration,
         "configuration [branch NAME | class NAME | service NAME]",
         "shows the configuration, its versions and the processes that have applied it",
     ),
-    entry("request", LineVerb::Request, "request ID", "shows what is recorded about a request"),
-    entry(
+    verb_entry(
+        "request",
+        LineVerb::Request,
+        "request ID",
+        "shows what is recorded about a request",
+    ),
+    verb_entry(
         "key",
         LineVerb::Key,
         "key BRANCH KEY",
         "shows what is recorded about a caller's idempotency key",
     ),
-    entry("quarantine", LineVerb::Quarantine, "quarantine", "lists the quarantined requests"),
-    entry("commands", LineVerb::Commands, "commands", "lists the newest commands, finished or not"),
-    entry(
+    verb_entry("quarantine", LineVerb::Quarantine, "quarantine", "lists the quarantined requests"),
+    verb_entry(
+        "commands",
+        LineVerb::Commands,
+        "commands",
+        "lists the newest commands, finished or not",
+    ),
+    verb_entry(
         "command",
         LineVerb::Command,
         "command ID",
         "shows a command and the outcomes of its items",
     ),
-    entry("help", LineVerb::Help, "help [WORD]", "shows this list, or the help for one verb"),
-    entry(
+    verb_entry("help", LineVerb::Help, "help [WORD]", "shows this list, or the help for one verb"),
+    verb_entry(
         "create",
         LineVerb::Create,
         "create branch NAME key-hash HASH [key-hash HASH]… [operator] [weight N] [running N] [rate N] \
          [if version V]",
         "creates a branch; top it up next",
     ),
-    entry(
+    verb_entry(
         "top-up",
         LineVerb::TopUp,
         "top-up BRANCH TOKENS[, BRANCH TOKENS]…",
         "adds prepaid tokens",
     ),
-    entry(
+    verb_entry(
         "set",
         LineVerb::Set,
         "set BRANCH weight N | set [branch|class|service] NAME limit running|rate N|none | \
          set class NAME priority N [if version V]",
         "sets a weight, a priority or a limit",
     ),
-    entry(
+    verb_entry(
         "hold-back",
         LineVerb::HoldBack,
         "hold-back BRANCH CLASS TOKENS [if version V]",
         "holds back tokens of a branch for one class; 0 removes the holdback",
     ),
-    entry(
+    verb_entry(
         "non-idempotent",
         LineVerb::NonIdempotent,
         "non-idempotent SERVICE METHOD|any PATH [for BRANCH] [if version V]",
         "declares calls that must never run twice",
     ),
-    entry(
+    verb_entry(
         "idempotent",
         LineVerb::Idempotent,
         "idempotent SERVICE METHOD|any PATH [for BRANCH] [if version V]",
         "withdraws such a declaration",
     ),
-    entry("add", LineVerb::Add, "add key BRANCH HASH [if version V]", "adds a key to a branch"),
-    entry(
+    verb_entry(
+        "add",
+        LineVerb::Add,
+        "add key BRANCH HASH [if version V]",
+        "adds a key to a branch",
+    ),
+    verb_entry(
         "revoke",
         LineVerb::Revoke,
         "revoke key BRANCH HASH [if version V]",
         "removes a key from a branch; the first 8 digits of its hash suffice if they are unique",
     ),
-    entry(
+    verb_entry(
         "drain",
         LineVerb::Drain,
         "drain UPSTREAM|INSTANCE[, …]…",
         "drains upstreams: they get no new requests, and running ones finish",
     ),
-    entry(
+    verb_entry(
         "undrain",
         LineVerb::Undrain,
         "undrain UPSTREAM|INSTANCE[, …]…",
         "ends the drain of upstreams",
     ),
-    entry("stop", LineVerb::Stop, "stop INSTANCE[, INSTANCE]…", "stops processes gracefully"),
-    entry(
+    verb_entry("stop", LineVerb::Stop, "stop INSTANCE[, INSTANCE]…", "stops processes gracefully"),
+    verb_entry(
         "load",
         LineVerb::Load,
         "load MODEL [adapter NAME] on UPSTREAM[, UPSTREAM]…",
         "loads a model, or an adapter of one, on engines",
     ),
-    entry(
+    verb_entry(
         "unload",
         LineVerb::Unload,
         "unload MODEL on UPSTREAM[, UPSTREAM]…",
         "unloads a model from engines",
     ),
-    entry(
+    verb_entry(
         "release",
         LineVerb::Release,
         "release BRANCH GRANT[, BRANCH GRANT]…",
         "releases tokens in doubt; use it only if no unaccounted request has run",
     ),
-    entry("lift", LineVerb::Lift, "lift CONTENT[, CONTENT]…", "lifts the quarantine of requests"),
-    entry(
+    verb_entry(
+        "lift",
+        LineVerb::Lift,
+        "lift CONTENT[, CONTENT]…",
+        "lifts the quarantine of requests",
+    ),
+    verb_entry(
         "cancel",
         LineVerb::Cancel,
         "cancel COMMAND",
--- a/crates/sagespool-operations/src/render/configuration.rs
+++ b/crates/sagespool-operations/src/render/configuration.rs
@@ -17,7 +17,7 @@
         None => text.push_str("stored versions unknown: the store could not be read"),
     }
     let version = show_option(answer.entry_version);
-    text.push_str(&format!("\nin force at the answering entry: version {version}\n"));
+    text.push_str(&format!("\napplied at the answering entry: version {version}\n"));
     text.push_str(&render_in_force(&answer.in_force));
     text
 }
@@ -33,11 +33,11 @@
     for (role, row) in rows {
         let Some(row) = row else { continue };
         let (applied, all) = (row.members.len(), row.members.len() + row.not_known.len());
-        lines.push(format!("version {} is in force at {applied} of {all} {role}", row.version));
+        lines.push(format!("version {} is applied at {applied} of {all} {role}", row.version));
     }
     let not_known = in_force.not_known();
     lines.extend(not_known.map(|other| {
-        format!("not known to be in force: {} (at version {})", other.member, other.version)
+        format!("not reported as applied: {} (at version {})", other.member, other.version)
     }));
     lines.join("\n")
 }
--- a/crates/sagespool-operations/src/render/spend.rs
+++ b/crates/sagespool-operations/src/render/spend.rs
@@ -8,12 +8,12 @@
 
 pub(super) fn render(answer: &SpendAnswer) -> String {
     let mut text = column_table(&HEADER, &[1, 2, 3, 4, 5, 6, 7], answer.rows.iter().map(show_row));
-    let doubted = answer
+    let in_doubt = answer
         .rows
         .iter()
-        .flat_map(|row| row.in_doubt_grants.iter().map(move |doubted| (&row.branch, doubted)));
-    for (branch, doubted) in doubted {
-        let (grant, tokens) = (doubted.grant, doubted.tokens);
+        .flat_map(|row| row.in_doubt_grants.iter().map(move |in_doubt| (&row.branch, in_doubt)));
+    for (branch, in_doubt) in in_doubt {
+        let (grant, tokens) = (in_doubt.grant, in_doubt.tokens);
         text.push_str(&format!("\nin doubt: {tokens} of {branch} under grant {grant}"));
     }
     if answer.left_out > 0 {
--- a/crates/sagespool-operations/tests/answer_text.rs
+++ b/crates/sagespool-operations/tests/answer_text.rs
@@ -130,8 +130,8 @@
 top-up a 1: done, 1 added
 top-up b 2: refused, there is no branch `b`; did you mean `bb`?
 top-up c 3: not finished yet
-version 9 is in force at 1 of 2 entries
-not known to be in force: entry entry-2 (at version 8)
+version 9 is applied at 1 of 2 entries
+not reported as applied: entry entry-2 (at version 8)
 ";
     assert!(text.starts_with(wanted), "\n{text}");
 }
@@ -162,7 +162,7 @@
 /// happens if the sidecar's version is compared with the version of the newest branch object, which
 /// sidecars don't follow.
 #[test]
-fn force_by_role() {
+fn rollout_by_role() {
     let member = |instance: &str, role, config| MemberInfo {
         instance: instance.parse().unwrap(),
         incarnation: IncarnationId(1),
--- a/crates/sagespool-operations/tests/line_parsing.rs
+++ b/crates/sagespool-operations/tests/line_parsing.rs
@@ -25,7 +25,7 @@
     }
 }
 
-fn one(line: &str) -> CommandItem {
+fn single_item(line: &str) -> CommandItem {
     let mut command = command(line);
     assert_eq!(command.items.len(), 1, "{line}");
     command.items.remove(0)
@@ -176,10 +176,10 @@
         ("cancel ff".to_owned(), CommandItem::Cancel { command: CommandId(255) }),
     ];
     for (line, wanted) in table {
-        let item = one(&line);
+        let item = single_item(&line);
         assert_eq!(item, wanted, "{line}");
         // The rendered item parses into the same item.
-        assert_eq!(one(&item.to_string()), wanted, "{line} as {item}");
+        assert_eq!(single_item(&item.to_string()), wanted, "{line} as {item}");
     }
 }
 
