--- a/crates/sagespool-operations/src/edit/apply.rs
+++ b/crates/sagespool-operations/src/edit/apply.rs
@@ -28,8 +28,8 @@
         Self { message, nearest: nearest_of(name, known) }
     }
 
-    fn invalid(what: &str, faults: &ValidationErrors) -> Self {
-        Self::new(format!("{what}: {faults}"))
+    fn invalid(what: &str, errors: &ValidationErrors) -> Self {
+        Self::new(format!("{what}: {errors}"))
     }
 }
 
@@ -54,7 +54,7 @@
         match self {
             Self::Branch { branch, change } => {
                 let object = present.map_or(Ok(BranchObject::default()), check_branches);
-                let object = object.map_err(|faults| present_invalid(&faults))?;
+                let object = object.map_err(|errors| present_invalid(&errors))?;
                 apply_checked(&object, check_branches, |object| {
                     branch::apply(object, branch, change)
                 })
@@ -77,7 +77,7 @@
     let present = present.ok_or_else(|| {
         EditError::new("the store has no object with the fleet's classes and services yet")
     })?;
-    check_fleet(present).map_err(|faults| present_invalid(&faults))
+    check_fleet(present).map_err(|errors| present_invalid(&errors))
 }
 
 /// Serializes both states before the comparison, so that a field that the stored object omits and one
@@ -90,7 +90,7 @@
     let mut object = present.clone();
     change(&mut object)?;
     let value = to_value(&object);
-    check(&value).map_err(|faults| edited_invalid(&faults))?;
+    check(&value).map_err(|errors| edited_invalid(&errors))?;
     let changes = changes_between(&to_value(present), &value);
     Ok(EditedObject { value, changes })
 }
@@ -99,10 +99,10 @@
     serde_json::to_value(object).expect("an object of the configuration is plain data")
 }
 
-fn present_invalid(faults: &ValidationErrors) -> EditError {
-    EditError::invalid("the stored object is not valid; correct it in the store first", faults)
+fn present_invalid(errors: &ValidationErrors) -> EditError {
+    EditError::invalid("the stored object is not valid; correct it in the store first", errors)
 }
 
-fn edited_invalid(faults: &ValidationErrors) -> EditError {
-    EditError::invalid("the result would not be valid", faults)
+fn edited_invalid(errors: &ValidationErrors) -> EditError {
+    EditError::invalid("the result would not be valid", errors)
 }
--- a/crates/sagespool-operations/src/lib.rs
+++ b/crates/sagespool-operations/src/lib.rs
@@ -14,7 +14,7 @@
 mod edit;
 mod fence;
 mod line;
-mod load_turn;
+mod load_lease;
 mod query;
 mod render;
 mod spend;
@@ -40,7 +40,7 @@
 };
 pub use fence::{FENCES_PREFIX, FenceHolder, FenceRecord, fence_key};
 pub use line::{LineError, LineSpan, OperatorLine, VerbHelp, nearest_of, parse_line, verb_help};
-pub use load_turn::{LOAD_LEASE_KEY, LoadLease};
+pub use load_lease::{LOAD_LEASE_KEY, LoadLease};
 pub use query::{ConfigSection, OperatorQuery};
 pub use render::render_answer;
 pub use spend::{HolderUsage, SpendEstimate, TokenRange};
--- a/crates/sagespool-operations/src/render/fleet.rs
+++ b/crates/sagespool-operations/src/render/fleet.rs
@@ -16,13 +16,14 @@
 }
 
 fn show_running(row: &RunningRow) -> Vec<String> {
-    let place = row.upstream.as_ref().map_or(row.instance.as_str(), |upstream| upstream.as_str());
+    let upstream_or_instance =
+        row.upstream.as_ref().map_or(row.instance.as_str(), |upstream| upstream.as_str());
     vec![
         row.request.to_string(),
         row.attempt.to_string(),
         row.branch.to_string(),
         row.class.to_string(),
-        place.to_owned(),
+        upstream_or_instance.to_owned(),
         row.running_ms.to_string(),
         row.used.to_string(),
     ]
--- a/crates/sagespool-operations/tests/config_edits.rs
+++ b/crates/sagespool-operations/tests/config_edits.rs
@@ -90,8 +90,8 @@
     assert_eq!(first.changes.len(), 1);
     assert!(apply(&line, &first.value).unwrap().changes.is_empty());
     let other = format!("create branch dhofar key-hash {} weight 5", SecretHash::of("k"));
-    let refusal = apply(&other, &first.value).unwrap_err();
-    assert!(refusal.message.contains("already exists with other settings"), "{refusal:?}");
+    let error = apply(&other, &first.value).unwrap_err();
+    assert!(error.message.contains("already exists with other settings"), "{error:?}");
 }
 
 #[test]
@@ -134,9 +134,9 @@
         ("non-idempotent notes any /a?b", fleet(), "result would not be valid", None),
     ];
     for (line, present, message, nearest) in table {
-        let refusal = apply(line, &present).unwrap_err();
-        assert!(refusal.message.contains(message), "{line}: {refusal:?}");
-        assert_eq!(refusal.nearest.as_deref(), nearest, "{line}");
+        let error = apply(line, &present).unwrap_err();
+        assert!(error.message.contains(message), "{line}: {error:?}");
+        assert_eq!(error.nearest.as_deref(), nearest, "{line}");
     }
     assert!(edit("set class lookup priority 1").apply(None).is_err());
 }
@@ -146,8 +146,8 @@
 fn shared_hash_prefix() {
     let key = |end: &str| format!("01234567{}{end}", "0".repeat(55));
     let present = json!({"branches": {"a": {"key_hashes": [key("1"), key("2")]}}});
-    let refusal = apply("revoke key a 01234567", &present).unwrap_err();
-    assert!(refusal.message.contains("2 keys begin with"), "{refusal:?}");
+    let error = apply("revoke key a 01234567", &present).unwrap_err();
+    assert!(error.message.contains("2 keys begin with"), "{error:?}");
     let edited = apply(&format!("revoke key a {}", key("2")), &present).unwrap();
     assert_eq!(edited.value["branches"]["a"]["key_hashes"], json!([key("1")]));
 }
