--- a/crates/sagespool-operations/src/edit/apply.rs
+++ b/crates/sagespool-operations/src/edit/apply.rs
@@ -1,4 +1,4 @@
-//! Making an edit on an object as it is in the store.
+//! Applying an edit to a stored configuration object.
 
 use sagespool_settings::{
     BranchObject, FleetObject, ValidationErrors, check_branches, check_fleet,
@@ -9,12 +9,12 @@
 use super::{ConfigEdit, FieldChange, branch, changes_between, fleet};
 use crate::nearest_of;
 
-/// Why an edit can't be made.
+/// Why an edit can't be applied.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EditError {
-    /// Why, for a person.
+    /// The reason, for the operator.
     pub message: String,
-    /// The known name that may have been meant.
+    /// The known name closest to one that was not found.
     pub nearest: Option<String>,
 }
 
@@ -28,42 +28,44 @@
         Self { message, nearest: nearest_of(name, known) }
     }
 
-    fn faulty(what: &str, faults: &ValidationErrors) -> Self {
-        Self::new(format!("{what}: {faults}"))
+    fn invalid(what: &str, errors: &ValidationErrors) -> Self {
+        Self::new(format!("{what}: {errors}"))
     }
 }
 
 /// An object after an edit.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EditedObject {
-    /// Its value, checked by the schema.
+    /// Its value; it conforms to the schema.
     pub value: Value,
-    /// What the edit changed; nothing if it was so already.
+    /// The changed fields; empty if the object had the requested values already.
     pub changes: Vec<FieldChange>,
 }
 
 impl ConfigEdit {
-    /// Makes the edit on the present value of its object; nothing for an object that isn't there.
+    /// Applies the edit to the present value of its object; `None` if the object doesn't exist.
     ///
-    /// The result is checked by the schema before anybody can accept it. What one object alone doesn't
-    /// show is checked by [`sagespool_settings::FleetConfiguration::check_change`].
+    /// The result is checked against the schema. Checks that involve several objects are in
+    /// [`sagespool_settings::FleetConfiguration::check_change`].
     ///
     /// # Errors
-    /// If the present value isn't valid, the edit can't be made on it, or its result isn't valid.
+    /// If the present value is invalid, the edit doesn't apply to it, or the result is invalid.
     pub fn apply(&self, present: Option<&Value>) -> Result<EditedObject, EditError> {
         match self {
             Self::Branch { branch, change } => {
                 let object = present.map_or(Ok(BranchObject::default()), check_branches);
-                let object = object.map_err(|faults| present_faulty(&faults))?;
-                edited(&object, check_branches, |object| branch::apply(object, branch, change))
+                let object = object.map_err(|errors| present_invalid(&errors))?;
+                apply_checked(&object, check_branches, |object| {
+                    branch::apply(object, branch, change)
+                })
             }
             Self::Class { class, change } => {
-                edited(&present_fleet(present)?, check_fleet, |object| {
+                apply_checked(&present_fleet(present)?, check_fleet, |object| {
                     fleet::apply_class(object, class, change)
                 })
             }
             Self::Service { service, change } => {
-                edited(&present_fleet(present)?, check_fleet, |object| {
+                apply_checked(&present_fleet(present)?, check_fleet, |object| {
                     fleet::apply_service(object, service, change)
                 })
             }
@@ -72,13 +74,15 @@
 }
 
 fn present_fleet(present: Option<&Value>) -> Result<FleetObject, EditError> {
-    let present = present.ok_or_else(|| EditError::new("the fleet has no classes yet"))?;
-    check_fleet(present).map_err(|faults| present_faulty(&faults))
+    let present = present.ok_or_else(|| {
+        EditError::new("the store has no object with the fleet's classes and services yet")
+    })?;
+    check_fleet(present).map_err(|errors| present_invalid(&errors))
 }
 
-/// Both states are written anew before they are compared: a field that the store leaves to its default
-/// has not changed.
-fn edited<T: Clone + Serialize>(
+/// Serializes both states before the comparison, so that a field that the stored object omits and one
+/// with its default value compare as equal.
+fn apply_checked<T: Clone + Serialize>(
     present: &T,
     check: fn(&Value) -> Result<T, ValidationErrors>,
     change: impl FnOnce(&mut T) -> Result<(), EditError>,
@@ -86,7 +90,7 @@
     let mut object = present.clone();
     change(&mut object)?;
     let value = to_value(&object);
-    check(&value).map_err(|faults| edited_faulty(&faults))?;
+    check(&value).map_err(|errors| edited_invalid(&errors))?;
     let changes = changes_between(&to_value(present), &value);
     Ok(EditedObject { value, changes })
 }
@@ -95,10 +99,10 @@
     serde_json::to_value(object).expect("an object of the configuration is plain data")
 }
 
-fn present_faulty(faults: &ValidationErrors) -> EditError {
-    EditError::faulty("the object in the store isn't valid; mend it there first", faults)
+fn present_invalid(errors: &ValidationErrors) -> EditError {
+    EditError::invalid("the stored object is not valid; correct it in the store first", errors)
 }
 
-fn edited_faulty(faults: &ValidationErrors) -> EditError {
-    EditError::faulty("the result would not be valid", faults)
+fn edited_invalid(errors: &ValidationErrors) -> EditError {
+    EditError::invalid("the result would not be valid", errors)
 }
--- a/crates/sagespool-operations/src/line/verbs.rs
+++ b/crates/sagespool-operations/src/line/verbs.rs
@@ -1,9 +1,9 @@
-//! The first word of a line.
+//! Verbs (the first word of a line) and their help.
 
 use super::LineReader;
 use crate::LineError;
 
-/// What a line begins with.
+/// The first word of a line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LineVerb {
     Spend,
@@ -35,18 +35,18 @@
     Cancel,
 }
 
-/// A query or a command, for the help.
+/// Help for a query or a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VerbHelp {
-    /// Its first word.
+    /// The verb.
     pub word: &'static str,
-    /// How it is written.
+    /// Its syntax.
     pub usage: &'static str,
     /// What it does.
     pub summary: &'static str,
 }
 
-const fn entry(
+const fn verb_entry(
     word: &'static str,
     verb: LineVerb,
     usage: &'static str,
@@ -57,127 +57,167 @@
 
 /// Every query, then every command.
 const VERBS: [(LineVerb, VerbHelp); 27] = [
-    entry(
+    verb_entry(
         "spend",
         LineVerb::Spend,
         "spend [BRANCH[, BRANCH]…]",
-        "what branches have spent, as bounds that are true",
+        "shows the spend of branches, as lower and upper bounds",
     ),
-    entry("running", LineVerb::Running, "running [BRANCH]", "the requests that run, and where"),
-    entry("upstreams", LineVerb::Upstreams, "upstreams", "the upstreams and their load"),
-    entry("members", LineVerb::Members, "members", "the processes of the fleet"),
-    entry(
+    verb_entry(
+        "running",
+        LineVerb::Running,
+        "running [BRANCH]",
+        "lists running requests and their upstreams",
+    ),
+    verb_entry("upstreams", LineVerb::Upstreams, "upstreams", "lists the upstreams and their load"),
+    verb_entry("members", LineVerb::Members, "members", "lists the processes of the fleet"),
+    verb_entry(
         "configuration",
         LineVerb::Configuration,
         "configuration [branch NAME | class NAME | service NAME]",
-        "the configuration, its versions, and where it is in force",
-    ),
-    entry("request", LineVerb::Request, "request ID", "what is known of a request"),
-    entry("key", LineVerb::Key, "key BRANCH KEY", "what is known of a caller's idempotency key"),
-    entry("quarantine", LineVerb::Quarantine, "quarantine", "the requests that are stopped"),
-    entry("commands", LineVerb::Commands, "commands", "the newest commands, finished or not"),
-    entry("command", LineVerb::Command, "command ID", "one command and its items' outcomes"),
-    entry("help", LineVerb::Help, "help [WORD]", "this list, or one line of it"),
-    entry(
+        "shows the configuration, its versions and the processes that have applied it",
+    ),
+    verb_entry(
+        "request",
+        LineVerb::Request,
+        "request ID",
+        "shows what is recorded about a request",
+    ),
+    verb_entry(
+        "key",
+        LineVerb::Key,
+        "key BRANCH KEY",
+        "shows what is recorded about a caller's idempotency key",
+    ),
+    verb_entry("quarantine", LineVerb::Quarantine, "quarantine", "lists the quarantined requests"),
+    verb_entry(
+        "commands",
+        LineVerb::Commands,
+        "commands",
+        "lists the newest commands, finished or not",
+    ),
+    verb_entry(
+        "command",
+        LineVerb::Command,
+        "command ID",
+        "shows a command and the outcomes of its items",
+    ),
+    verb_entry("help", LineVerb::Help, "help [WORD]", "shows this list, or the help for one verb"),
+    verb_entry(
         "create",
         LineVerb::Create,
         "create branch NAME key-hash HASH [key-hash HASH]… [operator] [weight N] [running N] [rate N] \
          [if version V]",
-        "a new branch; top it up next",
+        "creates a branch; top it up next",
     ),
-    entry(
+    verb_entry(
         "top-up",
         LineVerb::TopUp,
         "top-up BRANCH TOKENS[, BRANCH TOKENS]…",
         "adds prepaid tokens",
     ),
-    entry(
+    verb_entry(
         "set",
         LineVerb::Set,
         "set BRANCH weight N | set [branch|class|service] NAME limit running|rate N|none | \
          set class NAME priority N [if version V]",
-        "a weight, a priority or a limit",
+        "sets a weight, a priority or a limit",
     ),
-    entry(
+    verb_entry(
         "hold-back",
         LineVerb::HoldBack,
         "hold-back BRANCH CLASS TOKENS [if version V]",
-        "keeps tokens of a branch for one class; 0 keeps none",
+        "holds back tokens of a branch for one class; 0 removes the holdback",
     ),
-    entry(
+    verb_entry(
         "non-idempotent",
         LineVerb::NonIdempotent,
         "non-idempotent SERVICE METHOD|any PATH [for BRANCH] [if version V]",
-        "declares calls that may never run twice",
+        "declares calls that must never run twice",
     ),
-    entry(
+    verb_entry(
         "idempotent",
         LineVerb::Idempotent,
         "idempotent SERVICE METHOD|any PATH [for BRANCH] [if version V]",
-        "takes such a declaration back",
+        "withdraws such a declaration",
+    ),
+    verb_entry(
+        "add",
+        LineVerb::Add,
+        "add key BRANCH HASH [if version V]",
+        "adds a key to a branch",
     ),
-    entry("add", LineVerb::Add, "add key BRANCH HASH [if version V]", "one more key of a branch"),
-    entry(
+    verb_entry(
         "revoke",
         LineVerb::Revoke,
         "revoke key BRANCH HASH [if version V]",
-        "takes a key from a branch; the hash's first 8 digits may do",
+        "removes a key from a branch; the first 8 digits of its hash suffice if they are unique",
     ),
-    entry(
+    verb_entry(
         "drain",
         LineVerb::Drain,
         "drain UPSTREAM|INSTANCE[, …]…",
-        "gives an upstream no new work; what runs ends",
+        "drains upstreams: they get no new requests, and running ones finish",
     ),
-    entry("undrain", LineVerb::Undrain, "undrain UPSTREAM|INSTANCE[, …]…", "gives it work again"),
-    entry("stop", LineVerb::Stop, "stop INSTANCE[, INSTANCE]…", "stops processes gracefully"),
-    entry(
+    verb_entry(
+        "undrain",
+        LineVerb::Undrain,
+        "undrain UPSTREAM|INSTANCE[, …]…",
+        "ends the drain of upstreams",
+    ),
+    verb_entry("stop", LineVerb::Stop, "stop INSTANCE[, INSTANCE]…", "stops processes gracefully"),
+    verb_entry(
         "load",
         LineVerb::Load,
         "load MODEL [adapter NAME] on UPSTREAM[, UPSTREAM]…",
         "loads a model, or an adapter of one, on engines",
     ),
-    entry(
+    verb_entry(
         "unload",
         LineVerb::Unload,
         "unload MODEL on UPSTREAM[, UPSTREAM]…",
-        "takes a model off engines",
+        "unloads a model from engines",
     ),
-    entry(
+    verb_entry(
         "release",
         LineVerb::Release,
         "release BRANCH GRANT[, BRANCH GRANT]…",
-        "frees tokens in doubt: you vouch that nothing unaccounted ran",
+        "releases tokens in doubt; use it only if no unaccounted request has run",
+    ),
+    verb_entry(
+        "lift",
+        LineVerb::Lift,
+        "lift CONTENT[, CONTENT]…",
+        "lifts the quarantine of requests",
     ),
-    entry("lift", LineVerb::Lift, "lift CONTENT[, CONTENT]…", "lets a stopped request run again"),
-    entry(
+    verb_entry(
         "cancel",
         LineVerb::Cancel,
         "cancel COMMAND",
-        "stops a command's items that haven't begun",
+        "cancels the items of a command that have not started",
     ),
 ];
 
-/// Every query and command, or those with a word.
+/// The help for every query and command, or for the one with this verb.
 pub fn verb_help(word: Option<&str>) -> Vec<VerbHelp> {
     let all = VERBS.iter().map(|(_, help)| *help);
     all.filter(|help| word.is_none_or(|word| help.word == word)).collect()
 }
 
-/// Reads the first word; from then on faults show how its line is written.
+/// Reads the first word. Later errors show the usage of this verb.
 pub(super) fn read_verb(reader: &mut LineReader) -> Result<LineVerb, LineError> {
-    let place = reader.one_of("a query or a command", &places())?;
-    let (verb, help) = VERBS[place];
+    let index = reader.one_of("a query or a command", &verb_indices())?;
+    let (verb, help) = VERBS[index];
     reader.set_usage(help.usage);
     Ok(verb)
 }
 
-/// Reads a word that must be the first of some line.
+/// Reads the name of a verb.
 pub(super) fn read_help_word(reader: &mut LineReader) -> Result<String, LineError> {
-    let place = reader.one_of("a query or a command", &places())?;
-    Ok(VERBS[place].1.word.to_owned())
+    let index = reader.one_of("a query or a command", &verb_indices())?;
+    Ok(VERBS[index].1.word.to_owned())
 }
 
-fn places() -> Vec<(&'static str, usize)> {
-    VERBS.iter().enumerate().map(|(place, (_, help))| (help.word, place)).collect()
+fn verb_indices() -> Vec<(&'static str, usize)> {
+    VERBS.iter().enumerate().map(|(index, (_, help))| (help.word, index)).collect()
 }
