--- a/crates/sagespool-testkit/src/call_query.rs
+++ b/crates/sagespool-testkit/src/call_query.rs
@@ -1,4 +1,4 @@
-//! The parameters behind the question mark of a call.
+//! The query parameters of a call.
 
 use std::borrow::Cow;
 use std::error::Error;
@@ -7,14 +7,14 @@
 
 use trillium_client::Url;
 
-/// A parameter that is missing or cannot be read.
+/// A query parameter that is missing or invalid.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct QueryFault {
+pub(crate) struct QueryError {
     parameter: &'static str,
     found: Option<String>,
 }
 
-impl fmt::Display for QueryFault {
+impl fmt::Display for QueryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.found {
             Some(found) => write!(f, "`{}={found}` is not a whole number", self.parameter),
@@ -23,9 +23,9 @@
     }
 }
 
-impl Error for QueryFault {}
+impl Error for QueryError {}
 
-/// The parameters of one call, with percent-encoding undone.
+/// The query parameters of a call, percent-decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct CallQuery {
     pairs: Vec<(String, String)>,
@@ -40,24 +40,24 @@
         Self { pairs: url.query_pairs().map(owned).collect() }
     }
 
-    /// A parameter's text.
+    /// The value of a parameter, if given.
     pub(crate) fn text(&self, parameter: &str) -> Option<&str> {
         let pair = self.pairs.iter().find(|(name, _)| name == parameter)?;
         Some(&pair.1)
     }
 
-    /// A whole number, if the parameter is given.
+    /// The value of a parameter as a whole number, if given.
     pub(crate) fn number<T: FromStr>(
         &self,
         parameter: &'static str,
-    ) -> Result<Option<T>, QueryFault> {
+    ) -> Result<Option<T>, QueryError> {
         let Some(text) = self.text(parameter) else { return Ok(None) };
-        let fault = |_| QueryFault { parameter, found: Some(text.to_owned()) };
-        text.parse().map(Some).map_err(fault)
+        let error = |_| QueryError { parameter, found: Some(text.to_owned()) };
+        text.parse().map(Some).map_err(error)
     }
 
-    /// A whole number that must be given.
-    pub(crate) fn required<T: FromStr>(&self, parameter: &'static str) -> Result<T, QueryFault> {
-        self.number(parameter)?.ok_or(QueryFault { parameter, found: None })
+    /// The value of a required parameter as a whole number.
+    pub(crate) fn required<T: FromStr>(&self, parameter: &'static str) -> Result<T, QueryError> {
+        self.number(parameter)?.ok_or(QueryError { parameter, found: None })
     }
 }
--- a/crates/sagespool-testkit/src/crossing.rs
+++ b/crates/sagespool-testkit/src/crossing.rs
@@ -1,39 +1,39 @@
-//! Answers that go to the wrong call.
+//! Fault injection: answers that are delivered to the wrong call.
 
 use sagespool_types::AttemptNumber;
 
-/// Whose an answer is, and what it says.
+/// An answer, with the request headers of the call that it belongs to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct OwnedAnswer<T> {
+pub(crate) struct RequestAnswer<T> {
     /// The header `x-request-id` of its call.
     pub(crate) request: Option<String>,
     /// The header `x-attempt` of its call.
     pub(crate) attempt: Option<AttemptNumber>,
-    /// What makes its text.
+    /// The answer's text, or the seed that generates it.
     pub(crate) content: T,
 }
 
-/// A stand's fault of giving each call the answer to the call before it.
+/// While on, each call gets the answer of the call before it.
 #[derive(Debug)]
-pub(crate) struct CrossedAnswers<T> {
+pub(crate) struct MixedAnswers<T> {
     on: bool,
-    last: Option<OwnedAnswer<T>>,
+    last: Option<RequestAnswer<T>>,
 }
 
-impl<T> Default for CrossedAnswers<T> {
+impl<T> Default for MixedAnswers<T> {
     fn default() -> Self {
         Self { on: false, last: None }
     }
 }
 
-impl<T: Clone> CrossedAnswers<T> {
-    /// Begins or ends the fault.
+impl<T: Clone> MixedAnswers<T> {
+    /// Turns the fault on or off.
     pub(crate) fn set(&mut self, on: bool) {
         self.on = on;
     }
 
-    /// The answer that a call gets, instead of its own.
-    pub(crate) fn answer_for(&mut self, own: OwnedAnswer<T>) -> OwnedAnswer<T> {
+    /// Records the call's own answer; returns the one to send.
+    pub(crate) fn answer_for(&mut self, own: RequestAnswer<T>) -> RequestAnswer<T> {
         let before = self.last.replace(own.clone());
         match before {
             Some(before) if self.on => before,
--- a/crates/sagespool-testkit/src/engine/answer.rs
+++ b/crates/sagespool-testkit/src/engine/answer.rs
@@ -1,27 +1,27 @@
-//! The deterministic answer: what an engine says depends on nothing but the question.
+//! Deterministic answers: they depend on the model and the prompt alone.
 
 use twox_hash::XxHash3_64;
 
 const BYTES_PER_TOKEN: usize = 4;
 const LENGTH_PREFIX: &str = "len:";
 
-/// Token `place` (from 0) of the answer to a prompt, the messages' concatenated contents.
-pub fn answer_token(model: &str, prompt: &str, place: u32) -> String {
-    AnswerSeed::of(model, prompt).token(place)
+/// Token `index` (from 0) of the answer to a prompt (the concatenated contents of the messages).
+pub fn answer_token(model: &str, prompt: &str, index: u32) -> String {
+    AnswerSeed::of(model, prompt).token(index)
 }
 
 /// The first `count` tokens of the answer to a prompt, joined.
 pub fn answer_text(model: &str, prompt: &str, count: u32) -> String {
     let seed = AnswerSeed::of(model, prompt);
-    (0..count).map(|place| seed.token(place)).collect()
+    (0..count).map(|index| seed.token(index)).collect()
 }
 
-/// The tokens of a text: its bytes divided by 4, rounded up.
+/// The length of a text in tokens: its bytes divided by 4, rounded up.
 pub fn prompt_tokens(prompt: &str) -> u64 {
     prompt.len().div_ceil(BYTES_PER_TOKEN) as u64
 }
 
-/// The natural length of the answer, if the prompt asks for one by `len:<n>`.
+/// The answer length that the prompt requests with `len:<n>`, if any.
 pub fn natural_length(prompt: &str) -> Option<u32> {
     prompt.split(LENGTH_PREFIX).skip(1).find_map(leading_number)
 }
@@ -31,7 +31,7 @@
     text[..digits].parse().ok()
 }
 
-/// What every token of one answer derives from.
+/// The seed of all tokens of one answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct AnswerSeed(u64);
 
@@ -41,8 +41,8 @@
         Self(XxHash3_64::oneshot_with_seed(model, prompt.as_bytes()))
     }
 
-    pub(crate) fn token(self, place: u32) -> String {
-        let hash = XxHash3_64::oneshot_with_seed(self.0, &place.to_le_bytes());
+    pub(crate) fn token(self, index: u32) -> String {
+        let hash = XxHash3_64::oneshot_with_seed(self.0, &index.to_le_bytes());
         format!(" w{:08x}", hash as u32)
     }
 }
--- a/crates/sagespool-testkit/src/engine/cache.rs
+++ b/crates/sagespool-testkit/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache and the feed of its events, late and with gaps.
+//! The prefix cache and its event feed, which is delayed and loses events.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use twox_hash::XxHash3_128;
 
 const PREFIX_BYTES: usize = 256;
-const MOST_EVENTS_KEPT: usize = 4096;
+const MAX_RETAINED_EVENTS: usize = 4096;
 
 /// The digest of a prompt's first 256 bytes.
 pub fn prefix_digest(prompt: &str) -> u128 {
@@ -18,90 +18,90 @@
 }
 
 derives! { value;
-    /// What happened to a prefix.
+    /// How the cache state of a prefix changed.
     #[serde(rename_all = "lowercase")]
     pub enum CacheChange {
-        /// It is cached now.
+        /// Added to the cache.
         Stored,
-        /// It isn't cached any more.
+        /// Removed from the cache.
         Evicted,
     }
 }
 
 derives! { record;
-    /// One event of the feed.
+    /// One event of the cache feed.
     pub struct CacheEvent {
-        /// Counted over all events, also those that the feed loses.
+        /// Sequence number; lost events are counted as well, so that a gap shows.
         pub number: u64,
-        /// What happened.
+        /// The change of the prefix.
         pub kind: CacheChange,
-        /// The prefix's digest in hexadecimal.
+        /// The digest of the prefix in hexadecimal.
         pub prefix: String,
     }
 }
 
-/// How many runs found their prefix cached, over all starts of an engine.
+/// Cache hits and misses of runs, over all starts of an engine.
 #[derive(Debug, Default)]
-pub(crate) struct PrefixUses {
+pub(crate) struct PrefixCounters {
     hits: AtomicU64,
     misses: AtomicU64,
 }
 
-impl PrefixUses {
+impl PrefixCounters {
     pub(crate) fn counts(&self) -> PrefixCounts {
         let hits = self.hits.load(Ordering::Relaxed);
         PrefixCounts { hits, misses: self.misses.load(Ordering::Relaxed) }
     }
 
-    fn note(&self, was_cached: bool) {
+    fn count(&self, was_cached: bool) {
         let count = if was_cached { &self.hits } else { &self.misses };
         count.fetch_add(1, Ordering::Relaxed);
     }
 }
 
 derives! { value;
-    /// Runs by whether their prefix was cached when they started.
+    /// Runs by whether their prefix was cached at their start.
     #[derive(Default)]
     pub struct PrefixCounts {
-        /// It was.
+        /// Runs whose prefix was cached.
         pub hits: u64,
-        /// It wasn't.
+        /// Runs whose prefix was not cached.
         pub misses: u64,
     }
 }
 
-/// The prefixes an engine has cached, the least recently used first.
+/// An LRU cache of prefixes, least recently used first.
 pub(crate) struct PrefixCache {
     capacity: usize,
     prefixes: VecDeque<u128>,
-    uses: Arc<PrefixUses>,
+    counters: Arc<PrefixCounters>,
 }
 
 impl PrefixCache {
-    pub(crate) fn new(capacity: usize, uses: Arc<PrefixUses>) -> Self {
-        Self { capacity, prefixes: VecDeque::new(), uses }
+    pub(crate) fn new(capacity: usize, counters: Arc<PrefixCounters>) -> Self {
+        Self { capacity, prefixes: VecDeque::new(), counters }
     }
 
-    /// Whether a run that starts finds its prefix cached; counted.
-    pub(crate) fn use_prefix(&mut self, prefix: u128) -> bool {
-        let was_cached = self.hit(prefix);
-        self.uses.note(was_cached);
+    /// Returns whether the prefix of a starting run is cached, and counts the hit or miss.
+    pub(crate) fn lookup(&mut self, prefix: u128) -> bool {
+        let was_cached = self.touch(prefix);
+        self.counters.count(was_cached);
         was_cached
     }
 
-    /// Whether a prefix is cached; if so, it is now the most recently used.
-    fn hit(&mut self, prefix: u128) -> bool {
-        let Some(place) = self.prefixes.iter().position(|&cached| cached == prefix) else {
+    /// Returns whether a prefix is cached, and marks it as the most recently used.
+    fn touch(&mut self, prefix: u128) -> bool {
+        let Some(index) = self.prefixes.iter().position(|&cached| cached == prefix) else {
             return false;
         };
-        self.prefixes.remove(place);
+        self.prefixes.remove(index);
         self.prefixes.push_back(prefix);
         true
     }
 
-    /// Caches a prefix, and gives the changes that makes.
+    /// Adds a prefix to the cache; returns the resulting changes.
     pub(crate) fn store(&mut self, prefix: u128) -> Vec<(CacheChange, u128)> {
-        if self.capacity == 0 || self.hit(prefix) {
+        if self.capacity == 0 || self.touch(prefix) {
             return Vec::new();
         }
         let mut changes = Vec::new();
@@ -115,7 +115,7 @@
     }
 }
 
-/// The events of a cache as others get to see them.
+/// The cache events as they are reported, after a lag and with gaps.
 pub(crate) struct CacheFeed {
     lag: Duration,
     gap_share: f64,
@@ -124,10 +124,10 @@
     events: VecDeque<(ClockTime, CacheEvent)>,
 }
 
-/// The events that can be seen, or the time at which there may be one.
-pub(crate) enum FeedAnswer {
+/// The visible events, or the time at which the next one becomes visible.
+pub(crate) enum FeedPoll {
     Events(Vec<CacheEvent>),
-    NothingUntil(Option<ClockTime>),
+    EmptyUntil(Option<ClockTime>),
 }
 
 impl CacheFeed {
@@ -142,25 +142,25 @@
         if self.random.f64() < self.gap_share {
             return;
         }
-        if self.events.len() == MOST_EVENTS_KEPT {
+        if self.events.len() == MAX_RETAINED_EVENTS {
             self.events.pop_front();
         }
         let event = CacheEvent { number, kind, prefix: format!("{prefix:032x}") };
         self.events.push_back((now.after(self.lag), event));
     }
 
-    /// The number of the newest event, whether it can be seen or not.
+    /// The number of the newest event, also if it is not visible yet or was lost.
     pub(crate) fn newest(&self) -> u64 {
         self.next_number - 1
     }
 
-    pub(crate) fn after(&self, number: u64, now: ClockTime) -> FeedAnswer {
+    pub(crate) fn after(&self, number: u64, now: ClockTime) -> FeedPoll {
         let newer = || self.events.iter().filter(|(_, event)| event.number > number);
         let seen = newer().filter(|(seen_at, _)| *seen_at <= now);
         let events: Vec<_> = seen.map(|(_, event)| event.clone()).collect();
         if !events.is_empty() {
-            return FeedAnswer::Events(events);
+            return FeedPoll::Events(events);
         }
-        FeedAnswer::NothingUntil(newer().next().map(|(seen_at, _)| *seen_at))
+        FeedPoll::EmptyUntil(newer().next().map(|(seen_at, _)| *seen_at))
     }
 }
--- a/crates/sagespool-testkit/src/engine/http.rs
+++ b/crates/sagespool-testkit/src/engine/http.rs
@@ -1,4 +1,4 @@
-//! The engine's HTTP calls.
+//! The HTTP API of the engine.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -13,28 +13,28 @@
 
 use super::EngineShared;
 use super::batch::{EngineBatch, SubmitRefusal};
-use super::cache::FeedAnswer;
+use super::cache::FeedPoll;
 use super::orders::FencedOrder;
-use super::request::CompletionOrder;
+use super::request::CompletionRequest;
 use super::run::{ArrivedRequest, RunNumber};
-use super::stream::{AnswerBody, RunStream, StreamPlan};
-use crate::crossing::OwnedAnswer;
-use crate::fault_gate::{StandGone, StartNumber};
+use super::stream::{AnswerBody, RunStream, StreamParams};
+use crate::crossing::RequestAnswer;
+use crate::fault_gate::{ServerDown, StartNumber};
 use crate::http_answer::{
-    answer_error, answer_json, attempt_of, header_text, query_number, with_owner,
+    attempt_of, error_response, header_text, json_response, query_number, with_request_headers,
 };
-use crate::stand_server::{connection_of, lock, peer_gone};
+use crate::stand_server::{connection_of, lock, peer_closed};
 
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// One call of one start of an engine.
+/// A call, bound to the engine start that received it.
 #[derive(Clone)]
 pub(super) struct EngineCall {
     pub(super) engine: Arc<EngineShared>,
     pub(super) start: StartNumber,
 }
 
-/// The calls of one start of an engine.
+/// The routes of one engine start.
 pub(super) fn routes(engine: Arc<EngineShared>, start: StartNumber) -> Router {
     let call = EngineCall { engine, start };
     Router::new()
@@ -56,63 +56,63 @@
         move |conn: Conn| {
             let call = call.clone();
             async move {
-                match call.engine.gate.pass(call.start).await {
+                match call.engine.gate.wait_open(call.start).await {
                     Ok(()) => answer(call, conn).await,
-                    Err(gone) => answer_gone(conn, gone),
+                    Err(down) => down_response(conn, down),
                 }
             }
         }
     }
 }
 
-/// Hardly seen: the connection is broken by now.
-fn answer_gone(conn: Conn, _gone: StandGone) -> Conn {
-    answer_error(conn, Status::ServiceUnavailable, "the engine is down")
+/// Rarely received: the crash has already closed the connection.
+fn down_response(conn: Conn, _down: ServerDown) -> Conn {
+    error_response(conn, Status::ServiceUnavailable, "the engine is down")
 }
 
 async fn healthz(_call: EngineCall, conn: Conn) -> Conn {
-    answer_json(conn, Status::Ok, &json!({}))
+    json_response(conn, Status::Ok, &json!({}))
 }
 
 async fn complete(call: EngineCall, mut conn: Conn) -> Conn {
     let body = match conn.request_body().read_bytes().await {
         Ok(body) => body,
-        Err(_) => return answer_error(conn, Status::BadRequest, "the body could not be read"),
+        Err(_) => return error_response(conn, Status::BadRequest, "the body could not be read"),
     };
-    let order = match CompletionOrder::read(&body) {
-        Ok(order) => order,
-        Err(fault) => return answer_error(conn, Status::BadRequest, &fault.to_string()),
+    let completion = match CompletionRequest::read(&body) {
+        Ok(completion) => completion,
+        Err(error) => return error_response(conn, Status::BadRequest, &error.to_string()),
     };
-    let own = OwnedAnswer {
+    let own = RequestAnswer {
         request: header_text(&conn, "x-request-id"),
         attempt: attempt_of(&conn),
-        content: order.seed,
+        content: completion.seed,
     };
-    let answer = lock(&call.engine.crossed).answer_for(own.clone());
-    let plan = StreamPlan {
+    let answer = lock(&call.engine.mixed_answers).answer_for(own.clone());
+    let params = StreamParams {
         seed: answer.content,
-        prompt_tokens: order.prompt_tokens,
-        resumed_from: order.resumed_from,
+        prompt_tokens: completion.prompt_tokens,
+        resumed_from: completion.resumed_from,
     };
     let arrived = ArrivedRequest {
-        order,
+        completion,
         request: own.request,
         attempt: own.attempt,
         key: header_text(&conn, "idempotency-key"),
         at: ClockTime::now(),
     };
-    let submit = |batch: &mut EngineBatch, pace, now| batch.submit(arrived, pace, now);
+    let submit = |batch: &mut EngineBatch, faults, now| batch.submit(arrived, faults, now);
     match call.engine.with_batch(call.start, submit) {
         Ok(Ok((number, stream))) => {
-            answer_stream(call, with_owner(conn, &answer), number, stream, plan)
+            answer_stream(call, with_request_headers(conn, &answer), number, stream, params)
         }
         Ok(Err(SubmitRefusal::UnknownModel)) => {
-            answer_error(conn, Status::NotFound, "this engine doesn't serve the model")
+            error_response(conn, Status::NotFound, "this engine doesn't serve the model")
         }
         Ok(Err(SubmitRefusal::QueueFull)) => {
-            answer_error(conn, Status::TooManyRequests, "the queue is full")
+            error_response(conn, Status::TooManyRequests, "the queue is full")
         }
-        Err(gone) => answer_gone(conn, gone),
+        Err(down) => down_response(conn, down),
     }
 }
 
@@ -121,22 +121,22 @@
     conn: Conn,
     number: RunNumber,
     stream: Arc<RunStream>,
-    plan: StreamPlan,
+    params: StreamParams,
 ) -> Conn {
     let connection = connection_of(&conn);
-    let caller_gone = async move {
+    let disconnected = async move {
         match connection {
-            Some(connection) => peer_gone(connection).await,
+            Some(connection) => peer_closed(connection).await,
             None => future::pending().await,
         }
     };
-    let give_up = move || {
-        // A start that has ended has no run to give up.
-        let _ = call.engine.with_batch(call.start, |batch, pace, now| {
-            batch.give_up(number, pace, now);
+    let drop_run = move || {
+        // Fails if the start has ended; its runs have ended with it.
+        let _ = call.engine.with_batch(call.start, |batch, faults, now| {
+            batch.drop_run(number, faults, now);
         });
     };
-    let body = AnswerBody::new(stream, plan, caller_gone, give_up);
+    let body = AnswerBody::new(stream, params, disconnected, drop_run);
     conn.with_status(Status::Ok)
         .with_response_header(KnownHeaderName::ContentType, "text/event-stream")
         .with_body(Body::new_streaming(body, None))
@@ -145,59 +145,59 @@
 
 async fn cancel(call: EngineCall, conn: Conn) -> Conn {
     let Some(request) = conn.param("request").map(str::to_owned) else {
-        return answer_error(conn, Status::BadRequest, "no request is named");
+        return error_response(conn, Status::BadRequest, "no request is named");
     };
     let attempt = attempt_of(&conn);
     let cancelled = call
         .engine
-        .with_batch(call.start, |batch, pace, now| batch.cancel(&request, attempt, pace, now));
+        .with_batch(call.start, |batch, faults, now| batch.cancel(&request, attempt, faults, now));
     match cancelled {
-        Ok(cancelled) => answer_json(conn, Status::Ok, &json!({ "cancelled": cancelled })),
-        Err(gone) => answer_gone(conn, gone),
+        Ok(cancelled) => json_response(conn, Status::Ok, &json!({ "cancelled": cancelled })),
+        Err(down) => down_response(conn, down),
     }
 }
 
 async fn load(call: EngineCall, conn: Conn) -> Conn {
-    let seen = call.engine.with_batch(call.start, |batch, _, now| batch.load_seen(now));
+    let seen = call.engine.with_batch(call.start, |batch, _, now| batch.reported_load(now));
     let (number, load) = match seen {
         Ok(seen) => seen,
-        Err(gone) => return answer_gone(conn, gone),
+        Err(down) => return down_response(conn, down),
     };
     let mut report = serde_json::to_value(load).expect("a load serializes to JSON");
     report["number"] = number.into();
     report["start"] = json!(call.start);
-    answer_json(conn, Status::Ok, &report)
+    json_response(conn, Status::Ok, &report)
 }
 
 async fn cache_events(call: EngineCall, conn: Conn) -> Conn {
     let after = query_number(&conn, "after").unwrap_or(0);
     let wait = Duration::from_millis(query_number(&conn, "wait_ms").unwrap_or(0));
-    let deadline = ClockTime::now().after(wait.min(LONGEST_WAIT));
+    let deadline = ClockTime::now().after(wait.min(MAX_WAIT));
     loop {
-        let grown = call.engine.feed_grown.listen();
+        let feed_extended = call.engine.feed_extended.listen();
         let answer =
             call.engine.with_batch(call.start, |batch, _, now| batch.feed.after(after, now));
         let seen_at = match answer {
-            Ok(FeedAnswer::Events(events)) => {
-                return answer_json(
+            Ok(FeedPoll::Events(events)) => {
+                return json_response(
                     conn,
                     Status::Ok,
                     &json!({ "start": call.start, "events": events }),
                 );
             }
-            Ok(FeedAnswer::NothingUntil(seen_at)) => seen_at,
-            Err(gone) => return answer_gone(conn, gone),
+            Ok(FeedPoll::EmptyUntil(seen_at)) => seen_at,
+            Err(down) => return down_response(conn, down),
         };
         let now = ClockTime::now();
         if now >= deadline {
-            return answer_json(conn, Status::Ok, &json!({ "start": call.start, "events": [] }));
+            return json_response(conn, Status::Ok, &json!({ "start": call.start, "events": [] }));
         }
-        let look_at = seen_at.map_or(deadline, |seen_at| seen_at.min(deadline));
-        let waited = future::or(grown, async {
-            Timer::after(look_at.since(now)).await;
+        let wake_at = seen_at.map_or(deadline, |seen_at| seen_at.min(deadline));
+        let waited = future::or(feed_extended, async {
+            Timer::after(wake_at.since(now)).await;
         });
         let ended = async {
-            call.engine.gate.ended(call.start).await;
+            call.engine.gate.wait_end(call.start).await;
         };
         future::or(waited, ended).await;
     }
@@ -206,18 +206,18 @@
 async fn order(call: EngineCall, mut conn: Conn) -> Conn {
     let body = match conn.request_body().read_bytes().await {
         Ok(body) => body,
-        Err(_) => return answer_error(conn, Status::BadRequest, "the body could not be read"),
+        Err(_) => return error_response(conn, Status::BadRequest, "the body could not be read"),
     };
     let fenced: FencedOrder = match serde_json::from_slice(&body) {
         Ok(fenced) => fenced,
-        Err(error) => return answer_error(conn, Status::BadRequest, &error.to_string()),
+        Err(error) => return error_response(conn, Status::BadRequest, &error.to_string()),
     };
-    let taken = lock(&call.engine.state).orders.take(&fenced, ClockTime::now());
+    let taken = lock(&call.engine.state).orders.accept(&fenced, ClockTime::now());
     if let Err(newest) = taken {
-        return answer_json(conn, Status::Conflict, &json!({ "newest": newest }));
+        return json_response(conn, Status::Conflict, &json!({ "newest": newest }));
     }
-    match call.carry_out(fenced.order) {
-        Ok(()) => answer_json(conn, Status::Ok, &json!({})),
-        Err(gone) => answer_gone(conn, gone),
+    match call.execute(fenced.order) {
+        Ok(()) => json_response(conn, Status::Ok, &json!({})),
+        Err(down) => down_response(conn, down),
     }
 }
--- a/crates/sagespool-testkit/src/engine/mod.rs
+++ b/crates/sagespool-testkit/src/engine/mod.rs
@@ -1,17 +1,17 @@
-//! A stand-in of a model engine.
+//! A fake model engine.
 //!
-//! It batches continuously, caches prompt prefixes, and answers each prompt with words that
-//! depend on nothing but the prompt, so that a caller's whole answer can be checked. It runs
-//! in the process that starts it, on a port that the system chooses.
+//! It has continuous batching and a prefix cache, and its answers depend on the prompt alone, so
+//! that a caller's whole answer can be verified. It runs in the process that starts it, on a
+//! loopback port assigned by the operating system.
 
 mod answer;
 mod batch;
 mod cache;
+mod faults;
 mod http;
 mod load;
 mod options;
 mod orders;
-mod pace;
 mod request;
 mod run;
 mod stream;
@@ -29,22 +29,22 @@
 use answer::AnswerSeed;
 pub use answer::{answer_text, answer_token, natural_length, prompt_tokens};
 use batch::EngineBatch;
-use cache::PrefixUses;
+use cache::PrefixCounters;
 pub use cache::{CacheChange, CacheEvent, PrefixCounts, prefix_digest};
+use faults::EngineFaults;
 pub use load::EngineLoad;
 pub use options::EngineOptions;
-use orders::OrderBook;
+use orders::OrderLog;
 pub use orders::{AdapterName, EngineOrder, FencedOrder, OrderRecord};
-use pace::EnginePace;
 pub(crate) use request::is_poisonous;
-use ticker::keep_ticking;
+use ticker::run_ticker;
 
-use crate::crossing::CrossedAnswers;
-use crate::fault_gate::{FaultGate, StandGone, StartNumber};
-use crate::stand_server::{ListenError, StandServer, do_later, lock};
+use crate::crossing::MixedAnswers;
+use crate::fault_gate::{FaultGate, ServerDown, StartNumber};
+use crate::stand_server::{ListenError, RestartableServer, lock, run_after};
 use crate::witness::RunLog;
 
-/// A model engine stand-in. Clones are the same engine; the last one dropped ends it.
+/// A fake model engine. Clones share one engine; it stops when the last one is dropped.
 #[derive(Clone)]
 pub struct FakeEngine {
     owner: Arc<EngineOwner>,
@@ -58,133 +58,133 @@
     }
 }
 
-/// What the stand, its server and its ticker share.
+/// State shared by the engine handle, its server and its ticker.
 pub(crate) struct EngineShared {
     options: Arc<EngineOptions>,
-    server: StandServer,
+    server: RestartableServer,
     gate: FaultGate,
     state: Mutex<EngineState>,
-    crossed: Mutex<CrossedAnswers<AnswerSeed>>,
-    prefix_uses: Arc<PrefixUses>,
-    /// Notified when something runs after an idle time.
-    work_came: Event,
-    /// Notified when the cache has a new event.
-    feed_grown: Event,
+    mixed_answers: Mutex<MixedAnswers<AnswerSeed>>,
+    prefix_counters: Arc<PrefixCounters>,
+    /// Notified when a request starts on an idle engine.
+    work_started: Event,
+    /// Notified on each new cache event.
+    feed_extended: Event,
 }
 
 struct EngineState {
-    pace: EnginePace,
+    faults: EngineFaults,
     batch: EngineBatch,
-    orders: OrderBook,
+    orders: OrderLog,
 }
 
 impl FakeEngine {
-    /// Starts an engine on a port of the loopback interface.
+    /// Starts an engine on a loopback port.
     ///
     /// # Errors
     ///
-    /// [`ListenError::Listen`] if no port can be listened on.
+    /// [`ListenError::Listen`] if no port is available.
     pub fn start(options: EngineOptions) -> Result<Self, Report<ListenError>> {
         let options = Arc::new(options);
         let now = ClockTime::now();
-        let prefix_uses = Arc::new(PrefixUses::default());
+        let prefix_counters = Arc::new(PrefixCounters::default());
         let state = EngineState {
-            pace: EnginePace::default(),
-            batch: EngineBatch::new(options.clone(), prefix_uses.clone(), now),
-            orders: OrderBook::new(options.honours_fences),
+            faults: EngineFaults::default(),
+            batch: EngineBatch::new(options.clone(), prefix_counters.clone(), now),
+            orders: OrderLog::new(options.honours_fences),
         };
         let shared = Arc::new(EngineShared {
             options,
-            server: StandServer::reserve()?,
+            server: RestartableServer::reserve()?,
             gate: FaultGate::new(),
             state: Mutex::new(state),
-            crossed: Mutex::default(),
-            prefix_uses,
-            work_came: Event::new(),
-            feed_grown: Event::new(),
+            mixed_answers: Mutex::default(),
+            prefix_counters,
+            work_started: Event::new(),
+            feed_extended: Event::new(),
         });
         shared.restart()?;
-        SmolRuntime::default().spawn(keep_ticking(Arc::downgrade(&shared)));
+        SmolRuntime::default().spawn(run_ticker(Arc::downgrade(&shared)));
         Ok(Self { owner: Arc::new(EngineOwner(shared)) })
     }
 
-    /// Where it is reached, also after a restart.
+    /// The address of the HTTP API; it stays the same after a restart.
     pub fn address(&self) -> SocketAddr {
         self.shared().server.address()
     }
 
-    /// Its name.
+    /// The upstream name in the run log.
     pub fn name(&self) -> &UpstreamName {
         &self.shared().options.name
     }
 
-    /// Where it notes its runs.
+    /// The log in which its runs are recorded.
     pub fn run_log(&self) -> &RunLog {
         &self.shared().options.run_log
     }
 
-    /// Whether it runs, rather than lies crashed.
+    /// False while it is crashed.
     pub fn is_serving(&self) -> bool {
-        // Under the lock: a start begins before its port is listened on.
+        // Takes the lock because a start begins before its port is open.
         let _state = lock(&self.shared().state);
         self.shared().gate.start().is_some()
     }
 
-    /// The load at this moment, without the lag of its reports.
+    /// The current load, without the lag of the reports.
     pub fn current_load(&self) -> EngineLoad {
         let state = lock(&self.shared().state);
-        state.batch.current_load(state.pace)
+        state.batch.current_load(state.faults)
     }
 
-    /// Every order that reached it, in order.
+    /// All orders received, oldest first, over all starts.
     pub fn orders(&self) -> Vec<OrderRecord> {
         lock(&self.shared().state).orders.records()
     }
 
-    /// Crashes: every connection breaks, the port refuses, and cache, queue and loaded
-    /// models are lost. Does nothing if it lies crashed already.
+    /// Crashes: all connections break, the port refuses connections, and the cache, the queue and
+    /// the loaded models are lost. Does nothing while it is crashed.
     pub fn crash(&self) {
         self.shared().crash(None);
     }
 
-    /// Starts again on the same port, with the models of its first start.
+    /// Starts again on the same port, with the models of its options.
     ///
     /// # Errors
     ///
-    /// [`ListenError::Listen`] if the port can't be listened on.
+    /// [`ListenError::Listen`] if the port can't be opened.
     pub fn restart(&self) -> Result<(), Report<ListenError>> {
         self.shared().restart()
     }
 
-    /// Freezes or thaws it: a frozen engine keeps its connections, makes no tokens and
-    /// answers no call.
+    /// Freezes or unfreezes it: a frozen engine keeps its connections, generates no tokens and
+    /// answers no calls.
     pub fn set_frozen(&self, frozen: bool) {
         let shared = self.shared();
-        shared.change_pace(|pace| pace.frozen = frozen);
+        shared.change_faults(|faults| faults.frozen = frozen);
         shared.gate.set_frozen(frozen);
     }
 
-    /// Makes all its work take so many times as long; 1 is its usual pace.
+    /// Multiplies the time of all work by this factor; 1 is normal speed.
     pub fn set_slow_factor(&self, factor: f64) {
-        assert!(factor > 0.0, "a slow factor is above 0");
-        self.shared().change_pace(|pace| pace.slow_factor = factor);
+        assert!(factor > 0.0, "the slow factor must be above 0");
+        self.shared().change_faults(|faults| faults.slow_factor = factor);
     }
 
-    /// Breaks the connections of a share of the runs in the middle of their streams, from 0 to
-    /// 1, while the engine itself stays well; applies to runs that start from now on.
+    /// Sets the share of runs, 0 to 1, whose connections break in the middle of their streams
+    /// while the engine keeps running; applies to runs that start later.
     pub fn set_break_share(&self, share: f64) {
-        assert!((0.0..=1.0).contains(&share), "a share is from 0 to 1");
-        self.shared().change_pace(|pace| pace.break_share = share);
+        assert!((0.0..=1.0).contains(&share), "the share must be between 0 and 1");
+        self.shared().change_faults(|faults| faults.break_share = share);
     }
 
-    /// From now on gives each call the answer to the call before it, as that one's, or ends that.
+    /// While on, answers each call with the answer and the headers of the call before it.
     pub fn set_mixed_answers(&self, on: bool) {
-        lock(&self.shared().crossed).set(on);
+        lock(&self.shared().mixed_answers).set(on);
     }
 
-    /// How many runs found their prefix cached, over all of its starts.
+    /// Hits and misses of the prefix cache, over all starts.
     pub fn prefix_counts(&self) -> PrefixCounts {
-        self.shared().prefix_uses.counts()
+        self.shared().prefix_counters.counts()
     }
 
     fn shared(&self) -> &Arc<EngineShared> {
@@ -193,34 +193,35 @@
 }
 
 impl EngineShared {
-    /// Does something with the batch of a start, and then what that led to.
+    /// Applies an action to the batch of a start, then handles its effects: notifications and a
+    /// crash by a poisonous prompt.
     ///
     /// # Errors
     ///
-    /// The start has ended. Without this check a request that was being read when the engine
-    /// crashed would run in the next start, though its connection is gone.
+    /// If the start has ended. Without this check a request whose body was being read during a
+    /// crash would run in the next start, although its connection is closed.
     fn with_batch<T>(
         self: &Arc<Self>,
         start: StartNumber,
-        action: impl FnOnce(&mut EngineBatch, EnginePace, ClockTime) -> T,
-    ) -> Result<T, StandGone> {
+        action: impl FnOnce(&mut EngineBatch, EngineFaults, ClockTime) -> T,
+    ) -> Result<T, ServerDown> {
         let mut state = lock(&self.state);
         if self.gate.start() != Some(start) {
-            return Err(StandGone);
+            return Err(ServerDown);
         }
-        let pace = state.pace;
+        let faults = state.faults;
         let was_busy = state.batch.is_busy();
         let newest_event = state.batch.feed.newest();
-        let outcome = action(&mut state.batch, pace, ClockTime::now());
+        let outcome = action(&mut state.batch, faults, ClockTime::now());
         let poisoned = state.batch.is_poisoned();
-        let work_came = !was_busy && state.batch.is_busy();
-        let feed_grown = state.batch.feed.newest() > newest_event;
+        let work_started = !was_busy && state.batch.is_busy();
+        let feed_extended = state.batch.feed.newest() > newest_event;
         drop(state);
-        if work_came {
-            self.work_came.notify(usize::MAX);
+        if work_started {
+            self.work_started.notify(usize::MAX);
         }
-        if feed_grown {
-            self.feed_grown.notify(usize::MAX);
+        if feed_extended {
+            self.feed_extended.notify(usize::MAX);
         }
         if poisoned {
             self.crash(Some(start));
@@ -229,25 +230,25 @@
         Ok(outcome)
     }
 
-    fn change_pace(&self, change: impl FnOnce(&mut EnginePace)) {
+    fn change_faults(&self, change: impl FnOnce(&mut EngineFaults)) {
         let mut state = lock(&self.state);
         let now = ClockTime::now();
-        let old_pace = state.pace;
-        state.batch.advance(old_pace, now);
-        change(&mut state.pace);
-        let new_pace = state.pace;
-        state.batch.note_load(new_pace, now);
+        let old_faults = state.faults;
+        state.batch.advance(old_faults, now);
+        change(&mut state.faults);
+        let new_faults = state.faults;
+        state.batch.record_load(new_faults, now);
     }
 
-    /// Ends the present start, or only the given one.
+    /// Ends the current start, or only the given one.
     fn crash(&self, only: Option<StartNumber>) {
         let mut state = lock(&self.state);
         if !self.gate.end(only) {
             return;
         }
-        // First the log, as a caller that sees its connection break may send its request
-        // again at once: the log must not show two runs at a time where there was one.
-        state.batch.note_crash(ClockTime::now());
+        // Records the crash before it breaks connections: a caller may retry at once, and the log
+        // must not show two concurrent runs where there was one.
+        state.batch.record_crash(ClockTime::now());
         self.server.stop();
         state.batch.break_streams();
     }
@@ -257,9 +258,9 @@
         let Some(start) = self.gate.begin() else {
             return Ok(());
         };
-        state.pace.frozen = false;
-        let (options, prefix_uses) = (self.options.clone(), self.prefix_uses.clone());
-        state.batch = EngineBatch::new(options, prefix_uses, ClockTime::now());
+        state.faults.frozen = false;
+        let (options, prefix_counters) = (self.options.clone(), self.prefix_counters.clone());
+        state.batch = EngineBatch::new(options, prefix_counters, ClockTime::now());
         let served = self.server.serve(http::routes(self.clone(), start));
         if served.is_err() {
             self.gate.end(None);
@@ -267,16 +268,16 @@
         served
     }
 
-    /// Starts again some time after a poisonous prompt, unless somebody did so before.
+    /// Restarts after `restart_after`, unless the engine has been started since that crash.
     fn restart_later(self: &Arc<Self>, crashed: StartNumber) {
         let Some(time) = self.options.restart_after else {
             return;
         };
-        let restart = move |stand: &Arc<Self>| {
-            if stand.gate.newest_start() == crashed {
-                stand.restart().expect("the port is held for this stand");
+        let restart = move |shared: &Arc<Self>| {
+            if shared.gate.newest_start() == crashed {
+                shared.restart().expect("the port is reserved for this engine");
             }
         };
-        do_later(self, time, restart);
+        run_after(self, time, restart);
     }
 }
--- a/crates/sagespool-testkit/src/engine/options.rs
+++ b/crates/sagespool-testkit/src/engine/options.rs
@@ -1,4 +1,4 @@
-//! The settings of an engine stand.
+//! Options of a fake engine.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,61 +8,61 @@
 
 use crate::witness::RunLog;
 
-/// How an engine stand behaves. The defaults are an engine of medium size, well.
+/// Options of a fake engine. The defaults describe an engine of medium size without faults.
 #[derive(Clone, Builder)]
 pub struct EngineOptions {
-    /// Its name in the run log.
+    /// The upstream name in the run log.
     pub name: UpstreamName,
-    /// The models it serves from its start.
+    /// Models served from the start.
     pub models: Vec<ModelName>,
-    /// Requests that run at once.
+    /// Requests that run concurrently.
     #[builder(default = 8)]
     pub capacity: usize,
-    /// Requests that may wait; more are refused.
+    /// Requests that may wait; further ones are refused.
     #[builder(default = 256)]
     pub queue_limit: usize,
-    /// Tokens a second for each request that runs.
+    /// Tokens per second of each running request.
     #[builder(default = TokenRate(500))]
     pub token_rate: TokenRate,
     /// Time to the first token of a prompt whose prefix is cached.
     #[builder(default = Duration::from_millis(20))]
     pub first_token_base: Duration,
-    /// Time that each token of a prompt adds where its prefix isn't cached.
+    /// Additional prefill time per prompt token if the prefix is not cached.
     #[builder(default = Duration::from_micros(20))]
     pub prompt_token_time: Duration,
-    /// How many prefixes the cache holds.
+    /// Capacity of the prefix cache.
     #[builder(default = 64)]
     pub cached_prefixes: usize,
-    /// How old the load is that it reports.
+    /// Age of the reported load.
     #[builder(default = Duration::from_millis(200))]
     pub load_lag: Duration,
-    /// How late a cache event can be seen.
+    /// Delay of cache events.
     #[builder(default = Duration::from_millis(300))]
     pub cache_lag: Duration,
-    /// The share of cache events that the feed loses.
+    /// Share of cache events that the feed loses, 0 to 1.
     #[builder(default = 0.1)]
     pub cache_gap_share: f64,
-    /// Whether it refuses an order with a lower fencing number than one it has seen.
+    /// Whether orders with a lower fencing number than an earlier one are refused.
     #[builder(default = true)]
     pub honours_fences: bool,
-    /// Its role from its start.
+    /// Initial role.
     #[builder(into, default = "any")]
     pub role: String,
-    /// Time from a crash by a poisonous prompt to its restart; none: it stays down.
+    /// Time from a crash by a poisonous prompt to the restart; none: it stays down.
     #[builder(required, default = Some(Duration::from_secs(1)))]
     pub restart_after: Option<Duration>,
-    /// How often it makes tokens: the granularity of its streams.
+    /// Interval at which tokens are generated: the granularity of the streams.
     #[builder(default = Duration::from_millis(5))]
     pub tick: Duration,
-    /// Time to load a model or an adapter, besides what the weight store takes.
+    /// Time to load a model or an adapter, in addition to fetching its weights.
     #[builder(default = Duration::from_millis(100))]
     pub load_time: Duration,
-    /// Where it gets a model's weights from; none: it has them all.
+    /// Address of the weight store; none: all weights are local.
     pub weight_store: Option<SocketAddr>,
-    /// Where it notes its runs.
+    /// The log in which its runs are recorded.
     #[builder(default)]
     pub run_log: RunLog,
-    /// Decides which cache events are lost.
+    /// Seed that selects the lost cache events and the broken streams.
     #[builder(default = 1)]
     pub seed: u64,
 }
--- a/crates/sagespool-testkit/src/engine/orders.rs
+++ b/crates/sagespool-testkit/src/engine/orders.rs
@@ -1,68 +1,72 @@
-//! Orders to an engine, and the fencing numbers that they carry.
+//! Orders to an engine, with their fencing numbers.
 
 use sagespool_types::{ClockTime, FenceNumber, derives};
 
 derives! { record;
-    /// What an engine is told to do.
+    /// An order to an engine.
     #[serde(rename_all = "snake_case")]
     pub enum EngineOrder {
-        /// Serve a model, or a version of one.
+        /// Load and serve a model, or a version of one.
         LoadModel(String),
-        /// Stop serving a model; what runs goes on.
+        /// Stop serving a model; running requests continue.
         UnloadModel(String),
-        /// Serve a model with an adapter, under the name `MODEL.ADAPTER`.
+        /// Load an adapter and serve it under the name `MODEL.ADAPTER`.
         LoadAdapter(AdapterName),
-        /// Take a role.
+        /// Change the role.
         SetRole(String),
     }
 }
 
 derives! { record;
-    /// An adapter of a model.
+    /// An adapter and the model that it belongs to.
     pub struct AdapterName {
-        /// The model.
+        /// The base model.
         pub model: String,
-        /// The adapter.
+        /// The adapter's name, also the name of its weights.
         pub adapter: String,
     }
 }
 
 derives! { record;
-    /// The body of an order call.
+    /// The request body of `POST /orders`.
     pub struct FencedOrder {
-        /// The order's fencing number.
+        /// Fencing number of the sender's lock.
         pub fence: FenceNumber,
-        /// The order.
+        /// The order to execute.
         pub order: EngineOrder,
     }
 }
 
-/// An order that reached an engine.
+/// An order that an engine received.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OrderRecord {
-    /// When.
+    /// Time of receipt.
     pub at: ClockTime,
-    /// The order.
+    /// The order with its fencing number.
     pub fenced: FencedOrder,
-    /// Whether it was carried out, not refused for its fencing number.
+    /// False if the order was refused for its fencing number.
     pub accepted: bool,
 }
 
-/// The orders that an engine was given. It outlives the engine's crashes, as the highest
-/// fencing number must: else an old order would pass after a restart.
-pub(crate) struct OrderBook {
+/// All orders that an engine received. It is kept across crashes, as the highest fencing number
+/// has to be: otherwise an outdated order would be accepted after a restart.
+pub(crate) struct OrderLog {
     honours_fences: bool,
     newest: Option<FenceNumber>,
     records: Vec<OrderRecord>,
 }
 
-impl OrderBook {
+impl OrderLog {
     pub(crate) fn new(honours_fences: bool) -> Self {
         Self { honours_fences, newest: None, records: Vec::new() }
     }
 
-    /// Notes an order; an error is the newest number that makes it too old.
-    pub(crate) fn take(&mut self, fenced: &FencedOrder, now: ClockTime) -> Result<(), FenceNumber> {
+    /// Records an order. The error is the highest fencing number so far if the order is outdated.
+    pub(crate) fn accept(
+        &mut self,
+        fenced: &FencedOrder,
+        now: ClockTime,
+    ) -> Result<(), FenceNumber> {
         let newer = self.newest.filter(|newest| *newest > fenced.fence);
         let refusal = newer.filter(|_| self.honours_fences);
         self.newest = self.newest.max(Some(fenced.fence));
--- a/crates/sagespool-testkit/src/engine/request.rs
+++ b/crates/sagespool-testkit/src/engine/request.rs
@@ -1,4 +1,4 @@
-//! The body of a completion call.
+//! The request body of a completion.
 
 use std::fmt;
 
@@ -19,7 +19,7 @@
     #[serde(default)]
     stream: bool,
     priority: Option<u8>,
-    resume: Option<ResumePlace>,
+    resume: Option<ResumePoint>,
 }
 
 #[derive(Deserialize)]
@@ -28,29 +28,29 @@
 }
 
 #[derive(Deserialize)]
-struct ResumePlace {
+struct ResumePoint {
     tokens: u32,
     text: String,
 }
 
-/// Whether a text makes the upstream that runs it crash.
+/// True if a text crashes the upstream that runs it.
 pub(crate) fn is_poisonous(text: &str) -> bool {
     text.contains(POISON_MARKER)
 }
 
-/// Why an engine doesn't take a call's body.
+/// Why the body of a completion request is refused.
 #[derive(Debug)]
-pub(crate) enum RequestFault {
+pub(crate) enum RequestError {
     Malformed(serde_json::Error),
     NotStreamed,
     WrongResume,
 }
 
-impl fmt::Display for RequestFault {
+impl fmt::Display for RequestError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Malformed(error) => write!(f, "the body is not a completion request: {error}"),
-            Self::NotStreamed => f.write_str("this engine only streams: set `stream` to true"),
+            Self::NotStreamed => f.write_str("only streaming is supported: set `stream` to true"),
             Self::WrongResume => {
                 f.write_str("`resume.text` is not the first `resume.tokens` tokens of the answer")
             }
@@ -58,9 +58,9 @@
     }
 }
 
-/// A completion that an engine is asked for.
+/// A validated completion request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct CompletionOrder {
+pub(crate) struct CompletionRequest {
     pub(crate) model: String,
     pub(crate) prompt: String,
     pub(crate) priority: u8,
@@ -73,19 +73,19 @@
     pub(crate) poisonous: bool,
 }
 
-impl CompletionOrder {
-    pub(crate) fn read(body: &[u8]) -> Result<Self, RequestFault> {
-        let body: CompletionBody = serde_json::from_slice(body).map_err(RequestFault::Malformed)?;
+impl CompletionRequest {
+    pub(crate) fn read(body: &[u8]) -> Result<Self, RequestError> {
+        let body: CompletionBody = serde_json::from_slice(body).map_err(RequestError::Malformed)?;
         if !body.stream {
-            return Err(RequestFault::NotStreamed);
+            return Err(RequestError::NotStreamed);
         }
         let prompt: String = body.messages.iter().map(|message| &*message.content).collect();
         let seed = AnswerSeed::of(&body.model, &prompt);
         let resumed_from = check_resume(seed, body.resume.as_ref())?;
-        let most = body.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
+        let max_tokens = body.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
         let (length, finish_reason) = match natural_length(&prompt) {
-            Some(natural) if natural <= most => (natural, "stop"),
-            _ => (most, "length"),
+            Some(natural) if natural <= max_tokens => (natural, "stop"),
+            _ => (max_tokens, "length"),
         };
         Ok(Self {
             seed,
@@ -102,18 +102,19 @@
     }
 }
 
-/// A resumed answer must go on from this engine's own words, or it would have a gap.
-fn check_resume(seed: AnswerSeed, resume: Option<&ResumePlace>) -> Result<u32, RequestFault> {
+/// A resumed answer must continue a prefix of this engine's own answer; otherwise it would have
+/// a gap.
+fn check_resume(seed: AnswerSeed, resume: Option<&ResumePoint>) -> Result<u32, RequestError> {
     let Some(resume) = resume else {
         return Ok(0);
     };
     let mut rest = &*resume.text;
-    for place in 0..resume.tokens {
-        let token = seed.token(place);
-        rest = rest.strip_prefix(&*token).ok_or(RequestFault::WrongResume)?;
+    for index in 0..resume.tokens {
+        let token = seed.token(index);
+        rest = rest.strip_prefix(&*token).ok_or(RequestError::WrongResume)?;
     }
     if !rest.is_empty() {
-        return Err(RequestFault::WrongResume);
+        return Err(RequestError::WrongResume);
     }
     Ok(resume.tokens)
 }
--- a/crates/sagespool-testkit/src/engine/run.rs
+++ b/crates/sagespool-testkit/src/engine/run.rs
@@ -1,20 +1,20 @@
-//! One request in an engine: as it arrived, while it waits, and while its answer is made.
+//! A request in an engine: as received, waiting, and running.
 
 use std::sync::Arc;
 
 use sagespool_types::{AttemptNumber, ClockTime, TokenCount};
 
-use super::request::CompletionOrder;
+use super::request::CompletionRequest;
 use super::stream::RunStream;
-use crate::witness::RunTally;
+use crate::witness::RunRecorder;
 
-/// The number of a run within one engine stand.
+/// Number of a run, unique within one engine start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RunNumber(pub(super) u64);
 
-/// A request as it arrived.
+/// A request as received.
 pub(crate) struct ArrivedRequest {
-    pub(crate) order: CompletionOrder,
+    pub(crate) completion: CompletionRequest,
     pub(crate) request: Option<String>,
     pub(crate) attempt: Option<AttemptNumber>,
     pub(crate) key: Option<String>,
@@ -22,8 +22,8 @@
 }
 
 impl ArrivedRequest {
-    /// True if it is this attempt at the request, or any where none is named.
-    pub(super) fn is(&self, request: &str, attempt: Option<AttemptNumber>) -> bool {
+    /// True for the given attempt of the request, or for any attempt if none is given.
+    pub(super) fn matches(&self, request: &str, attempt: Option<AttemptNumber>) -> bool {
         let attempt_fits = attempt.is_none() || self.attempt == attempt;
         self.request.as_deref() == Some(request) && attempt_fits
     }
@@ -35,23 +35,23 @@
     pub(super) stream: Arc<RunStream>,
 }
 
-/// A request that runs.
+/// A running request.
 pub(super) struct ActiveRun {
     pub(super) arrived: ArrivedRequest,
     pub(super) stream: Arc<RunStream>,
-    pub(super) tally: RunTally,
-    /// Seconds of work until the first token.
+    pub(super) recorder: RunRecorder,
+    /// Remaining prefill time before the first token, in seconds.
     pub(super) prefill_left: f64,
-    /// Tokens of work that aren't a whole token yet.
+    /// Fractional tokens earned but not generated yet.
     pub(super) credit: f64,
-    /// The next token's place in the whole answer.
+    /// Index of the next token in the whole answer.
     pub(super) next: u32,
-    /// The place at which its stream breaks, if it is to break.
+    /// Token index at which the stream breaks, if a break is injected.
     pub(super) breaks_at: Option<u32>,
 }
 
 impl ActiveRun {
-    /// Does some seconds of work; whether that made the first token.
+    /// Performs some seconds of work; returns true if that completed the prefill.
     pub(super) fn advance(&mut self, work: f64, rate: f64, now: ClockTime) -> bool {
         let was_prefilling = self.prefill_left > 0.0;
         let left = self.prefill_left - work;
@@ -60,37 +60,37 @@
             return false;
         }
         if was_prefilling {
-            // The first token is there as soon as the prompt is read.
+            // The first token is available as soon as the prefill ends.
             self.credit = 1.0 - left * rate;
         } else {
             self.credit += work * rate;
         }
-        self.make_tokens(now);
+        self.generate_tokens(now);
         was_prefilling
     }
 
-    fn make_tokens(&mut self, now: ClockTime) {
-        let order = &self.arrived.order;
+    fn generate_tokens(&mut self, now: ClockTime) {
+        let completion = &self.arrived.completion;
         let whole = self.credit.floor();
-        let until = self.breaks_at.unwrap_or(order.length);
+        let until = self.breaks_at.unwrap_or(completion.length);
         let made = (whole as u32).min(until - self.next);
         if made == 0 {
             return;
         }
         self.credit -= whole;
         self.next += made;
-        let total = self.next - order.resumed_from;
-        self.tally.produced(TokenCount(total.into()), now);
+        let total = self.next - completion.resumed_from;
+        self.recorder.produced(TokenCount(total.into()), now);
         self.stream.make_available(self.next);
     }
 
-    /// True once its stream has come to the place at which it breaks.
+    /// True once the stream has reached its injected break.
     pub(super) fn is_broken(&self) -> bool {
-        self.prefill_left <= 0.0 && self.breaks_at.is_some_and(|place| self.next >= place)
+        self.prefill_left <= 0.0 && self.breaks_at.is_some_and(|index| self.next >= index)
     }
 
-    /// True once its whole answer is made.
+    /// True once the whole answer is generated.
     pub(super) fn is_finished(&self) -> bool {
-        self.prefill_left <= 0.0 && self.next >= self.arrived.order.length
+        self.prefill_left <= 0.0 && self.next >= self.arrived.completion.length
     }
 }
--- a/crates/sagespool-testkit/src/engine/stream.rs
+++ b/crates/sagespool-testkit/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! The body of a completion's answer: server-sent events at the time of their tokens.
+//! The response body of a completion: server-sent events, sent as their tokens are generated.
 
 use std::future::Future;
 use std::io;
@@ -12,9 +12,9 @@
 use super::answer::AnswerSeed;
 use crate::stand_server::lock;
 
-const MOST_EVENTS_A_PIECE: u32 = 64;
+const MAX_EVENTS_PER_CHUNK: u32 = 64;
 
-/// What a run has for its stream, set by the engine and read by the body.
+/// Progress of a run, written by the engine and read by the response body.
 #[derive(Default)]
 pub(crate) struct RunStream {
     state: Mutex<StreamState>,
@@ -22,7 +22,7 @@
 
 #[derive(Default)]
 struct StreamState {
-    /// Tokens of the whole answer that are there.
+    /// Generated tokens, counted from the start of the whole answer.
     available: u32,
     end: Option<StreamEnd>,
     waker: Option<Waker>,
@@ -31,9 +31,9 @@
 /// How a stream ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StreamEnd {
-    /// With a last event that says why.
+    /// With a final event that carries this finish reason.
     Closed(&'static str),
-    /// In the middle, as the engine is gone.
+    /// Without a final event: the connection breaks.
     Broken,
 }
 
@@ -50,17 +50,17 @@
         wake(state.waker.take());
     }
 
-    /// What there is beyond a place; registers the waker if there is nothing.
-    fn poll_next(&self, place: u32, cx: &Context<'_>) -> NextPiece {
+    /// The tokens from an index on, or the end; registers the waker if there is neither yet.
+    fn poll_next(&self, index: u32, cx: &Context<'_>) -> StreamPoll {
         let mut state = lock(&self.state);
-        if state.available > place {
-            return NextPiece::Tokens(state.available);
+        if state.available > index {
+            return StreamPoll::Tokens(state.available);
         }
         if let Some(end) = state.end {
-            return NextPiece::End(end);
+            return StreamPoll::End(end);
         }
         state.waker = Some(cx.waker().clone());
-        NextPiece::Nothing
+        StreamPoll::Pending
     }
 }
 
@@ -70,59 +70,59 @@
     }
 }
 
-enum NextPiece {
-    /// Tokens up to this place.
+enum StreamPoll {
+    /// Tokens up to this index (exclusive) are available.
     Tokens(u32),
     End(StreamEnd),
-    Nothing,
+    Pending,
 }
 
-/// What a stream tells its reader besides the tokens.
-pub(crate) struct StreamPlan {
+/// Parameters of a stream besides its tokens.
+pub(crate) struct StreamParams {
     pub(crate) seed: AnswerSeed,
     pub(crate) prompt_tokens: u64,
     pub(crate) resumed_from: u32,
 }
 
-type GoneFuture = Pin<Box<dyn Future<Output = ()> + Send + Sync>>;
+type DisconnectFuture = Pin<Box<dyn Future<Output = ()> + Send + Sync>>;
 
-/// The answer's body. When it is dropped before its end, its run is given up.
+/// The response body. Dropping it before the end stops its run.
 pub(crate) struct AnswerBody {
     stream: Arc<RunStream>,
-    plan: StreamPlan,
+    params: StreamParams,
     next: u32,
     closed: bool,
-    piece: Vec<u8>,
+    chunk: Vec<u8>,
     sent: usize,
-    peer_gone: GoneFuture,
-    give_up: Box<dyn Fn() + Send + Sync>,
+    disconnected: DisconnectFuture,
+    on_drop: Box<dyn Fn() + Send + Sync>,
 }
 
 impl AnswerBody {
     pub(crate) fn new(
         stream: Arc<RunStream>,
-        plan: StreamPlan,
-        peer_gone: impl Future<Output = ()> + Send + Sync + 'static,
-        give_up: impl Fn() + Send + Sync + 'static,
+        params: StreamParams,
+        disconnected: impl Future<Output = ()> + Send + Sync + 'static,
+        on_drop: impl Fn() + Send + Sync + 'static,
     ) -> Self {
         Self {
             stream,
-            next: plan.resumed_from,
-            plan,
+            next: params.resumed_from,
+            params,
             closed: false,
-            piece: Vec::new(),
+            chunk: Vec::new(),
             sent: 0,
-            peer_gone: Box::pin(peer_gone),
-            give_up: Box::new(give_up),
+            disconnected: Box::pin(disconnected),
+            on_drop: Box::new(on_drop),
         }
     }
 
     fn write_tokens(&mut self, until: u32) {
-        let until = until.min(self.next + MOST_EVENTS_A_PIECE);
-        for place in self.next..until {
-            let token = self.plan.seed.token(place);
+        let until = until.min(self.next + MAX_EVENTS_PER_CHUNK);
+        for index in self.next..until {
+            let token = self.params.seed.token(index);
             let event = format_args!(
-                "data: {{\"index\":{place},\"choices\":[{{\"delta\":{{\"content\":\"{token}\"}}}}]}}\n\n"
+                "data: {{\"index\":{index},\"choices\":[{{\"delta\":{{\"content\":\"{token}\"}}}}]}}\n\n"
             );
             self.write(event);
         }
@@ -130,7 +130,7 @@
     }
 
     fn write_close(&mut self, reason: &str) {
-        let prompt = self.plan.prompt_tokens;
+        let prompt = self.params.prompt_tokens;
         let completion = self.next;
         self.write(format_args!(
             "data: {{\"choices\":[{{\"delta\":{{}},\"finish_reason\":\"{reason}\"}}],\
@@ -141,31 +141,31 @@
     }
 
     fn write(&mut self, text: std::fmt::Arguments<'_>) {
-        self.piece.write_fmt(text).expect("writing to memory doesn't fail");
+        self.chunk.write_fmt(text).expect("writing to memory doesn't fail");
     }
 
-    /// Renders the next piece; the outcome is whether there is one.
-    fn poll_piece(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
-        self.piece.clear();
+    /// Renders the next chunk; the result is false at the end of the stream.
+    fn poll_chunk(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
+        self.chunk.clear();
         self.sent = 0;
         if self.closed {
             return Poll::Ready(Ok(false));
         }
         match self.stream.poll_next(self.next, cx) {
-            NextPiece::Tokens(until) => self.write_tokens(until),
-            NextPiece::End(StreamEnd::Closed(reason)) => self.write_close(reason),
-            NextPiece::End(StreamEnd::Broken) => {
+            StreamPoll::Tokens(until) => self.write_tokens(until),
+            StreamPoll::End(StreamEnd::Closed(reason)) => self.write_close(reason),
+            StreamPoll::End(StreamEnd::Broken) => {
                 return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
             }
-            NextPiece::Nothing => return self.poll_gone(cx),
+            StreamPoll::Pending => return self.poll_disconnected(cx),
         }
         Poll::Ready(Ok(true))
     }
 
-    /// A caller that goes away while its request waits, or between two slow tokens, shows
-    /// in no write: without this look at the connection its run would hold its slot.
-    fn poll_gone(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
-        match self.peer_gone.as_mut().poll(cx) {
+    /// A disconnect is not noticed by a write while the request waits or between two slow tokens;
+    /// without this check its run would keep occupying a slot.
+    fn poll_disconnected(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
+        match self.disconnected.as_mut().poll(cx) {
             Poll::Ready(()) => Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into())),
             Poll::Pending => Poll::Pending,
         }
@@ -178,15 +178,15 @@
         cx: &mut Context<'_>,
         buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        if self.sent == self.piece.len() {
-            match self.poll_piece(cx) {
+        if self.sent == self.chunk.len() {
+            match self.poll_chunk(cx) {
                 Poll::Ready(Ok(true)) => {}
                 Poll::Ready(Ok(false)) => return Poll::Ready(Ok(0)),
                 Poll::Ready(Err(error)) => return Poll::Ready(Err(error)),
                 Poll::Pending => return Poll::Pending,
             }
         }
-        let rest = &self.piece[self.sent..];
+        let rest = &self.chunk[self.sent..];
         let count = rest.len().min(buffer.len());
         buffer[..count].copy_from_slice(&rest[..count]);
         self.sent += count;
@@ -196,6 +196,6 @@
 
 impl Drop for AnswerBody {
     fn drop(&mut self) {
-        (self.give_up)();
+        (self.on_drop)();
     }
 }
--- a/crates/sagespool-testkit/src/engine/ticker.rs
+++ b/crates/sagespool-testkit/src/engine/ticker.rs
@@ -1,4 +1,4 @@
-//! The work of an engine as time goes on.
+//! The ticker that advances an engine over time.
 
 use std::sync::{Arc, Weak};
 use std::time::Duration;
@@ -7,36 +7,36 @@
 
 use super::EngineShared;
 
-/// The longest an idle ticker sleeps, so that it notices that its engine is gone.
+/// The longest sleep of an idle ticker, after which it checks whether its engine still exists.
 const IDLE_TICK: Duration = Duration::from_millis(500);
 
-/// Lets an engine work, tick by tick, for as long as it exists.
-pub(super) async fn keep_ticking(engine: Weak<EngineShared>) {
+/// Advances an engine at every tick until it is dropped.
+pub(super) async fn run_ticker(engine: Weak<EngineShared>) {
     loop {
         let Some(shared) = engine.upgrade() else {
             return;
         };
         let tick = shared.options.tick;
-        let work_came = shared.work_came.listen();
+        let work_started = shared.work_started.listen();
         if shared.tick() {
-            drop(work_came);
+            drop(work_started);
             drop(shared);
             Timer::after(tick).await;
         } else {
             drop(shared);
-            futures_lite::future::or(work_came, wait_idle()).await;
+            futures_lite::future::or(work_started, wait_idle()).await;
         }
     }
 }
 
 impl EngineShared {
-    /// Does the work since the last tick; whether there is more to do.
+    /// Performs the work since the last tick; returns true if requests still run.
     fn tick(self: &Arc<Self>) -> bool {
         let Some(start) = self.gate.start() else {
             return false;
         };
-        let busy = self.with_batch(start, |batch, pace, now| {
-            batch.advance(pace, now);
+        let busy = self.with_batch(start, |batch, faults, now| {
+            batch.advance(faults, now);
             batch.is_busy()
         });
         busy.unwrap_or(false)
--- a/crates/sagespool-testkit/src/engine/weights.rs
+++ b/crates/sagespool-testkit/src/engine/weights.rs
@@ -1,4 +1,4 @@
-//! Carrying orders out: what an engine serves, and the weights that it fetches for it.
+//! Execution of orders: served models and the download of their weights.
 
 use std::time::Duration;
 
@@ -10,36 +10,38 @@
 
 use super::http::EngineCall;
 use super::orders::EngineOrder;
-use crate::fault_gate::StandGone;
+use crate::fault_gate::ServerDown;
 
-const MOST_WEIGHT_TRIES: u32 = 1000;
+const MAX_FETCH_ATTEMPTS: u32 = 1000;
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 impl EngineCall {
-    /// Does what an order says; a load goes on in the background.
-    pub(super) fn carry_out(&self, order: EngineOrder) -> Result<(), StandGone> {
+    /// Executes an order; a load continues in the background.
+    pub(super) fn execute(&self, order: EngineOrder) -> Result<(), ServerDown> {
         match order {
-            EngineOrder::LoadModel(model) => self.begin_load(model.clone(), model),
+            EngineOrder::LoadModel(model) => self.start_load(model.clone(), model),
             EngineOrder::LoadAdapter(name) => {
                 let served = format!("{}.{}", name.model, name.adapter);
-                self.begin_load(served, name.adapter)
+                self.start_load(served, name.adapter)
             }
             EngineOrder::UnloadModel(model) => {
-                self.engine.with_batch(self.start, |batch, pace, now| {
+                self.engine.with_batch(self.start, |batch, faults, now| {
                     batch.loading.retain(|loading| *loading != model);
                     batch.models.retain(|served| *served != model);
-                    batch.note_load(pace, now);
+                    batch.record_load(faults, now);
+                })
+            }
+            EngineOrder::SetRole(role) => {
+                self.engine.with_batch(self.start, |batch, faults, now| {
+                    batch.role = role;
+                    batch.record_load(faults, now);
                 })
             }
-            EngineOrder::SetRole(role) => self.engine.with_batch(self.start, |batch, pace, now| {
-                batch.role = role;
-                batch.note_load(pace, now);
-            }),
         }
     }
 
-    /// Loads in the background; what is served once it is done shows in the load.
-    fn begin_load(&self, served: String, weights: String) -> Result<(), StandGone> {
+    /// Starts a load in the background; the model appears in the load report when it is done.
+    fn start_load(&self, served: String, weights: String) -> Result<(), ServerDown> {
         let is_new = self.engine.with_batch(self.start, |batch, _, _| {
             let known = batch.models.contains(&served) || batch.loading.contains(&served);
             if !known {
@@ -61,30 +63,30 @@
             true
         };
         let ended = async {
-            self.engine.gate.ended(self.start).await;
+            self.engine.gate.wait_end(self.start).await;
             false
         };
         if !future::or(loaded, ended).await {
             return;
         }
-        let _ = self.engine.with_batch(self.start, |batch, pace, now| {
-            // An order to unload that came meanwhile is the newer one.
+        let _ = self.engine.with_batch(self.start, |batch, faults, now| {
+            // An unload order received during the load takes precedence.
             let is_wanted = batch.loading.contains(&served);
             batch.loading.retain(|loading| *loading != served);
             if is_wanted {
                 batch.models.push(served);
-                batch.note_load(pace, now);
+                batch.record_load(faults, now);
             }
         });
     }
 
-    /// Asks the weight store until it gives the weights.
+    /// Requests the weights from the weight store until they are delivered.
     async fn fetch_weights(&self, weights: &str) {
         let Some(store) = self.engine.options.weight_store else {
             return;
         };
         let client = Client::new(ClientConfig::default());
-        for _ in 0..MOST_WEIGHT_TRIES {
+        for _ in 0..MAX_FETCH_ATTEMPTS {
             let sent = client.get(format!("http://{store}/weights/{weights}")).await;
             let Ok(answer) = sent else {
                 Timer::after(DEFAULT_RETRY_AFTER).await;
--- a/crates/sagespool-testkit/src/fault_gate.rs
+++ b/crates/sagespool-testkit/src/fault_gate.rs
@@ -1,4 +1,4 @@
-//! The state of a stand that its requests wait on: frozen, crashed or well.
+//! The fault state of a fake server (frozen, crashed or running), on which its calls wait.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -10,15 +10,15 @@
 
 use crate::stand_server::lock;
 
-/// One start of a stand. Requests of an earlier start must not go on after a restart.
+/// Number of a server start. Calls of an earlier start must not continue after a restart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub(crate) struct StartNumber(u64);
 
-/// The stand crashed under a request.
+/// The server crashed during the call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct StandGone;
+pub(crate) struct ServerDown;
 
-/// Holds requests back while a stand is frozen, and ends them when it crashes.
+/// Blocks calls while a server is frozen, and aborts them when it crashes.
 pub(crate) struct FaultGate {
     state: Mutex<GateState>,
     changed: Event,
@@ -31,13 +31,13 @@
 }
 
 impl FaultGate {
-    /// The gate of a stand that doesn't serve yet.
+    /// The gate of a server that has not started yet.
     pub(crate) fn new() -> Self {
         let state = GateState { frozen: false, serving: false, start: 0 };
         Self { state: Mutex::new(state), changed: Event::new() }
     }
 
-    /// A new start; none if the stand serves already.
+    /// Begins a new start; none if the server is running.
     pub(crate) fn begin(&self) -> Option<StartNumber> {
         let mut state = lock(&self.state);
         if state.serving {
@@ -49,11 +49,11 @@
         Some(StartNumber(state.start))
     }
 
-    /// The present start ends, or only the given one; false if it has ended already.
+    /// Ends the current start, or only the given one; returns false if it has ended already.
     pub(crate) fn end(&self, only: Option<StartNumber>) -> bool {
         let mut state = lock(&self.state);
-        let is_meant = only.is_none_or(|start| start == StartNumber(state.start));
-        if !state.serving || !is_meant {
+        let is_match = only.is_none_or(|start| start == StartNumber(state.start));
+        if !state.serving || !is_match {
             return false;
         }
         state.serving = false;
@@ -62,25 +62,25 @@
         true
     }
 
-    /// Freezes or thaws the stand.
+    /// Freezes or unfreezes the server.
     pub(crate) fn set_frozen(&self, frozen: bool) {
         lock(&self.state).frozen = frozen;
         self.changed.notify(usize::MAX);
     }
 
-    /// The present start, if the stand serves.
+    /// The current start; none while the server is down.
     pub(crate) fn start(&self) -> Option<StartNumber> {
         let state = lock(&self.state);
         state.serving.then_some(StartNumber(state.start))
     }
 
-    /// The newest start, whether it still serves or not.
+    /// The newest start, running or ended.
     pub(crate) fn newest_start(&self) -> StartNumber {
         StartNumber(lock(&self.state).start)
     }
 
-    /// Waits while the stand is frozen.
-    pub(crate) async fn pass(&self, start: StartNumber) -> Result<(), StandGone> {
+    /// Waits until the server is not frozen; an error if the start ends first.
+    pub(crate) async fn wait_open(&self, start: StartNumber) -> Result<(), ServerDown> {
         loop {
             let listener = self.changed.listen();
             match self.is_open(start)? {
@@ -90,31 +90,31 @@
         }
     }
 
-    /// Ends when the given start does.
-    pub(crate) async fn ended(&self, start: StartNumber) -> StandGone {
+    /// Waits until the given start has ended.
+    pub(crate) async fn wait_end(&self, start: StartNumber) -> ServerDown {
         loop {
             let listener = self.changed.listen();
             match self.is_open(start) {
-                Err(gone) => return gone,
+                Err(down) => return down,
                 Ok(_) => listener.await,
             }
         }
     }
 
-    /// Waits for a time, or until the start ends.
-    pub(crate) async fn delay(&self, start: StartNumber, time: Duration) -> Result<(), StandGone> {
+    /// Waits for a time; an error if the start ends first.
+    pub(crate) async fn delay(&self, start: StartNumber, time: Duration) -> Result<(), ServerDown> {
         let elapsed = async {
             Timer::after(time).await;
             Ok(())
         };
-        let ended = async { Err(self.ended(start).await) };
+        let ended = async { Err(self.wait_end(start).await) };
         future::or(elapsed, ended).await
     }
 
-    fn is_open(&self, start: StartNumber) -> Result<bool, StandGone> {
+    fn is_open(&self, start: StartNumber) -> Result<bool, ServerDown> {
         let state = lock(&self.state);
         if !state.serving || StartNumber(state.start) != start {
-            return Err(StandGone);
+            return Err(ServerDown);
         }
         Ok(!state.frozen)
     }
--- a/crates/sagespool-testkit/src/fleet.rs
+++ b/crates/sagespool-testkit/src/fleet.rs
@@ -3,18 +3,18 @@
 mod binaries;
 mod certificates;
 mod deployment;
-mod life;
 mod member;
 mod options;
+mod process_events;
 mod readiness;
 mod running;
 mod settings_file;
 
 pub use binaries::{FleetBinaries, find_binaries};
 pub use certificates::CertificateSet;
-pub use deployment::{CentrePlan, DeploymentPlan, DepositPlan, ServicePlan, read_deployment};
-pub use life::{ProcessEvent, ProcessEventKind};
+pub use deployment::{BranchPlan, CentrePlan, DeploymentPlan, ServicePlan, read_deployment};
 pub use member::FleetMember;
 pub use options::{EngineTuning, FleetError, FleetOptions};
+pub use process_events::{ProcessEvent, ProcessEventKind};
 pub(crate) use readiness::check_ready;
 pub use running::{RunningFleet, top_up};
--- a/crates/sagespool-testkit/src/fleet/deployment.rs
+++ b/crates/sagespool-testkit/src/fleet/deployment.rs
@@ -43,7 +43,7 @@
 /// A branch's development key and budget.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct DepositPlan {
+pub struct BranchPlan {
     /// The key in clear text.
     pub token: String,
     /// Prepaid tokens.
@@ -61,7 +61,7 @@
     /// The services' stand-ins.
     pub services: BTreeMap<ServiceName, ServicePlan>,
     /// The branches' keys and budgets.
-    pub branches: BTreeMap<BranchName, DepositPlan>,
+    pub branches: BTreeMap<BranchName, BranchPlan>,
 }
 
 impl DeploymentPlan {
--- a/crates/sagespool-testkit/src/fleet/member.rs
+++ b/crates/sagespool-testkit/src/fleet/member.rs
@@ -10,7 +10,7 @@
 use crate::processes::ChildProcess;
 
 /// The end of a log that is shown.
-const SHOWN_LINES: usize = 60;
+const LOG_TAIL_LINES: usize = 60;
 
 /// One process of a fleet, running or not.
 #[derive(Debug)]
@@ -45,7 +45,7 @@
     pub fn log_tail(&self) -> String {
         let log = std::fs::read_to_string(&self.log).unwrap_or_default();
         let lines: Vec<&str> = log.lines().collect();
-        let shown = &lines[lines.len().saturating_sub(SHOWN_LINES)..];
+        let shown = &lines[lines.len().saturating_sub(LOG_TAIL_LINES)..];
         format!("--- {} ---\n{}", self.instance, shown.join("\n"))
     }
 }
--- a/crates/sagespool-testkit/src/fleet/running.rs
+++ b/crates/sagespool-testkit/src/fleet/running.rs
@@ -26,7 +26,7 @@
     InstanceEntry, InstanceListOptions, InstanceState, ObjectStoreOptions, RunLog, ServiceOptions,
 };
 
-const STORE_LIMIT: Duration = Duration::from_secs(5);
+const STORE_TIMEOUT: Duration = Duration::from_secs(5);
 /// The names that the fault proxy knows the platform by.
 const STORE_NAME: &str = "store";
 const LIST_NAME: &str = "list";
@@ -90,18 +90,18 @@
             certificates,
             directory,
         };
-        fleet.put_configuration().await?;
-        fleet.deposit_all().await?;
+        fleet.write_configuration().await?;
+        fleet.top_up_branches().await?;
         fleet.start_upstreams()?;
-        fleet.lay_out_members()?;
-        for place in 0..fleet.members.len() {
-            fleet.start_member(place)?;
+        fleet.register_members()?;
+        for index in 0..fleet.members.len() {
+            fleet.start_member(index)?;
         }
         fleet.wait_ready().await?;
         Ok(fleet)
     }
 
-    async fn put_configuration(&self) -> Result<(), Report<FleetError>> {
+    async fn write_configuration(&self) -> Result<(), Report<FleetError>> {
         let fault = || FleetError::new("putting the configuration into the store");
         let none = StoreRevision::ZERO;
         let put = self.objects.put(FLEET_OBJECT_KEY, none, &self.options.fleet).await;
@@ -113,7 +113,7 @@
         Ok(())
     }
 
-    async fn deposit_all(&self) -> Result<(), Report<FleetError>> {
+    async fn top_up_branches(&self) -> Result<(), Report<FleetError>> {
         for (branch, deposit) in &self.options.deployment.branches {
             top_up(&self.objects, branch, deposit.prepaid, CommandId::random()).await?;
         }
@@ -181,7 +181,7 @@
         self.add_member(&instance, centre, Some((upstream, service.clone())))
     }
 
-    fn lay_out_members(&mut self) -> Result<(), Report<FleetError>> {
+    fn register_members(&mut self) -> Result<(), Report<FleetError>> {
         let centres = self.options.deployment.centres.clone();
         for centre in &centres {
             for number in 1..=centre.entries {
@@ -192,7 +192,7 @@
         // Entries first, so that the first member is one that callers can use.
         self.members.sort_by_key(|member| !member.is_entry());
         for member in &self.members {
-            self.list.set(listed(member, &self.options));
+            self.list.set(instance_entry(member, &self.options));
         }
         Ok(())
     }
@@ -227,7 +227,7 @@
         Ok(())
     }
 
-    fn through_proxy(
+    fn proxied_address(
         &self,
         from: &InstanceName,
         to: &str,
@@ -243,15 +243,15 @@
     fn write_settings(&self, member: &FleetMember) -> Result<(), Report<FleetError>> {
         let fault = || FleetError::new(format!("writing the settings of {}", member.instance));
         let platform = PlatformAddresses {
-            objects: self.through_proxy(&member.instance, STORE_NAME, self.store.address())?,
-            instances: self.through_proxy(&member.instance, LIST_NAME, self.list.address())?,
+            objects: self.proxied_address(&member.instance, STORE_NAME, self.store.address())?,
+            instances: self.proxied_address(&member.instance, LIST_NAME, self.list.address())?,
         };
         let files = self.certificates.issue(member.instance.as_str())?;
         let settings = match &member.upstream {
             None => entry_settings(member, platform, &files, &self.options),
             Some((upstream, service)) => {
                 let address = self.upstream_address(upstream);
-                let address = self.through_proxy(&member.instance, upstream.as_str(), address)?;
+                let address = self.proxied_address(&member.instance, upstream.as_str(), address)?;
                 let plan = &self.options.deployment.services[service];
                 sidecar_settings(member, address, plan, platform, &files, &self.options)
             }
@@ -275,32 +275,32 @@
     ///
     /// # Errors
     /// If its settings can't be written or it can't be started.
-    pub fn start_member(&mut self, place: usize) -> Result<(), Report<FleetError>> {
-        if !self.members[place].settings.exists() {
-            self.write_settings(&self.members[place])?;
+    pub fn start_member(&mut self, index: usize) -> Result<(), Report<FleetError>> {
+        if !self.members[index].settings.exists() {
+            self.write_settings(&self.members[index])?;
         }
         let daemon = self.options.binaries.daemon.clone();
-        let member = &mut self.members[place];
+        let member = &mut self.members[index];
         let fault = || FleetError::new(format!("starting {}", member.instance));
         let argument = member.settings.display().to_string();
         let process = ChildProcess::start(&daemon, &[argument.as_str()], &member.log);
         member.process = Some(process.change_context_lazy(fault)?);
-        self.record_process_event(place, ProcessEventKind::Started);
+        self.record_process_event(index, ProcessEventKind::Started);
         Ok(())
     }
 
     /// Notes what was done to a member's process, now.
-    pub fn record_process_event(&mut self, place: usize, kind: ProcessEventKind) {
-        let instance = self.members[place].instance.clone();
+    pub fn record_process_event(&mut self, index: usize, kind: ProcessEventKind) {
+        let instance = self.members[index].instance.clone();
         self.process_events.push(ProcessEvent { instance, at: ClockTime::now(), kind });
     }
 
     /// Shows a member as live in the instance list, which lags.
-    pub fn mark_live(&self, place: usize) {
-        self.list.set(listed(&self.members[place], &self.options));
+    pub fn mark_live(&self, index: usize) {
+        self.list.set(instance_entry(&self.members[index], &self.options));
     }
 
-    /// The place of a member.
+    /// The index of a member.
     pub fn member_index(&self, instance: &str) -> Option<usize> {
         self.members.iter().position(|member| member.instance.as_str() == instance)
     }
@@ -330,15 +330,15 @@
         Ok(())
     }
 
-    pub(super) fn has_ended(&self, place: usize) -> bool {
-        let process = self.members[place].process.as_ref();
+    pub(super) fn has_ended(&self, index: usize) -> bool {
+        let process = self.members[index].process.as_ref();
         process.is_some_and(|process| matches!(process.try_wait(), Ok(Some(_)) | Err(_)))
     }
 
     /// Gives a member other ports and starts it there.
-    pub(super) fn move_member(&mut self, place: usize) -> Result<(), Report<FleetError>> {
+    pub(super) fn move_member(&mut self, index: usize) -> Result<(), Report<FleetError>> {
         let (http, link) = free_addresses()?;
-        let instance = self.members[place].instance.clone();
+        let instance = self.members[index].instance.clone();
         let fault = || FleetError::new(format!("moving {instance}"));
         let advertised = match &self.proxy {
             Some(proxy) => {
@@ -347,12 +347,12 @@
             }
             None => link,
         };
-        let member = &mut self.members[place];
+        let member = &mut self.members[index];
         (member.http, member.link, member.advertised) = (http, link, advertised);
         member.process = None;
-        self.list.set(listed(&self.members[place], &self.options));
-        self.write_settings(&self.members[place])?;
-        self.start_member(place)
+        self.list.set(instance_entry(&self.members[index], &self.options));
+        self.write_settings(&self.members[index])?;
+        self.start_member(index)
     }
 
     /// Stops every process gracefully, at the same time; returns those that didn't end well.
@@ -392,12 +392,12 @@
         outcome = record.top_up(command, branch, amount);
         UpdateChoice::Write
     };
-    let updated = update_object(objects, &key, STORE_LIMIT, apply).await;
+    let updated = update_object(objects, &key, STORE_TIMEOUT, apply).await;
     updated.change_context_lazy(|| FleetError::new("topping up"))?;
     Ok(outcome)
 }
 
-fn listed(member: &FleetMember, options: &FleetOptions) -> InstanceEntry {
+fn instance_entry(member: &FleetMember, options: &FleetOptions) -> InstanceEntry {
     InstanceEntry {
         instance: member.instance.clone(),
         role: if member.is_entry() { MemberRole::Entry } else { MemberRole::Sidecar },
--- a/crates/sagespool-testkit/src/http_reply.rs
+++ b/crates/sagespool-testkit/src/http_reply.rs
@@ -1,4 +1,4 @@
-//! One answer of a stand-in, and how it is put on the connection.
+//! HTTP replies of the fake object store and instance list.
 
 use std::io;
 use std::pin::Pin;
@@ -12,7 +12,7 @@
 const REVISION_HEADER: &str = "x-store-revision";
 const RETRY_HEADER: &str = "retry-after-ms";
 
-/// An answer, or the decision to break the connection instead.
+/// An HTTP reply, or an order to break the connection without one.
 #[derive(Debug)]
 pub(crate) struct HttpReply {
     status: Status,
@@ -23,45 +23,45 @@
 }
 
 #[derive(Serialize)]
-struct FaultBody {
+struct ErrorBody {
     error: String,
 }
 
 impl HttpReply {
-    /// An answer with a JSON body.
+    /// A reply with a JSON body.
     pub(crate) fn json(status: Status, body: &impl Serialize) -> Self {
         let body = serde_json::to_vec(body).expect("answers have text keys and finite numbers");
         Self { status, body, revision: None, retry_after_ms: None, broken: false }
     }
 
-    /// An answer that says what was wrong.
-    pub(crate) fn fault(status: Status, error: impl ToString) -> Self {
-        Self::json(status, &FaultBody { error: error.to_string() })
+    /// A reply with an error message, `{"error": "..."}`.
+    pub(crate) fn error(status: Status, error: impl ToString) -> Self {
+        Self::json(status, &ErrorBody { error: error.to_string() })
     }
 
-    /// No answer: the connection ends before the first byte.
-    pub(crate) fn broken() -> Self {
-        let mut reply = Self::fault(Status::InternalServerError, "never sent");
+    /// No reply: the connection breaks before the first byte.
+    pub(crate) fn disconnect() -> Self {
+        let mut reply = Self::error(Status::InternalServerError, "never sent");
         reply.broken = true;
         reply
     }
 
-    /// The same answer with the store's revision.
+    /// Adds the revision of the store.
     pub(crate) fn at_revision(mut self, revision: StoreRevision) -> Self {
         self.revision = Some(revision);
         self
     }
 
-    /// The same answer with the time after which to try again.
+    /// Adds the time to wait before a retry.
     pub(crate) fn retry_after_ms(mut self, millis: u64) -> Self {
         self.retry_after_ms = Some(millis);
         self
     }
 
-    /// Puts the answer on the connection.
+    /// Writes the reply to the connection.
     pub(crate) fn send(self, conn: Conn) -> Conn {
         if self.broken {
-            return conn.with_status(self.status).with_body(broken_body()).halt();
+            return conn.with_status(self.status).with_body(failing_body()).halt();
         }
         let mut conn = conn.with_status(self.status).with_body(self.body).halt();
         conn.insert_response_header("content-type", "application/json");
@@ -75,17 +75,17 @@
     }
 }
 
-/// A body whose first read fails. The server holds the head back until the
-/// body's first bytes are there, so it closes the connection with nothing sent.
-struct BrokenBody;
+/// A body whose first read fails. The server buffers the head until the first bytes of the body
+/// are available, so it closes the connection with nothing sent.
+struct FailingBody;
 
-const PROMISED_BYTES: u64 = 1;
+const DECLARED_BYTES: u64 = 1;
 
-fn broken_body() -> Body {
-    Body::new_streaming(BrokenBody, Some(PROMISED_BYTES))
+fn failing_body() -> Body {
+    Body::new_streaming(FailingBody, Some(DECLARED_BYTES))
 }
 
-impl AsyncRead for BrokenBody {
+impl AsyncRead for FailingBody {
     fn poll_read(
         self: Pin<&mut Self>,
         _: &mut Context<'_>,
--- a/crates/sagespool-testkit/src/instance_list.rs
+++ b/crates/sagespool-testkit/src/instance_list.rs
@@ -1,6 +1,6 @@
-//! Stand-in of the platform's instance list, which lags behind the truth.
+//! A fake of the platform's instance list, which shows changes after a lag.
 //!
-//! Tests say what is true; callers of `GET /instances` see it only after the lag.
+//! Tests set the instances; `GET /instances` returns the changes only after the lag.
 //!
 //! ```
 //! use std::time::Duration;
@@ -24,29 +24,29 @@
 use event_listener::Event;
 use sagespool_types::{ClockTime, InstanceName};
 
-use crate::loopback_server::{StandServer, StartError};
+use crate::loopback_server::{LoopbackServer, StartError};
 use state::{ListChange, ListState};
 
 pub use state::{InstanceEntry, InstanceState};
 
-/// How the list is set up.
+/// Options of a fake instance list.
 #[derive(Debug, Clone, Builder)]
 pub struct InstanceListOptions {
-    /// A change shows in the list after this time.
+    /// Time until a change becomes visible.
     #[builder(default)]
     pub lag: Duration,
 }
 
-/// A running instance list. Dropping it ends it at once.
+/// A fake instance list. Dropping it stops it at once.
 pub struct FakeInstanceList {
     list: Arc<SharedList>,
-    server: StandServer,
+    server: LoopbackServer,
 }
 
-/// The list as all its calls share it.
+/// The list's state, shared by all calls.
 struct SharedList {
     state: Mutex<ListState>,
-    /// Notified when a change is entered, when the lag changes, and at the stop.
+    /// Notified on each added change and when the list stops.
     changed: Event,
 }
 
@@ -57,59 +57,60 @@
 }
 
 impl FakeInstanceList {
-    /// Starts with an empty list on a loopback port that the system chooses.
+    /// Starts an empty list on a loopback port assigned by the operating system.
     pub fn start(options: InstanceListOptions) -> Result<Self, Report<StartError>> {
         let state = Mutex::new(ListState::new(options.lag));
         let list = Arc::new(SharedList { state, changed: Event::new() });
-        let server = StandServer::start("the instance list", calls::router(&list))?;
+        let server = LoopbackServer::start("the instance list", calls::router(&list))?;
         Ok(Self { list, server })
     }
 
-    /// Where it listens.
+    /// The address of its HTTP API.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Adds an instance, or replaces the one of its name.
+    /// Adds an instance, or replaces the one with the same name.
     pub fn set(&self, entry: InstanceEntry) {
-        self.enter(ListChange::Set(entry));
+        self.add_change(ListChange::Set(entry));
     }
 
-    /// Takes an instance off the list.
+    /// Removes an instance.
     pub fn remove(&self, instance: &InstanceName) {
-        self.enter(ListChange::Remove(instance.clone()));
+        self.add_change(ListChange::Remove(instance.clone()));
     }
 
     /// Marks an instance as leaving.
     pub fn mark_leaving(&self, instance: &InstanceName) {
-        self.enter(ListChange::MarkLeaving(instance.clone()));
+        self.add_change(ListChange::MarkLeaving(instance.clone()));
     }
 
-    /// Changes the lag of later changes; they still show in the order in which they were made.
+    /// Sets the lag of later changes; changes still become visible in the order in which they were
+    /// made.
     pub fn set_lag(&self, lag: Duration) {
         self.list.state().set_lag(lag);
     }
 
-    /// What callers see now, sorted by name.
+    /// The instances visible to callers now, sorted by name.
     pub fn listed(&self) -> Vec<InstanceEntry> {
         let mut state = self.list.state();
         state.advance(ClockTime::now());
         state.listed()
     }
 
-    /// How many calls wait for a change at this moment.
+    /// Number of calls that wait for a change now.
     pub fn waiting_calls(&self) -> usize {
         self.list.changed.total_listeners()
     }
 
-    /// Answers waiting calls, takes no new one, and returns when the open ones have ended.
+    /// Answers waiting calls, accepts no new ones, and returns when the open ones have finished.
     pub async fn stop(self) {
         self.end_waiting();
         self.server.stop().await;
     }
 
-    fn enter(&self, change: ListChange) {
-        self.list.state().enter(change, ClockTime::now());
+    fn add_change(&self, change: ListChange) {
+        self.list.state().add_change(change, ClockTime::now());
         self.list.changed.notify(usize::MAX);
     }
 
--- a/crates/sagespool-testkit/src/instance_list/calls.rs
+++ b/crates/sagespool-testkit/src/instance_list/calls.rs
@@ -1,4 +1,4 @@
-//! The call of the instance list: from an HTTP request to an answer.
+//! HTTP handler of the instance list.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,11 +12,11 @@
 
 use super::SharedList;
 use super::state::{InstanceEntry, ListState};
-use crate::call_query::{CallQuery, QueryFault};
+use crate::call_query::{CallQuery, QueryError};
 use crate::http_reply::HttpReply;
 
-/// A call that asks for longer is answered after this time.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+/// Longest time that a call waits for a change, also if `wait_ms` is higher.
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
 #[derive(Serialize)]
 struct ListBody {
@@ -24,7 +24,7 @@
     instances: Vec<InstanceEntry>,
 }
 
-/// The routes of the list.
+/// The routes of the instance list.
 pub(super) fn router(list: &Arc<SharedList>) -> Router {
     let list = list.clone();
     Router::new().get("/instances", move |mut conn: Conn| {
@@ -34,18 +34,18 @@
             let answer = async move { list_instances(&list, &query).await };
             match conn.cancel_on_disconnect(answer).await {
                 Some(Ok(reply)) => reply.send(conn),
-                Some(Err(fault)) => HttpReply::fault(Status::BadRequest, fault).send(conn),
+                Some(Err(error)) => HttpReply::error(Status::BadRequest, error).send(conn),
                 None => conn,
             }
         }
     })
 }
 
-async fn list_instances(list: &SharedList, query: &CallQuery) -> Result<HttpReply, QueryFault> {
+async fn list_instances(list: &SharedList, query: &CallQuery) -> Result<HttpReply, QueryError> {
     let Some(after) = query.number::<StoreRevision>("after")? else {
         return Ok(list_now(list));
     };
-    let wait = Duration::from_millis(query.required("wait_ms")?).min(LONGEST_WAIT);
+    let wait = Duration::from_millis(query.required("wait_ms")?).min(MAX_WAIT);
     wait_for_change(list, after, wait).await;
     Ok(list_now(list))
 }
@@ -57,14 +57,14 @@
     HttpReply::json(Status::Ok, &body)
 }
 
-/// Returns once the list shows a change after a revision, or after this time.
+/// Returns when a change after a revision is visible, or after this time.
 async fn wait_for_change(list: &SharedList, after: StoreRevision, wait: Duration) {
     let until = ClockTime::now().after(wait);
     loop {
-        // Listens before looking, so that a change between the two wakes it.
+        // Listens before checking, so that a change in between is not missed.
         let changed = list.changed.listen();
         let now = ClockTime::now();
-        let Some(pause) = pause_before_look(&mut list.state(), after, until, now) else { return };
+        let Some(pause) = time_to_next_check(&mut list.state(), after, until, now) else { return };
         let passed = async {
             Timer::after(pause).await;
         };
@@ -72,8 +72,8 @@
     }
 }
 
-/// How long to wait before looking again; none when there is something to answer.
-fn pause_before_look(
+/// The time to wait before the next check; none if the call can be answered.
+fn time_to_next_check(
     state: &mut ListState,
     after: StoreRevision,
     until: ClockTime,
@@ -83,6 +83,6 @@
     if state.revision() > after || state.is_stopping() || now >= until {
         return None;
     }
-    let look_at = state.next_due().map_or(until, |due| due.min(until));
-    Some(look_at.since(now))
+    let wake_at = state.next_due().map_or(until, |due| due.min(until));
+    Some(wake_at.since(now))
 }
--- a/crates/sagespool-testkit/src/instance_list/state.rs
+++ b/crates/sagespool-testkit/src/instance_list/state.rs
@@ -1,4 +1,4 @@
-//! What is true, and what the list shows of it yet.
+//! The visible instances and the changes that are not visible yet.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -8,22 +8,22 @@
 use sagespool_types::{CentreName, ClockTime, InstanceName, RegionName, StoreRevision, derives};
 
 derives! { value;
-    /// What the list says of an instance.
+    /// The state of an instance in the list.
     #[serde(rename_all = "kebab-case")]
     pub enum InstanceState {
-        /// It runs.
+        /// The instance runs.
         Live,
-        /// It is about to be stopped.
+        /// The instance is about to be stopped.
         Leaving,
     }
 }
 
 derives! { record;
-    /// One instance, as the list shows it.
+    /// An instance as it appears in the list.
     pub struct InstanceEntry {
-        /// Its name.
+        /// Name of the instance.
         pub instance: InstanceName,
-        /// What its process does.
+        /// Entry or sidecar.
         pub role: MemberRole,
         /// Its region.
         pub region: RegionName,
@@ -36,7 +36,7 @@
     }
 }
 
-/// One change of the truth.
+/// A change of the instances.
 #[derive(Debug, Clone)]
 pub(super) enum ListChange {
     Set(InstanceEntry),
@@ -44,12 +44,12 @@
     MarkLeaving(InstanceName),
 }
 
-/// The list, and the changes that it doesn't show yet.
+/// The visible list and the pending changes.
 #[derive(Debug)]
 pub(super) struct ListState {
     lag: Duration,
     revision: StoreRevision,
-    shown: BTreeMap<InstanceName, InstanceEntry>,
+    visible: BTreeMap<InstanceName, InstanceEntry>,
     pending: VecDeque<(ClockTime, ListChange)>,
     stopping: bool,
 }
@@ -59,7 +59,7 @@
         Self {
             lag,
             revision: StoreRevision::ZERO,
-            shown: BTreeMap::new(),
+            visible: BTreeMap::new(),
             pending: VecDeque::new(),
             stopping: false,
         }
@@ -77,22 +77,22 @@
         self.stopping
     }
 
-    /// Enters a change, which shows after the lag and never before an earlier change.
-    pub(super) fn enter(&mut self, change: ListChange, now: ClockTime) {
+    /// Adds a change. It becomes visible after the lag, and never before an earlier change.
+    pub(super) fn add_change(&mut self, change: ListChange, now: ClockTime) {
         self.pending.push_back((now.after(self.lag), change));
     }
 
-    /// Shows what is due by now, up to the first change that isn't.
+    /// Applies the pending changes that are due, in order.
     pub(super) fn advance(&mut self, now: ClockTime) {
-        while self.next_due().is_some_and(|shows_at| shows_at <= now) {
+        while self.next_due().is_some_and(|visible_at| visible_at <= now) {
             let Some((_, change)) = self.pending.pop_front() else { return };
-            self.show(change);
+            self.apply(change);
         }
     }
 
-    /// When the next change shows.
+    /// When the next pending change becomes visible.
     pub(super) fn next_due(&self) -> Option<ClockTime> {
-        self.pending.front().map(|(shows_at, _)| *shows_at)
+        self.pending.front().map(|(visible_at, _)| *visible_at)
     }
 
     pub(super) fn revision(&self) -> StoreRevision {
@@ -100,27 +100,27 @@
     }
 
     pub(super) fn listed(&self) -> Vec<InstanceEntry> {
-        self.shown.values().cloned().collect()
+        self.visible.values().cloned().collect()
     }
 
-    fn show(&mut self, change: ListChange) {
+    fn apply(&mut self, change: ListChange) {
         let changed = match change {
-            ListChange::Set(entry) => self.show_entry(entry),
-            ListChange::Remove(instance) => self.shown.remove(&instance).is_some(),
-            ListChange::MarkLeaving(instance) => self.show_leaving(&instance),
+            ListChange::Set(entry) => self.set_entry(entry),
+            ListChange::Remove(instance) => self.visible.remove(&instance).is_some(),
+            ListChange::MarkLeaving(instance) => self.set_leaving(&instance),
         };
         if changed {
             self.revision += StoreRevision(1);
         }
     }
 
-    fn show_entry(&mut self, entry: InstanceEntry) -> bool {
-        let before = self.shown.insert(entry.instance.clone(), entry.clone());
+    fn set_entry(&mut self, entry: InstanceEntry) -> bool {
+        let before = self.visible.insert(entry.instance.clone(), entry.clone());
         before != Some(entry)
     }
 
-    fn show_leaving(&mut self, instance: &InstanceName) -> bool {
-        let Some(entry) = self.shown.get_mut(instance) else { return false };
+    fn set_leaving(&mut self, instance: &InstanceName) -> bool {
+        let Some(entry) = self.visible.get_mut(instance) else { return false };
         let was = std::mem::replace(&mut entry.state, InstanceState::Leaving);
         was != InstanceState::Leaving
     }
--- a/crates/sagespool-testkit/src/lib.rs
+++ b/crates/sagespool-testkit/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of the platform, fault proxy, example fleet and load tool.
+//! Fakes of the platform and the upstreams, the fault proxy, test fleets and the load tool.
 
 mod call_query;
 mod crossing;
@@ -32,4 +32,4 @@
 pub use proxy::{FaultProxy, PairBytes};
 pub use stand_server::ListenError;
 pub use weight_store::{FakeWeightStore, WeightFetch, WeightOptions};
-pub use witness::{RunEnd, RunLog, RunMarker, RunRecord, RunStart, RunTally, TokenUse};
+pub use witness::{RunEnd, RunLog, RunMarker, RunRecord, RunRecorder, RunStart, TokenUsage};
--- a/crates/sagespool-testkit/src/loopback_server.rs
+++ b/crates/sagespool-testkit/src/loopback_server.rs
@@ -1,4 +1,4 @@
-//! An HTTP server on a loopback port that the system chooses, started and stopped by tests.
+//! An HTTP server on a loopback port assigned by the operating system.
 
 use std::error::Error;
 use std::fmt;
@@ -8,35 +8,35 @@
 use trillium::Handler;
 use trillium_server_common::ServerHandle;
 
-/// A stand-in that could not start.
+/// A fake server or a proxy link that could not start.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StartError {
-    /// What was to start.
-    pub stand: &'static str,
+    /// The component that failed to start.
+    pub component: &'static str,
 }
 
 impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} does not start: it needs a free port on 127.0.0.1", self.stand)
+        write!(f, "cannot start {}: it needs a free port on 127.0.0.1", self.component)
     }
 }
 
 impl Error for StartError {}
 
-/// A running server; dropping it shuts it down without waiting.
+/// A running server. Dropping it starts the shutdown without waiting for it.
 #[derive(Debug)]
-pub(crate) struct StandServer {
+pub(crate) struct LoopbackServer {
     address: SocketAddr,
     handle: ServerHandle,
 }
 
-impl StandServer {
-    /// Serves from the return of this call on.
+impl LoopbackServer {
+    /// Starts the server; it accepts connections when this call returns.
     pub(crate) fn start(
-        stand: &'static str,
+        component: &'static str,
         handler: impl Handler,
     ) -> Result<Self, Report<StartError>> {
-        let failed = || StartError { stand };
+        let failed = || StartError { component };
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).change_context_lazy(failed)?;
         let address = listener.local_addr().change_context_lazy(failed)?;
         let listener = smol::net::TcpListener::try_from(listener).change_context_lazy(failed)?;
@@ -52,13 +52,13 @@
         self.address
     }
 
-    /// Takes no new connection, and returns when the open calls have ended.
+    /// Stops accepting connections, and returns when the open calls have finished.
     pub(crate) async fn stop(&self) {
         self.handle.shut_down().await;
     }
 }
 
-impl Drop for StandServer {
+impl Drop for LoopbackServer {
     fn drop(&mut self) {
         drop(self.handle.shut_down());
     }
--- a/crates/sagespool-testkit/src/object_api.rs
+++ b/crates/sagespool-testkit/src/object_api.rs
@@ -1,7 +1,7 @@
-//! Stand-in of the platform's object API, with faults, counters and a log of writes.
+//! A fake of the platform's object API, with fault injection, call counters and a log of writes.
 //!
-//! The calls are those of `docs/PLATFORM.md`. The store lives in the memory of
-//! the process that starts it; everything else reaches it by HTTP.
+//! It implements the calls of `docs/PLATFORM.md`. The objects are kept in the memory of the
+//! process that starts it; all other processes use it over HTTP.
 //!
 //! ```
 //! use sagespool_testkit::{FakeObjectStore, ObjectStoreOptions, StoreFaults};
@@ -27,82 +27,83 @@
 use error_stack::Report;
 use sagespool_types::{ClockTime, StoreRevision};
 
-use crate::loopback_server::{StandServer, StartError};
+use crate::loopback_server::{LoopbackServer, StartError};
 use shared::SharedStore;
 
-pub use calls::{LARGEST_VALUE, LONGEST_KEY};
+pub use calls::{MAX_KEY_BYTES, MAX_VALUE_BYTES};
 pub use faults::StoreFaults;
-pub use records::{AppliedWrite, HeldObject, StoreCounts};
+pub use records::{AppliedWrite, StoreCounts, StoredObject};
 
-const USUAL_HISTORY: usize = 10_000;
+const DEFAULT_HISTORY_LIMIT: usize = 10_000;
 
-/// How the store is set up.
+/// Options of a fake object store.
 #[derive(Debug, Clone, Builder)]
 pub struct ObjectStoreOptions {
-    /// So many changes are kept for watches; a watch from before them is answered 410.
-    #[builder(default = USUAL_HISTORY)]
+    /// Number of changes kept for watches; a watch from an earlier revision is answered 410.
+    #[builder(default = DEFAULT_HISTORY_LIMIT)]
     pub history_limit: usize,
-    /// The faults in force from the start.
+    /// Faults injected from the start.
     #[builder(default)]
     pub faults: StoreFaults,
 }
 
-/// A running object API. Dropping it ends it at once.
+/// A fake object store. Dropping it stops it at once.
 pub struct FakeObjectStore {
     store: Arc<SharedStore>,
-    server: StandServer,
+    server: LoopbackServer,
 }
 
 impl FakeObjectStore {
-    /// Starts with no objects on a loopback port that the system chooses.
+    /// Starts an empty store on a loopback port assigned by the operating system.
     pub fn start(options: ObjectStoreOptions) -> Result<Self, Report<StartError>> {
         let now = ClockTime::now();
         let store = Arc::new(SharedStore::new(options.history_limit, options.faults, now));
-        let server = StandServer::start("the object API", calls::router(&store))?;
+        let server = LoopbackServer::start("the object API", calls::router(&store))?;
         Ok(Self { store, server })
     }
 
-    /// Where it listens.
+    /// The address of its HTTP API.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// The faults in force.
+    /// The faults that are injected now.
     pub fn faults(&self) -> StoreFaults {
         self.store.faults()
     }
 
-    /// Puts these faults in force in place of the present ones.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: StoreFaults) {
         self.store.set_faults(faults, ClockTime::now());
     }
 
-    /// The revision now.
+    /// The current revision.
     pub fn revision(&self) -> StoreRevision {
         self.store.revision()
     }
 
-    /// One object, past all faults.
-    pub fn object(&self, key: &str) -> Option<HeldObject> {
+    /// Reads an object, unaffected by faults.
+    pub fn object(&self, key: &str) -> Option<StoredObject> {
         self.store.state().get(key)
     }
 
-    /// All objects, sorted by key, past all faults.
-    pub fn objects(&self) -> Vec<HeldObject> {
+    /// Reads all objects, sorted by key, unaffected by faults.
+    pub fn objects(&self) -> Vec<StoredObject> {
         self.store.state().list("")
     }
 
-    /// Calls since the start.
+    /// Numbers of calls since the start.
     pub fn counts(&self) -> StoreCounts {
         self.store.counts()
     }
 
-    /// Every write that took effect, in order of its revision.
+    /// All writes that took effect, in order of their revisions.
     pub fn writes(&self) -> Vec<AppliedWrite> {
         self.store.state().writes().to_vec()
     }
 
-    /// Ends waiting watches with 503, takes no new call, and returns when the open ones have ended.
+    /// Ends waiting watches with 503, accepts no new calls, and returns when the open ones have
+    /// finished.
     pub async fn stop(self) {
         self.store.stop();
         self.server.stop().await;
--- a/crates/sagespool-testkit/src/object_api/calls.rs
+++ b/crates/sagespool-testkit/src/object_api/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of the object API: from an HTTP request to an answer.
+//! HTTP handlers of the object API.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -12,20 +12,20 @@
 use trillium_router::{Router, RouterConnExt};
 
 use super::gate::{CallKind, GateDecision};
-use super::records::{HeldObject, ObjectChange};
-use super::shared::{SharedStore, WatchLook};
+use super::records::{ObjectChange, StoredObject};
+use super::shared::{SharedStore, WatchPoll};
 use super::state::WriteOutcome;
-use crate::call_query::{CallQuery, QueryFault};
+use crate::call_query::{CallQuery, QueryError};
 use crate::http_reply::HttpReply;
 
-/// The largest document that an object may hold, in bytes.
-pub const LARGEST_VALUE: u64 = 1_000_000;
+/// Largest size of an object's document.
+pub const MAX_VALUE_BYTES: u64 = 1_000_000;
 
-/// The longest key, in bytes.
-pub const LONGEST_KEY: usize = 256;
+/// Largest length of a key.
+pub const MAX_KEY_BYTES: usize = 256;
 
-/// A watch that asks for longer is answered after this time.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+/// Longest time that a watch waits, also if `wait_ms` is higher.
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
 #[derive(Serialize)]
 struct VersionBody {
@@ -35,7 +35,7 @@
 #[derive(Serialize)]
 struct ListBody {
     revision: StoreRevision,
-    items: Vec<HeldObject>,
+    items: Vec<StoredObject>,
 }
 
 #[derive(Serialize)]
@@ -44,7 +44,7 @@
     changes: Vec<ObjectChange>,
 }
 
-/// The routes of the API over one store.
+/// The routes of the object API.
 pub(super) fn router(store: &Arc<SharedStore>) -> Router {
     Router::new()
         .get("/objects", handler(store, list))
@@ -54,7 +54,7 @@
         .get("/watch", handler(store, watch))
 }
 
-/// One call as the functions below take it.
+/// A parsed call.
 struct ObjectCall {
     store: Arc<SharedStore>,
     key: String,
@@ -84,17 +84,17 @@
 where
     Answer: Future<Output = Result<HttpReply, HttpReply>> + Send + 'static,
 {
-    let body = conn.request_body().with_max_len(LARGEST_VALUE).read_bytes().await;
+    let body = conn.request_body().with_max_len(MAX_VALUE_BYTES).read_bytes().await;
     let Ok(body) = body else {
-        let fault = HttpReply::fault(Status::PayloadTooLarge, "a value is at most 1 MB");
-        return fault.at_revision(store.revision()).send(conn);
+        let reply = HttpReply::error(Status::PayloadTooLarge, "the value exceeds 1 MB");
+        return reply.at_revision(store.revision()).send(conn);
     };
     let key = conn.wildcard().unwrap_or_default().to_owned();
     let query = CallQuery::parse(conn.querystring());
     let is_write = !conn.method().is_safe();
     let answer = answer(ObjectCall { store: store.clone(), key, query, body });
     let reply = match is_write {
-        // A write goes on when its caller has gone: that is how it takes effect unseen.
+        // A write continues when its caller disconnects, so it can take effect unacknowledged.
         true => Some(answer.await),
         false => conn.cancel_on_disconnect(answer).await,
     };
@@ -110,7 +110,7 @@
     let (object, revision) = call.store.read(|state| state.get(key));
     let reply = match object {
         Some(object) => HttpReply::json(Status::Ok, &object),
-        None => HttpReply::fault(Status::NotFound, format!("`{key}` doesn't exist")),
+        None => HttpReply::error(Status::NotFound, format!("`{key}` doesn't exist")),
     };
     Ok(reply.at_revision(revision))
 }
@@ -129,7 +129,7 @@
     call.admit(CallKind::Put).await?;
     let now = ClockTime::now();
     let (outcome, revision) = call.store.write(|state| state.put(key, expected, value, now));
-    Ok(call.written(outcome, revision))
+    Ok(call.write_reply(outcome, revision))
 }
 
 async fn delete(call: ObjectCall) -> Result<HttpReply, HttpReply> {
@@ -138,32 +138,33 @@
     call.admit(CallKind::Delete).await?;
     let now = ClockTime::now();
     let (outcome, revision) = call.store.write(|state| state.delete(key, expected, now));
-    Ok(call.written(outcome, revision))
+    Ok(call.write_reply(outcome, revision))
 }
 
 async fn watch(call: ObjectCall) -> Result<HttpReply, HttpReply> {
     let prefix = call.prefix()?;
     let after = call.required::<StoreRevision>("after")?;
-    let wait = Duration::from_millis(call.required("wait_ms")?).min(LONGEST_WAIT);
+    let wait = Duration::from_millis(call.required("wait_ms")?).min(MAX_WAIT);
     call.admit(CallKind::Watch).await?;
     let until = ClockTime::now().after(wait);
     loop {
         let left = until.since(ClockTime::now());
-        let (look, revision) = WatchLook::take(&call.store, prefix, after);
-        let entered = match look {
-            WatchLook::HistoryGone => {
-                let fault = HttpReply::fault(Status::Gone, "read the prefix again");
-                return Ok(fault.at_revision(revision));
+        let (poll, revision) = WatchPoll::start(&call.store, prefix, after);
+        let waiting = match poll {
+            WatchPoll::HistoryTrimmed => {
+                let reply =
+                    HttpReply::error(Status::Gone, "history trimmed; list the prefix again");
+                return Ok(reply.at_revision(revision));
             }
-            WatchLook::Changed(changes) => return Ok(changes_reply(revision, changes)),
-            WatchLook::Waiting(_) if left.is_zero() => return Ok(changes_reply(revision, vec![])),
-            WatchLook::Waiting(entered) => entered,
+            WatchPoll::Changed(changes) => return Ok(changes_reply(revision, changes)),
+            WatchPoll::Waiting(_) if left.is_zero() => return Ok(changes_reply(revision, vec![])),
+            WatchPoll::Waiting(waiting) => waiting,
         };
-        // Checked after entering: an outage that starts later wakes what has entered.
+        // Checked after the watch is registered: an outage that starts later wakes it.
         if !call.store.is_serving() {
             return Err(call.out_of_service());
         }
-        entered.woken_within(left).await;
+        waiting.woken_within(left).await;
     }
 }
 
@@ -173,19 +174,21 @@
 
 impl ObjectCall {
     fn bad_request(&self, error: impl ToString) -> HttpReply {
-        HttpReply::fault(Status::BadRequest, error).at_revision(self.store.revision())
+        HttpReply::error(Status::BadRequest, error).at_revision(self.store.revision())
     }
 
     fn out_of_service(&self) -> HttpReply {
-        let fault = HttpReply::fault(Status::ServiceUnavailable, "the store is out of service");
-        fault.at_revision(self.store.revision())
+        let reply = HttpReply::error(Status::ServiceUnavailable, "the store is unavailable");
+        reply.at_revision(self.store.revision())
     }
 
     fn checked_key(&self) -> Result<&str, HttpReply> {
         let fits = |c: char| c.is_ascii_alphanumeric() || "-_.~:/".contains(c);
         let parts_fit = self.key.split('/').all(|part| !part.is_empty());
-        if !parts_fit || self.key.len() > LONGEST_KEY || !self.key.chars().all(fits) {
-            return Err(self.bad_request(format!("`{}` is not a key such as `books/7`", self.key)));
+        if !parts_fit || self.key.len() > MAX_KEY_BYTES || !self.key.chars().all(fits) {
+            return Err(
+                self.bad_request(format!("`{}` is not a valid key like `books/7`", self.key))
+            );
         }
         Ok(&self.key)
     }
@@ -196,12 +199,12 @@
     }
 
     fn number<T: std::str::FromStr>(&self, name: &'static str) -> Result<Option<T>, HttpReply> {
-        let bad = |fault: QueryFault| self.bad_request(fault);
+        let bad = |error: QueryError| self.bad_request(error);
         self.query.number(name).map_err(bad)
     }
 
     fn required<T: std::str::FromStr>(&self, name: &'static str) -> Result<T, HttpReply> {
-        let bad = |fault: QueryFault| self.bad_request(fault);
+        let bad = |error: QueryError| self.bad_request(error);
         self.query.required(name).map_err(bad)
     }
 
@@ -211,7 +214,7 @@
         parsed.map(Arc::from).map_err(bad)
     }
 
-    /// Lets the call through after the delay in force, or answers what stops it.
+    /// Admits the call after the injected delay; the error is the reply to a refused call.
     async fn admit(&self, kind: CallKind) -> Result<(), HttpReply> {
         match self.store.admit(kind, ClockTime::now()) {
             GateDecision::Pass(delay) if delay.is_zero() => Ok(()),
@@ -220,26 +223,28 @@
                 Ok(())
             }
             GateDecision::OutOfService => Err(self.out_of_service()),
-            GateDecision::OverRate(wait) => Err(self.over_rate(wait)),
-            GateDecision::Lose => Err(HttpReply::broken()),
+            GateDecision::RateLimited(wait) => Err(self.rate_limited(wait)),
+            GateDecision::Disconnect => Err(HttpReply::disconnect()),
         }
     }
 
-    fn over_rate(&self, wait: Duration) -> HttpReply {
+    fn rate_limited(&self, wait: Duration) -> HttpReply {
         let millis = wait.as_millis() as u64 + 1;
-        let fault = HttpReply::fault(Status::TooManyRequests, "over the rate, nothing done");
-        fault.at_revision(self.store.revision()).retry_after_ms(millis)
+        let reply = HttpReply::error(Status::TooManyRequests, "rate limit exceeded; nothing done");
+        reply.at_revision(self.store.revision()).retry_after_ms(millis)
     }
 
-    fn written(&self, outcome: WriteOutcome, revision: StoreRevision) -> HttpReply {
+    fn write_reply(&self, outcome: WriteOutcome, revision: StoreRevision) -> HttpReply {
         let reply = match outcome {
-            WriteOutcome::Applied(_) if self.store.loses_answer() => return HttpReply::broken(),
+            WriteOutcome::Applied(_) if self.store.drops_answer() => {
+                return HttpReply::disconnect();
+            }
             WriteOutcome::Applied(version) => HttpReply::json(Status::Ok, &VersionBody { version }),
             WriteOutcome::Conflict(version) => {
                 self.store.count_conflict();
                 HttpReply::json(Status::Conflict, &VersionBody { version })
             }
-            WriteOutcome::Missing => HttpReply::fault(Status::NotFound, "nothing to delete"),
+            WriteOutcome::Missing => HttpReply::error(Status::NotFound, "the object doesn't exist"),
         };
         reply.at_revision(revision)
     }
--- a/crates/sagespool-testkit/src/object_api/faults.rs
+++ b/crates/sagespool-testkit/src/object_api/faults.rs
@@ -1,33 +1,33 @@
-//! What can be wrong with the store, and how fast it may be called.
+//! Injected faults and rate limits of the object store.
 
 use std::time::Duration;
 
 use bon::Builder;
 use sagespool_types::{ClockTime, RequestRate};
 
-/// What is wrong with the store from now on; the default is nothing.
+/// Injected faults; the default is none.
 #[derive(Debug, Clone, PartialEq, Default, Builder)]
 pub struct StoreFaults {
-    /// Every call is answered 503 and nothing is done; waiting watches end so, too.
+    /// Answers every call 503 without effect; also ends waiting watches.
     #[builder(default)]
     pub outage: bool,
-    /// Each call waits so long before it takes effect, also when its caller has gone meanwhile.
+    /// Delay before a call takes effect; it does so even if its caller has disconnected meanwhile.
     #[builder(default)]
     pub delay: Duration,
-    /// Share, 0 to 1, of the calls whose connection breaks before anything is done.
+    /// Share of the calls, 0 to 1, whose connection breaks before they take effect.
     #[builder(default)]
     pub lose_call_share: f64,
-    /// Share, 0 to 1, of the writes that take effect and whose connection then breaks
-    /// without an answer.
+    /// Share of the writes, 0 to 1, that take effect but whose connection then breaks without an
+    /// answer.
     #[builder(default)]
     pub lose_answer_share: f64,
-    /// Gets, lists and watches a second before 429; none means no limit.
+    /// Limit of gets, lists and watches, above which calls are answered 429; none: no limit.
     pub reads_per_second: Option<RequestRate>,
-    /// Puts and deletes a second before 429; none means no limit.
+    /// Limit of puts and deletes, above which calls are answered 429; none: no limit.
     pub writes_per_second: Option<RequestRate>,
 }
 
-/// Lets calls through up to a rate, with a burst of at most one second's worth.
+/// A token bucket with a burst of one second's calls.
 #[derive(Debug, Clone)]
 pub(super) struct RateBucket {
     rate: RequestRate,
@@ -40,7 +40,7 @@
         Self { rate, left: rate.0 as f64, filled_at: now }
     }
 
-    /// Takes one call, or says in how long the next one is due.
+    /// Takes one token; the error is the time until the next one is available.
     pub(super) fn take(&mut self, now: ClockTime) -> Result<(), Duration> {
         self.fill(now);
         if self.left >= 1.0 {
--- a/crates/sagespool-testkit/src/object_api/gate.rs
+++ b/crates/sagespool-testkit/src/object_api/gate.rs
@@ -1,4 +1,4 @@
-//! Decides for each call whether it comes through, before it touches an object.
+//! Admission of calls, before they access an object.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use super::faults::{RateBucket, StoreFaults};
 use super::records::StoreCounts;
 
-/// The kinds of calls, as they are counted.
+/// Call types, each with its own counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CallKind {
     Get,
@@ -23,20 +23,20 @@
     }
 }
 
-/// What happens to a call at the door.
+/// The admission decision for a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum GateDecision {
-    /// It takes effect after this delay.
+    /// Proceed after this delay.
     Pass(Duration),
-    /// It is answered 503.
+    /// Answer 503.
     OutOfService,
-    /// It is answered 429; the next call is due in this time.
-    OverRate(Duration),
-    /// Its connection breaks.
-    Lose,
+    /// Answer 429; a token is available after this time.
+    RateLimited(Duration),
+    /// Break the connection.
+    Disconnect,
 }
 
-/// The faults in force, the rate limits and the counters.
+/// The injected faults, the rate limits and the counters.
 pub(super) struct CallGate {
     faults: StoreFaults,
     reads: Option<RateBucket>,
@@ -59,7 +59,7 @@
         gate
     }
 
-    /// Puts other faults in force. A rate that stays the same keeps what is used of it.
+    /// Replaces the faults. A rate limit that does not change keeps its bucket.
     pub(super) fn set_faults(&mut self, faults: StoreFaults, now: ClockTime) {
         let bucket = |rate: RequestRate| RateBucket::new(rate, now);
         if faults.reads_per_second != self.faults.reads_per_second {
@@ -75,7 +75,7 @@
         &self.faults
     }
 
-    /// From now on every call is out of service.
+    /// Answers all later calls 503.
     pub(super) fn stop(&mut self) {
         self.stopping = true;
     }
@@ -84,7 +84,7 @@
         !self.stopping && !self.faults.outage
     }
 
-    /// Counts a call and decides what happens to it.
+    /// Counts a call and decides whether it is admitted.
     pub(super) fn admit(&mut self, kind: CallKind, now: ClockTime) -> GateDecision {
         self.count(kind);
         if !self.is_serving() {
@@ -93,18 +93,18 @@
         }
         if let Err(wait) = self.take_rate(kind, now) {
             self.counts.over_rate += 1;
-            return GateDecision::OverRate(wait);
+            return GateDecision::RateLimited(wait);
         }
-        if happens(self.faults.lose_call_share) {
+        if with_probability(self.faults.lose_call_share) {
             self.counts.lost_calls += 1;
-            return GateDecision::Lose;
+            return GateDecision::Disconnect;
         }
         GateDecision::Pass(self.faults.delay)
     }
 
-    /// Whether the answer of a write that took effect is lost.
-    pub(super) fn loses_answer(&mut self) -> bool {
-        let loses = happens(self.faults.lose_answer_share);
+    /// Decides whether the answer of a write that took effect is lost, and counts it.
+    pub(super) fn drops_answer(&mut self) -> bool {
+        let loses = with_probability(self.faults.lose_answer_share);
         self.counts.lost_answers += u64::from(loses);
         loses
     }
@@ -126,6 +126,6 @@
     }
 }
 
-fn happens(share: f64) -> bool {
+fn with_probability(share: f64) -> bool {
     share > 0.0 && fastrand::f64() < share
 }
--- a/crates/sagespool-testkit/src/object_api/records.rs
+++ b/crates/sagespool-testkit/src/object_api/records.rs
@@ -1,4 +1,4 @@
-//! What the store holds, as calls answer it and as tests read it.
+//! Objects, writes and counters of the store.
 
 use std::sync::Arc;
 
@@ -7,62 +7,62 @@
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
 
-/// An object as it stands in the store.
+/// A stored object.
 #[derive(Debug, Clone, Serialize)]
-pub struct HeldObject {
+pub struct StoredObject {
     /// Its key.
     pub key: Arc<str>,
-    /// The revision of its last change.
+    /// Revision of the last change.
     pub version: StoreRevision,
-    /// Its JSON document, as it was put.
+    /// The JSON document, byte for byte as it was put.
     pub value: Arc<RawValue>,
 }
 
-impl HeldObject {
-    /// The document as a typed value.
+impl StoredObject {
+    /// Deserializes the document.
     pub fn parse<T: DeserializeOwned>(&self) -> Result<T, serde_json::Error> {
         serde_json::from_str(self.value.get())
     }
 }
 
-/// The newest change of one key.
+/// The newest change of a key.
 #[derive(Debug, Clone, Serialize)]
 pub(super) struct ObjectChange {
     pub(super) key: Arc<str>,
     pub(super) version: StoreRevision,
-    /// None for a deleted object.
+    /// None if the object was deleted.
     pub(super) value: Option<Arc<RawValue>>,
 }
 
-/// A write that took effect, whether or not its answer arrived.
+/// A write that took effect, whether or not it was acknowledged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AppliedWrite {
-    /// The revision that it made.
+    /// Revision that the write created.
     pub revision: StoreRevision,
-    /// The object that it changed.
+    /// Key of the written object.
     pub key: Arc<str>,
-    /// The size of the new document; zero for a deletion.
+    /// Size of the new document; zero for a deletion.
     pub size: ByteCount,
-    /// When it took effect, on this process's clock.
+    /// When it took effect, by the clock of the fake's process.
     pub at: ClockTime,
 }
 
-/// Calls since the start, by kind and by what became of them.
+/// Numbers of calls since the start, by type and outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct StoreCounts {
     /// Reads of one object.
     pub gets: u64,
     /// Reads of a prefix.
     pub lists: u64,
-    /// Puts, whatever their answer.
+    /// Puts, with any outcome.
     pub puts: u64,
-    /// Deletions, whatever their answer.
+    /// Deletions, with any outcome.
     pub deletes: u64,
-    /// Watches that were begun.
+    /// Watches started.
     pub watches: u64,
-    /// Watches that wait at this moment.
+    /// Watches that wait now.
     pub waiting_watches: u64,
-    /// The most watches that ever waited at once.
+    /// Highest number of watches that waited at the same time.
     pub most_waiting_watches: u64,
     /// Conditional writes answered 409.
     pub conflicts: u64,
@@ -72,6 +72,6 @@
     pub out_of_service: u64,
     /// Calls whose connection was broken before they took effect.
     pub lost_calls: u64,
-    /// Writes that took effect without an answer.
+    /// Writes that took effect but were not answered.
     pub lost_answers: u64,
 }
--- a/crates/sagespool-testkit/src/object_api/shared.rs
+++ b/crates/sagespool-testkit/src/object_api/shared.rs
@@ -1,4 +1,4 @@
-//! The store as all its calls share it.
+//! The store's state, shared by all calls.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
@@ -13,8 +13,7 @@
 use super::records::{ObjectChange, StoreCounts};
 use super::state::{StoreState, WatchOutcome};
 
-/// The objects under one lock, the gate before them under another. Neither is
-/// held while the other is taken.
+/// The objects and the admission state, under one lock each. A thread never holds both.
 pub(super) struct SharedStore {
     state: Mutex<StoreState>,
     gate: Mutex<CallGate>,
@@ -40,13 +39,13 @@
         self.state().revision()
     }
 
-    /// A read, and the revision at which it was made.
+    /// Reads the state; also returns the revision at that point.
     pub(super) fn read<T>(&self, read: impl FnOnce(&StoreState) -> T) -> (T, StoreRevision) {
         let state = self.state();
         (read(&state), state.revision())
     }
 
-    /// A write, and the revision after it.
+    /// Changes the state; also returns the revision after the change.
     pub(super) fn write<T>(&self, write: impl FnOnce(&mut StoreState) -> T) -> (T, StoreRevision) {
         let mut state = self.state();
         let outcome = write(&mut state);
@@ -57,8 +56,8 @@
         self.gate().admit(kind, now)
     }
 
-    pub(super) fn loses_answer(&self) -> bool {
-        self.gate().loses_answer()
+    pub(super) fn drops_answer(&self) -> bool {
+        self.gate().drops_answer()
     }
 
     pub(super) fn count_conflict(&self) {
@@ -78,7 +77,7 @@
         self.state().wake_all();
     }
 
-    /// From now on every call is out of service, and no watch waits.
+    /// Answers all later calls 503 and wakes all waiting watches.
     pub(super) fn stop(&self) {
         self.gate().stop();
         self.state().wake_all();
@@ -93,15 +92,15 @@
     }
 }
 
-/// A watch that waits, until it is dropped.
-pub(super) struct WaitingGuard {
+/// A registered watch; dropping it removes the registration.
+pub(super) struct WatchGuard {
     store: Arc<SharedStore>,
     number: u64,
     woken: Receiver<()>,
 }
 
-impl WaitingGuard {
-    /// Returns at the next change under the prefix, or after this time.
+impl WatchGuard {
+    /// Returns at the next change under the prefix or after this time.
     pub(super) async fn woken_within(&self, time: Duration) {
         let woken = async {
             let _ = self.woken.recv().await;
@@ -113,35 +112,35 @@
     }
 }
 
-impl Drop for WaitingGuard {
+impl Drop for WatchGuard {
     fn drop(&mut self) {
-        self.store.state().leave_watch(self.number);
+        self.store.state().remove_watch(self.number);
     }
 }
 
-/// What a watch sees when it looks.
-pub(super) enum WatchLook {
-    /// These changes came after its revision.
+/// The result of checking a watch.
+pub(super) enum WatchPoll {
+    /// Changes after the watch's revision.
     Changed(Vec<ObjectChange>),
-    /// Changes after its revision are forgotten already.
-    HistoryGone,
-    /// Nothing yet: it has entered and is woken by the next change.
-    Waiting(WaitingGuard),
+    /// The history no longer covers the watch's revision.
+    HistoryTrimmed,
+    /// No change yet; the watch is registered and woken by the next change.
+    Waiting(WatchGuard),
 }
 
-impl WatchLook {
-    /// Looks, and enters under the same lock, so that no change falls between the two.
-    pub(super) fn take(
+impl WatchPoll {
+    /// Checks and registers under one lock, so that no change is missed in between.
+    pub(super) fn start(
         store: &Arc<SharedStore>,
         prefix: &str,
         after: StoreRevision,
     ) -> (Self, StoreRevision) {
         store.write(|state| match state.changes(prefix, after) {
-            WatchOutcome::HistoryGone => Self::HistoryGone,
+            WatchOutcome::HistoryTrimmed => Self::HistoryTrimmed,
             WatchOutcome::Changes(changes) if !changes.is_empty() => Self::Changed(changes),
             WatchOutcome::Changes(_) => {
-                let (number, woken) = state.enter_watch(prefix);
-                Self::Waiting(WaitingGuard { store: store.clone(), number, woken })
+                let (number, woken) = state.add_watch(prefix);
+                Self::Waiting(WatchGuard { store: store.clone(), number, woken })
             }
         })
     }
--- a/crates/sagespool-testkit/src/object_api/state.rs
+++ b/crates/sagespool-testkit/src/object_api/state.rs
@@ -1,4 +1,4 @@
-//! The store's objects, their history and who watches them.
+//! The store's objects, change history and registered watches.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Bound;
@@ -8,26 +8,26 @@
 use sagespool_types::{ByteCount, ClockTime, StoreRevision};
 use serde_json::value::RawValue;
 
-use super::records::{AppliedWrite, HeldObject, ObjectChange};
+use super::records::{AppliedWrite, ObjectChange, StoredObject};
 
-/// How a write ended.
+/// The outcome of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum WriteOutcome {
-    /// It took effect and made this version.
+    /// The write took effect and created this version.
     Applied(StoreRevision),
-    /// The object is at this version instead; zero if there is none.
+    /// The object has this version instead; zero if it doesn't exist.
     Conflict(StoreRevision),
-    /// There is nothing to delete.
+    /// The object to delete doesn't exist.
     Missing,
 }
 
-/// What a watch finds.
+/// The changes that a watch finds.
 #[derive(Debug)]
 pub(super) enum WatchOutcome {
-    /// These changes came after its revision; may be none.
+    /// Changes after the watch's revision, possibly none.
     Changes(Vec<ObjectChange>),
-    /// Changes after its revision are forgotten already.
-    HistoryGone,
+    /// The history no longer covers the watch's revision.
+    HistoryTrimmed,
 }
 
 struct WaitingWatch {
@@ -36,14 +36,14 @@
     wake: Sender<()>,
 }
 
-/// Everything the store knows. One revision counts over all objects, so they share one lock.
+/// The state of the store. It has a single lock because one revision counts all objects' writes.
 pub(super) struct StoreState {
     revision: StoreRevision,
-    objects: BTreeMap<Arc<str>, HeldObject>,
+    objects: BTreeMap<Arc<str>, StoredObject>,
     history: VecDeque<(StoreRevision, Arc<str>)>,
     history_limit: usize,
-    /// The newest revision that the history no longer holds.
-    forgotten: StoreRevision,
+    /// The newest revision that was trimmed from the history.
+    trimmed_through: StoreRevision,
     writes: Vec<AppliedWrite>,
     waiting: Vec<WaitingWatch>,
     watch_number: u64,
@@ -57,7 +57,7 @@
             objects: BTreeMap::new(),
             history: VecDeque::new(),
             history_limit,
-            forgotten: StoreRevision::ZERO,
+            trimmed_through: StoreRevision::ZERO,
             writes: Vec::new(),
             waiting: Vec::new(),
             watch_number: 0,
@@ -73,12 +73,12 @@
         &self.writes
     }
 
-    pub(super) fn get(&self, key: &str) -> Option<HeldObject> {
+    pub(super) fn get(&self, key: &str) -> Option<StoredObject> {
         self.objects.get(key).cloned()
     }
 
-    /// The objects of a prefix, sorted by key.
-    pub(super) fn list(&self, prefix: &str) -> Vec<HeldObject> {
+    /// The objects under a prefix, sorted by key.
+    pub(super) fn list(&self, prefix: &str) -> Vec<StoredObject> {
         let from = (Bound::Included(prefix), Bound::Unbounded);
         self.objects
             .range::<str, _>(from)
@@ -87,7 +87,7 @@
             .collect()
     }
 
-    /// Puts a document if the object is at the expected version.
+    /// Puts a document if the object has the expected version.
     pub(super) fn put(
         &mut self,
         key: &str,
@@ -102,12 +102,12 @@
         let size = ByteCount(value.get().len() as u64);
         let key: Arc<str> = key.into();
         let version = self.record_write(&key, size, now);
-        let object = HeldObject { key: key.clone(), version, value };
+        let object = StoredObject { key: key.clone(), version, value };
         self.objects.insert(key, object);
         WriteOutcome::Applied(version)
     }
 
-    /// Deletes an object if it is at the expected version.
+    /// Deletes an object if it has the expected version.
     pub(super) fn delete(
         &mut self,
         key: &str,
@@ -143,14 +143,14 @@
     fn trim_history(&mut self) {
         while self.history.len() > self.history_limit {
             let Some((revision, _)) = self.history.pop_front() else { return };
-            self.forgotten = revision;
+            self.trimmed_through = revision;
         }
     }
 
-    /// What changed under a prefix after a revision, the newest change of each key.
+    /// The newest change of each key under a prefix after a revision.
     pub(super) fn changes(&self, prefix: &str, after: StoreRevision) -> WatchOutcome {
-        if after < self.forgotten {
-            return WatchOutcome::HistoryGone;
+        if after < self.trimmed_through {
+            return WatchOutcome::HistoryTrimmed;
         }
         let newer = self.history.partition_point(|(revision, _)| *revision <= after);
         let mut seen = BTreeSet::new();
@@ -169,8 +169,8 @@
         ObjectChange { key: key.clone(), version, value }
     }
 
-    /// Enters a watch that waits; it is woken by the next change under its prefix.
-    pub(super) fn enter_watch(&mut self, prefix: &str) -> (u64, Receiver<()>) {
+    /// Registers a watch; it is woken by the next change under its prefix.
+    pub(super) fn add_watch(&mut self, prefix: &str) -> (u64, Receiver<()>) {
         let (wake, woken) = async_channel::bounded(1);
         self.watch_number += 1;
         let number = self.watch_number;
@@ -179,7 +179,7 @@
         (number, woken)
     }
 
-    pub(super) fn leave_watch(&mut self, number: u64) {
+    pub(super) fn remove_watch(&mut self, number: u64) {
         self.waiting.retain(|watch| watch.number != number);
     }
 
@@ -192,14 +192,14 @@
     }
 
     fn wake_watches(&self, key: &str) {
-        let concerned = self.waiting.iter().filter(|watch| key.starts_with(&watch.prefix));
-        for watch in concerned {
-            // A full channel means that the watch is woken already.
+        let matching = self.waiting.iter().filter(|watch| key.starts_with(&watch.prefix));
+        for watch in matching {
+            // A full channel means that the watch has been woken already.
             let _ = watch.wake.try_send(());
         }
     }
 
-    /// Wakes every watch, so that each looks whether the store still serves.
+    /// Wakes every watch, so that it checks whether the store is still available.
     pub(super) fn wake_all(&self) {
         for watch in &self.waiting {
             let _ = watch.wake.try_send(());
--- a/crates/sagespool-testkit/src/plain_service/http.rs
+++ b/crates/sagespool-testkit/src/plain_service/http.rs
@@ -10,12 +10,14 @@
 use trillium_router::Router;
 
 use super::{FailureShares, ServiceLoad, ServiceShared, service_answer};
-use crate::crossing::OwnedAnswer;
+use crate::crossing::RequestAnswer;
 use crate::engine::is_poisonous;
-use crate::fault_gate::{StandGone, StartNumber};
-use crate::http_answer::{answer_error, answer_json, attempt_of, header_text, with_owner};
+use crate::fault_gate::{ServerDown, StartNumber};
+use crate::http_answer::{
+    attempt_of, error_response, header_text, json_response, with_request_headers,
+};
 use crate::stand_server::{break_connection, lock};
-use crate::witness::{RunEnd, RunMarker, RunStart, RunTally};
+use crate::witness::{RunEnd, RunMarker, RunRecorder, RunStart};
 
 /// One call of one start of a service.
 #[derive(Clone)]
@@ -37,7 +39,9 @@
         async move {
             match call.answer(conn).await {
                 Ok(conn) => conn,
-                Err(conn) => answer_error(conn, Status::ServiceUnavailable, "the service is down"),
+                Err(conn) => {
+                    error_response(conn, Status::ServiceUnavailable, "the service is down")
+                }
             }
         }
     };
@@ -45,23 +49,23 @@
 }
 
 async fn healthz(call: ServiceCall, conn: Conn) -> Conn {
-    match call.service.gate.pass(call.start).await {
-        Ok(()) => answer_json(conn, Status::Ok, &json!({})),
-        Err(StandGone) => answer_error(conn, Status::ServiceUnavailable, "the service is down"),
+    match call.service.gate.wait_open(call.start).await {
+        Ok(()) => json_response(conn, Status::Ok, &json!({})),
+        Err(ServerDown) => error_response(conn, Status::ServiceUnavailable, "the service is down"),
     }
 }
 
 async fn load(call: ServiceCall, conn: Conn) -> Conn {
-    if call.service.gate.pass(call.start).await.is_err() {
-        return answer_error(conn, Status::ServiceUnavailable, "the service is down");
+    if call.service.gate.wait_open(call.start).await.is_err() {
+        return error_response(conn, Status::ServiceUnavailable, "the service is down");
     }
-    let (number, load) = call.service.load_seen();
+    let (number, load) = call.service.reported_load();
     let ServiceLoad { running, waiting, capacity } = load;
     let report = json!({
         "start": call.start, "number": number,
         "running": running, "waiting": waiting, "capacity": capacity,
     });
-    answer_json(conn, Status::Ok, &report)
+    json_response(conn, Status::Ok, &report)
 }
 
 /// What a call's run ended in.
@@ -78,11 +82,11 @@
     /// Runs a call; the error is its connection, if the service crashed meanwhile.
     async fn answer(&self, mut conn: Conn) -> Result<Conn, Conn> {
         let arrived_at = ClockTime::now();
-        if self.service.gate.pass(self.start).await.is_err() {
+        if self.service.gate.wait_open(self.start).await.is_err() {
             return Err(conn);
         }
         let Ok(body) = conn.request_body().read_bytes().await else {
-            return Ok(answer_error(conn, Status::BadRequest, "the body could not be read"));
+            return Ok(error_response(conn, Status::BadRequest, "the body could not be read"));
         };
         let path = conn.path_and_query().to_owned();
         let poisonous = is_poisonous(&path) || is_poisonous(&String::from_utf8_lossy(&body));
@@ -99,52 +103,52 @@
         };
         match self.run(start, poisonous).await {
             Ok(CallOutcome::Failed) => {
-                Ok(answer_error(conn, Status::InternalServerError, "failed before it ran"))
+                Ok(error_response(conn, Status::InternalServerError, "failed before it ran"))
             }
             Ok(CallOutcome::Unanswered) => {
                 break_connection(&conn);
                 Err(conn)
             }
             Ok(CallOutcome::Answered) => {
-                let own = OwnedAnswer {
+                let own = RequestAnswer {
                     request: header_text(&conn, "x-request-id"),
                     attempt: attempt_of(&conn),
                     content: service_answer(&path, &body),
                 };
-                let answer = lock(&self.service.crossed).answer_for(own);
-                let conn = with_owner(conn, &answer)
+                let answer = lock(&self.service.mixed_answers).answer_for(own);
+                let conn = with_request_headers(conn, &answer)
                     .with_status(Status::Ok)
                     .with_response_header(KnownHeaderName::ContentType, "application/json")
                     .with_body(answer.content);
                 Ok(conn.halt())
             }
-            Err(StandGone) => Err(conn),
+            Err(ServerDown) => Err(conn),
         }
     }
 
-    async fn run(&self, start: RunStart, poisonous: bool) -> Result<CallOutcome, StandGone> {
+    async fn run(&self, start: RunStart, poisonous: bool) -> Result<CallOutcome, ServerDown> {
         let service = &self.service;
         let waiting = LoadGuard::new(service, |load| &mut load.waiting);
-        let gone = async { Err(service.gate.ended(self.start).await) };
+        let down = async { Err(service.gate.wait_end(self.start).await) };
         let slot = async { Ok(service.slots.acquire().await) };
-        let _slot = future::or(slot, gone).await?;
+        let _slot = future::or(slot, down).await?;
         drop(waiting);
         let _running = LoadGuard::new(service, |load| &mut load.running);
-        if service.rolls(|shares: &FailureShares| shares.before_running) {
+        if service.next_call_fails(|shares: &FailureShares| shares.before_running) {
             return Ok(CallOutcome::Failed);
         }
-        let tally = self.begin(start)?;
+        let recorder = self.start_run(start)?;
         if poisonous {
             service.crash(Some(self.start));
             service.restart_later(self.start);
-            return Err(StandGone);
+            return Err(ServerDown);
         }
         let latency = lock(&service.state).latency;
         service.gate.delay(self.start, latency).await?;
-        service.gate.pass(self.start).await?;
-        let answered = !service.rolls(|shares: &FailureShares| shares.after_running);
+        service.gate.wait_open(self.start).await?;
+        let answered = !service.next_call_fails(|shares: &FailureShares| shares.after_running);
         let end = if answered { RunEnd::Finished } else { RunEnd::Unanswered };
-        self.end(&tally, end);
+        self.end_run(&recorder, end);
         match answered {
             true => Ok(CallOutcome::Answered),
             false => Ok(CallOutcome::Unanswered),
@@ -152,21 +156,21 @@
     }
 
     /// Notes a run, unless the service crashed: the call then never runs.
-    fn begin(&self, start: RunStart) -> Result<RunTally, StandGone> {
+    fn start_run(&self, start: RunStart) -> Result<RunRecorder, ServerDown> {
         let service = &self.service;
         let mut state = lock(&service.state);
         if service.gate.start() != Some(self.start) {
-            return Err(StandGone);
+            return Err(ServerDown);
         }
-        let tally = service.options.run_log.start(start, ClockTime::now());
-        state.running.insert(tally.number(), tally.clone());
-        Ok(tally)
+        let recorder = service.options.run_log.start(start, ClockTime::now());
+        state.running.insert(recorder.number(), recorder.clone());
+        Ok(recorder)
     }
 
-    fn end(&self, tally: &RunTally, end: RunEnd) {
+    fn end_run(&self, recorder: &RunRecorder, end: RunEnd) {
         let mut state = lock(&self.service.state);
-        state.running.remove(&tally.number());
-        tally.end(end, ClockTime::now());
+        state.running.remove(&recorder.number());
+        recorder.end(end, ClockTime::now());
     }
 }
 
--- a/crates/sagespool-testkit/src/plain_service/mod.rs
+++ b/crates/sagespool-testkit/src/plain_service/mod.rs
@@ -13,11 +13,11 @@
 use serde_json::json;
 use twox_hash::XxHash3_64;
 
-use crate::crossing::CrossedAnswers;
+use crate::crossing::MixedAnswers;
 use crate::fault_gate::{FaultGate, StartNumber};
 use crate::lagged::LaggedState;
-use crate::stand_server::{ListenError, StandServer, do_later, lock};
-use crate::witness::{RunEnd, RunLog, RunMarker, RunRecord, RunTally};
+use crate::stand_server::{ListenError, RestartableServer, lock, run_after};
+use crate::witness::{RunEnd, RunLog, RunMarker, RunRecord, RunRecorder};
 
 /// How a service stand behaves.
 #[derive(Clone, Builder)]
@@ -91,11 +91,11 @@
 
 struct ServiceShared {
     options: ServiceOptions,
-    server: StandServer,
+    server: RestartableServer,
     gate: FaultGate,
     slots: async_lock::Semaphore,
     state: Mutex<ServiceState>,
-    crossed: Mutex<CrossedAnswers<String>>,
+    mixed_answers: Mutex<MixedAnswers<String>>,
 }
 
 struct ServiceState {
@@ -104,7 +104,7 @@
     random: fastrand::Rng,
     present: ServiceLoad,
     load: LaggedState<ServiceLoad>,
-    running: BTreeMap<u64, RunTally>,
+    running: BTreeMap<u64, RunRecorder>,
 }
 
 impl FakeService {
@@ -124,11 +124,11 @@
             running: BTreeMap::new(),
         };
         let shared = Arc::new(ServiceShared {
-            server: StandServer::reserve()?,
+            server: RestartableServer::reserve()?,
             gate: FaultGate::new(),
             slots: async_lock::Semaphore::new(options.capacity),
             state: Mutex::new(state),
-            crossed: Mutex::default(),
+            mixed_answers: Mutex::default(),
             options,
         });
         shared.restart()?;
@@ -207,7 +207,7 @@
 
     /// From now on gives each call the answer to the call before it, as that one's, or ends that.
     pub fn set_mixed_answers(&self, on: bool) {
-        lock(&self.shared().crossed).set(on);
+        lock(&self.shared().mixed_answers).set(on);
     }
 
     fn shared(&self) -> &Arc<ServiceShared> {
@@ -238,8 +238,8 @@
         // First the log, as a caller that sees its connection break may send its call again
         // at once: the log must not show two runs at a time where there was one.
         let now = ClockTime::now();
-        for tally in std::mem::take(&mut state.running).into_values() {
-            tally.end(RunEnd::Crashed, now);
+        for recorder in std::mem::take(&mut state.running).into_values() {
+            recorder.end(RunEnd::Crashed, now);
         }
         self.server.stop();
     }
@@ -249,27 +249,27 @@
         let Some(time) = self.options.restart_after else {
             return;
         };
-        let restart = move |stand: &Arc<Self>| {
-            if stand.gate.newest_start() == crashed {
-                stand.restart().expect("the port is held for this stand");
+        let restart = move |shared: &Arc<Self>| {
+            if shared.gate.newest_start() == crashed {
+                shared.restart().expect("the port is held for this stand");
             }
         };
-        do_later(self, time, restart);
+        run_after(self, time, restart);
     }
 
     fn change_load(&self, change: impl FnOnce(&mut ServiceLoad)) {
         let mut state = lock(&self.state);
         change(&mut state.present);
         let present = state.present;
-        state.load.note(present, ClockTime::now());
+        state.load.record(present, ClockTime::now());
     }
 
-    fn load_seen(&self) -> (u64, ServiceLoad) {
-        lock(&self.state).load.seen(ClockTime::now())
+    fn reported_load(&self) -> (u64, ServiceLoad) {
+        lock(&self.state).load.visible(ClockTime::now())
     }
 
     /// Whether the next call is among those that fail.
-    fn rolls(&self, share_of: impl Fn(&FailureShares) -> f64) -> bool {
+    fn next_call_fails(&self, share_of: impl Fn(&FailureShares) -> f64) -> bool {
         let mut state = lock(&self.state);
         let share = share_of(&state.failures);
         state.random.f64() < share
--- a/crates/sagespool-testkit/src/processes.rs
+++ b/crates/sagespool-testkit/src/processes.rs
@@ -36,7 +36,7 @@
 pub use usage::ProcessUsage;
 
 /// How often `wait` looks.
-const LOOK_PAUSE: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// What could not be done with a process.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -55,11 +55,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NotStarted(program) => {
-                write!(f, "{} does not start: is it built?", program.display())
+                write!(f, "cannot start {}; check that it is built", program.display())
             }
             Self::Ended(status) => write!(f, "the process has ended already: {status}"),
             Self::StillRunning(limit) => write!(f, "the process still runs after {limit:?}"),
-            Self::Refused(wish) => write!(f, "the system does not {wish} the process"),
+            Self::Refused(action) => write!(f, "cannot {action} the process"),
         }
     }
 }
@@ -160,7 +160,7 @@
             if started.elapsed() >= limit {
                 return Err(Report::new(ProcessError::StillRunning(limit)));
             }
-            thread::sleep(LOOK_PAUSE);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
@@ -172,12 +172,12 @@
         ProcessUsage::read(self.id()).change_context(ProcessError::Refused("measure"))
     }
 
-    fn signal(&self, signal: Signal, wish: &'static str) -> Result<(), Report<ProcessError>> {
+    fn signal(&self, signal: Signal, action: &'static str) -> Result<(), Report<ProcessError>> {
         // A process that has ended is still a child until it is waited for,
         // under this lock: no other process can have its id by now.
         let mut child = self.child();
         check_running(&mut child)?;
-        kill_process(self.id, signal).change_context(ProcessError::Refused(wish))
+        kill_process(self.id, signal).change_context(ProcessError::Refused(action))
     }
 
     fn child(&self) -> MutexGuard<'_, Child> {
--- a/crates/sagespool-testkit/src/proxy.rs
+++ b/crates/sagespool-testkit/src/proxy.rs
@@ -15,8 +15,8 @@
 //! # Ok::<(), error_stack::Report<sagespool_testkit::StartError>>(())
 //! ```
 
-mod delay_line;
-mod fate;
+mod delay_queue;
+mod packet_action;
 mod table;
 mod tcp;
 mod threads;
@@ -29,7 +29,7 @@
 use error_stack::Report;
 
 use crate::loopback_server::StartError;
-use delay_line::DelayLine;
+use delay_queue::DelayQueue;
 use table::FaultTable;
 use tcp::TcpLink;
 use threads::ProxyThreads;
@@ -41,7 +41,7 @@
 pub struct FaultProxy {
     table: Arc<FaultTable>,
     senders: Arc<SenderTable>,
-    delay_line: DelayLine,
+    delay_queue: DelayQueue,
     threads: ProxyThreads,
 }
 
@@ -49,8 +49,8 @@
     /// Starts without links on threads of its own.
     pub fn start() -> Result<Self, Report<StartError>> {
         let threads = ProxyThreads::start()?;
-        let delay_line = DelayLine::start(&threads.spawner());
-        Ok(Self { table: Arc::default(), senders: Arc::default(), delay_line, threads })
+        let delay_queue = DelayQueue::start(&threads.spawner());
+        Ok(Self { table: Arc::default(), senders: Arc::default(), delay_queue, threads })
     }
 
     /// A TCP link; returns the address at which `from` reaches `to`.
@@ -71,7 +71,7 @@
         UdpLink::start(
             &self.table,
             &self.senders,
-            &self.delay_line,
+            &self.delay_queue,
             &self.threads.spawner(),
             (to, target),
         )
--- a/crates/sagespool-testkit/src/proxy/delay_line.rs
+++ b/crates/sagespool-testkit/src/proxy/delay_queue.rs
@@ -39,22 +39,22 @@
     }
 }
 
-/// The entrance of the line; one line serves a whole proxy.
+/// The sender of the line; one line serves a whole proxy.
 #[derive(Clone)]
-pub(super) struct DelayLine {
-    entrance: Sender<DelayedPacket>,
+pub(super) struct DelayQueue {
+    sender: Sender<DelayedPacket>,
 }
 
-impl DelayLine {
+impl DelayQueue {
     pub(super) fn start(spawner: &TaskSpawner) -> Self {
-        let (entrance, arrivals) = async_channel::unbounded();
+        let (sender, arrivals) = async_channel::unbounded();
         spawner.spawn(deliver_when_due(arrivals));
-        Self { entrance }
+        Self { sender }
     }
 
-    pub(super) fn enter(&self, delayed: DelayedPacket) {
+    pub(super) fn push(&self, delayed: DelayedPacket) {
         // The line ends with the proxy, and then nothing arrives any more.
-        let _ = self.entrance.try_send(delayed);
+        let _ = self.sender.try_send(delayed);
     }
 }
 
@@ -63,31 +63,31 @@
     loop {
         let next_due = queue.peek().map(|Reverse(next): &Reverse<DelayedPacket>| next.due);
         match next_arrival(&arrivals, next_due).await {
-            LineEvent::Arrived(delayed) => queue.push(Reverse(delayed)),
-            LineEvent::Due => {}
-            LineEvent::Ended => return,
+            QueueEvent::Arrived(delayed) => queue.push(Reverse(delayed)),
+            QueueEvent::Due => {}
+            QueueEvent::Ended => return,
         }
         deliver_due(&mut queue, Instant::now());
     }
 }
 
-enum LineEvent {
+enum QueueEvent {
     Arrived(DelayedPacket),
     Due,
     Ended,
 }
 
-async fn next_arrival(arrivals: &Receiver<DelayedPacket>, due: Option<Instant>) -> LineEvent {
+async fn next_arrival(arrivals: &Receiver<DelayedPacket>, due: Option<Instant>) -> QueueEvent {
     let arrived = async {
         match arrivals.recv().await {
-            Ok(delayed) => LineEvent::Arrived(delayed),
-            Err(_) => LineEvent::Ended,
+            Ok(delayed) => QueueEvent::Arrived(delayed),
+            Err(_) => QueueEvent::Ended,
         }
     };
     let Some(due) = due else { return arrived.await };
     let passed = async {
         Timer::at(due).await;
-        LineEvent::Due
+        QueueEvent::Due
     };
     passed.or(arrived).await
 }
--- a/crates/sagespool-testkit/src/proxy/tcp.rs
+++ b/crates/sagespool-testkit/src/proxy/tcp.rs
@@ -19,7 +19,7 @@
 
 const CHUNK_BYTES: usize = 16 << 10;
 
-/// Chunks that one direction holds back at most before it stops reading.
+/// Chunks that one direction holds reverse at most before it stops reading.
 const QUEUED_CHUNKS: usize = 1024;
 
 /// The pause after a connection that could not be accepted.
@@ -29,8 +29,8 @@
 #[derive(Clone)]
 pub(super) struct TcpLink {
     table: Arc<FaultTable>,
-    there: Arc<DirectedPair>,
-    back: Arc<DirectedPair>,
+    forward: Arc<DirectedPair>,
+    reverse: Arc<DirectedPair>,
     target: SocketAddr,
 }
 
@@ -41,14 +41,14 @@
         (from, to): (&str, &str),
         target: SocketAddr,
     ) -> Result<SocketAddr, Report<StartError>> {
-        let failed = || StartError { stand: "a TCP link" };
+        let failed = || StartError { component: "a TCP link" };
         let listener =
             std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).change_context_lazy(failed)?;
         let address = listener.local_addr().change_context_lazy(failed)?;
         let listener = TcpListener::try_from(listener).change_context_lazy(failed)?;
-        let there = table.pair(from, to);
-        let back = table.pair(to, from);
-        let link = Self { table: table.clone(), there, back, target };
+        let forward = table.pair(from, to);
+        let reverse = table.pair(to, from);
+        let link = Self { table: table.clone(), forward, reverse, target };
         spawner.spawn(link.accept(listener, spawner.clone()));
         Ok(address)
     }
@@ -56,24 +56,24 @@
     async fn accept(self, listener: TcpListener, spawner: TaskSpawner) {
         loop {
             match listener.accept().await {
-                Ok((client, _)) => spawner.spawn(TcpCarrier::new(self.clone()).carry(client)),
+                Ok((client, _)) => spawner.spawn(TcpConnection::new(self.clone()).relay(client)),
                 Err(_) => drop(Timer::after(ACCEPT_PAUSE).await),
             }
         }
     }
 
     fn is_cut(&self) -> bool {
-        self.there.is_cut() || self.back.is_cut()
+        self.forward.is_cut() || self.reverse.is_cut()
     }
 
     fn breaks(&self) -> u64 {
-        self.there.breaks()
+        self.forward.breaks()
     }
 }
 
 /// How a connection, or one direction of it, ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum CarryEnd {
+enum RelayEnd {
     /// Both sides have said all they had to say.
     Finished,
     /// Both sides are to see a reset.
@@ -81,45 +81,45 @@
 }
 
 /// One connection.
-struct TcpCarrier {
+struct TcpConnection {
     link: TcpLink,
     breaks_before: u64,
     /// Set once a cut has swallowed something. From then on nothing more is
     /// delivered, also after the cut is healed: the receiver would see a
     /// stream with a hole and take it for whole. The connection stays silent
     /// during the cut and is reset when the cut is healed.
-    holed: AtomicBool,
+    lost_bytes: AtomicBool,
 }
 
-impl TcpCarrier {
+impl TcpConnection {
     fn new(link: TcpLink) -> Self {
         let breaks_before = link.breaks();
-        Self { link, breaks_before, holed: AtomicBool::new(false) }
+        Self { link, breaks_before, lost_bytes: AtomicBool::new(false) }
     }
 
-    async fn carry(self, client: TcpStream) {
+    async fn relay(self, client: TcpStream) {
         // The order matters: what the first has swallowed, the second sees in the same poll.
-        let end = self.carry_bytes(&client).or(self.reset_due()).await;
-        if end == CarryEnd::Reset {
+        let end = self.relay_bytes(&client).or(self.wait_reset()).await;
+        if end == RelayEnd::Reset {
             reset_on_close(&client);
         }
     }
 
-    async fn carry_bytes(&self, client: &TcpStream) -> CarryEnd {
-        if self.client_left_before_open(client).await {
-            return CarryEnd::Finished;
+    async fn relay_bytes(&self, client: &TcpStream) -> RelayEnd {
+        if self.closed_before_open(client).await {
+            return RelayEnd::Finished;
         }
-        if self.is_holed() {
-            return CarryEnd::Reset;
+        if self.has_lost_bytes() {
+            return RelayEnd::Reset;
         }
         let Ok(server) = TcpStream::connect(self.link.target).await else {
-            return CarryEnd::Reset;
+            return RelayEnd::Reset;
         };
         let guard = ResetGuard { stream: server.clone(), armed: true };
-        let there = self.carry_one_way(client.clone(), server.clone(), &self.link.there);
-        let back = self.carry_one_way(server, client.clone(), &self.link.back);
-        let end = finish_both(there, back).await;
-        if end == CarryEnd::Finished {
+        let forward = self.relay_one_way(client.clone(), server.clone(), &self.link.forward);
+        let reverse = self.relay_one_way(server, client.clone(), &self.link.reverse);
+        let end = finish_both(forward, reverse).await;
+        if end == RelayEnd::Finished {
             guard.disarm();
         }
         end
@@ -127,46 +127,46 @@
 
     /// While the link is cut, nothing reaches the target, not even the wish
     /// to connect. Returns true if the client went away meanwhile.
-    async fn client_left_before_open(&self, client: &TcpStream) -> bool {
+    async fn closed_before_open(&self, client: &TcpStream) -> bool {
         let open = async {
             self.wait_until(|| !self.link.is_cut()).await;
             false
         };
-        let swallow = async {
-            self.swallow(client.clone()).await;
+        let discard_input = async {
+            self.discard_input(client.clone()).await;
             true
         };
-        open.or(swallow).await
+        open.or(discard_input).await
     }
 
-    async fn swallow(&self, mut client: TcpStream) {
+    async fn discard_input(&self, mut client: TcpStream) {
         let mut buffer = vec![0; CHUNK_BYTES];
         loop {
             match client.read(&mut buffer).await {
                 Ok(0) | Err(_) => return,
                 Ok(length) => {
-                    self.link.there.count_entered(length);
-                    self.lose(length, &self.link.there);
+                    self.link.forward.count_entered(length);
+                    self.count_loss(length, &self.link.forward);
                 }
             }
         }
     }
 
-    async fn carry_one_way(&self, from: TcpStream, to: TcpStream, pair: &DirectedPair) -> CarryEnd {
+    async fn relay_one_way(&self, from: TcpStream, to: TcpStream, pair: &DirectedPair) -> RelayEnd {
         let _ = to.set_nodelay(true);
-        let (entrance, exit) = async_channel::bounded(QUEUED_CHUNKS);
+        let (sender, receiver) = async_channel::bounded(QUEUED_CHUNKS);
         let read = async {
-            self.read_chunks(from, &entrance, pair).await;
+            self.read_chunks(from, &sender, pair).await;
             // Keeps the channel open: the end comes through it as a chunk.
-            future::pending::<CarryEnd>().await
+            future::pending::<RelayEnd>().await
         };
-        read.or(self.write_chunks(to, exit, pair)).await
+        read.or(self.write_chunks(to, receiver, pair)).await
     }
 
     async fn read_chunks(
         &self,
         mut from: TcpStream,
-        entrance: &Sender<QueuedChunk>,
+        sender: &Sender<QueuedChunk>,
         pair: &DirectedPair,
     ) {
         let mut buffer = vec![0; CHUNK_BYTES];
@@ -180,9 +180,9 @@
             pair.count_entered(chunk.len());
             if self.passes(pair) {
                 let due = Instant::now() + pair.faults().delay;
-                let _ = entrance.send(QueuedChunk { due, chunk }).await;
+                let _ = sender.send(QueuedChunk { due, chunk }).await;
             } else {
-                self.lose(chunk.len(), pair);
+                self.count_loss(chunk.len(), pair);
             }
             if is_last {
                 return;
@@ -193,48 +193,48 @@
     async fn write_chunks(
         &self,
         mut to: TcpStream,
-        exit: Receiver<QueuedChunk>,
+        receiver: Receiver<QueuedChunk>,
         pair: &DirectedPair,
-    ) -> CarryEnd {
-        while let Ok(QueuedChunk { due, chunk }) = exit.recv().await {
+    ) -> RelayEnd {
+        while let Ok(QueuedChunk { due, chunk }) = receiver.recv().await {
             if due > Instant::now() {
                 Timer::at(due).await;
             }
             if !self.passes(pair) {
-                self.lose(chunk.len(), pair);
+                self.count_loss(chunk.len(), pair);
                 continue;
             }
             match write_chunk(&mut to, &chunk).await {
                 Ok(None) => pair.count_carried(chunk.len()),
                 Ok(Some(end)) => return end,
-                // The receiver is gone; the sender hears of it only if the way back is open.
-                Err(_) if self.link.is_cut() => self.lose(chunk.len(), pair),
-                Err(_) => return CarryEnd::Reset,
+                // The receiver is gone; the sender hears of it only if the way reverse is open.
+                Err(_) if self.link.is_cut() => self.count_loss(chunk.len(), pair),
+                Err(_) => return RelayEnd::Reset,
             }
         }
-        CarryEnd::Finished
+        RelayEnd::Finished
     }
 
     fn passes(&self, pair: &DirectedPair) -> bool {
-        !pair.is_cut() && !self.is_holed()
+        !pair.is_cut() && !self.has_lost_bytes()
     }
 
-    fn is_holed(&self) -> bool {
-        self.holed.load(Ordering::SeqCst)
+    fn has_lost_bytes(&self) -> bool {
+        self.lost_bytes.load(Ordering::SeqCst)
     }
 
-    fn lose(&self, bytes: usize, pair: &DirectedPair) {
+    fn count_loss(&self, bytes: usize, pair: &DirectedPair) {
         pair.count_lost(bytes);
-        self.holed.store(true, Ordering::SeqCst);
+        self.lost_bytes.store(true, Ordering::SeqCst);
     }
 
     /// Returns when the connection is to be reset: it was broken by order, or
     /// the cut that swallowed some of it is healed.
-    async fn reset_due(&self) -> CarryEnd {
+    async fn wait_reset(&self) -> RelayEnd {
         let is_broken = || self.link.breaks() != self.breaks_before;
-        let is_mended = || self.is_holed() && !self.link.is_cut();
-        self.wait_until(|| is_broken() || is_mended()).await;
-        CarryEnd::Reset
+        let is_healed = || self.has_lost_bytes() && !self.link.is_cut();
+        self.wait_until(|| is_broken() || is_healed()).await;
+        RelayEnd::Reset
     }
 
     async fn wait_until(&self, condition: impl Fn() -> bool) {
@@ -269,28 +269,28 @@
 }
 
 /// Writes a chunk; returns how the direction ends, if it does.
-async fn write_chunk(to: &mut TcpStream, chunk: &TcpChunk) -> io::Result<Option<CarryEnd>> {
+async fn write_chunk(to: &mut TcpStream, chunk: &TcpChunk) -> io::Result<Option<RelayEnd>> {
     match chunk {
         TcpChunk::Data(bytes) => to.write_all(bytes).await.map(|()| None),
-        TcpChunk::End => to.close().await.map(|()| Some(CarryEnd::Finished)),
-        TcpChunk::Reset => Ok(Some(CarryEnd::Reset)),
+        TcpChunk::End => to.close().await.map(|()| Some(RelayEnd::Finished)),
+        TcpChunk::Reset => Ok(Some(RelayEnd::Reset)),
     }
 }
 
 /// Returns when both directions are finished, or one of them ends with a reset.
 async fn finish_both(
-    there: impl Future<Output = CarryEnd>,
-    back: impl Future<Output = CarryEnd>,
-) -> CarryEnd {
+    forward: impl Future<Output = RelayEnd>,
+    reverse: impl Future<Output = RelayEnd>,
+) -> RelayEnd {
     let finished_or_error = |end| match end {
-        CarryEnd::Finished => Ok(()),
-        CarryEnd::Reset => Err(()),
+        RelayEnd::Finished => Ok(()),
+        RelayEnd::Reset => Err(()),
     };
-    let there = async { finished_or_error(there.await) };
-    let back = async { finished_or_error(back.await) };
-    match future::try_zip(there, back).await {
-        Ok(_) => CarryEnd::Finished,
-        Err(()) => CarryEnd::Reset,
+    let forward = async { finished_or_error(forward.await) };
+    let reverse = async { finished_or_error(reverse.await) };
+    match future::try_zip(forward, reverse).await {
+        Ok(_) => RelayEnd::Finished,
+        Err(()) => RelayEnd::Reset,
     }
 }
 
--- a/crates/sagespool-testkit/src/proxy/threads.rs
+++ b/crates/sagespool-testkit/src/proxy/threads.rs
@@ -50,7 +50,7 @@
         let _ = smol::block_on(executor.run(stopped.recv()));
     };
     let builder = thread::Builder::new().name("fault-proxy".to_owned());
-    builder.spawn(run).change_context(StartError { stand: "the fault proxy" })
+    builder.spawn(run).change_context(StartError { component: "the fault proxy" })
 }
 
 impl Drop for ProxyThreads {
--- a/crates/sagespool-testkit/src/proxy/udp.rs
+++ b/crates/sagespool-testkit/src/proxy/udp.rs
@@ -11,17 +11,17 @@
 use rustix::net::sockopt::set_socket_recv_buffer_size;
 use smol::Async;
 
-use super::delay_line::{DelayLine, DelayedPacket};
-use super::fate::packet_fate;
+use super::delay_queue::{DelayQueue, DelayedPacket};
+use super::packet_action::decide_packet;
 use super::table::{DirectedPair, FaultTable};
 use super::threads::TaskSpawner;
 use crate::loopback_server::StartError;
 
 /// The largest payload of a UDP packet, in bytes.
-const LARGEST_PACKET: usize = 65_535;
+const MAX_PACKET_BYTES: usize = 65_535;
 
 /// Room for bursts, in bytes; the system may grant less.
-const RECEIVE_BUFFER: usize = 4 << 20;
+const RECEIVE_BUFFER_BYTES: usize = 4 << 20;
 
 /// Which process sends from which address.
 #[derive(Debug, Default)]
@@ -73,115 +73,115 @@
 pub(super) struct UdpLink {
     table: Arc<FaultTable>,
     senders: Arc<SenderTable>,
-    delay_line: DelayLine,
+    delay_queue: DelayQueue,
     spawner: TaskSpawner,
     to: Arc<str>,
     target: SocketAddr,
-    entrance: Arc<Async<UdpSocket>>,
+    ingress: Arc<Async<UdpSocket>>,
 }
 
 impl UdpLink {
     pub(super) fn start(
         table: &Arc<FaultTable>,
         senders: &Arc<SenderTable>,
-        delay_line: &DelayLine,
+        delay_queue: &DelayQueue,
         spawner: &TaskSpawner,
         (to, target): (&str, SocketAddr),
     ) -> Result<SocketAddr, Report<StartError>> {
-        let failed = || StartError { stand: "a UDP link" };
-        let entrance = bind_loopback().change_context_lazy(failed)?;
-        let address = entrance.get_ref().local_addr().change_context_lazy(failed)?;
+        let failed = || StartError { component: "a UDP link" };
+        let ingress = bind_loopback().change_context_lazy(failed)?;
+        let address = ingress.get_ref().local_addr().change_context_lazy(failed)?;
         let link = Self {
             table: table.clone(),
             senders: senders.clone(),
-            delay_line: delay_line.clone(),
+            delay_queue: delay_queue.clone(),
             spawner: spawner.clone(),
             to: to.into(),
             target,
-            entrance: Arc::new(entrance),
+            ingress: Arc::new(ingress),
         };
-        spawner.spawn(link.carry());
+        spawner.spawn(link.relay());
         Ok(address)
     }
 
     /// Takes packets in, one flow for each sender.
-    async fn carry(self) {
+    async fn relay(self) {
         let mut flows = HashMap::new();
-        let mut buffer = vec![0; LARGEST_PACKET];
+        let mut buffer = vec![0; MAX_PACKET_BYTES];
         loop {
-            let Ok((length, source)) = self.entrance.recv_from(&mut buffer).await else { return };
+            let Ok((length, source)) = self.ingress.recv_from(&mut buffer).await else { return };
             let Some(name) = self.senders.name_of(source) else { continue };
             // Under the name as well: an address may go over to another process.
             let key = (source, name);
             if !flows.contains_key(&key) {
                 // Without a socket the packet is lost, and the next one tries again.
-                let Ok(there) = self.open_flow(&key.1, source) else { continue };
-                flows.insert(key.clone(), Arc::new(there));
+                let Ok(forward) = self.open_flow(&key.1, source) else { continue };
+                flows.insert(key.clone(), Arc::new(forward));
             }
-            if let Some(there) = flows.get(&key) {
-                pass_on(there, &buffer[..length], &self.delay_line);
+            if let Some(forward) = flows.get(&key) {
+                forward_packet(forward, &buffer[..length], &self.delay_queue);
             }
         }
     }
 
-    /// Opens the way there and starts the way back.
+    /// Opens the way forward and starts the way reverse.
     fn open_flow(&self, name: &str, source: SocketAddr) -> io::Result<UdpPath> {
         let socket = Arc::new(bind_loopback()?);
-        let there = UdpPath {
+        let forward = UdpPath {
             pair: self.table.pair(name, &self.to),
             socket: socket.clone(),
             to: self.target,
         };
-        let back = UdpPath {
+        let reverse = UdpPath {
             pair: self.table.pair(&self.to, name),
-            socket: self.entrance.clone(),
+            socket: self.ingress.clone(),
             to: source,
         };
-        self.spawner.spawn(carry_back(
+        self.spawner.spawn(relay_reverse(
             socket,
             self.target,
-            Arc::new(back),
-            self.delay_line.clone(),
+            Arc::new(reverse),
+            self.delay_queue.clone(),
         ));
-        Ok(there)
+        Ok(forward)
     }
 }
 
-/// Takes the target's packets back to the sender, from the address that the sender knows.
-async fn carry_back(
+/// Takes the target's packets reverse to the sender, from the address that the sender knows.
+async fn relay_reverse(
     socket: Arc<Async<UdpSocket>>,
     target: SocketAddr,
-    back: Arc<UdpPath>,
-    delay_line: DelayLine,
+    reverse: Arc<UdpPath>,
+    delay_queue: DelayQueue,
 ) {
-    let mut buffer = vec![0; LARGEST_PACKET];
+    let mut buffer = vec![0; MAX_PACKET_BYTES];
     loop {
         let Ok((length, source)) = socket.recv_from(&mut buffer).await else { return };
         if source == target {
-            pass_on(&back, &buffer[..length], &delay_line);
+            forward_packet(&reverse, &buffer[..length], &delay_queue);
         }
     }
 }
 
-fn pass_on(path: &Arc<UdpPath>, packet: &[u8], delay_line: &DelayLine) {
+fn forward_packet(path: &Arc<UdpPath>, packet: &[u8], delay_queue: &DelayQueue) {
     path.pair.count_entered(packet.len());
-    let fate = packet_fate(&path.pair.faults(), fastrand::f64);
-    if fate.copies == 0 {
+    let action = decide_packet(&path.pair.faults(), fastrand::f64);
+    if action.copies == 0 {
         path.pair.count_lost(packet.len());
     }
-    for _ in 0..fate.copies {
-        if fate.delay.is_zero() {
+    for _ in 0..action.copies {
+        if action.delay.is_zero() {
             path.deliver(packet);
             continue;
         }
-        let due = Instant::now() + fate.delay;
+        let due = Instant::now() + action.delay;
         let packet = packet.to_vec();
-        delay_line.enter(DelayedPacket { due, path: path.clone(), packet });
+        delay_queue.push(DelayedPacket { due, path: path.clone(), packet });
     }
 }
 
 fn bind_loopback() -> io::Result<Async<UdpSocket>> {
     let socket = Async::<UdpSocket>::bind((Ipv4Addr::LOCALHOST, 0))?;
-    set_socket_recv_buffer_size(socket.get_ref(), RECEIVE_BUFFER)?;
+    set_socket_recv_buffer_size(socket.get_ref(), RECEIVE_BUFFER_BYTES)?;
     Ok(socket)
 }
--- a/crates/sagespool-testkit/src/stand_server.rs
+++ b/crates/sagespool-testkit/src/stand_server.rs
@@ -1,7 +1,7 @@
-//! A stand's HTTP server, which can crash and come back on the same port.
+//! An HTTP server for fakes that can crash and restart on the same port.
 //!
-//! A crash has to look as it does to the peers of a process that dies: every
-//! open connection ends, whatever it was doing, and the port refuses.
+//! A crash has to look to its peers like the death of the process: every open connection breaks
+//! at once, and the port refuses connections.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -18,48 +18,48 @@
 use trillium_smol::{SmolRuntime, SmolTransport, async_net};
 
 const BACKLOG: i32 = 4096;
-const MOST_CONNECTIONS: usize = 100_000;
-const FEWEST_BEFORE_PURGE: usize = 64;
+const MAX_CONNECTIONS: usize = 100_000;
+const MIN_PURGE_SIZE: usize = 64;
 
-/// Why a stand can't start.
+/// Why a fake server can't start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListenError {
-    /// No port of the loopback interface could be listened on.
+    /// The port could not be bound or listened on.
     Listen,
 }
 
 impl fmt::Display for ListenError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("a stand can't listen on a port of the loopback interface")
+        f.write_str("can't listen on a loopback port")
     }
 }
 
 impl std::error::Error for ListenError {}
 
-/// Locks a mutex whose holders don't panic.
+/// Locks a mutex whose holders never panic.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().expect("no holder of this lock panics")
 }
 
-/// Does something with a stand after a time, unless the stand is gone by then.
-pub(crate) fn do_later<S: Send + Sync + 'static>(
-    stand: &Arc<S>,
+/// Runs an action on a fake after a delay, unless the fake is dropped before.
+pub(crate) fn run_after<S: Send + Sync + 'static>(
+    server: &Arc<S>,
     time: Duration,
     action: impl FnOnce(&Arc<S>) + Send + 'static,
 ) {
-    let stand = Arc::downgrade(stand);
+    let server = Arc::downgrade(server);
     SmolRuntime::default().spawn(async move {
         Timer::after(time).await;
-        if let Some(stand) = stand.upgrade() {
-            action(&stand);
+        if let Some(server) = server.upgrade() {
+            action(&server);
         }
     });
 }
 
-/// A server at one address that outlives its crashes.
-pub(crate) struct StandServer {
-    /// Keeps the port for this server while it doesn't listen.
-    _held: Socket,
+/// A server with a fixed address, which can be stopped and started repeatedly.
+pub(crate) struct RestartableServer {
+    /// Reserves the port while the server does not listen.
+    _reserved: Socket,
     address: SocketAddr,
     serving: Mutex<Option<ServingState>>,
 }
@@ -70,23 +70,22 @@
     handle: ServerHandle,
 }
 
-impl StandServer {
-    /// Reserves a port that the system chooses.
+impl RestartableServer {
+    /// Reserves a port assigned by the operating system.
     ///
-    /// The reserving socket is bound but never listens. While the stand is
-    /// crashed the port refuses, yet nobody else is given it, so a restart
-    /// can't fail for a port that was taken meanwhile.
+    /// The reserving socket is bound but never listens. During a crash the port therefore refuses
+    /// connections but is not assigned to anyone else, so that a restart always finds it free.
     pub(crate) fn reserve() -> Result<Self, Report<ListenError>> {
-        let (held, address) = reserve_port().change_context(ListenError::Listen)?;
-        Ok(Self { _held: held, address, serving: Mutex::new(None) })
+        let (reserved, address) = reserve_port().change_context(ListenError::Listen)?;
+        Ok(Self { _reserved: reserved, address, serving: Mutex::new(None) })
     }
 
-    /// Where the stand is reached.
+    /// The address, also while stopped.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Starts to serve; does nothing if it serves already.
+    /// Starts serving; does nothing if already started.
     pub(crate) fn serve(&self, handler: impl Handler) -> Result<(), Report<ListenError>> {
         let mut serving = lock(&self.serving);
         if serving.is_some() {
@@ -100,7 +99,7 @@
         let handle = trillium_smol::config()
             .without_signals()
             .with_nodelay()
-            .with_max_connections(Some(MOST_CONNECTIONS))
+            .with_max_connections(Some(MAX_CONNECTIONS))
             .with_acceptor(TrackedAcceptor(connections.clone()))
             .with_shared_state(connections.clone())
             .with_prebound_server(accepting)
@@ -109,13 +108,13 @@
         Ok(())
     }
 
-    /// Breaks every connection and refuses new ones, from this call on.
+    /// Breaks every connection and refuses new ones from this call on.
     pub(crate) fn stop(&self) {
         let Some(serving) = lock(&self.serving).take() else {
             return;
         };
-        // `shutdown` takes a listening socket out of its state at once, however many
-        // descriptors of it the accept loop still holds.
+        // `shutdown` ends the listening state at once, even if the accept loop still holds
+        // duplicates of the descriptor.
         let listener = Socket::from(serving.listener);
         let _ = listener.shutdown(Shutdown::Both);
         serving.handle.shut_down();
@@ -145,7 +144,7 @@
     Ok((socket, address))
 }
 
-/// The open connections of one start of a server.
+/// The open connections of one server start.
 #[derive(Default)]
 pub(crate) struct ConnectionTable {
     state: Mutex<TableState>,
@@ -155,7 +154,7 @@
 struct TableState {
     closed: bool,
     purge_at: usize,
-    // Weak, so that a connection closes when the server is done with it.
+    // Weak, so that a connection closes when the server drops it.
     streams: HashMap<SocketAddr, Weak<Async<TcpStream>>>,
 }
 
@@ -163,13 +162,13 @@
     fn add(&self, stream: &Arc<Async<TcpStream>>) -> io::Result<()> {
         let peer = stream.get_ref().peer_addr()?;
         let mut state = lock(&self.state);
-        // A connection that was accepted just before a crash arrives here after it.
+        // A connection accepted just before a crash can get here after it.
         if state.closed {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         if state.streams.len() >= state.purge_at {
             state.streams.retain(|_, stream| stream.strong_count() > 0);
-            state.purge_at = (state.streams.len() * 2).max(FEWEST_BEFORE_PURGE);
+            state.purge_at = (state.streams.len() * 2).max(MIN_PURGE_SIZE);
         }
         state.streams.insert(peer, Arc::downgrade(stream));
         Ok(())
@@ -189,7 +188,7 @@
     }
 }
 
-/// The TCP connection that a request came over.
+/// The TCP connection of a request.
 pub(crate) fn connection_of(conn: &Conn) -> Option<Arc<Async<TcpStream>>> {
     let table = conn.shared_state::<Arc<ConnectionTable>>()?;
     let inner: &trillium_http::Conn<Box<dyn trillium::Transport>> = conn.as_ref();
@@ -197,19 +196,19 @@
     table.find(peer)
 }
 
-/// Breaks the TCP connection that a request came over.
+/// Breaks the TCP connection of a request.
 pub(crate) fn break_connection(conn: &Conn) {
     if let Some(stream) = connection_of(conn) {
         let _ = stream.get_ref().shutdown(Shutdown::Both);
     }
 }
 
-/// Ends once the peer of a connection has closed it.
-pub(crate) async fn peer_gone(stream: Arc<Async<TcpStream>>) {
+/// Completes when the peer has closed the connection.
+pub(crate) async fn peer_closed(stream: Arc<Async<TcpStream>>) {
     let mut byte = [0];
     match stream.peek(&mut byte).await {
         Ok(0) | Err(_) => {}
-        // The peer sent on: the end can't be seen before that is read.
+        // The peer has sent more data; its close is not visible until that is read.
         Ok(_) => std::future::pending().await,
     }
 }
--- a/crates/sagespool-testkit/src/weight_store.rs
+++ b/crates/sagespool-testkit/src/weight_store.rs
@@ -12,8 +12,8 @@
 use trillium_router::{Router, RouterConnExt};
 
 use crate::fault_gate::{FaultGate, StartNumber};
-use crate::http_answer::{answer_error, answer_json};
-use crate::stand_server::{ListenError, StandServer, lock};
+use crate::http_answer::{error_response, json_response};
+use crate::stand_server::{ListenError, RestartableServer, lock};
 
 /// How a weight stand behaves.
 #[derive(Debug, Clone, Builder)]
@@ -56,13 +56,13 @@
 
 struct WeightShared {
     options: WeightOptions,
-    server: StandServer,
+    server: RestartableServer,
     gate: FaultGate,
     state: Mutex<WeightState>,
 }
 
 struct WeightState {
-    bucket: LoadBucket,
+    bucket: FetchBucket,
     loads: Vec<WeightFetch>,
 }
 
@@ -73,9 +73,9 @@
     ///
     /// [`ListenError::Listen`] if no port can be listened on.
     pub fn start(options: WeightOptions) -> Result<Self, Report<ListenError>> {
-        let bucket = LoadBucket::full(options.burst, options.interval);
+        let bucket = FetchBucket::full(options.burst, options.interval);
         let shared = Arc::new(WeightShared {
-            server: StandServer::reserve()?,
+            server: RestartableServer::reserve()?,
             gate: FaultGate::new(),
             state: Mutex::new(WeightState { bucket, loads: Vec::new() }),
             options,
@@ -139,22 +139,22 @@
 
     async fn answer(&self, conn: Conn, start: StartNumber) -> Conn {
         let down = "the weight store is down";
-        if self.gate.pass(start).await.is_err() {
-            return answer_error(conn, Status::ServiceUnavailable, down);
+        if self.gate.wait_open(start).await.is_err() {
+            return error_response(conn, Status::ServiceUnavailable, down);
         }
         let Some(model) = conn.param("model").map(str::to_owned) else {
-            return answer_error(conn, Status::BadRequest, "no model is named");
+            return error_response(conn, Status::BadRequest, "no model is named");
         };
         if let Err(retry_after) = self.take(&model, ClockTime::now()) {
             // Rounded up: whoever waits that long is within the rate.
             let retry_after = retry_after.as_millis() as u64 + 1;
             let conn = conn.with_response_header("retry-after-ms", retry_after.to_string());
-            return answer_error(conn, Status::TooManyRequests, "over the rate of loads");
+            return error_response(conn, Status::TooManyRequests, "over the rate of loads");
         }
         if self.gate.delay(start, self.options.load_time).await.is_err() {
-            return answer_error(conn, Status::ServiceUnavailable, down);
+            return error_response(conn, Status::ServiceUnavailable, down);
         }
-        answer_json(conn, Status::Ok, &json!({ "model": model }))
+        json_response(conn, Status::Ok, &json!({ "model": model }))
     }
 
     fn take(&self, model: &str, now: ClockTime) -> Result<(), Duration> {
@@ -167,26 +167,26 @@
 }
 
 /// A rate limit with a burst: each load moves the time at which the burst is whole again.
-struct LoadBucket {
+struct FetchBucket {
     burst: u32,
     interval: Duration,
-    whole_at: ClockTime,
+    full_at: ClockTime,
 }
 
-impl LoadBucket {
+impl FetchBucket {
     fn full(burst: u32, interval: Duration) -> Self {
-        Self { burst: burst.max(1), interval, whole_at: ClockTime(0) }
+        Self { burst: burst.max(1), interval, full_at: ClockTime(0) }
     }
 
     /// Takes a load, or says how long until one may be accepted.
     fn take(&mut self, now: ClockTime) -> Result<(), Duration> {
-        let whole_at = self.whole_at.max(now).after(self.interval);
-        let taken_ahead = whole_at.since(now);
+        let full_at = self.full_at.max(now).after(self.interval);
+        let taken_ahead = full_at.since(now);
         let most_ahead = self.interval * self.burst;
         if taken_ahead > most_ahead {
             return Err(taken_ahead - most_ahead);
         }
-        self.whole_at = whole_at;
+        self.full_at = full_at;
         Ok(())
     }
 }
--- a/crates/sagespool-testkit/src/witness/log.rs
+++ b/crates/sagespool-testkit/src/witness/log.rs
@@ -8,7 +8,7 @@
 use sagespool_messages::UpstreamKind;
 use sagespool_types::{BranchName, ClockTime, TokenCount};
 
-use super::{RunEnd, RunMarker, RunRecord, RunStart, TokenUse};
+use super::{RunEnd, RunMarker, RunRecord, RunStart, TokenUsage};
 use crate::stand_server::lock;
 
 const SHARD_COUNT: usize = 16;
@@ -76,11 +76,11 @@
 
 /// A stand's hand on the record of a run that it has started.
 #[derive(Clone)]
-pub struct RunTally {
+pub struct RunRecorder {
     entry: Arc<RunEntry>,
 }
 
-impl RunTally {
+impl RunRecorder {
     /// The run's number in its log.
     pub fn number(&self) -> u64 {
         self.entry.number
@@ -110,19 +110,19 @@
     }
 
     /// Notes that a run started.
-    pub fn start(&self, start: RunStart, now: ClockTime) -> RunTally {
+    pub fn start(&self, start: RunStart, now: ClockTime) -> RunRecorder {
         let number = self.shared.next_number.fetch_add(1, Ordering::Relaxed);
         let marker = start.marker.clone();
         let progress = Mutex::default();
         let entry = Arc::new(RunEntry { number, start, started_at: now, progress });
         let mut shard = lock(self.shard_of(marker.as_ref().map(|marker| &marker.branch)));
-        let place = shard.runs.len();
+        let index = shard.runs.len();
         shard.runs.push(entry.clone());
         if let Some(marker) = marker {
             let runs = shard.by_branch.entry(marker.branch).or_default();
-            runs.entry(marker.number).or_default().push(place);
+            runs.entry(marker.number).or_default().push(index);
         }
-        RunTally { entry }
+        RunRecorder { entry }
     }
 
     /// Every run, in order of the starts.
@@ -135,7 +135,7 @@
         let shard = lock(self.shard_of(Some(&marker.branch)));
         let runs = shard.by_branch.get(&marker.branch);
         let places = runs.and_then(|runs| runs.get(&marker.number));
-        places.into_iter().flatten().map(|&place| shard.runs[place].record()).collect()
+        places.into_iter().flatten().map(|&index| shard.runs[index].record()).collect()
     }
 
     /// The runs that carried one idempotency key.
@@ -166,24 +166,24 @@
     }
 
     /// What the engines had used for a branch by a moment, over all attempts.
-    pub fn used_at(&self, branch: &BranchName, at: ClockTime) -> TokenUse {
-        self.use_of(branch, UpstreamKind::Engine, at)
+    pub fn used_at(&self, branch: &BranchName, at: ClockTime) -> TokenUsage {
+        self.usage_of(branch, UpstreamKind::Engine, at)
     }
 
     /// How many calls of plain services had started for a branch by a moment.
     pub fn calls_at(&self, branch: &BranchName, at: ClockTime) -> u64 {
-        self.use_of(branch, UpstreamKind::Service, at).runs
+        self.usage_of(branch, UpstreamKind::Service, at).runs
     }
 
-    fn use_of(&self, branch: &BranchName, kind: UpstreamKind, at: ClockTime) -> TokenUse {
+    fn usage_of(&self, branch: &BranchName, kind: UpstreamKind, at: ClockTime) -> TokenUsage {
         let shard = lock(self.shard_of(Some(branch)));
         let runs = shard.by_branch.get(branch);
         let places = runs.into_iter().flat_map(BTreeMap::values).flatten();
-        let entries = places.map(|&place| &shard.runs[place]);
+        let entries = places.map(|&index| &shard.runs[index]);
         entries
             .filter(|entry| entry.start.kind == kind && entry.started_at <= at)
             .map(|entry| entry.record().used_at(at))
-            .fold(TokenUse::default(), TokenUse::plus)
+            .fold(TokenUsage::default(), TokenUsage::plus)
     }
 
     fn select(&self, fits: impl Fn(&RunEntry) -> bool) -> Vec<RunRecord> {
@@ -206,10 +206,10 @@
     }
 
     fn shard_of(&self, branch: Option<&BranchName>) -> &Mutex<LogShard> {
-        let place = match branch {
+        let index = match branch {
             Some(branch) => self.shared.hasher.hash_one(branch) as usize % SHARD_COUNT,
             None => 0,
         };
-        &self.shared.shards[place]
+        &self.shared.shards[index]
     }
 }
--- a/crates/sagespool-testkit/src/witness/mod.rs
+++ b/crates/sagespool-testkit/src/witness/mod.rs
@@ -8,6 +8,6 @@
 mod marker;
 mod record;
 
-pub use log::{RunLog, RunTally};
+pub use log::{RunLog, RunRecorder};
 pub use marker::RunMarker;
-pub use record::{RunEnd, RunRecord, RunStart, TokenUse};
+pub use record::{RunEnd, RunRecord, RunStart, TokenUsage};
--- a/crates/sagespool-testkit/src/witness/record.rs
+++ b/crates/sagespool-testkit/src/witness/record.rs
@@ -73,13 +73,13 @@
     }
 
     /// What it had used by a moment.
-    pub fn used_at(&self, at: ClockTime) -> TokenUse {
+    pub fn used_at(&self, at: ClockTime) -> TokenUsage {
         if self.started_at > at {
-            return TokenUse::default();
+            return TokenUsage::default();
         }
         let prompt = self.start.prompt_tokens;
         let (least, estimate, most) = self.produced_by(at);
-        TokenUse {
+        TokenUsage {
             least: prompt + least,
             estimate: prompt + estimate,
             most: prompt + most,
@@ -112,7 +112,7 @@
 
 /// Tokens used by a moment: the prompt of each run that had started and what it had made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct TokenUse {
+pub struct TokenUsage {
     /// Surely used by then.
     pub least: TokenCount,
     /// Used by then if each run made its tokens evenly.
@@ -123,7 +123,7 @@
     pub runs: u64,
 }
 
-impl TokenUse {
+impl TokenUsage {
     /// Both together.
     pub fn plus(self, other: Self) -> Self {
         Self {
