--- a/crates/sagespool-testkit/src/engine/batch.rs
+++ b/crates/sagespool-testkit/src/engine/batch.rs
@@ -15,8 +15,8 @@
 use super::load::EngineLoad;
 use super::run::{ActiveRun, ArrivedRequest, RunNumber, WaitingRun};
 use super::stream::{RunStream, StreamEnd};
-use crate::lagged::LaggedState;
-use crate::witness::{RunEnd, RunMarker, RunStart};
+use crate::lagged_state::LaggedState;
+use crate::run_log::{RunEnd, RunMarker, RunStart};
 
 /// Why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/sagespool-testkit/src/engine/cache.rs
+++ b/crates/sagespool-testkit/src/engine/cache.rs
@@ -156,11 +156,11 @@
 
     pub(crate) fn after(&self, number: u64, now: ClockTime) -> FeedPoll {
         let newer = || self.events.iter().filter(|(_, event)| event.number > number);
-        let seen = newer().filter(|(seen_at, _)| *seen_at <= now);
-        let events: Vec<_> = seen.map(|(_, event)| event.clone()).collect();
+        let visible = newer().filter(|(visible_at, _)| *visible_at <= now);
+        let events: Vec<_> = visible.map(|(_, event)| event.clone()).collect();
         if !events.is_empty() {
             return FeedPoll::Events(events);
         }
-        FeedPoll::EmptyUntil(newer().next().map(|(seen_at, _)| *seen_at))
+        FeedPoll::EmptyUntil(newer().next().map(|(visible_at, _)| *visible_at))
     }
 }
--- a/crates/sagespool-testkit/src/engine/http.rs
+++ b/crates/sagespool-testkit/src/engine/http.rs
@@ -18,12 +18,12 @@
 use super::request::CompletionRequest;
 use super::run::{ArrivedRequest, RunNumber};
 use super::stream::{AnswerBody, RunStream, StreamParams};
-use crate::crossing::RequestAnswer;
 use crate::fault_gate::{ServerDown, StartNumber};
-use crate::http_answer::{
+use crate::http_helpers::{
     attempt_of, error_response, header_text, json_response, query_number, with_request_headers,
 };
-use crate::stand_server::{connection_of, lock, peer_closed};
+use crate::mixed_answers::RequestAnswer;
+use crate::restartable_server::{connection_of, lock, peer_closed};
 
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
@@ -158,9 +158,9 @@
 }
 
 async fn load(call: EngineCall, conn: Conn) -> Conn {
-    let seen = call.engine.with_batch(call.start, |batch, _, now| batch.reported_load(now));
-    let (number, load) = match seen {
-        Ok(seen) => seen,
+    let reported = call.engine.with_batch(call.start, |batch, _, now| batch.reported_load(now));
+    let (number, load) = match reported {
+        Ok(reported) => reported,
         Err(down) => return down_response(conn, down),
     };
     let mut report = serde_json::to_value(load).expect("a load serializes to JSON");
@@ -177,7 +177,7 @@
         let feed_extended = call.engine.feed_extended.listen();
         let answer =
             call.engine.with_batch(call.start, |batch, _, now| batch.feed.after(after, now));
-        let seen_at = match answer {
+        let visible_at = match answer {
             Ok(FeedPoll::Events(events)) => {
                 return json_response(
                     conn,
@@ -185,14 +185,14 @@
                     &json!({ "start": call.start, "events": events }),
                 );
             }
-            Ok(FeedPoll::EmptyUntil(seen_at)) => seen_at,
+            Ok(FeedPoll::EmptyUntil(visible_at)) => visible_at,
             Err(down) => return down_response(conn, down),
         };
         let now = ClockTime::now();
         if now >= deadline {
             return json_response(conn, Status::Ok, &json!({ "start": call.start, "events": [] }));
         }
-        let wake_at = seen_at.map_or(deadline, |seen_at| seen_at.min(deadline));
+        let wake_at = visible_at.map_or(deadline, |visible_at| visible_at.min(deadline));
         let waited = future::or(feed_extended, async {
             Timer::after(wake_at.since(now)).await;
         });
@@ -212,8 +212,8 @@
         Ok(fenced) => fenced,
         Err(error) => return error_response(conn, Status::BadRequest, &error.to_string()),
     };
-    let taken = lock(&call.engine.state).orders.accept(&fenced, ClockTime::now());
-    if let Err(newest) = taken {
+    let accepted = lock(&call.engine.state).orders.accept(&fenced, ClockTime::now());
+    if let Err(newest) = accepted {
         return json_response(conn, Status::Conflict, &json!({ "newest": newest }));
     }
     match call.execute(fenced.order) {
--- a/crates/sagespool-testkit/src/engine/mod.rs
+++ b/crates/sagespool-testkit/src/engine/mod.rs
@@ -39,10 +39,10 @@
 pub(crate) use request::is_poisonous;
 use ticker::run_ticker;
 
-use crate::crossing::MixedAnswers;
 use crate::fault_gate::{FaultGate, ServerDown, StartNumber};
-use crate::stand_server::{ListenError, RestartableServer, lock, run_after};
-use crate::witness::RunLog;
+use crate::mixed_answers::MixedAnswers;
+use crate::restartable_server::{ListenError, RestartableServer, lock, run_after};
+use crate::run_log::RunLog;
 
 /// A fake model engine. Clones share one engine; it stops when the last one is dropped.
 #[derive(Clone)]
--- a/crates/sagespool-testkit/src/engine/options.rs
+++ b/crates/sagespool-testkit/src/engine/options.rs
@@ -6,7 +6,7 @@
 use bon::Builder;
 use sagespool_types::{ModelName, TokenRate, UpstreamName};
 
-use crate::witness::RunLog;
+use crate::run_log::RunLog;
 
 /// Options of a fake engine. The defaults describe an engine of medium size without faults.
 #[derive(Clone, Builder)]
--- a/crates/sagespool-testkit/src/engine/run.rs
+++ b/crates/sagespool-testkit/src/engine/run.rs
@@ -6,7 +6,7 @@
 
 use super::request::CompletionRequest;
 use super::stream::RunStream;
-use crate::witness::RunRecorder;
+use crate::run_log::RunRecorder;
 
 /// Number of a run, unique within one engine start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -73,12 +73,12 @@
         let completion = &self.arrived.completion;
         let whole = self.credit.floor();
         let until = self.breaks_at.unwrap_or(completion.length);
-        let made = (whole as u32).min(until - self.next);
-        if made == 0 {
+        let generated = (whole as u32).min(until - self.next);
+        if generated == 0 {
             return;
         }
         self.credit -= whole;
-        self.next += made;
+        self.next += generated;
         let total = self.next - completion.resumed_from;
         self.recorder.produced(TokenCount(total.into()), now);
         self.stream.make_available(self.next);
--- a/crates/sagespool-testkit/src/engine/stream.rs
+++ b/crates/sagespool-testkit/src/engine/stream.rs
@@ -10,7 +10,7 @@
 use futures_lite::AsyncRead;
 
 use super::answer::AnswerSeed;
-use crate::stand_server::lock;
+use crate::restartable_server::lock;
 
 const MAX_EVENTS_PER_CHUNK: u32 = 64;
 
--- a/crates/sagespool-testkit/src/fault_gate.rs
+++ b/crates/sagespool-testkit/src/fault_gate.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use smol::Timer;
 
-use crate::stand_server::lock;
+use crate::restartable_server::lock;
 
 /// Number of a server start. Calls of an earlier start must not continue after a restart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
--- a/crates/sagespool-testkit/src/fleet.rs
+++ b/crates/sagespool-testkit/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole fleet on loopback: the stand-ins, and real processes of the daemon.
+//! A whole fleet on loopback: fakes of the platform and upstreams, and real daemon processes.
 
 mod binaries;
 mod certificates;
--- a/crates/sagespool-testkit/src/fleet/binaries.rs
+++ b/crates/sagespool-testkit/src/fleet/binaries.rs
@@ -1,4 +1,4 @@
-//! Finding the two binaries, and building them where cargo runs this.
+//! Locates the two binaries, and builds them when run by cargo.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -7,16 +7,16 @@
 
 use super::FleetError;
 
-/// The two binaries of the project.
+/// Paths of the project's two binaries.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FleetBinaries {
-    /// The daemon.
+    /// `sagespoold`, the daemon.
     pub daemon: PathBuf,
-    /// The operators' command line.
+    /// `sagespool`, the operators' command line.
     pub command: PathBuf,
 }
 
-/// The directory of the profile that this program was built in: `target/release` for
+/// The build directory of this program's profile, e.g. `target/release` for
 /// `target/release/examples/fleet`.
 fn profile_directory() -> Option<PathBuf> {
     let program = std::env::current_exe().ok()?;
@@ -39,11 +39,11 @@
     Ok(())
 }
 
-/// The binaries beside this program. Where cargo runs it, they are built first, so that an example
-/// needs no other step and never runs yesterday's daemon.
+/// The binaries in this program's build directory. Under cargo they are built first, so that an
+/// example needs no other step and never runs an outdated daemon.
 ///
 /// # Errors
-/// If they can't be built, or aren't there.
+/// If the build fails or a binary is missing.
 pub fn find_binaries() -> Result<FleetBinaries, Report<FleetError>> {
     let missing = || FleetError::new("looking for sagespoold beside this program");
     let directory = profile_directory().ok_or_else(|| Report::new(missing()))?;
--- a/crates/sagespool-testkit/src/fleet/certificates.rs
+++ b/crates/sagespool-testkit/src/fleet/certificates.rs
@@ -1,4 +1,4 @@
-//! Certificates of a fleet on loopback, made anew for each run.
+//! Certificates of a loopback fleet, generated for each run.
 
 use std::path::{Path, PathBuf};
 
@@ -7,33 +7,33 @@
 
 use super::FleetError;
 
-/// The name that every process's certificate carries; the link expects it.
+/// The subject name in every process's certificate, which the link verifies.
 const LINK_NAME: &str = "sagespool";
 
-/// A fleet's authority, and the files that it has signed.
+/// A certificate authority for one fleet, which writes its files to a directory.
 pub struct CertificateSet {
     directory: PathBuf,
     authority: CertifiedIssuer<'static, KeyPair>,
 }
 
-/// The three files that a process's settings name.
+/// Paths of the certificate files in a process's settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CertificateFiles {
-    /// The process's certificate.
+    /// Certificate of the process.
     pub certificate: PathBuf,
-    /// Its private key.
+    /// Private key of the process.
     pub key: PathBuf,
-    /// The authority's certificate.
+    /// Certificate of the authority.
     pub authority: PathBuf,
 }
 
 impl CertificateSet {
-    /// A new authority whose files go into the directory.
+    /// Generates an authority and writes its certificate to the directory.
     ///
     /// # Errors
-    /// If a key can't be made or a file can't be written.
+    /// If a key can't be generated or a file can't be written.
     pub fn create(directory: &Path) -> Result<Self, Report<FleetError>> {
-        let fault = || FleetError::new("making the fleet's authority");
+        let fault = || FleetError::new("generating the fleet's certificate authority");
         let mut params = CertificateParams::new(Vec::new()).change_context_lazy(fault)?;
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
         params.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::DigitalSignature];
@@ -44,12 +44,12 @@
         Ok(Self { directory: directory.to_owned(), authority })
     }
 
-    /// A certificate for one process.
+    /// Issues a certificate for one process.
     ///
     /// # Errors
-    /// If a key can't be made or a file can't be written.
+    /// If a key can't be generated or a file can't be written.
     pub fn issue(&self, name: &str) -> Result<CertificateFiles, Report<FleetError>> {
-        let fault = || FleetError::new(format!("making the certificate of {name}"));
+        let fault = || FleetError::new(format!("issuing the certificate of {name}"));
         let names = vec![LINK_NAME.to_owned(), "127.0.0.1".to_owned()];
         let params = CertificateParams::new(names).change_context_lazy(fault)?;
         let key = KeyPair::generate().change_context_lazy(fault)?;
--- a/crates/sagespool-testkit/src/fleet/deployment.rs
+++ b/crates/sagespool-testkit/src/fleet/deployment.rs
@@ -1,4 +1,4 @@
-//! Deployments: what runs where, as the files under `examples/` describe it.
+//! Deployments: the processes and upstreams of a fleet, as the files under `examples/` list them.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -10,71 +10,71 @@
 
 use super::FleetError;
 
-/// One data centre.
+/// A data centre of a deployment.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CentrePlan {
-    /// Its name.
+    /// Name of the data centre.
     pub name: CentreName,
-    /// How many entries run there.
+    /// Number of entries.
     pub entries: u32,
-    /// How many upstreams of each service run there, each with its sidecar.
+    /// Number of upstreams of each service, each with its sidecar.
     pub upstreams: BTreeMap<ServiceName, u32>,
 }
 
-/// What the stand-ins of a service are like.
+/// Properties of the fake upstreams of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServicePlan {
-    /// Requests at once.
+    /// Concurrent requests per upstream.
     pub capacity: u32,
-    /// Engines: tokens a second of each request.
+    /// Engines: tokens per second of each request; none for a plain service.
     pub tokens_per_second: Option<u64>,
-    /// Engines: whether orders' fencing numbers are honoured.
+    /// Engines: whether orders with an outdated fencing number are refused.
     #[serde(default)]
     pub honours_fence: bool,
-    /// Engines: the models.
+    /// Engines: models served from the start.
     #[serde(default)]
     pub models: Vec<ModelName>,
-    /// Plain services: how long a call takes, in milliseconds.
+    /// Plain services: latency of a call, in milliseconds.
     pub answer_ms: Option<u64>,
 }
 
-/// A branch's development key and budget.
+/// The development key and the budget of a branch.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BranchPlan {
-    /// The key in clear text.
+    /// The key in plain text.
     pub token: String,
-    /// Prepaid tokens.
+    /// Initial prepaid tokens.
     pub prepaid: TokenCount,
 }
 
-/// What runs where.
+/// The content of `deployment.json`.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DeploymentPlan {
-    /// The region.
+    /// Region of all data centres.
     pub region: RegionName,
-    /// The data centres.
+    /// The data centres of the region.
     pub centres: Vec<CentrePlan>,
-    /// The services' stand-ins.
+    /// Properties of the fake upstreams by service.
     pub services: BTreeMap<ServiceName, ServicePlan>,
-    /// The branches' keys and budgets.
+    /// Keys and budgets by branch.
     pub branches: BTreeMap<BranchName, BranchPlan>,
 }
 
 impl DeploymentPlan {
-    /// How many entries run in all.
+    /// Number of entries in all data centres.
     pub fn entry_count(&self) -> u32 {
         self.centres.iter().map(|centre| centre.entries).sum()
     }
 }
 
-/// Reads a deployment's three files from a directory of `examples/`.
+/// Reads the three files of a deployment from a directory under `examples/`.
 ///
 /// # Errors
-/// If a file can't be read or says what it can't.
+/// If a file can't be read or is invalid.
 pub fn read_deployment(
     directory: &Path,
 ) -> Result<(DeploymentPlan, FleetObject, BranchObject), Report<FleetError>> {
--- a/crates/sagespool-testkit/src/fleet/member.rs
+++ b/crates/sagespool-testkit/src/fleet/member.rs
@@ -1,4 +1,4 @@
-//! One process of a fleet.
+//! A process of a fleet.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
 use std::path::PathBuf;
@@ -9,39 +9,39 @@
 use super::FleetError;
 use crate::processes::ChildProcess;
 
-/// The end of a log that is shown.
+/// Number of lines returned by `log_tail`.
 const LOG_TAIL_LINES: usize = 60;
 
-/// One process of a fleet, running or not.
+/// A process of a fleet, running or stopped.
 #[derive(Debug)]
 pub struct FleetMember {
-    /// The instance's name.
+    /// Instance name.
     pub instance: InstanceName,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub centre: CentreName,
-    /// Where it serves HTTP.
+    /// Listen address of the HTTP server.
     pub http: SocketAddr,
-    /// Where its link listens.
+    /// Listen address of the link.
     pub link: SocketAddr,
-    /// Where others reach its link: the fault proxy, if there is one.
+    /// Address at which others reach the link: that of the fault proxy if the fleet is proxied.
     pub advertised: SocketAddr,
-    /// The upstream beside it and the service that it belongs to, for a sidecar.
+    /// For a sidecar: its upstream and the upstream's service.
     pub upstream: Option<(UpstreamName, ServiceName)>,
-    /// Its settings file.
+    /// Path of the settings file.
     pub settings: PathBuf,
-    /// Where its log goes, over all of its runs.
+    /// Path of the log file; all runs append to it.
     pub log: PathBuf,
-    /// Its process, while one runs.
+    /// The running process; none while stopped.
     pub process: Option<ChildProcess>,
 }
 
 impl FleetMember {
-    /// True for an entry.
+    /// True for an entry, false for a sidecar.
     pub fn is_entry(&self) -> bool {
         self.upstream.is_none()
     }
 
-    /// The last lines of its log, for whoever looks into a failure.
+    /// The last lines of the log, for failure reports.
     pub fn log_tail(&self) -> String {
         let log = std::fs::read_to_string(&self.log).unwrap_or_default();
         let lines: Vec<&str> = log.lines().collect();
@@ -50,15 +50,16 @@
     }
 }
 
-/// Two addresses of the system's choice, one for HTTP (TCP) and one for the link (UDP).
+/// Two free addresses, one for HTTP (TCP) and one for the link (UDP).
 ///
-/// They are free for as long as it takes a process to start, or to start again, and by then another
-/// fleet on the machine, or any outgoing connection, may have been given the port. So each pair is
-/// on a loopback address of its own, taken at random, where nobody else asks for ports.
+/// The ports are unreserved until the process has started, also at each restart. Meanwhile another
+/// fleet on the machine or an outgoing connection could take them. So each pair is on a random
+/// loopback address of its own, where no one else uses ports.
 pub(super) fn free_addresses() -> Result<(SocketAddr, SocketAddr), Report<FleetError>> {
-    let fault = || FleetError::new("asking for free ports");
-    let own = Ipv4Addr::new(127, fastrand::u8(1..=254), fastrand::u8(..), fastrand::u8(1..=254));
-    let tcp = TcpListener::bind((own, 0)).and_then(|listener| listener.local_addr());
-    let udp = UdpSocket::bind((own, 0)).and_then(|socket| socket.local_addr());
+    let fault = || FleetError::new("finding free ports");
+    let loopback =
+        Ipv4Addr::new(127, fastrand::u8(1..=254), fastrand::u8(..), fastrand::u8(1..=254));
+    let tcp = TcpListener::bind((loopback, 0)).and_then(|listener| listener.local_addr());
+    let udp = UdpSocket::bind((loopback, 0)).and_then(|socket| socket.local_addr());
     Ok((tcp.change_context_lazy(fault)?, udp.change_context_lazy(fault)?))
 }
--- a/crates/sagespool-testkit/src/fleet/options.rs
+++ b/crates/sagespool-testkit/src/fleet/options.rs
@@ -1,4 +1,4 @@
-//! What a fleet is started with.
+//! Options of a fleet.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,15 +8,15 @@
 
 use super::{DeploymentPlan, FleetBinaries};
 
-/// A fleet that couldn't be started, or didn't do what it was told.
+/// A failed operation on a fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FleetError {
-    /// What was being done.
+    /// The operation, as a gerund phrase, e.g. "reading fleet.json".
     pub doing: String,
 }
 
 impl FleetError {
-    /// A fault in doing something.
+    /// The failure of an operation, given as a gerund phrase.
     pub fn new(doing: impl Into<String>) -> Self {
         Self { doing: doing.into() }
     }
@@ -30,19 +30,19 @@
 
 impl std::error::Error for FleetError {}
 
-/// What all engines of a fleet are like, beside what their deployment says.
+/// Properties of all engines of a fleet, beside those in the deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Builder)]
 pub struct EngineTuning {
-    /// How old the load is that they report.
+    /// Age of the reported load.
     #[builder(default = Duration::from_millis(200))]
     pub load_lag: Duration,
     /// Time to the first token of a prompt whose prefix is cached.
     #[builder(default = Duration::from_millis(20))]
     pub first_token_base: Duration,
-    /// Time that each token of a prompt adds where its prefix isn't cached.
+    /// Additional prefill time per prompt token if the prefix is not cached.
     #[builder(default = Duration::from_micros(20))]
     pub prompt_token_time: Duration,
-    /// How often they make tokens.
+    /// Interval at which tokens are generated.
     #[builder(default = Duration::from_millis(5))]
     pub tick: Duration,
 }
@@ -53,54 +53,54 @@
     }
 }
 
-/// What a fleet is started with.
+/// Options of a fleet.
 #[derive(Debug, Clone, Builder)]
 pub struct FleetOptions {
-    /// The two binaries.
+    /// Paths of the two binaries.
     pub binaries: FleetBinaries,
-    /// What runs where.
+    /// The processes, upstreams, keys and budgets.
     pub deployment: DeploymentPlan,
-    /// The fleet's object of the configuration.
+    /// The fleet object of the configuration.
     pub fleet: FleetObject,
-    /// The branches.
+    /// The branch objects of the configuration.
     pub branches: BranchObject,
     /// Whether every second engine ignores fencing numbers.
     #[builder(default = false)]
     pub mixed_fences: bool,
-    /// Whether every link passes through the fault proxy.
+    /// Whether all links pass through the fault proxy.
     #[builder(default = false)]
     pub proxied: bool,
-    /// How an entry chooses upstreams, as settings name it.
+    /// Routing policy of the entries, as named in settings.
     #[builder(into, default = "sagespool")]
     pub routing: String,
-    /// How an entry pays, as settings name it; `static-split` is completed by the entries' number.
+    /// Budget policy of the entries, as named in settings; `static-split` gets their number.
     #[builder(into, default = "escrow")]
     pub budget: String,
-    /// How long a graceful stop waits.
+    /// Longest duration of a graceful stop.
     #[builder(default = Duration::from_secs(10))]
     pub stop_limit: Duration,
-    /// How often a home settles in the store.
+    /// Interval at which a home settles in the store.
     #[builder(default = Duration::from_secs(5))]
     pub settle_interval: Duration,
-    /// How far ahead grants are taken.
+    /// How far ahead of the demand grants are requested.
     #[builder(default = Duration::from_secs(20))]
     pub grant_ahead: Duration,
-    /// The least important level of the processes' logs.
+    /// Minimum level of the processes' logs.
     #[builder(into, default = "info")]
     pub log_level: String,
-    /// How late the instance list is.
+    /// Lag of the instance list.
     #[builder(default = Duration::from_millis(500))]
     pub list_lag: Duration,
-    /// What the engines are like.
+    /// Properties of all engines.
     #[builder(default)]
     pub engine: EngineTuning,
-    /// Seed of the stand-ins' random choices.
+    /// Random seed of the fakes.
     #[builder(default = 1)]
     pub seed: u64,
 }
 
 impl FleetOptions {
-    /// The key of the first branch that is an operator's; an empty one if none is.
+    /// The key of the first operator branch; empty if there is none.
     pub fn operator_token(&self) -> String {
         let operators = self.branches.branches.iter().filter(|(_, branch)| branch.operator);
         let mut tokens = operators.filter_map(|(name, _)| self.deployment.branches.get(name));
--- a/crates/sagespool-testkit/src/fleet/process_events.rs
+++ b/crates/sagespool-testkit/src/fleet/process_events.rs
@@ -1,25 +1,25 @@
-//! What was done to processes, and when.
+//! Start and stop events of processes.
 
 use sagespool_types::{ClockTime, InstanceName};
 
-/// What was done to a process.
+/// The type of a process event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessEventKind {
-    /// It was started.
+    /// The process was started.
     Started,
-    /// It was told to stop, or its instance to leave.
+    /// The process was ordered to stop, or its instance to leave.
     Stopping,
-    /// It has ended.
+    /// The process has ended.
     Ended,
 }
 
-/// What was done to a process, and when.
+/// A start or stop event of a process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProcessEvent {
-    /// Its instance.
+    /// Instance name.
     pub instance: InstanceName,
-    /// When, on the clock of the stand-ins.
+    /// Time of the event, by the clock of the fakes.
     pub at: ClockTime,
-    /// What.
+    /// Type of the event.
     pub kind: ProcessEventKind,
 }
--- a/crates/sagespool-testkit/src/fleet/readiness.rs
+++ b/crates/sagespool-testkit/src/fleet/readiness.rs
@@ -1,4 +1,4 @@
-//! Waiting until the processes of a fleet that was started are ready.
+//! Readiness of the processes after a fleet's start.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -8,21 +8,21 @@
 
 use super::{FleetError, RunningFleet};
 
-/// How long a start may take in all.
+/// Time for the start of all processes.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// Times that a member is moved to other ports.
+/// Most moves of a member to other ports.
 const MAX_MOVES: u32 = 3;
-/// Between two rounds of questions.
+/// Pause between two rounds of checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// A process that doesn't answer for so long is asked again after the others.
+/// A process that doesn't answer within this time is checked again after the others.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl RunningFleet {
-    /// Waits until every process that runs has said once that it is ready. All are asked in turn
-    /// for the whole time, so that one that needs long takes none of it from those after it.
+    /// Waits until every running process has reported ready once. All are checked in turn during
+    /// the whole time, so that a slow one does not use up the time of those after it.
     ///
     /// # Errors
-    /// If one hasn't been ready within 20 s: its name, its last answer and the end of its log.
+    /// If a process is not ready within 20 s: its name, its last answer and the end of its log.
     pub async fn wait_ready(&mut self) -> Result<(), Report<FleetError>> {
         let client = Client::new(trillium_smol::ClientConfig::default());
         let started = Instant::now();
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Asks a process whether it is ready; one that isn't to run counts as ready.
+    /// Checks whether a process is ready; a stopped one counts as ready.
     async fn is_ready(
         &mut self,
         member: &mut WaitingMember,
@@ -54,7 +54,7 @@
         if self.members[member.index].process.is_none() {
             return Ok(true);
         }
-        // Another program may have taken a port between its choice and the process's start.
+        // Another program may have taken the port before the process started.
         if self.has_ended(member.index) && member.moves < MAX_MOVES {
             member.moves += 1;
             self.move_member(member.index)?;
@@ -70,19 +70,19 @@
         let member = &self.members[waiting.index];
         let doing = format!("waiting for {} to be ready", member.instance);
         let answer = waiting.answer.as_deref().unwrap_or_default();
-        let answer = format!("the last answer, after {:?}: {answer}", waiting.elapsed);
+        let answer = format!("last answer, after {:?}: {answer}", waiting.elapsed);
         Report::new(FleetError::new(doing)).attach(answer).attach(member.log_tail())
     }
 }
 
-/// A process that hasn't said yet that it is ready.
+/// A process that has not reported ready yet.
 struct WaitingMember {
     index: usize,
-    /// How often it was moved to other ports.
+    /// Number of moves to other ports so far.
     moves: u32,
-    /// What it said last in index of that it is ready.
+    /// The last answer other than ready, or the error of the last check.
     answer: Option<String>,
-    /// How long that answer elapsed.
+    /// Duration of the last check.
     elapsed: Duration,
 }
 
@@ -92,10 +92,10 @@
     }
 }
 
-/// Asks a process once whether it is ready.
+/// Checks once whether a process is ready.
 ///
 /// # Errors
-/// What is said in index of that, or that nothing was within the limit.
+/// The answer if it is other than ready, the connection error, or the timeout.
 pub(crate) async fn check_ready(
     client: &Client,
     address: SocketAddr,
--- a/crates/sagespool-testkit/src/fleet/running.rs
+++ b/crates/sagespool-testkit/src/fleet/running.rs
@@ -1,4 +1,4 @@
-//! A running fleet: started whole, changed by tests, stopped whole.
+//! A running fleet.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -27,44 +27,44 @@
 };
 
 const STORE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The names that the fault proxy knows the platform by.
+/// Names of the platform's servers at the fault proxy.
 const STORE_NAME: &str = "store";
 const LIST_NAME: &str = "list";
 
-/// A whole fleet on loopback.
+/// A fleet of real processes on loopback, with fakes of the platform and the upstreams.
 pub struct RunningFleet {
-    /// What it was started with.
+    /// Options of the start.
     pub options: FleetOptions,
-    /// The store.
+    /// The fake object store.
     pub store: FakeObjectStore,
-    /// The instance list.
+    /// The fake instance list.
     pub list: FakeInstanceList,
-    /// The engines by name.
+    /// Fake engines by name.
     pub engines: BTreeMap<UpstreamName, FakeEngine>,
-    /// The plain services' processes by name.
+    /// Fake plain services by name.
     pub services: BTreeMap<UpstreamName, FakeService>,
-    /// What ran, as the upstreams saw it.
+    /// All runs recorded by the upstreams.
     pub run_log: RunLog,
-    /// The fault proxy, if every link passes through it.
+    /// The fault proxy, if the fleet is proxied.
     pub proxy: Option<FaultProxy>,
     /// The processes, entries first.
     pub members: Vec<FleetMember>,
-    /// A client of the store that no fault touches.
+    /// A client with direct access to the store, unaffected by the proxy.
     pub objects: ObjectClient,
-    /// When processes were started, told to stop, and ended.
+    /// Starts, stop orders and exits of the processes.
     pub process_events: Vec<ProcessEvent>,
     certificates: CertificateSet,
     directory: TempDir,
 }
 
 impl RunningFleet {
-    /// Starts the stand-ins and every process, and waits until callers can be served.
+    /// Starts the fakes and all processes, and waits until all are ready.
     ///
     /// # Errors
-    /// If anything can't be started, or an entry isn't ready within 20 s.
+    /// If anything can't be started, or a process is not ready within 20 s.
     pub async fn start(options: FleetOptions) -> Result<Self, Report<FleetError>> {
         let fault = |doing: &str| FleetError::new(doing);
-        let directory = TempDir::new().change_context_lazy(|| fault("making a directory"))?;
+        let directory = TempDir::new().change_context_lazy(|| fault("creating a directory"))?;
         let certificates = CertificateSet::create(directory.path())?;
         let store = FakeObjectStore::start(ObjectStoreOptions::builder().build())
             .change_context_lazy(|| fault("starting the store"))?;
@@ -102,7 +102,7 @@
     }
 
     async fn write_configuration(&self) -> Result<(), Report<FleetError>> {
-        let fault = || FleetError::new("putting the configuration into the store");
+        let fault = || FleetError::new("writing the configuration to the store");
         let none = StoreRevision::ZERO;
         let put = self.objects.put(FLEET_OBJECT_KEY, none, &self.options.fleet).await;
         put.change_context_lazy(fault)?;
@@ -189,7 +189,7 @@
                 self.add_member(&instance, &centre.name, None)?;
             }
         }
-        // Entries first, so that the first member is one that callers can use.
+        // Entries first, so that the first member accepts callers.
         self.members.sort_by_key(|member| !member.is_entry());
         for member in &self.members {
             self.list.set(instance_entry(member, &self.options));
@@ -203,7 +203,7 @@
         centre: &CentreName,
         upstream: Option<(UpstreamName, ServiceName)>,
     ) -> Result<(), Report<FleetError>> {
-        let fault = || FleetError::new(format!("laying out {instance}"));
+        let fault = || FleetError::new(format!("preparing {instance}"));
         let name: InstanceName = instance.parse().change_context_lazy(fault)?;
         let (http, link) = free_addresses()?;
         let advertised = match &self.proxy {
@@ -259,7 +259,7 @@
         std::fs::write(&member.settings, settings.to_string()).change_context_lazy(fault)
     }
 
-    /// Whether the next engine is one of those that ignore fencing numbers.
+    /// True if the next engine to start ignores fencing numbers.
     fn ignores_fences(&self) -> bool {
         self.options.mixed_fences && self.engines.len() % 2 == 1
     }
@@ -271,10 +271,10 @@
         }
     }
 
-    /// Starts a member's process, which must not be running.
+    /// Starts the process of a member, which must not be running.
     ///
     /// # Errors
-    /// If its settings can't be written or it can't be started.
+    /// If the settings can't be written or the process can't be started.
     pub fn start_member(&mut self, index: usize) -> Result<(), Report<FleetError>> {
         if !self.members[index].settings.exists() {
             self.write_settings(&self.members[index])?;
@@ -289,39 +289,39 @@
         Ok(())
     }
 
-    /// Notes what was done to a member's process, now.
+    /// Records an event of a member's process with the current time.
     pub fn record_process_event(&mut self, index: usize, kind: ProcessEventKind) {
         let instance = self.members[index].instance.clone();
         self.process_events.push(ProcessEvent { instance, at: ClockTime::now(), kind });
     }
 
-    /// Shows a member as live in the instance list, which lags.
+    /// Marks a member as live in the instance list, which shows it after its lag.
     pub fn mark_live(&self, index: usize) {
         self.list.set(instance_entry(&self.members[index], &self.options));
     }
 
-    /// The index of a member.
+    /// The index of a member in `members`.
     pub fn member_index(&self, instance: &str) -> Option<usize> {
         self.members.iter().position(|member| member.instance.as_str() == instance)
     }
 
-    /// Where entries serve callers.
+    /// HTTP addresses of the entries.
     pub fn entry_addresses(&self) -> Vec<SocketAddr> {
         let entries = self.members.iter().filter(|member| member.is_entry());
         entries.map(|member| member.http).collect()
     }
 
-    /// The directory of settings and logs.
+    /// The directory of the settings and log files.
     pub fn directory(&self) -> &Path {
         self.directory.path()
     }
 
-    /// Copies every process's log to a directory, which is made if it isn't there.
+    /// Copies all processes' logs to a directory, which is created if missing.
     ///
     /// # Errors
-    /// If the directory can't be made or a log can't be written to it.
+    /// If the directory can't be created or a log can't be copied.
     pub fn copy_logs(&self, target: &Path) -> Result<(), Report<FleetError>> {
-        let fault = || FleetError::new(format!("keeping logs in {}", target.display()));
+        let fault = || FleetError::new(format!("copying logs to {}", target.display()));
         std::fs::create_dir_all(target).change_context_lazy(fault)?;
         for member in self.members.iter().filter(|member| member.log.exists()) {
             let kept = target.join(format!("{}.log", member.instance));
@@ -335,11 +335,11 @@
         process.is_some_and(|process| matches!(process.try_wait(), Ok(Some(_)) | Err(_)))
     }
 
-    /// Gives a member other ports and starts it there.
+    /// Moves a member to other ports and starts it.
     pub(super) fn move_member(&mut self, index: usize) -> Result<(), Report<FleetError>> {
         let (http, link) = free_addresses()?;
         let instance = self.members[index].instance.clone();
-        let fault = || FleetError::new(format!("moving {instance}"));
+        let fault = || FleetError::new(format!("moving {instance} to other ports"));
         let advertised = match &self.proxy {
             Some(proxy) => {
                 proxy.register_sender(instance.as_str(), link);
@@ -355,7 +355,8 @@
         self.start_member(index)
     }
 
-    /// Stops every process gracefully, at the same time; returns those that didn't end well.
+    /// Stops all processes gracefully and in parallel; returns those that failed or did not end in
+    /// time.
     pub fn stop(&mut self) -> Vec<InstanceName> {
         for member in &self.members {
             if let Some(process) = &member.process {
@@ -376,7 +377,7 @@
     }
 }
 
-/// Adds prepaid tokens, straight in the store.
+/// Adds prepaid tokens to a branch, directly in the store.
 ///
 /// # Errors
 /// If the store can't be reached.
@@ -393,7 +394,7 @@
         UpdateChoice::Write
     };
     let updated = update_object(objects, &key, STORE_TIMEOUT, apply).await;
-    updated.change_context_lazy(|| FleetError::new("topping up"))?;
+    updated.change_context_lazy(|| FleetError::new(format!("topping up branch {branch}")))?;
     Ok(outcome)
 }
 
--- a/crates/sagespool-testkit/src/fleet/settings_file.rs
+++ b/crates/sagespool-testkit/src/fleet/settings_file.rs
@@ -1,4 +1,4 @@
-//! The settings files of a fleet's processes.
+//! Settings files of a fleet's processes.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 use super::certificates::CertificateFiles;
 use super::{FleetMember, FleetOptions, ServicePlan};
 
-/// The platform as one process reaches it.
+/// Addresses of the platform for one process.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PlatformAddresses {
     pub(super) objects: SocketAddr,
@@ -48,7 +48,7 @@
     json!(options.budget)
 }
 
-/// An entry's settings.
+/// The settings of an entry.
 pub(super) fn entry_settings(
     member: &FleetMember,
     platform: PlatformAddresses,
@@ -65,7 +65,7 @@
     settings
 }
 
-/// A sidecar's settings.
+/// The settings of a sidecar.
 pub(super) fn sidecar_settings(
     member: &FleetMember,
     upstream_address: SocketAddr,
--- a/crates/sagespool-testkit/src/http_answer.rs
+++ b/crates/sagespool-testkit/src/http_helpers.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use trillium::{Conn, KnownHeaderName, Status};
 
-use crate::crossing::RequestAnswer;
+use crate::mixed_answers::RequestAnswer;
 
 /// Responds with a JSON document.
 pub(crate) fn json_response(conn: Conn, status: Status, value: &impl Serialize) -> Conn {
--- a/crates/sagespool-testkit/src/lib.rs
+++ b/crates/sagespool-testkit/src/lib.rs
@@ -1,23 +1,23 @@
 //! Fakes of the platform and the upstreams, the fault proxy, test fleets and the load tool.
 
 mod call_query;
-mod crossing;
 mod engine;
 mod fault_gate;
 pub mod fleet;
-mod http_answer;
+mod http_helpers;
 mod http_reply;
 pub mod instance_list;
-mod lagged;
+mod lagged_state;
 pub mod load;
 mod loopback_server;
+mod mixed_answers;
 pub mod object_api;
 mod plain_service;
 pub mod processes;
 pub mod proxy;
-mod stand_server;
+mod restartable_server;
+mod run_log;
 mod weight_store;
-mod witness;
 
 pub use engine::{
     AdapterName, CacheChange, CacheEvent, EngineLoad, EngineOptions, EngineOrder, FakeEngine,
@@ -30,6 +30,6 @@
 pub use plain_service::{FailureShares, FakeService, ServiceLoad, ServiceOptions, service_answer};
 pub use processes::{ChildProcess, ProcessError, ProcessUsage, free_tcp_port, free_udp_port};
 pub use proxy::{FaultProxy, PairBytes};
-pub use stand_server::ListenError;
+pub use restartable_server::ListenError;
+pub use run_log::{RunEnd, RunLog, RunMarker, RunRecord, RunRecorder, RunStart, TokenUsage};
 pub use weight_store::{FakeWeightStore, WeightFetch, WeightOptions};
-pub use witness::{RunEnd, RunLog, RunMarker, RunRecord, RunRecorder, RunStart, TokenUsage};
--- a/crates/sagespool-testkit/src/load/operator_oracle.rs
+++ b/crates/sagespool-testkit/src/load/operator_oracle.rs
@@ -99,9 +99,9 @@
 fn revision_at(
     facts: &AnswerFacts,
     at: ClockTime,
-    is_meant: impl Fn(&str) -> bool,
+    is_match: impl Fn(&str) -> bool,
 ) -> StoreRevision {
-    let writes = facts.writes.iter().filter(|write| write.at <= at && is_meant(&write.key));
+    let writes = facts.writes.iter().filter(|write| write.at <= at && is_match(&write.key));
     writes.map(|write| write.revision).max().unwrap_or(StoreRevision::ZERO)
 }
 
--- a/crates/sagespool-testkit/src/crossing.rs
+++ b/crates/sagespool-testkit/src/mixed_answers.rs
@@ -13,7 +13,7 @@
     pub(crate) content: T,
 }
 
-/// While on, each call gets the answer of the call before it.
+/// While on, each call gets the answer of the call previous it.
 #[derive(Debug)]
 pub(crate) struct MixedAnswers<T> {
     on: bool,
@@ -34,9 +34,9 @@
 
     /// Records the call's own answer; returns the one to send.
     pub(crate) fn answer_for(&mut self, own: RequestAnswer<T>) -> RequestAnswer<T> {
-        let before = self.last.replace(own.clone());
-        match before {
-            Some(before) if self.on => before,
+        let previous = self.last.replace(own.clone());
+        match previous {
+            Some(previous) if self.on => previous,
             _ => own,
         }
     }
--- a/crates/sagespool-testkit/src/object_api/faults.rs
+++ b/crates/sagespool-testkit/src/object_api/faults.rs
@@ -31,35 +31,35 @@
 #[derive(Debug, Clone)]
 pub(super) struct RateBucket {
     rate: RequestRate,
-    left: f64,
-    filled_at: ClockTime,
+    tokens: f64,
+    refilled_at: ClockTime,
 }
 
 impl RateBucket {
     pub(super) fn new(rate: RequestRate, now: ClockTime) -> Self {
-        Self { rate, left: rate.0 as f64, filled_at: now }
+        Self { rate, tokens: rate.0 as f64, refilled_at: now }
     }
 
     /// Takes one token; the error is the time until the next one is available.
     pub(super) fn take(&mut self, now: ClockTime) -> Result<(), Duration> {
-        self.fill(now);
-        if self.left >= 1.0 {
-            self.left -= 1.0;
+        self.refill(now);
+        if self.tokens >= 1.0 {
+            self.tokens -= 1.0;
             return Ok(());
         }
         Err(self.time_to_next())
     }
 
-    fn fill(&mut self, now: ClockTime) {
+    fn refill(&mut self, now: ClockTime) {
         let rate = self.rate.0 as f64;
-        let gained = now.since(self.filled_at).as_secs_f64() * rate;
-        self.left = (self.left + gained).min(rate);
-        self.filled_at = now;
+        let added = now.since(self.refilled_at).as_secs_f64() * rate;
+        self.tokens = (self.tokens + added).min(rate);
+        self.refilled_at = now;
     }
 
     fn time_to_next(&self) -> Duration {
-        const LONGEST: Duration = Duration::from_secs(60);
-        let seconds = (1.0 - self.left) / self.rate.0 as f64;
-        Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST).min(LONGEST)
+        const MAX_WAIT: Duration = Duration::from_secs(60);
+        let seconds = (1.0 - self.tokens) / self.rate.0 as f64;
+        Duration::try_from_secs_f64(seconds).unwrap_or(MAX_WAIT).min(MAX_WAIT)
     }
 }
--- a/crates/sagespool-testkit/src/plain_service/http.rs
+++ b/crates/sagespool-testkit/src/plain_service/http.rs
@@ -1,4 +1,4 @@
-//! The service's HTTP calls.
+//! The HTTP API of the plain service.
 
 use std::sync::Arc;
 
@@ -10,23 +10,23 @@
 use trillium_router::Router;
 
 use super::{FailureShares, ServiceLoad, ServiceShared, service_answer};
-use crate::crossing::RequestAnswer;
 use crate::engine::is_poisonous;
 use crate::fault_gate::{ServerDown, StartNumber};
-use crate::http_answer::{
+use crate::http_helpers::{
     attempt_of, error_response, header_text, json_response, with_request_headers,
 };
-use crate::stand_server::{break_connection, lock};
-use crate::witness::{RunEnd, RunMarker, RunRecorder, RunStart};
+use crate::mixed_answers::RequestAnswer;
+use crate::restartable_server::{break_connection, lock};
+use crate::run_log::{RunEnd, RunMarker, RunRecorder, RunStart};
 
-/// One call of one start of a service.
+/// A call, bound to the service start that received it.
 #[derive(Clone)]
 struct ServiceCall {
     service: Arc<ServiceShared>,
     start: StartNumber,
 }
 
-/// The calls of one start of a service.
+/// The routes of one service start.
 pub(super) fn routes(service: Arc<ServiceShared>, start: StartNumber) -> impl Handler {
     let call = ServiceCall { service, start };
     let load_call = call.clone();
@@ -68,18 +68,18 @@
     json_response(conn, Status::Ok, &report)
 }
 
-/// What a call's run ended in.
+/// The outcome of a call.
 enum CallOutcome {
-    /// It didn't run.
+    /// The injected failure before the run.
     Failed,
-    /// It ran; its answer is to be lost.
+    /// The call ran, but its answer is dropped.
     Unanswered,
-    /// It ran.
+    /// The call ran and is answered.
     Answered,
 }
 
 impl ServiceCall {
-    /// Runs a call; the error is its connection, if the service crashed meanwhile.
+    /// Runs a call; the error is its connection if the service crashed or drops the answer.
     async fn answer(&self, mut conn: Conn) -> Result<Conn, Conn> {
         let arrived_at = ClockTime::now();
         if self.service.gate.wait_open(self.start).await.is_err() {
@@ -103,7 +103,7 @@
         };
         match self.run(start, poisonous).await {
             Ok(CallOutcome::Failed) => {
-                Ok(error_response(conn, Status::InternalServerError, "failed before it ran"))
+                Ok(error_response(conn, Status::InternalServerError, "failed before execution"))
             }
             Ok(CallOutcome::Unanswered) => {
                 break_connection(&conn);
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Notes a run, unless the service crashed: the call then never runs.
+    /// Records the start of a run; an error if the service has crashed, so the call does not run.
     fn start_run(&self, start: RunStart) -> Result<RunRecorder, ServerDown> {
         let service = &self.service;
         let mut state = lock(&service.state);
@@ -178,7 +178,7 @@
     RunMarker::find(path).or_else(|| RunMarker::find(&String::from_utf8_lossy(body)))
 }
 
-/// Counts a call in the load for as long as it lives.
+/// Counts a call in the load until dropped.
 struct LoadGuard<'a> {
     service: &'a ServiceShared,
     count_of: fn(&mut ServiceLoad) -> &mut usize,
--- a/crates/sagespool-testkit/src/plain_service/mod.rs
+++ b/crates/sagespool-testkit/src/plain_service/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a plain service: it takes any call, and notes how often each ran.
+//! A fake plain service: it accepts any call and records each run.
 
 mod http;
 
@@ -13,36 +13,36 @@
 use serde_json::json;
 use twox_hash::XxHash3_64;
 
-use crate::crossing::MixedAnswers;
 use crate::fault_gate::{FaultGate, StartNumber};
-use crate::lagged::LaggedState;
-use crate::stand_server::{ListenError, RestartableServer, lock, run_after};
-use crate::witness::{RunEnd, RunLog, RunMarker, RunRecord, RunRecorder};
+use crate::lagged_state::LaggedState;
+use crate::mixed_answers::MixedAnswers;
+use crate::restartable_server::{ListenError, RestartableServer, lock, run_after};
+use crate::run_log::{RunEnd, RunLog, RunMarker, RunRecord, RunRecorder};
 
-/// How a service stand behaves.
+/// Options of a fake plain service.
 #[derive(Clone, Builder)]
 pub struct ServiceOptions {
-    /// Its name in the run log.
+    /// The upstream name in the run log.
     pub name: UpstreamName,
-    /// Calls that run at once; more wait.
+    /// Calls that run concurrently; further ones wait.
     #[builder(default = 64)]
     pub capacity: usize,
-    /// Time that a call takes.
+    /// Duration of a call.
     #[builder(default = Duration::from_millis(5))]
     pub latency: Duration,
-    /// Which share of the calls fails, and how.
+    /// Shares of the calls that fail.
     #[builder(default)]
     pub failures: FailureShares,
-    /// How old the load is that it reports.
+    /// Age of the reported load.
     #[builder(default = Duration::from_millis(200))]
     pub load_lag: Duration,
-    /// Time from a crash by a poisonous call to its restart; none: it stays down.
+    /// Time from a crash by a poisonous call to the restart; none: it stays down.
     #[builder(required, default = Some(Duration::from_secs(1)))]
     pub restart_after: Option<Duration>,
-    /// Where it notes its runs.
+    /// The log in which its runs are recorded.
     #[builder(default)]
     pub run_log: RunLog,
-    /// Decides which calls fail.
+    /// Seed that selects the failing calls.
     #[builder(default = 1)]
     pub seed: u64,
 }
@@ -50,32 +50,32 @@
 /// Shares of a service's calls that fail, each from 0 to 1.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct FailureShares {
-    /// Answered with 500, and not run.
+    /// Answered with 500 without a run.
     pub before_running: f64,
-    /// Run, but the connection breaks instead of an answer.
+    /// Run, but the connection is broken instead of an answer.
     pub after_running: f64,
 }
 
 derives! { value;
-    /// A service's load at some moment.
+    /// The load of a service at one time.
     pub struct ServiceLoad {
-        /// Calls that run.
+        /// Running calls.
         pub running: usize,
-        /// Calls that wait.
+        /// Waiting calls.
         pub waiting: usize,
-        /// Calls that can run at once.
+        /// Calls that can run concurrently.
         pub capacity: usize,
     }
 }
 
-/// The body of the answer to a call; `path` is path and query as they were sent.
+/// The response body of a call; `path` is the path with the query, as sent.
 pub fn service_answer(path: &str, body: &[u8]) -> String {
     let path_hash = XxHash3_64::oneshot(path.as_bytes());
     let digest = XxHash3_64::oneshot_with_seed(path_hash, body);
     json!({ "path": path, "bytes": body.len(), "digest": format!("{digest:016x}") }).to_string()
 }
 
-/// A plain service stand-in. Clones are the same service; the last one dropped ends it.
+/// A fake plain service. Clones share one service; it stops when the last one is dropped.
 #[derive(Clone)]
 pub struct FakeService {
     owner: Arc<ServiceOwner>,
@@ -108,11 +108,11 @@
 }
 
 impl FakeService {
-    /// Starts a service on a port of the loopback interface.
+    /// Starts a service on a loopback port.
     ///
     /// # Errors
     ///
-    /// [`ListenError::Listen`] if no port can be listened on.
+    /// [`ListenError::Listen`] if no port is available.
     pub fn start(options: ServiceOptions) -> Result<Self, Report<ListenError>> {
         let idle = ServiceLoad { running: 0, waiting: 0, capacity: options.capacity };
         let state = ServiceState {
@@ -135,39 +135,39 @@
         Ok(Self { owner: Arc::new(ServiceOwner(shared)) })
     }
 
-    /// Where it is reached, also after a restart.
+    /// The address of the HTTP API; it stays the same after a restart.
     pub fn address(&self) -> SocketAddr {
         self.shared().server.address()
     }
 
-    /// Its name.
+    /// The upstream name in the run log.
     pub fn name(&self) -> &UpstreamName {
         &self.shared().options.name
     }
 
-    /// Where it notes its runs.
+    /// The log in which its runs are recorded.
     pub fn run_log(&self) -> &RunLog {
         &self.shared().options.run_log
     }
 
-    /// Whether it runs, rather than lies crashed.
+    /// False while it is crashed.
     pub fn is_serving(&self) -> bool {
-        // Under the lock: a start begins before its port is listened on.
+        // Takes the lock because a start begins before its port is open.
         let _state = lock(&self.shared().state);
         self.shared().gate.start().is_some()
     }
 
-    /// The load at this moment, without the lag of its reports.
+    /// The current load, without the lag of the reports.
     pub fn current_load(&self) -> ServiceLoad {
         lock(&self.shared().state).present
     }
 
-    /// How often this service ran an idempotency key.
+    /// Number of runs of an idempotency key at this service.
     pub fn runs_of_key(&self, key: &str) -> usize {
         self.count_own(&self.run_log().runs_of_key(key))
     }
 
-    /// How often this service ran a marked call.
+    /// Number of runs of a marked call at this service.
     pub fn runs_of(&self, marker: &RunMarker) -> usize {
         self.count_own(&self.run_log().runs_of(marker))
     }
@@ -176,7 +176,7 @@
         runs.iter().filter(|run| run.start.upstream == *self.name()).count()
     }
 
-    /// Crashes: every connection breaks and the port refuses.
+    /// Crashes: all connections break and the port refuses connections.
     pub fn crash(&self) {
         self.shared().crash(None);
     }
@@ -185,27 +185,27 @@
     ///
     /// # Errors
     ///
-    /// [`ListenError::Listen`] if the port can't be listened on.
+    /// [`ListenError::Listen`] if the port can't be opened.
     pub fn restart(&self) -> Result<(), Report<ListenError>> {
         self.shared().restart()
     }
 
-    /// Freezes or thaws it: a frozen service keeps its connections and answers no call.
+    /// Freezes or unfreezes it: a frozen service keeps its connections and answers no calls.
     pub fn set_frozen(&self, frozen: bool) {
         self.shared().gate.set_frozen(frozen);
     }
 
-    /// Changes the time that a call takes, for calls that start from now on.
+    /// Sets the duration of calls that start later.
     pub fn set_latency(&self, latency: Duration) {
         lock(&self.shared().state).latency = latency;
     }
 
-    /// Changes which share of the calls fails.
+    /// Sets the shares of the calls that fail.
     pub fn set_failures(&self, failures: FailureShares) {
         lock(&self.shared().state).failures = failures;
     }
 
-    /// From now on gives each call the answer to the call before it, as that one's, or ends that.
+    /// While on, answers each call with the answer and the headers of the call before it.
     pub fn set_mixed_answers(&self, on: bool) {
         lock(&self.shared().mixed_answers).set(on);
     }
@@ -229,14 +229,14 @@
         served
     }
 
-    /// Ends the present start, or only the given one.
+    /// Ends the current start, or only the given one.
     fn crash(&self, only: Option<StartNumber>) {
         let mut state = lock(&self.state);
         if !self.gate.end(only) {
             return;
         }
-        // First the log, as a caller that sees its connection break may send its call again
-        // at once: the log must not show two runs at a time where there was one.
+        // Records the crash before it breaks connections: a caller may retry at once, and the log
+        // must not show two concurrent runs where there was one.
         let now = ClockTime::now();
         for recorder in std::mem::take(&mut state.running).into_values() {
             recorder.end(RunEnd::Crashed, now);
@@ -244,14 +244,14 @@
         self.server.stop();
     }
 
-    /// Starts again some time after a poisonous call, unless somebody did so before.
+    /// Restarts after `restart_after`, unless the service has been started since that crash.
     fn restart_later(self: &Arc<Self>, crashed: StartNumber) {
         let Some(time) = self.options.restart_after else {
             return;
         };
         let restart = move |shared: &Arc<Self>| {
             if shared.gate.newest_start() == crashed {
-                shared.restart().expect("the port is held for this stand");
+                shared.restart().expect("the port is reserved for this service");
             }
         };
         run_after(self, time, restart);
@@ -268,7 +268,7 @@
         lock(&self.state).load.visible(ClockTime::now())
     }
 
-    /// Whether the next call is among those that fail.
+    /// Decides at random whether the next call fails.
     fn next_call_fails(&self, share_of: impl Fn(&FailureShares) -> f64) -> bool {
         let mut state = lock(&self.state);
         let share = share_of(&state.failures);
--- a/crates/sagespool-testkit/src/processes.rs
+++ b/crates/sagespool-testkit/src/processes.rs
@@ -1,6 +1,6 @@
-//! Real processes under test: started, signalled, measured, and never left behind.
+//! Child processes for tests: start, signal, measure, and kill on drop.
 //!
-//! Only test scaffolding starts processes; no process of the fleet does.
+//! Only tests and the load tool start processes; the daemon never does.
 //!
 //! ```no_run
 //! use std::path::Path;
@@ -35,19 +35,19 @@
 pub use ports::{free_tcp_port, free_udp_port};
 pub use usage::ProcessUsage;
 
-/// How often `wait` looks.
+/// Interval at which `wait` polls.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What could not be done with a process.
+/// A failed operation on a process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProcessError {
-    /// The program can't be started, or its log file can't be written.
+    /// The program can't be started, or its log file can't be opened.
     NotStarted(PathBuf),
-    /// It has ended already.
+    /// The process has ended already.
     Ended(ExitStatus),
-    /// It goes on running after the time to wait.
+    /// The process still runs after this time.
     StillRunning(Duration),
-    /// The system refused.
+    /// The operating system refused this operation.
     Refused(&'static str),
 }
 
@@ -58,7 +58,7 @@
                 write!(f, "cannot start {}; check that it is built", program.display())
             }
             Self::Ended(status) => write!(f, "the process has ended already: {status}"),
-            Self::StillRunning(limit) => write!(f, "the process still runs after {limit:?}"),
+            Self::StillRunning(limit) => write!(f, "the process is still running after {limit:?}"),
             Self::Refused(action) => write!(f, "cannot {action} the process"),
         }
     }
@@ -66,7 +66,7 @@
 
 impl Error for ProcessError {}
 
-/// A process that is killed when this is dropped.
+/// A child process, killed when dropped.
 #[derive(Debug)]
 pub struct ChildProcess {
     id: Pid,
@@ -75,7 +75,7 @@
 }
 
 impl ChildProcess {
-    /// Starts a program. What it prints goes to the log file, which is appended to.
+    /// Starts a program. Its output is appended to the log file.
     pub fn start<Argument: AsRef<OsStr>>(
         program: &Path,
         arguments: &[Argument],
@@ -84,7 +84,7 @@
         Self::start_with(program, arguments, log, &[])
     }
 
-    /// Starts a program with variables of its environment beside those of this process.
+    /// Starts a program with additional environment variables.
     pub fn start_with<Argument: AsRef<OsStr>>(
         program: &Path,
         arguments: &[Argument],
@@ -106,17 +106,17 @@
         Ok(Self { id: Pid::from_child(&child), log: log.to_owned(), child: Mutex::new(child) })
     }
 
-    /// Its process id.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.id.as_raw_nonzero().get().unsigned_abs()
     }
 
-    /// What it has printed so far, with what was in the log file before.
+    /// The content of the log file, including that of earlier processes.
     pub fn log_text(&self) -> io::Result<String> {
         std::fs::read(&self.log).map(|text| String::from_utf8_lossy(&text).into_owned())
     }
 
-    /// Kills it at once (SIGKILL) and returns when it is gone.
+    /// Kills the process (SIGKILL) and waits until it has ended.
     pub fn kill(&self) -> Result<ExitStatus, Report<ProcessError>> {
         let mut child = self.child();
         let refused = || ProcessError::Refused("kill");
@@ -124,33 +124,33 @@
         child.wait().change_context_lazy(refused)
     }
 
-    /// Asks it to stop (SIGTERM).
+    /// Requests a graceful stop (SIGTERM).
     pub fn terminate(&self) -> Result<(), Report<ProcessError>> {
         self.signal(Signal::TERM, "terminate")
     }
 
-    /// Pauses it (SIGSTOP): its connections stay open, and it doesn't notice the time.
+    /// Suspends the process (SIGSTOP); its connections stay open.
     pub fn pause(&self) -> Result<(), Report<ProcessError>> {
         self.signal(Signal::STOP, "pause")
     }
 
-    /// Lets it go on (SIGCONT).
+    /// Resumes a suspended process (SIGCONT).
     pub fn resume(&self) -> Result<(), Report<ProcessError>> {
         self.signal(Signal::CONT, "resume")
     }
 
-    /// Tells it to read its settings again (SIGHUP).
+    /// Requests a reload of the settings (SIGHUP).
     pub fn reload(&self) -> Result<(), Report<ProcessError>> {
         self.signal(Signal::HUP, "reload")
     }
 
-    /// Whether it has ended, and how.
+    /// The exit status, or none while the process runs.
     pub fn try_wait(&self) -> Result<Option<ExitStatus>, Report<ProcessError>> {
         let ended = self.child().try_wait();
-        ended.change_context(ProcessError::Refused("report on"))
+        ended.change_context(ProcessError::Refused("query"))
     }
 
-    /// Blocks until it has ended, at most for this time.
+    /// Blocks until the process has ended; an error after this time.
     pub fn wait(&self, limit: Duration) -> Result<ExitStatus, Report<ProcessError>> {
         let started = Instant::now();
         loop {
@@ -164,17 +164,17 @@
         }
     }
 
-    /// The processor time and memory that it has used so far, while it runs.
+    /// The CPU time and memory used so far; an error if the process has ended.
     pub fn usage(&self) -> Result<ProcessUsage, Report<ProcessError>> {
-        // The lock keeps its id from going to another process meanwhile.
+        // The lock prevents the process from being reaped and its id from being reused.
         let mut child = self.child();
         check_running(&mut child)?;
         ProcessUsage::read(self.id()).change_context(ProcessError::Refused("measure"))
     }
 
     fn signal(&self, signal: Signal, action: &'static str) -> Result<(), Report<ProcessError>> {
-        // A process that has ended is still a child until it is waited for,
-        // under this lock: no other process can have its id by now.
+        // An ended process keeps its id until it is reaped, which happens under this lock: the id
+        // can't belong to another process here.
         let mut child = self.child();
         check_running(&mut child)?;
         kill_process(self.id, signal).change_context(ProcessError::Refused(action))
@@ -186,13 +186,13 @@
 }
 
 fn check_running(child: &mut Child) -> Result<(), Report<ProcessError>> {
-    let ended = child.try_wait().change_context(ProcessError::Refused("report on"))?;
+    let ended = child.try_wait().change_context(ProcessError::Refused("query"))?;
     ended.map_or(Ok(()), |status| Err(Report::new(ProcessError::Ended(status))))
 }
 
 impl Drop for ChildProcess {
     fn drop(&mut self) {
-        // One that has ended already needs no killing.
+        // Fails if the process has ended already.
         let _ = self.kill();
     }
 }
--- a/crates/sagespool-testkit/src/processes/ports.rs
+++ b/crates/sagespool-testkit/src/processes/ports.rs
@@ -1,4 +1,4 @@
-//! Free ports for processes that must know theirs before they start.
+//! Free ports for processes whose port has to be known before they start.
 
 use std::collections::HashSet;
 use std::io;
@@ -6,22 +6,21 @@
 use std::ops::RangeInclusive;
 use std::sync::{LazyLock, Mutex};
 
-/// Ports below those that the system gives to connections that go out (32,768 and up by default).
-/// A process that is down for a while would otherwise find its port taken by such a connection when
-/// it is started again.
+/// Below the range of ephemeral ports (32,768 and up by default). Otherwise an outgoing connection
+/// could take the port of a process that is down before it is restarted.
 const PORT_RANGE: RangeInclusive<u16> = 10_000..=32_000;
-/// So many ports may be held by others, or have been handed out before.
+/// Candidates to try; some may be in use or allocated already.
 const MAX_ATTEMPTS: usize = 1_000;
 
-/// None is handed out twice in one test process.
+/// Ports allocated in this test process; none is allocated twice.
 static ALLOCATED: LazyLock<Mutex<HashSet<u16>>> = LazyLock::new(Mutex::default);
 
-/// A TCP port on 127.0.0.1 that nobody holds.
+/// A free TCP port on 127.0.0.1.
 pub fn free_tcp_port() -> io::Result<u16> {
     allocate_port(|port| TcpListener::bind((Ipv4Addr::LOCALHOST, port)).map(drop))
 }
 
-/// A UDP port on 127.0.0.1 that nobody holds.
+/// A free UDP port on 127.0.0.1.
 pub fn free_udp_port() -> io::Result<u16> {
     allocate_port(|port| UdpSocket::bind((Ipv4Addr::LOCALHOST, port)).map(drop))
 }
--- a/crates/sagespool-testkit/src/processes/usage.rs
+++ b/crates/sagespool-testkit/src/processes/usage.rs
@@ -1,4 +1,4 @@
-//! What a process has used, as the system counts it under `/proc`.
+//! Resource usage of a process, from `/proc`.
 
 use std::fs;
 use std::io;
@@ -7,19 +7,19 @@
 use rustix::param::clock_ticks_per_second;
 use sagespool_types::ByteCount;
 
-/// Places of the fields after the program's name in `/proc/ID/stat` (proc(5) counts from 1
-/// and has the name second).
+/// Indexes of fields after the program name in `/proc/ID/stat` (proc(5) numbers fields from 1; the
+/// name is the second).
 const USER_TICKS: usize = 14 - 3;
 const SYSTEM_TICKS: usize = 15 - 3;
 
 const PEAK_MEMORY: &str = "VmHWM:";
 
-/// What a process has used since it started.
+/// Resources used by a process since its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProcessUsage {
-    /// Processor time in user and system mode, over all threads.
+    /// CPU time in user and system mode, over all threads.
     pub processor: Duration,
-    /// The most memory that it ever had resident.
+    /// Peak resident memory.
     pub peak_memory: ByteCount,
 }
 
@@ -27,7 +27,7 @@
     pub(super) fn read(id: u32) -> io::Result<Self> {
         let stat = fs::read_to_string(format!("/proc/{id}/stat"))?;
         let status = fs::read_to_string(format!("/proc/{id}/status"))?;
-        let unknown = || io::Error::new(io::ErrorKind::InvalidData, "an unknown format");
+        let unknown = || io::Error::new(io::ErrorKind::InvalidData, "unexpected format in /proc");
         let processor = processor_time(&stat).ok_or_else(unknown)?;
         let peak_memory = peak_memory(&status).ok_or_else(unknown)?;
         Ok(Self { processor, peak_memory })
@@ -35,7 +35,7 @@
 }
 
 fn processor_time(stat: &str) -> Option<Duration> {
-    // The name stands in brackets and may itself hold spaces and brackets.
+    // The name is in parentheses and may itself contain spaces and parentheses.
     let (_, after_name) = stat.rsplit_once(')')?;
     let fields: Vec<&str> = after_name.split_whitespace().collect();
     let ticks = |at: usize| fields.get(at)?.parse::<u64>().ok();
--- a/crates/sagespool-testkit/src/proxy.rs
+++ b/crates/sagespool-testkit/src/proxy.rs
@@ -1,8 +1,8 @@
-//! A proxy between processes that injects network faults, pair by pair.
+//! A proxy between processes that injects network faults per pair of names.
 //!
-//! One proxy holds all links of a test: TCP from processes to the platform and
-//! to upstreams, UDP between processes. Both ends of a link have names, and
-//! every fault is put on a pair of names at any time.
+//! One proxy carries all links of a test: TCP from processes to the platform and to upstreams,
+//! UDP between processes. Both ends of a link have names, and faults of a pair of names can be
+//! changed at any time.
 //!
 //! ```
 //! use sagespool_testkit::FaultProxy;
@@ -37,7 +37,7 @@
 
 pub use table::PairBytes;
 
-/// A running proxy. Dropping it closes every link and connection.
+/// A running proxy. Dropping it closes all links and connections.
 pub struct FaultProxy {
     table: Arc<FaultTable>,
     senders: Arc<SenderTable>,
@@ -46,14 +46,14 @@
 }
 
 impl FaultProxy {
-    /// Starts without links on threads of its own.
+    /// Starts a proxy without links, on its own threads.
     pub fn start() -> Result<Self, Report<StartError>> {
         let threads = ProxyThreads::start()?;
         let delay_queue = DelayQueue::start(&threads.spawner());
         Ok(Self { table: Arc::default(), senders: Arc::default(), delay_queue, threads })
     }
 
-    /// A TCP link; returns the address at which `from` reaches `to`.
+    /// Opens a TCP link; returns the address at which `from` reaches `to`.
     pub fn tcp_link(
         &self,
         from: &str,
@@ -63,10 +63,9 @@
         TcpLink::start(&self.table, &self.threads.spawner(), (from, to), target)
     }
 
-    /// A UDP link; returns the address at which every registered sender reaches `to`.
+    /// Opens a UDP link; returns the address at which all registered senders reach `to`.
     ///
-    /// Packets of a sender that isn't registered go nowhere, so that no
-    /// packet passes a cut by having no name.
+    /// Packets of unregistered senders are dropped, so that no packet bypasses a cut.
     pub fn udp_link(&self, to: &str, target: SocketAddr) -> Result<SocketAddr, Report<StartError>> {
         UdpLink::start(
             &self.table,
@@ -77,60 +76,60 @@
         )
     }
 
-    /// Says which process sends its UDP packets from an address. A process
-    /// that restarts at another address is registered again.
+    /// Registers the address from which a process sends UDP packets. A process that restarts at
+    /// another address has to be registered again.
     pub fn register_sender(&self, name: &str, address: SocketAddr) {
         self.senders.register(name, address);
     }
 
-    /// Packets that came from an address without a name and went nowhere.
+    /// Number of packets dropped because their sender was not registered.
     pub fn unregistered_packets(&self) -> u64 {
         self.senders.unregistered_packets()
     }
 
-    /// Lets nothing through between the two, in either direction. TCP
-    /// connections stay open and what is sent on them is swallowed.
+    /// Blocks all traffic between the two, in both directions. TCP connections stay open, and data
+    /// sent on them is discarded.
     pub fn cut(&self, a: &str, b: &str) {
         self.table.change_both(a, b, |faults| faults.cut = true);
     }
 
-    /// Lets nothing through from one to the other; the way back stays open.
+    /// Blocks all traffic in one direction; the reverse direction stays open.
     pub fn cut_one_way(&self, from: &str, to: &str) {
         self.table.change(from, to, |faults| faults.cut = true);
     }
 
-    /// Cuts every name of one group from every name of the other.
+    /// Blocks all traffic between two groups.
     pub fn cut_groups(&self, group: &[&str], others: &[&str]) {
         for (a, b) in pairs_of(group, others) {
             self.cut(a, b);
         }
     }
 
-    /// Takes back a cut, in both directions. TCP connections that lost bytes
-    /// to the cut are then reset, as what follows would leave a hole.
+    /// Removes a cut, in both directions. TCP connections that lost data to the cut are reset, as
+    /// their streams would have gaps.
     pub fn heal(&self, a: &str, b: &str) {
         self.table.change_both(a, b, |faults| faults.cut = false);
     }
 
-    /// Takes back a cut in one direction. Connections that lost bytes to a
-    /// cut are reset once neither direction is cut.
+    /// Removes a cut in one direction. Connections that lost data to a cut are reset once neither
+    /// direction is cut.
     pub fn heal_one_way(&self, from: &str, to: &str) {
         self.table.change(from, to, |faults| faults.cut = false);
     }
 
-    /// Takes back a cut of groups.
+    /// Removes a cut between two groups.
     pub fn heal_groups(&self, group: &[&str], others: &[&str]) {
         for (a, b) in pairs_of(group, others) {
             self.heal(a, b);
         }
     }
 
-    /// Takes back every fault of every pair.
+    /// Removes all faults of all pairs.
     pub fn heal_all(&self) {
         self.table.clear();
     }
 
-    /// Delays what passes between the two, each way; zero takes it back.
+    /// Sets the delay in each direction between the two; zero removes it.
     pub fn delay(&self, a: &str, b: &str, delay: Duration) {
         self.table.change_both(a, b, |faults| faults.delay = delay);
     }
@@ -140,22 +139,22 @@
         self.table.change_both(a, b, |faults| faults.drop_share = share);
     }
 
-    /// Holds a share, 0 to 1, of the UDP packets back until later ones have passed.
+    /// Delays a share, 0 to 1, of the UDP packets between the two so that later ones overtake them.
     pub fn reorder_share(&self, a: &str, b: &str, share: f64) {
         self.table.change_both(a, b, |faults| faults.reorder_share = share);
     }
 
-    /// Delivers a share, 0 to 1, of the UDP packets between the two twice.
+    /// Duplicates a share, 0 to 1, of the UDP packets between the two.
     pub fn duplicate_share(&self, a: &str, b: &str, share: f64) {
         self.table.change_both(a, b, |faults| faults.duplicate_share = share);
     }
 
-    /// Resets every open TCP connection between the two, whoever opened it.
+    /// Resets all open TCP connections between the two, whichever side opened them.
     pub fn break_connections(&self, a: &str, b: &str) {
         self.table.break_both(a, b);
     }
 
-    /// What was carried and lost from one to the other.
+    /// Payload bytes received, delivered and lost in one direction.
     pub fn bytes(&self, from: &str, to: &str) -> PairBytes {
         self.table.pair(from, to).bytes()
     }
--- a/crates/sagespool-testkit/src/proxy/delay_queue.rs
+++ b/crates/sagespool-testkit/src/proxy/delay_queue.rs
@@ -1,4 +1,4 @@
-//! Holds UDP packets back until they are due.
+//! A queue of UDP packets that are delivered after a delay.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -12,7 +12,7 @@
 use super::threads::TaskSpawner;
 use super::udp::UdpPath;
 
-/// A packet on its way, ordered by the time it is due.
+/// A queued packet, ordered by its delivery time.
 pub(super) struct DelayedPacket {
     pub(super) due: Instant,
     pub(super) path: Arc<UdpPath>,
@@ -39,7 +39,7 @@
     }
 }
 
-/// The sender of the line; one line serves a whole proxy.
+/// A handle to the delay queue; one queue serves a whole proxy.
 #[derive(Clone)]
 pub(super) struct DelayQueue {
     sender: Sender<DelayedPacket>,
@@ -53,7 +53,7 @@
     }
 
     pub(super) fn push(&self, delayed: DelayedPacket) {
-        // The line ends with the proxy, and then nothing arrives any more.
+        // Fails only after the proxy has been dropped, when no packets are delivered any more.
         let _ = self.sender.try_send(delayed);
     }
 }
--- a/crates/sagespool-testkit/src/proxy/packet_action.rs
+++ b/crates/sagespool-testkit/src/proxy/packet_action.rs
@@ -1,22 +1,22 @@
-//! What becomes of one UDP packet.
+//! The fault decision for a UDP packet.
 
 use std::time::Duration;
 
 use super::table::PairFaults;
 
-/// So much later comes a packet that is held back for others to overtake it.
+/// Additional delay of a reordered packet, so that later packets overtake it.
 const REORDER_DELAY: Duration = Duration::from_millis(5);
 
-/// What becomes of one UDP packet.
+/// The action for one UDP packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct PacketAction {
-    /// How many copies arrive.
+    /// Number of copies to deliver; 0 drops the packet.
     pub(super) copies: u32,
-    /// How much later they arrive.
+    /// Delay before the delivery.
     pub(super) delay: Duration,
 }
 
-/// Decides a packet's fate; `chance` gives a uniform number from 0 up to 1.
+/// Decides on a packet; `chance` returns a uniform random number in [0, 1).
 pub(super) fn decide_packet(faults: &PairFaults, mut chance: impl FnMut() -> f64) -> PacketAction {
     let mut happens = |share: f64| share > 0.0 && chance() < share;
     if faults.cut || happens(faults.drop_share) {
--- a/crates/sagespool-testkit/src/proxy/table.rs
+++ b/crates/sagespool-testkit/src/proxy/table.rs
@@ -1,4 +1,4 @@
-//! The faults of each pair of names, and what passed between them.
+//! Faults and byte counters of each pair of names.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,7 +8,7 @@
 use event_listener::{Event, EventListener};
 use sagespool_types::ByteCount;
 
-/// What is wrong in one direction between two names.
+/// Faults in one direction between two names.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub(super) struct PairFaults {
     pub(super) cut: bool,
@@ -18,18 +18,18 @@
     pub(super) duplicate_share: f64,
 }
 
-/// What went from one name to another.
+/// Traffic from one name to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct PairBytes {
-    /// Payload bytes that the proxy took in. What is neither carried nor lost is under way.
+    /// Payload bytes received by the proxy. Those neither carried nor lost are in flight.
     pub entered: ByteCount,
-    /// Payload bytes that arrived, counted again when delivered twice.
+    /// Payload bytes delivered; duplicates count again.
     pub carried: ByteCount,
-    /// Payload bytes that a fault or a full buffer kept back.
+    /// Payload bytes dropped by a fault or a full buffer.
     pub lost: ByteCount,
 }
 
-/// One direction between two names, shared by everything that runs along it.
+/// One direction between two names, shared by all links and connections between them.
 #[derive(Debug, Default)]
 pub(super) struct DirectedPair {
     faults: Mutex<PairFaults>,
@@ -48,7 +48,7 @@
         self.faults().cut
     }
 
-    /// How often its connections were broken.
+    /// Number of `break_connections` calls for the pair.
     pub(super) fn breaks(&self) -> u64 {
         self.breaks.load(Ordering::SeqCst)
     }
@@ -80,7 +80,7 @@
 
 type PairNames = (Arc<str>, Arc<str>);
 
-/// All pairs that were ever named.
+/// All pairs in use, by their names.
 #[derive(Debug, Default)]
 pub(super) struct FaultTable {
     pairs: Mutex<HashMap<PairNames, Arc<DirectedPair>>>,
@@ -88,13 +88,13 @@
 }
 
 impl FaultTable {
-    /// The pair in one direction; made at its first mention.
+    /// The pair in one direction; created on first use.
     pub(super) fn pair(&self, from: &str, to: &str) -> Arc<DirectedPair> {
         let mut pairs = self.pairs.lock().expect("no holder of the table's lock panics");
         pairs.entry((from.into(), to.into())).or_default().clone()
     }
 
-    /// Is notified after every change of any pair.
+    /// Completes after the next change of any pair.
     pub(super) fn listen(&self) -> EventListener {
         self.changed.listen()
     }
--- a/crates/sagespool-testkit/src/proxy/tcp.rs
+++ b/crates/sagespool-testkit/src/proxy/tcp.rs
@@ -1,4 +1,4 @@
-//! TCP links: each connection is carried by one task, bytes in order.
+//! TCP links: one task relays each connection and keeps the byte order.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -19,13 +19,13 @@
 
 const CHUNK_BYTES: usize = 16 << 10;
 
-/// Chunks that one direction holds reverse at most before it stops reading.
+/// Most chunks queued in one direction; when the queue is full, reading stops.
 const QUEUED_CHUNKS: usize = 1024;
 
-/// The pause after a connection that could not be accepted.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// A TCP link: the address at which one name reaches another.
+/// A TCP link from one name to another.
 #[derive(Clone)]
 pub(super) struct TcpLink {
     table: Arc<FaultTable>,
@@ -74,31 +74,30 @@
 /// How a connection, or one direction of it, ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RelayEnd {
-    /// Both sides have said all they had to say.
+    /// Both sides have closed their streams.
     Finished,
-    /// Both sides are to see a reset.
+    /// The connection is reset on both sides.
     Reset,
 }
 
-/// One connection.
+/// One relayed connection.
 struct TcpConnection {
     link: TcpLink,
     breaks_before: u64,
-    /// Set once a cut has swallowed something. From then on nothing more is
-    /// delivered, also after the cut is healed: the receiver would see a
-    /// stream with a hole and take it for whole. The connection stays silent
-    /// during the cut and is reset when the cut is healed.
-    lost_bytes: AtomicBool,
+    /// Set once a cut has discarded data. After that nothing is delivered, even once the cut is
+    /// removed: the receiver would take a stream with a gap for a complete one. The connection
+    /// stays silent during the cut and is reset when the cut is removed.
+    gap: AtomicBool,
 }
 
 impl TcpConnection {
     fn new(link: TcpLink) -> Self {
         let breaks_before = link.breaks();
-        Self { link, breaks_before, lost_bytes: AtomicBool::new(false) }
+        Self { link, breaks_before, gap: AtomicBool::new(false) }
     }
 
     async fn relay(self, client: TcpStream) {
-        // The order matters: what the first has swallowed, the second sees in the same poll.
+        // The order matters: a loss in the first future is visible to the second in the same poll.
         let end = self.relay_bytes(&client).or(self.wait_reset()).await;
         if end == RelayEnd::Reset {
             reset_on_close(&client);
@@ -109,7 +108,7 @@
         if self.closed_before_open(client).await {
             return RelayEnd::Finished;
         }
-        if self.has_lost_bytes() {
+        if self.has_gap() {
             return RelayEnd::Reset;
         }
         let Ok(server) = TcpStream::connect(self.link.target).await else {
@@ -125,8 +124,8 @@
         end
     }
 
-    /// While the link is cut, nothing reaches the target, not even the wish
-    /// to connect. Returns true if the client went away meanwhile.
+    /// While the link is cut, not even the connection attempt reaches the target. Returns true if
+    /// the client closes the connection meanwhile.
     async fn closed_before_open(&self, client: &TcpStream) -> bool {
         let open = async {
             self.wait_until(|| !self.link.is_cut()).await;
@@ -146,7 +145,7 @@
                 Ok(0) | Err(_) => return,
                 Ok(length) => {
                     self.link.forward.count_entered(length);
-                    self.count_loss(length, &self.link.forward);
+                    self.record_loss(length, &self.link.forward);
                 }
             }
         }
@@ -157,7 +156,7 @@
         let (sender, receiver) = async_channel::bounded(QUEUED_CHUNKS);
         let read = async {
             self.read_chunks(from, &sender, pair).await;
-            // Keeps the channel open: the end comes through it as a chunk.
+            // Keeps the channel open: the end of the stream is sent through it as a chunk.
             future::pending::<RelayEnd>().await
         };
         read.or(self.write_chunks(to, receiver, pair)).await
@@ -182,7 +181,7 @@
                 let due = Instant::now() + pair.faults().delay;
                 let _ = sender.send(QueuedChunk { due, chunk }).await;
             } else {
-                self.count_loss(chunk.len(), pair);
+                self.record_loss(chunk.len(), pair);
             }
             if is_last {
                 return;
@@ -201,14 +200,14 @@
                 Timer::at(due).await;
             }
             if !self.passes(pair) {
-                self.count_loss(chunk.len(), pair);
+                self.record_loss(chunk.len(), pair);
                 continue;
             }
             match write_chunk(&mut to, &chunk).await {
                 Ok(None) => pair.count_carried(chunk.len()),
                 Ok(Some(end)) => return end,
-                // The receiver is gone; the sender hears of it only if the way reverse is open.
-                Err(_) if self.link.is_cut() => self.count_loss(chunk.len(), pair),
+                // The receiver is gone; the sender notices only if the reverse direction is open.
+                Err(_) if self.link.is_cut() => self.record_loss(chunk.len(), pair),
                 Err(_) => return RelayEnd::Reset,
             }
         }
@@ -216,23 +215,23 @@
     }
 
     fn passes(&self, pair: &DirectedPair) -> bool {
-        !pair.is_cut() && !self.has_lost_bytes()
+        !pair.is_cut() && !self.has_gap()
     }
 
-    fn has_lost_bytes(&self) -> bool {
-        self.lost_bytes.load(Ordering::SeqCst)
+    fn has_gap(&self) -> bool {
+        self.gap.load(Ordering::SeqCst)
     }
 
-    fn count_loss(&self, bytes: usize, pair: &DirectedPair) {
+    fn record_loss(&self, bytes: usize, pair: &DirectedPair) {
         pair.count_lost(bytes);
-        self.lost_bytes.store(true, Ordering::SeqCst);
+        self.gap.store(true, Ordering::SeqCst);
     }
 
-    /// Returns when the connection is to be reset: it was broken by order, or
-    /// the cut that swallowed some of it is healed.
+    /// Returns when the connection has to be reset: after `break_connections`, or when the cut that
+    /// discarded some of its data is removed.
     async fn wait_reset(&self) -> RelayEnd {
         let is_broken = || self.link.breaks() != self.breaks_before;
-        let is_healed = || self.has_lost_bytes() && !self.link.is_cut();
+        let is_healed = || self.has_gap() && !self.link.is_cut();
         self.wait_until(|| is_broken() || is_healed()).await;
         RelayEnd::Reset
     }
@@ -268,7 +267,7 @@
     chunk: TcpChunk,
 }
 
-/// Writes a chunk; returns how the direction ends, if it does.
+/// Writes a chunk; returns the end of the direction if the chunk ends it.
 async fn write_chunk(to: &mut TcpStream, chunk: &TcpChunk) -> io::Result<Option<RelayEnd>> {
     match chunk {
         TcpChunk::Data(bytes) => to.write_all(bytes).await.map(|()| None),
@@ -277,7 +276,7 @@
     }
 }
 
-/// Returns when both directions are finished, or one of them ends with a reset.
+/// Returns when both directions are finished or one of them is reset.
 async fn finish_both(
     forward: impl Future<Output = RelayEnd>,
     reverse: impl Future<Output = RelayEnd>,
@@ -294,7 +293,7 @@
     }
 }
 
-/// Resets its connection when dropped, also when the task is given up, unless told otherwise.
+/// Resets its connection when dropped, also if the task is cancelled, unless disarmed.
 struct ResetGuard {
     stream: TcpStream,
     armed: bool,
@@ -314,8 +313,8 @@
     }
 }
 
-/// Makes the close of a connection a reset, which throws away what is still unsent.
+/// Makes closing a connection reset it, which discards unsent data.
 fn reset_on_close(stream: &TcpStream) {
-    // A connection that is gone already needs no reset.
+    // Fails if the connection is gone already and needs no reset.
     let _ = set_socket_linger(stream, Some(Duration::ZERO));
 }
--- a/crates/sagespool-testkit/src/proxy/threads.rs
+++ b/crates/sagespool-testkit/src/proxy/threads.rs
@@ -1,4 +1,4 @@
-//! The threads that carry a proxy's traffic, apart from the test's own.
+//! The threads that run a proxy's tasks, separate from those of the test.
 
 use std::future::Future;
 use std::sync::{Arc, Weak};
@@ -12,15 +12,15 @@
 
 const THREAD_COUNT: usize = 2;
 
-/// Threads that run until they are dropped; then their tasks end, too.
+/// The executor threads of a proxy; dropping them ends their tasks.
 pub(super) struct ProxyThreads {
     executor: Arc<Executor<'static>>,
     stop: Sender<()>,
     threads: Vec<JoinHandle<()>>,
 }
 
-/// Starts tasks on the threads. It doesn't keep them alive: the tasks hold
-/// spawners themselves, and would otherwise never be dropped.
+/// Spawns tasks on the proxy's threads. It has a weak reference because the tasks own spawners
+/// themselves and would otherwise never be dropped.
 #[derive(Debug, Clone)]
 pub(super) struct TaskSpawner {
     executor: Weak<Executor<'static>>,
@@ -46,7 +46,7 @@
     stopped: Receiver<()>,
 ) -> Result<JoinHandle<()>, Report<StartError>> {
     let run = move || {
-        // An error says that the channel was closed, which is the signal to stop.
+        // An error means that the channel was closed, which is the signal to stop.
         let _ = smol::block_on(executor.run(stopped.recv()));
     };
     let builder = thread::Builder::new().name("fault-proxy".to_owned());
@@ -57,7 +57,7 @@
     fn drop(&mut self) {
         self.stop.close();
         for thread in self.threads.drain(..) {
-            // A thread that panicked has said so already.
+            // A panic of the thread has been printed already.
             let _ = thread.join();
         }
     }
--- a/crates/sagespool-testkit/src/proxy/udp.rs
+++ b/crates/sagespool-testkit/src/proxy/udp.rs
@@ -1,4 +1,4 @@
-//! UDP links: each sender has a forwarding socket of its own towards each target.
+//! UDP links: each sender has its own forwarding socket towards each target.
 
 use std::collections::HashMap;
 use std::io;
@@ -17,13 +17,13 @@
 use super::threads::TaskSpawner;
 use crate::loopback_server::StartError;
 
-/// The largest payload of a UDP packet, in bytes.
+/// Largest payload of a UDP packet.
 const MAX_PACKET_BYTES: usize = 65_535;
 
-/// Room for bursts, in bytes; the system may grant less.
+/// Receive buffer for bursts; the operating system may grant less.
 const RECEIVE_BUFFER_BYTES: usize = 4 << 20;
 
-/// Which process sends from which address.
+/// The names of senders by their addresses.
 #[derive(Debug, Default)]
 pub(super) struct SenderTable {
     names: Mutex<HashMap<SocketAddr, Arc<str>>>,
@@ -50,7 +50,7 @@
     }
 }
 
-/// One direction of one flow: where packets leave and where they go.
+/// One direction of a flow: its sending socket and its destination.
 pub(super) struct UdpPath {
     pair: Arc<DirectedPair>,
     socket: Arc<Async<UdpSocket>>,
@@ -58,7 +58,7 @@
 }
 
 impl UdpPath {
-    /// Sends a packet on, unless the pair is cut. A full buffer loses it, as UDP does.
+    /// Sends a packet unless the pair is cut. If the buffer is full it is lost, as usual for UDP.
     pub(super) fn deliver(&self, packet: &[u8]) {
         let passes = !self.pair.is_cut();
         if passes && self.socket.get_ref().send_to(packet, self.to).is_ok() {
@@ -104,17 +104,17 @@
         Ok(address)
     }
 
-    /// Takes packets in, one flow for each sender.
+    /// Receives and forwards packets, with one flow per sender.
     async fn relay(self) {
         let mut flows = HashMap::new();
         let mut buffer = vec![0; MAX_PACKET_BYTES];
         loop {
             let Ok((length, source)) = self.ingress.recv_from(&mut buffer).await else { return };
             let Some(name) = self.senders.name_of(source) else { continue };
-            // Under the name as well: an address may go over to another process.
+            // The name is part of the key because an address can be reused by another process.
             let key = (source, name);
             if !flows.contains_key(&key) {
-                // Without a socket the packet is lost, and the next one tries again.
+                // Without a socket the packet is lost; the next one tries again.
                 let Ok(forward) = self.open_flow(&key.1, source) else { continue };
                 flows.insert(key.clone(), Arc::new(forward));
             }
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Opens the way forward and starts the way reverse.
+    /// Opens a flow and starts its reverse direction.
     fn open_flow(&self, name: &str, source: SocketAddr) -> io::Result<UdpPath> {
         let socket = Arc::new(bind_loopback()?);
         let forward = UdpPath {
@@ -147,7 +147,7 @@
     }
 }
 
-/// Takes the target's packets reverse to the sender, from the address that the sender knows.
+/// Relays the target's packets to the sender, from the address that the sender uses.
 async fn relay_reverse(
     socket: Arc<Async<UdpSocket>>,
     target: SocketAddr,
--- a/crates/sagespool-testkit/src/witness/log.rs
+++ b/crates/sagespool-testkit/src/run_log/log.rs
@@ -1,4 +1,4 @@
-//! The log that all stands of a trial share.
+//! The run log, shared by all fake upstreams of a test.
 
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, RandomState};
@@ -9,13 +9,13 @@
 use sagespool_types::{BranchName, ClockTime, TokenCount};
 
 use super::{RunEnd, RunMarker, RunRecord, RunStart, TokenUsage};
-use crate::stand_server::lock;
+use crate::restartable_server::lock;
 
 const SHARD_COUNT: usize = 16;
 
-/// Every run that the stands saw. Clones share one log.
+/// All runs at the fake upstreams. Clones share one log.
 ///
-/// What a run keeps is of fixed size, however long its answer.
+/// The size of a run's record does not depend on the length of its answer.
 #[derive(Clone, Default)]
 pub struct RunLog {
     shared: Arc<LogShards>,
@@ -37,7 +37,7 @@
     }
 }
 
-/// The runs of some branches; those without a marker are in the first shard.
+/// The runs of some branches; runs without a marker are in the first shard.
 #[derive(Default)]
 struct LogShard {
     runs: Vec<Arc<RunEntry>>,
@@ -74,19 +74,19 @@
     }
 }
 
-/// A stand's hand on the record of a run that it has started.
+/// An upstream's handle to the record of a run that it started.
 #[derive(Clone)]
 pub struct RunRecorder {
     entry: Arc<RunEntry>,
 }
 
 impl RunRecorder {
-    /// The run's number in its log.
+    /// The number of the run in its log.
     pub fn number(&self) -> u64 {
         self.entry.number
     }
 
-    /// Notes how many tokens the run has made in all; ignored once it has ended.
+    /// Records the total number of tokens generated so far; ignored once the run has ended.
     pub fn produced(&self, total: TokenCount, now: ClockTime) {
         let mut progress = lock(&self.entry.progress);
         if progress.ended.is_some() || total <= progress.produced {
@@ -97,19 +97,19 @@
         progress.newest_at = Some(now);
     }
 
-    /// Notes that the run ended; only the first end counts.
+    /// Records the end of the run; only the first end counts.
     pub fn end(&self, end: RunEnd, now: ClockTime) {
         lock(&self.entry.progress).ended.get_or_insert((end, now));
     }
 }
 
 impl RunLog {
-    /// An empty log.
+    /// Creates an empty log.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes that a run started.
+    /// Records the start of a run.
     pub fn start(&self, start: RunStart, now: ClockTime) -> RunRecorder {
         let number = self.shared.next_number.fetch_add(1, Ordering::Relaxed);
         let marker = start.marker.clone();
@@ -125,7 +125,7 @@
         RunRecorder { entry }
     }
 
-    /// Every run, in order of the starts.
+    /// All runs, ordered by start.
     pub fn runs(&self) -> Vec<RunRecord> {
         self.select(|_| true)
     }
@@ -134,43 +134,43 @@
     pub fn runs_of(&self, marker: &RunMarker) -> Vec<RunRecord> {
         let shard = lock(self.shard_of(Some(&marker.branch)));
         let runs = shard.by_branch.get(&marker.branch);
-        let places = runs.and_then(|runs| runs.get(&marker.number));
-        places.into_iter().flatten().map(|&index| shard.runs[index].record()).collect()
+        let indexes = runs.and_then(|runs| runs.get(&marker.number));
+        indexes.into_iter().flatten().map(|&index| shard.runs[index].record()).collect()
     }
 
-    /// The runs that carried one idempotency key.
+    /// The runs with an idempotency key.
     pub fn runs_of_key(&self, key: &str) -> Vec<RunRecord> {
         self.select(|entry| entry.start.key.as_deref() == Some(key))
     }
 
-    /// How often each request ran.
+    /// Number of runs by request.
     pub fn runs_by_marker(&self) -> BTreeMap<RunMarker, usize> {
         self.count_by(|record| record.start.marker)
     }
 
-    /// How often each idempotency key ran.
+    /// Number of runs by idempotency key.
     pub fn runs_by_key(&self) -> BTreeMap<String, usize> {
         self.count_by(|record| record.start.key)
     }
 
-    /// The runs at a moment, in order of the starts.
+    /// The runs in progress at a time, ordered by start.
     pub fn running_at(&self, at: ClockTime) -> Vec<RunRecord> {
         let mut records = self.select(|entry| entry.started_at <= at);
         records.retain(|record| record.running_at(at));
         records
     }
 
-    /// The runs that haven't ended.
+    /// The runs that have not ended, ordered by start.
     pub fn running(&self) -> Vec<RunRecord> {
         self.select(|entry| lock(&entry.progress).ended.is_none())
     }
 
-    /// What the engines had used for a branch by a moment, over all attempts.
+    /// Token usage of a branch at engines up to a time, over all attempts.
     pub fn used_at(&self, branch: &BranchName, at: ClockTime) -> TokenUsage {
         self.usage_of(branch, UpstreamKind::Engine, at)
     }
 
-    /// How many calls of plain services had started for a branch by a moment.
+    /// Number of a branch's calls that plain services started up to a time.
     pub fn calls_at(&self, branch: &BranchName, at: ClockTime) -> u64 {
         self.usage_of(branch, UpstreamKind::Service, at).runs
     }
@@ -178,20 +178,20 @@
     fn usage_of(&self, branch: &BranchName, kind: UpstreamKind, at: ClockTime) -> TokenUsage {
         let shard = lock(self.shard_of(Some(branch)));
         let runs = shard.by_branch.get(branch);
-        let places = runs.into_iter().flat_map(BTreeMap::values).flatten();
-        let entries = places.map(|&index| &shard.runs[index]);
+        let indexes = runs.into_iter().flat_map(BTreeMap::values).flatten();
+        let entries = indexes.map(|&index| &shard.runs[index]);
         entries
             .filter(|entry| entry.start.kind == kind && entry.started_at <= at)
             .map(|entry| entry.record().used_at(at))
             .fold(TokenUsage::default(), TokenUsage::plus)
     }
 
-    fn select(&self, fits: impl Fn(&RunEntry) -> bool) -> Vec<RunRecord> {
+    fn select(&self, matches: impl Fn(&RunEntry) -> bool) -> Vec<RunRecord> {
         let mut records = Vec::new();
         for shard in &self.shared.shards {
             let shard = lock(shard);
-            let fitting = shard.runs.iter().filter(|entry| fits(entry));
-            records.extend(fitting.map(|entry| entry.record()));
+            let matching = shard.runs.iter().filter(|entry| matches(entry));
+            records.extend(matching.map(|entry| entry.record()));
         }
         records.sort_by_key(|record| record.number);
         records
--- a/crates/sagespool-testkit/src/witness/marker.rs
+++ b/crates/sagespool-testkit/src/run_log/marker.rs
@@ -1,4 +1,4 @@
-//! The marker of a request, placed by whoever sends it.
+//! Request markers, which the sender puts into its requests.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,9 +6,9 @@
 use sagespool_types::{BranchName, ParseError};
 
 const MARKER_PREFIX: &str = "mark:";
-const MARKER_HELP: &str = "mark:BRANCH/NUMBER, as `mark:ruwi-bids/17`";
+const MARKER_HELP: &str = "mark:BRANCH/NUMBER, e.g. `mark:ruwi-bids/17`";
 
-/// Which request of which branch a run belongs to, as text `mark:BRANCH/NUMBER`.
+/// Identifies the request of a run by branch and number, written as `mark:BRANCH/NUMBER`.
 ///
 /// ```
 /// use sagespool_testkit::RunMarker;
@@ -18,9 +18,9 @@
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RunMarker {
-    /// The branch that sent the request.
+    /// Branch that sent the request.
     pub branch: BranchName,
-    /// The request's number within the branch.
+    /// Number of the request within the branch.
     pub number: u64,
 }
 
@@ -30,7 +30,7 @@
         text.split(MARKER_PREFIX).skip(1).find_map(Self::read)
     }
 
-    /// The marker at the start of a text that follows the prefix.
+    /// Parses a marker from the text after the prefix.
     fn read(text: &str) -> Option<Self> {
         let (branch, rest) = text.split_once('/')?;
         let branch = branch.parse().ok()?;
--- a/crates/sagespool-testkit/src/witness/record.rs
+++ b/crates/sagespool-testkit/src/run_log/record.rs
@@ -1,4 +1,4 @@
-//! What is kept of a run.
+//! Records of runs.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 
 use super::RunMarker;
 
-/// What is known of a run when it starts.
+/// What is known at the start of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunStart {
-    /// The upstream that runs it.
+    /// Upstream that runs the request.
     pub upstream: UpstreamName,
     /// Engine or plain service.
     pub kind: UpstreamKind,
@@ -22,57 +22,57 @@
     pub marker: Option<RunMarker>,
     /// The header `idempotency-key`.
     pub key: Option<String>,
-    /// Tokens of the prompt; none for a plain service.
+    /// Prompt tokens; zero for a plain service.
     pub prompt_tokens: TokenCount,
-    /// Tokens that the run goes on after, if it resumes a broken answer.
+    /// Answer tokens before the run, if it resumes a broken answer; otherwise zero.
     pub resumed_from: TokenCount,
-    /// When the request reached the upstream.
+    /// When the upstream received the request.
     pub arrived_at: ClockTime,
 }
 
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RunEnd {
-    /// It ran to its end.
+    /// It completed.
     Finished,
-    /// It ran to its end, but the stand broke the connection instead of answering.
+    /// It completed, but the upstream broke the connection instead of answering.
     Unanswered,
-    /// It was cancelled by a call.
+    /// A cancel call stopped it.
     Cancelled,
-    /// Its caller closed the connection, and the run was stopped.
+    /// It was stopped because its caller closed the connection.
     Dropped,
     /// The upstream crashed.
     Crashed,
-    /// The upstream broke the connection in the middle of its answer, and is well.
+    /// The upstream broke the connection in the middle of the answer and kept running.
     Broken,
 }
 
-/// One run of one request by one upstream.
+/// One run of a request at an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunRecord {
-    /// Counted over the whole log, in order of the starts.
+    /// Number in the log, in order of the starts.
     pub number: u64,
     /// What was known at the start.
     pub start: RunStart,
-    /// When it took a slot of its upstream.
+    /// When it occupied a slot of its upstream.
     pub started_at: ClockTime,
-    /// Tokens made so far.
+    /// Tokens generated so far.
     pub produced: TokenCount,
-    /// When the first token was made.
+    /// When the first token was generated.
     pub first_at: Option<ClockTime>,
-    /// When the newest token was made.
+    /// When the newest token was generated.
     pub newest_at: Option<ClockTime>,
-    /// How and when it ended, if it did.
+    /// How and when it ended; none while it runs.
     pub ended: Option<(RunEnd, ClockTime)>,
 }
 
 impl RunRecord {
-    /// Whether it ran at a moment.
+    /// True if it was in progress at this time.
     pub fn running_at(&self, at: ClockTime) -> bool {
         self.started_at <= at && self.ended.is_none_or(|(_, ended_at)| ended_at > at)
     }
 
-    /// What it had used by a moment.
+    /// Token usage up to a time.
     pub fn used_at(&self, at: ClockTime) -> TokenUsage {
         if self.started_at > at {
             return TokenUsage::default();
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Tokens made by a moment. No time of each token is kept, so a moment within the
-    /// run's making gives bounds and, as an engine makes tokens evenly, an estimate.
+    /// Tokens generated up to a time: lower bound, estimate and upper bound. Times of single tokens
+    /// are not recorded; the estimate assumes a constant rate, as engines have.
     fn produced_by(&self, at: ClockTime) -> (TokenCount, TokenCount, TokenCount) {
         let (Some(first_at), Some(newest_at)) = (self.first_at, self.newest_at) else {
             return (TokenCount::ZERO, TokenCount::ZERO, TokenCount::ZERO);
@@ -105,26 +105,26 @@
     }
 }
 
-/// Never zero, as it divides.
+/// At least 1 µs, as it is a divisor.
 fn span(first_at: ClockTime, newest_at: ClockTime) -> Duration {
     newest_at.since(first_at).max(Duration::from_micros(1))
 }
 
-/// Tokens used by a moment: the prompt of each run that had started and what it had made.
+/// Token usage up to a time: the prompts of all runs started by then and the tokens generated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct TokenUsage {
-    /// Surely used by then.
+    /// Lower bound.
     pub least: TokenCount,
-    /// Used by then if each run made its tokens evenly.
+    /// Estimate for a constant rate of each run.
     pub estimate: TokenCount,
-    /// Surely not more than this.
+    /// Upper bound.
     pub most: TokenCount,
-    /// Runs that had started by then.
+    /// Number of runs started by then.
     pub runs: u64,
 }
 
 impl TokenUsage {
-    /// Both together.
+    /// The sum of two usages.
     pub fn plus(self, other: Self) -> Self {
         Self {
             least: self.least + other.least,
--- a/crates/sagespool-testkit/src/weight_store.rs
+++ b/crates/sagespool-testkit/src/weight_store.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the weight store: slow, and limited in its rate.
+//! A fake weight store with latency and a rate limit.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -12,35 +12,35 @@
 use trillium_router::{Router, RouterConnExt};
 
 use crate::fault_gate::{FaultGate, StartNumber};
-use crate::http_answer::{error_response, json_response};
-use crate::stand_server::{ListenError, RestartableServer, lock};
+use crate::http_helpers::{error_response, json_response};
+use crate::restartable_server::{ListenError, RestartableServer, lock};
 
-/// How a weight stand behaves.
+/// Options of a fake weight store.
 #[derive(Debug, Clone, Builder)]
 pub struct WeightOptions {
-    /// Time that a load takes.
+    /// Duration of a fetch.
     #[builder(default = Duration::from_millis(200))]
     pub load_time: Duration,
-    /// Loads that may begin at once after an idle time.
+    /// Burst size of the rate limit.
     #[builder(default = 2)]
     pub burst: u32,
-    /// Time from one load to the next once the burst is used up.
+    /// Time between two fetches once the burst is used up.
     #[builder(default = Duration::from_millis(500))]
     pub interval: Duration,
 }
 
-/// A load of a model's weights, as it was asked for.
+/// A requested fetch of weights.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WeightFetch {
-    /// When.
+    /// Time of the request.
     pub at: ClockTime,
-    /// The model.
+    /// Name of the model or adapter.
     pub model: String,
-    /// Whether it was within the rate.
+    /// False if it was refused by the rate limit.
     pub accepted: bool,
 }
 
-/// A weight store stand-in. Clones are the same store; the last one dropped ends it.
+/// A fake weight store. Clones share one store; it stops when the last one is dropped.
 #[derive(Clone)]
 pub struct FakeWeightStore {
     owner: Arc<WeightOwner>,
@@ -67,11 +67,11 @@
 }
 
 impl FakeWeightStore {
-    /// Starts a weight store on a port of the loopback interface.
+    /// Starts a weight store on a loopback port.
     ///
     /// # Errors
     ///
-    /// [`ListenError::Listen`] if no port can be listened on.
+    /// [`ListenError::Listen`] if no port is available.
     pub fn start(options: WeightOptions) -> Result<Self, Report<ListenError>> {
         let bucket = FetchBucket::full(options.burst, options.interval);
         let shared = Arc::new(WeightShared {
@@ -84,17 +84,17 @@
         Ok(Self { owner: Arc::new(WeightOwner(shared)) })
     }
 
-    /// Where it is reached, also after a restart.
+    /// The address of the HTTP API; it stays the same after a restart.
     pub fn address(&self) -> SocketAddr {
         self.owner.0.server.address()
     }
 
-    /// Every load that it was asked for, in order.
+    /// All requested fetches, oldest first.
     pub fn fetches(&self) -> Vec<WeightFetch> {
         lock(&self.owner.0.state).loads.clone()
     }
 
-    /// Crashes: every connection breaks and the port refuses.
+    /// Crashes: all connections break and the port refuses connections.
     pub fn crash(&self) {
         self.owner.0.crash();
     }
@@ -103,12 +103,12 @@
     ///
     /// # Errors
     ///
-    /// [`ListenError::Listen`] if the port can't be listened on.
+    /// [`ListenError::Listen`] if the port can't be opened.
     pub fn restart(&self) -> Result<(), Report<ListenError>> {
         self.owner.0.restart()
     }
 
-    /// Freezes or thaws it: a frozen store keeps its connections and answers no call.
+    /// Freezes or unfreezes it: a frozen store keeps its connections and answers no calls.
     pub fn set_frozen(&self, frozen: bool) {
         self.owner.0.gate.set_frozen(frozen);
     }
@@ -146,10 +146,10 @@
             return error_response(conn, Status::BadRequest, "no model is named");
         };
         if let Err(retry_after) = self.take(&model, ClockTime::now()) {
-            // Rounded up: whoever waits that long is within the rate.
+            // Rounded up, so that a retry after this time is within the limit.
             let retry_after = retry_after.as_millis() as u64 + 1;
             let conn = conn.with_response_header("retry-after-ms", retry_after.to_string());
-            return error_response(conn, Status::TooManyRequests, "over the rate of loads");
+            return error_response(conn, Status::TooManyRequests, "rate limit of fetches exceeded");
         }
         if self.gate.delay(start, self.options.load_time).await.is_err() {
             return error_response(conn, Status::ServiceUnavailable, down);
@@ -166,7 +166,7 @@
     }
 }
 
-/// A rate limit with a burst: each load moves the time at which the burst is whole again.
+/// A rate limit with a burst; each fetch postpones the time at which the burst is full again.
 struct FetchBucket {
     burst: u32,
     interval: Duration,
@@ -178,13 +178,13 @@
         Self { burst: burst.max(1), interval, full_at: ClockTime(0) }
     }
 
-    /// Takes a load, or says how long until one may be accepted.
+    /// Admits a fetch; the error is the time until one can be admitted.
     fn take(&mut self, now: ClockTime) -> Result<(), Duration> {
         let full_at = self.full_at.max(now).after(self.interval);
         let taken_ahead = full_at.since(now);
-        let most_ahead = self.interval * self.burst;
-        if taken_ahead > most_ahead {
-            return Err(taken_ahead - most_ahead);
+        let max_ahead = self.interval * self.burst;
+        if taken_ahead > max_ahead {
+            return Err(taken_ahead - max_ahead);
         }
         self.full_at = full_at;
         Ok(())
