--- a/crates/sagespool-testkit/src/engine/orders.rs
+++ b/crates/sagespool-testkit/src/engine/orders.rs
@@ -30,7 +30,7 @@
 derives! { record;
     /// The request body of `POST /orders`.
     pub struct FencedOrder {
-        /// Fencing number of the sender's lock.
+        /// Fencing number of the order.
         pub fence: FenceNumber,
         /// The order to execute.
         pub order: EngineOrder,
--- a/crates/sagespool-testkit/src/fleet/options.rs
+++ b/crates/sagespool-testkit/src/fleet/options.rs
@@ -82,7 +82,7 @@
     /// Interval at which a home settles in the store.
     #[builder(default = Duration::from_secs(5))]
     pub settle_interval: Duration,
-    /// How far ahead of the demand grants are requested.
+    /// Time for which grants are requested ahead of their use.
     #[builder(default = Duration::from_secs(20))]
     pub grant_ahead: Duration,
     /// Minimum level of the processes' logs.
