--- a/crates/sagespool-testkit/src/fleet/readiness.rs
+++ b/crates/sagespool-testkit/src/fleet/readiness.rs
@@ -1,4 +1,4 @@
-//! Waiting until the processes of a fleet that was started are ready.
+//! Readiness of the processes after a fleet's start.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -8,100 +8,100 @@
 
 use super::{FleetError, RunningFleet};
 
-/// How long a start may take in all.
-const READY_LIMIT: Duration = Duration::from_secs(20);
-/// Times that a member is moved to other ports.
-const MOST_MOVES: u32 = 3;
-/// Between two rounds of questions.
-const READY_STEP: Duration = Duration::from_millis(20);
-/// A process that doesn't answer for so long is asked again after the others.
-const ASK_LIMIT: Duration = Duration::from_secs(1);
+/// Time for the start of all processes.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Most moves of a member to other ports.
+const MAX_MOVES: u32 = 3;
+/// Pause between two rounds of checks.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// A process that doesn't answer within this time is checked again after the others.
+const CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl RunningFleet {
-    /// Waits until every process that runs has said once that it is ready. All are asked in turn
-    /// for the whole time, so that one that needs long takes none of it from those after it.
+    /// Waits until every running process has reported ready once. All are checked in turn during
+    /// the whole time, so that a slow one does not use up the time of those after it.
     ///
     /// # Errors
-    /// If one hasn't been ready within 20 s: its name, its last answer and the end of its log.
+    /// If a process is not ready within 20 s: its name, its last answer and the end of its log.
     pub async fn wait_ready(&mut self) -> Result<(), Report<FleetError>> {
         let client = Client::new(trillium_smol::ClientConfig::default());
         let started = Instant::now();
         let mut waiting: Vec<WaitingMember> =
             (0..self.members.len()).map(WaitingMember::new).collect();
         loop {
-            let is_late = started.elapsed() > READY_LIMIT;
-            let mut still = Vec::new();
+            let timed_out = started.elapsed() > READY_TIMEOUT;
+            let mut not_ready = Vec::new();
             for mut member in waiting {
                 if !self.is_ready(&mut member, &client).await? {
-                    still.push(member);
+                    not_ready.push(member);
                 }
             }
-            let Some(first) = still.first() else { return Ok(()) };
-            if is_late {
-                return Err(self.not_ready(first));
+            let Some(first) = not_ready.first() else { return Ok(()) };
+            if timed_out {
+                return Err(self.not_ready_error(first));
             }
-            waiting = still;
-            smol::Timer::after(READY_STEP).await;
+            waiting = not_ready;
+            smol::Timer::after(CHECK_INTERVAL).await;
         }
     }
 
-    /// Asks a process whether it is ready; one that isn't to run counts as ready.
+    /// Checks whether a process is ready; a stopped one counts as ready.
     async fn is_ready(
         &mut self,
         member: &mut WaitingMember,
         client: &Client,
     ) -> Result<bool, Report<FleetError>> {
-        if self.members[member.place].process.is_none() {
+        if self.members[member.index].process.is_none() {
             return Ok(true);
         }
-        // Another program may have taken a port between its choice and the process's start.
-        if self.has_ended(member.place) && member.moves < MOST_MOVES {
+        // Another program may have taken the port before the process started.
+        if self.has_ended(member.index) && member.moves < MAX_MOVES {
             member.moves += 1;
-            self.move_member(member.place)?;
+            self.move_member(member.index)?;
         }
-        let asked = Instant::now();
-        let answer = check_ready(client, self.members[member.place].http, ASK_LIMIT).await;
-        member.took = asked.elapsed();
+        let started = Instant::now();
+        let answer = check_ready(client, self.members[member.index].http, CHECK_TIMEOUT).await;
+        member.elapsed = started.elapsed();
         member.answer = answer.err();
         Ok(member.answer.is_none())
     }
 
-    fn not_ready(&self, waiting: &WaitingMember) -> Report<FleetError> {
-        let member = &self.members[waiting.place];
+    fn not_ready_error(&self, waiting: &WaitingMember) -> Report<FleetError> {
+        let member = &self.members[waiting.index];
         let doing = format!("waiting for {} to be ready", member.instance);
         let answer = waiting.answer.as_deref().unwrap_or_default();
-        let answer = format!("the last answer, after {:?}: {answer}", waiting.took);
+        let answer = format!("last answer, after {:?}: {answer}", waiting.elapsed);
         Report::new(FleetError::new(doing)).attach(answer).attach(member.log_tail())
     }
 }
 
-/// A process that hasn't said yet that it is ready.
+/// A process that has not reported ready yet.
 struct WaitingMember {
-    place: usize,
-    /// How often it was moved to other ports.
+    index: usize,
+    /// Number of moves to other ports so far.
     moves: u32,
-    /// What it said last in place of that it is ready.
+    /// The last answer other than ready, or the error of the last check.
     answer: Option<String>,
-    /// How long that answer took.
-    took: Duration,
+    /// Duration of the last check.
+    elapsed: Duration,
 }
 
 impl WaitingMember {
-    fn new(place: usize) -> Self {
-        Self { place, moves: 0, answer: None, took: Duration::ZERO }
+    fn new(index: usize) -> Self {
+        Self { index, moves: 0, answer: None, elapsed: Duration::ZERO }
     }
 }
 
-/// Asks a process once whether it is ready.
+/// Checks once whether a process is ready.
 ///
 /// # Errors
-/// What is said in place of that, or that nothing was within the limit.
+/// The answer if it is other than ready, the connection error, or the timeout.
 pub(crate) async fn check_ready(
     client: &Client,
     address: SocketAddr,
     limit: Duration,
 ) -> Result<(), String> {
-    let asked = async {
+    let started = async {
         let url = format!("http://{address}/readyz");
         let mut conn = client.get(url.as_str()).await.map_err(|error| error.to_string())?;
         let status = conn.status();
@@ -115,5 +115,5 @@
         smol::Timer::after(limit).await;
         Err(format!("no answer within {limit:?}"))
     };
-    futures_lite::future::or(asked, late).await
+    futures_lite::future::or(started, late).await
 }
--- a/crates/sagespool-testkit/src/proxy/tcp.rs
+++ b/crates/sagespool-testkit/src/proxy/tcp.rs
@@ -1,4 +1,4 @@
-//! TCP links: each connection is carried by one task, bytes in order.
+//! TCP links: one task relays each connection and keeps the byte order.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -19,18 +19,18 @@
 
 const CHUNK_BYTES: usize = 16 << 10;
 
-/// Chunks that one direction holds back at most before it stops reading.
+/// Most chunks queued in one direction; when the queue is full, reading stops.
 const QUEUED_CHUNKS: usize = 1024;
 
-/// The pause after a connection that could not be accepted.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// A TCP link: the address at which one name reaches another.
+/// A TCP link from one name to another.
 #[derive(Clone)]
 pub(super) struct TcpLink {
     table: Arc<FaultTable>,
-    there: Arc<DirectedPair>,
-    back: Arc<DirectedPair>,
+    forward: Arc<DirectedPair>,
+    reverse: Arc<DirectedPair>,
     target: SocketAddr,
 }
 
@@ -41,14 +41,14 @@
         (from, to): (&str, &str),
         target: SocketAddr,
     ) -> Result<SocketAddr, Report<StartError>> {
-        let failed = || StartError { stand: "a TCP link" };
+        let failed = || StartError { component: "a TCP link" };
         let listener =
             std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).change_context_lazy(failed)?;
         let address = listener.local_addr().change_context_lazy(failed)?;
         let listener = TcpListener::try_from(listener).change_context_lazy(failed)?;
-        let there = table.pair(from, to);
-        let back = table.pair(to, from);
-        let link = Self { table: table.clone(), there, back, target };
+        let forward = table.pair(from, to);
+        let reverse = table.pair(to, from);
+        let link = Self { table: table.clone(), forward, reverse, target };
         spawner.spawn(link.accept(listener, spawner.clone()));
         Ok(address)
     }
@@ -56,117 +56,116 @@
     async fn accept(self, listener: TcpListener, spawner: TaskSpawner) {
         loop {
             match listener.accept().await {
-                Ok((client, _)) => spawner.spawn(TcpCarrier::new(self.clone()).carry(client)),
+                Ok((client, _)) => spawner.spawn(TcpConnection::new(self.clone()).relay(client)),
                 Err(_) => drop(Timer::after(ACCEPT_PAUSE).await),
             }
         }
     }
 
     fn is_cut(&self) -> bool {
-        self.there.is_cut() || self.back.is_cut()
+        self.forward.is_cut() || self.reverse.is_cut()
     }
 
     fn breaks(&self) -> u64 {
-        self.there.breaks()
+        self.forward.breaks()
     }
 }
 
 /// How a connection, or one direction of it, ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum CarryEnd {
-    /// Both sides have said all they had to say.
+enum RelayEnd {
+    /// Both sides have closed their streams.
     Finished,
-    /// Both sides are to see a reset.
+    /// The connection is reset on both sides.
     Reset,
 }
 
-/// One connection.
-struct TcpCarrier {
+/// One relayed connection.
+struct TcpConnection {
     link: TcpLink,
     breaks_before: u64,
-    /// Set once a cut has swallowed something. From then on nothing more is
-    /// delivered, also after the cut is healed: the receiver would see a
-    /// stream with a hole and take it for whole. The connection stays silent
-    /// during the cut and is reset when the cut is healed.
-    holed: AtomicBool,
+    /// Set once a cut has discarded data. After that nothing is delivered, even once the cut is
+    /// removed: the receiver would take a stream with a gap for a complete one. The connection
+    /// stays silent during the cut and is reset when the cut is removed.
+    gap: AtomicBool,
 }
 
-impl TcpCarrier {
+impl TcpConnection {
     fn new(link: TcpLink) -> Self {
         let breaks_before = link.breaks();
-        Self { link, breaks_before, holed: AtomicBool::new(false) }
+        Self { link, breaks_before, gap: AtomicBool::new(false) }
     }
 
-    async fn carry(self, client: TcpStream) {
-        // The order matters: what the first has swallowed, the second sees in the same poll.
-        let end = self.carry_bytes(&client).or(self.reset_due()).await;
-        if end == CarryEnd::Reset {
+    async fn relay(self, client: TcpStream) {
+        // The order matters: a loss in the first future is visible to the second in the same poll.
+        let end = self.relay_bytes(&client).or(self.wait_reset()).await;
+        if end == RelayEnd::Reset {
             reset_on_close(&client);
         }
     }
 
-    async fn carry_bytes(&self, client: &TcpStream) -> CarryEnd {
-        if self.client_left_before_open(client).await {
-            return CarryEnd::Finished;
+    async fn relay_bytes(&self, client: &TcpStream) -> RelayEnd {
+        if self.closed_before_open(client).await {
+            return RelayEnd::Finished;
         }
-        if self.is_holed() {
-            return CarryEnd::Reset;
+        if self.has_gap() {
+            return RelayEnd::Reset;
         }
         let Ok(server) = TcpStream::connect(self.link.target).await else {
-            return CarryEnd::Reset;
+            return RelayEnd::Reset;
         };
         let guard = ResetGuard { stream: server.clone(), armed: true };
-        let there = self.carry_one_way(client.clone(), server.clone(), &self.link.there);
-        let back = self.carry_one_way(server, client.clone(), &self.link.back);
-        let end = finish_both(there, back).await;
-        if end == CarryEnd::Finished {
+        let forward = self.relay_one_way(client.clone(), server.clone(), &self.link.forward);
+        let reverse = self.relay_one_way(server, client.clone(), &self.link.reverse);
+        let end = finish_both(forward, reverse).await;
+        if end == RelayEnd::Finished {
             guard.disarm();
         }
         end
     }
 
-    /// While the link is cut, nothing reaches the target, not even the wish
-    /// to connect. Returns true if the client went away meanwhile.
-    async fn client_left_before_open(&self, client: &TcpStream) -> bool {
+    /// While the link is cut, not even the connection attempt reaches the target. Returns true if
+    /// the client closes the connection meanwhile.
+    async fn closed_before_open(&self, client: &TcpStream) -> bool {
         let open = async {
             self.wait_until(|| !self.link.is_cut()).await;
             false
         };
-        let swallow = async {
-            self.swallow(client.clone()).await;
+        let discard_input = async {
+            self.discard_input(client.clone()).await;
             true
         };
-        open.or(swallow).await
+        open.or(discard_input).await
     }
 
-    async fn swallow(&self, mut client: TcpStream) {
+    async fn discard_input(&self, mut client: TcpStream) {
         let mut buffer = vec![0; CHUNK_BYTES];
         loop {
             match client.read(&mut buffer).await {
                 Ok(0) | Err(_) => return,
                 Ok(length) => {
-                    self.link.there.count_entered(length);
-                    self.lose(length, &self.link.there);
+                    self.link.forward.count_entered(length);
+                    self.record_loss(length, &self.link.forward);
                 }
             }
         }
     }
 
-    async fn carry_one_way(&self, from: TcpStream, to: TcpStream, pair: &DirectedPair) -> CarryEnd {
+    async fn relay_one_way(&self, from: TcpStream, to: TcpStream, pair: &DirectedPair) -> RelayEnd {
         let _ = to.set_nodelay(true);
-        let (entrance, exit) = async_channel::bounded(QUEUED_CHUNKS);
+        let (sender, receiver) = async_channel::bounded(QUEUED_CHUNKS);
         let read = async {
-            self.read_chunks(from, &entrance, pair).await;
-            // Keeps the channel open: the end comes through it as a chunk.
-            future::pending::<CarryEnd>().await
+            self.read_chunks(from, &sender, pair).await;
+            // Keeps the channel open: the end of the stream is sent through it as a chunk.
+            future::pending::<RelayEnd>().await
         };
-        read.or(self.write_chunks(to, exit, pair)).await
+        read.or(self.write_chunks(to, receiver, pair)).await
     }
 
     async fn read_chunks(
         &self,
         mut from: TcpStream,
-        entrance: &Sender<QueuedChunk>,
+        sender: &Sender<QueuedChunk>,
         pair: &DirectedPair,
     ) {
         let mut buffer = vec![0; CHUNK_BYTES];
@@ -180,9 +179,9 @@
             pair.count_entered(chunk.len());
             if self.passes(pair) {
                 let due = Instant::now() + pair.faults().delay;
-                let _ = entrance.send(QueuedChunk { due, chunk }).await;
+                let _ = sender.send(QueuedChunk { due, chunk }).await;
             } else {
-                self.lose(chunk.len(), pair);
+                self.record_loss(chunk.len(), pair);
             }
             if is_last {
                 return;
@@ -193,48 +192,48 @@
     async fn write_chunks(
         &self,
         mut to: TcpStream,
-        exit: Receiver<QueuedChunk>,
+        receiver: Receiver<QueuedChunk>,
         pair: &DirectedPair,
-    ) -> CarryEnd {
-        while let Ok(QueuedChunk { due, chunk }) = exit.recv().await {
+    ) -> RelayEnd {
+        while let Ok(QueuedChunk { due, chunk }) = receiver.recv().await {
             if due > Instant::now() {
                 Timer::at(due).await;
             }
             if !self.passes(pair) {
-                self.lose(chunk.len(), pair);
+                self.record_loss(chunk.len(), pair);
                 continue;
             }
             match write_chunk(&mut to, &chunk).await {
                 Ok(None) => pair.count_carried(chunk.len()),
                 Ok(Some(end)) => return end,
-                // The receiver is gone; the sender hears of it only if the way back is open.
-                Err(_) if self.link.is_cut() => self.lose(chunk.len(), pair),
-                Err(_) => return CarryEnd::Reset,
+                // The receiver is gone; the sender notices only if the reverse direction is open.
+                Err(_) if self.link.is_cut() => self.record_loss(chunk.len(), pair),
+                Err(_) => return RelayEnd::Reset,
             }
         }
-        CarryEnd::Finished
+        RelayEnd::Finished
     }
 
     fn passes(&self, pair: &DirectedPair) -> bool {
-        !pair.is_cut() && !self.is_holed()
+        !pair.is_cut() && !self.has_gap()
     }
 
-    fn is_holed(&self) -> bool {
-        self.holed.load(Ordering::SeqCst)
+    fn has_gap(&self) -> bool {
+        self.gap.load(Ordering::SeqCst)
     }
 
-    fn lose(&self, bytes: usize, pair: &DirectedPair) {
+    fn record_loss(&self, bytes: usize, pair: &DirectedPair) {
         pair.count_lost(bytes);
-        self.holed.store(true, Ordering::SeqCst);
+        self.gap.store(true, Ordering::SeqCst);
     }
 
-    /// Returns when the connection is to be reset: it was broken by order, or
-    /// the cut that swallowed some of it is healed.
-    async fn reset_due(&self) -> CarryEnd {
+    /// Returns when the connection has to be reset: after `break_connections`, or when the cut that
+    /// discarded some of its data is removed.
+    async fn wait_reset(&self) -> RelayEnd {
         let is_broken = || self.link.breaks() != self.breaks_before;
-        let is_mended = || self.is_holed() && !self.link.is_cut();
-        self.wait_until(|| is_broken() || is_mended()).await;
-        CarryEnd::Reset
+        let is_healed = || self.has_gap() && !self.link.is_cut();
+        self.wait_until(|| is_broken() || is_healed()).await;
+        RelayEnd::Reset
     }
 
     async fn wait_until(&self, condition: impl Fn() -> bool) {
@@ -268,33 +267,33 @@
     chunk: TcpChunk,
 }
 
-/// Writes a chunk; returns how the direction ends, if it does.
-async fn write_chunk(to: &mut TcpStream, chunk: &TcpChunk) -> io::Result<Option<CarryEnd>> {
+/// Writes a chunk; returns the end of the direction if the chunk ends it.
+async fn write_chunk(to: &mut TcpStream, chunk: &TcpChunk) -> io::Result<Option<RelayEnd>> {
     match chunk {
         TcpChunk::Data(bytes) => to.write_all(bytes).await.map(|()| None),
-        TcpChunk::End => to.close().await.map(|()| Some(CarryEnd::Finished)),
-        TcpChunk::Reset => Ok(Some(CarryEnd::Reset)),
+        TcpChunk::End => to.close().await.map(|()| Some(RelayEnd::Finished)),
+        TcpChunk::Reset => Ok(Some(RelayEnd::Reset)),
     }
 }
 
-/// Returns when both directions are finished, or one of them ends with a reset.
+/// Returns when both directions are finished or one of them is reset.
 async fn finish_both(
-    there: impl Future<Output = CarryEnd>,
-    back: impl Future<Output = CarryEnd>,
-) -> CarryEnd {
+    forward: impl Future<Output = RelayEnd>,
+    reverse: impl Future<Output = RelayEnd>,
+) -> RelayEnd {
     let finished_or_error = |end| match end {
-        CarryEnd::Finished => Ok(()),
-        CarryEnd::Reset => Err(()),
+        RelayEnd::Finished => Ok(()),
+        RelayEnd::Reset => Err(()),
     };
-    let there = async { finished_or_error(there.await) };
-    let back = async { finished_or_error(back.await) };
-    match future::try_zip(there, back).await {
-        Ok(_) => CarryEnd::Finished,
-        Err(()) => CarryEnd::Reset,
+    let forward = async { finished_or_error(forward.await) };
+    let reverse = async { finished_or_error(reverse.await) };
+    match future::try_zip(forward, reverse).await {
+        Ok(_) => RelayEnd::Finished,
+        Err(()) => RelayEnd::Reset,
     }
 }
 
-/// Resets its connection when dropped, also when the task is given up, unless told otherwise.
+/// Resets its connection when dropped, also if the task is cancelled, unless disarmed.
 struct ResetGuard {
     stream: TcpStream,
     armed: bool,
@@ -314,8 +313,8 @@
     }
 }
 
-/// Makes the close of a connection a reset, which throws away what is still unsent.
+/// Makes closing a connection reset it, which discards unsent data.
 fn reset_on_close(stream: &TcpStream) {
-    // A connection that is gone already needs no reset.
+    // Fails if the connection is gone already and needs no reset.
     let _ = set_socket_linger(stream, Some(Duration::ZERO));
 }
--- a/crates/sagespool-testkit/src/weight_store.rs
+++ b/crates/sagespool-testkit/src/weight_store.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the weight store: slow, and limited in its rate.
+//! A fake weight store with latency and a rate limit.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -12,35 +12,35 @@
 use trillium_router::{Router, RouterConnExt};
 
 use crate::fault_gate::{FaultGate, StartNumber};
-use crate::http_answer::{answer_error, answer_json};
-use crate::stand_server::{ListenError, StandServer, lock};
+use crate::http_helpers::{error_response, json_response};
+use crate::restartable_server::{ListenError, RestartableServer, lock};
 
-/// How a weight stand behaves.
+/// Options of a fake weight store.
 #[derive(Debug, Clone, Builder)]
 pub struct WeightOptions {
-    /// Time that a load takes.
+    /// Duration of a fetch.
     #[builder(default = Duration::from_millis(200))]
     pub load_time: Duration,
-    /// Loads that may begin at once after an idle time.
+    /// Burst size of the rate limit.
     #[builder(default = 2)]
     pub burst: u32,
-    /// Time from one load to the next once the burst is used up.
+    /// Time between two fetches once the burst is used up.
     #[builder(default = Duration::from_millis(500))]
     pub interval: Duration,
 }
 
-/// A load of a model's weights, as it was asked for.
+/// A requested fetch of weights.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WeightFetch {
-    /// When.
+    /// Time of the request.
     pub at: ClockTime,
-    /// The model.
+    /// Name of the model or adapter.
     pub model: String,
-    /// Whether it was within the rate.
+    /// False if it was refused by the rate limit.
     pub accepted: bool,
 }
 
-/// A weight store stand-in. Clones are the same store; the last one dropped ends it.
+/// A fake weight store. Clones share one store; it stops when the last one is dropped.
 #[derive(Clone)]
 pub struct FakeWeightStore {
     owner: Arc<WeightOwner>,
@@ -56,26 +56,26 @@
 
 struct WeightShared {
     options: WeightOptions,
-    server: StandServer,
+    server: RestartableServer,
     gate: FaultGate,
     state: Mutex<WeightState>,
 }
 
 struct WeightState {
-    bucket: LoadBucket,
+    bucket: FetchBucket,
     loads: Vec<WeightFetch>,
 }
 
 impl FakeWeightStore {
-    /// Starts a weight store on a port of the loopback interface.
+    /// Starts a weight store on a loopback port.
     ///
     /// # Errors
     ///
-    /// [`ListenError::Listen`] if no port can be listened on.
+    /// [`ListenError::Listen`] if no port is available.
     pub fn start(options: WeightOptions) -> Result<Self, Report<ListenError>> {
-        let bucket = LoadBucket::full(options.burst, options.interval);
+        let bucket = FetchBucket::full(options.burst, options.interval);
         let shared = Arc::new(WeightShared {
-            server: StandServer::reserve()?,
+            server: RestartableServer::reserve()?,
             gate: FaultGate::new(),
             state: Mutex::new(WeightState { bucket, loads: Vec::new() }),
             options,
@@ -84,17 +84,17 @@
         Ok(Self { owner: Arc::new(WeightOwner(shared)) })
     }
 
-    /// Where it is reached, also after a restart.
+    /// The address of the HTTP API; it stays the same after a restart.
     pub fn address(&self) -> SocketAddr {
         self.owner.0.server.address()
     }
 
-    /// Every load that it was asked for, in order.
+    /// All requested fetches, oldest first.
     pub fn fetches(&self) -> Vec<WeightFetch> {
         lock(&self.owner.0.state).loads.clone()
     }
 
-    /// Crashes: every connection breaks and the port refuses.
+    /// Crashes: all connections break and the port refuses connections.
     pub fn crash(&self) {
         self.owner.0.crash();
     }
@@ -103,12 +103,12 @@
     ///
     /// # Errors
     ///
-    /// [`ListenError::Listen`] if the port can't be listened on.
+    /// [`ListenError::Listen`] if the port can't be opened.
     pub fn restart(&self) -> Result<(), Report<ListenError>> {
         self.owner.0.restart()
     }
 
-    /// Freezes or thaws it: a frozen store keeps its connections and answers no call.
+    /// Freezes or unfreezes it: a frozen store keeps its connections and answers no calls.
     pub fn set_frozen(&self, frozen: bool) {
         self.owner.0.gate.set_frozen(frozen);
     }
@@ -139,22 +139,22 @@
 
     async fn answer(&self, conn: Conn, start: StartNumber) -> Conn {
         let down = "the weight store is down";
-        if self.gate.pass(start).await.is_err() {
-            return answer_error(conn, Status::ServiceUnavailable, down);
+        if self.gate.wait_open(start).await.is_err() {
+            return error_response(conn, Status::ServiceUnavailable, down);
         }
         let Some(model) = conn.param("model").map(str::to_owned) else {
-            return answer_error(conn, Status::BadRequest, "no model is named");
+            return error_response(conn, Status::BadRequest, "no model is named");
         };
         if let Err(retry_after) = self.take(&model, ClockTime::now()) {
-            // Rounded up: whoever waits that long is within the rate.
+            // Rounded up, so that a retry after this time is within the limit.
             let retry_after = retry_after.as_millis() as u64 + 1;
             let conn = conn.with_response_header("retry-after-ms", retry_after.to_string());
-            return answer_error(conn, Status::TooManyRequests, "over the rate of loads");
+            return error_response(conn, Status::TooManyRequests, "rate limit of fetches exceeded");
         }
         if self.gate.delay(start, self.options.load_time).await.is_err() {
-            return answer_error(conn, Status::ServiceUnavailable, down);
+            return error_response(conn, Status::ServiceUnavailable, down);
         }
-        answer_json(conn, Status::Ok, &json!({ "model": model }))
+        json_response(conn, Status::Ok, &json!({ "model": model }))
     }
 
     fn take(&self, model: &str, now: ClockTime) -> Result<(), Duration> {
@@ -166,27 +166,27 @@
     }
 }
 
-/// A rate limit with a burst: each load moves the time at which the burst is whole again.
-struct LoadBucket {
+/// A rate limit with a burst; each fetch postpones the time at which the burst is full again.
+struct FetchBucket {
     burst: u32,
     interval: Duration,
-    whole_at: ClockTime,
+    full_at: ClockTime,
 }
 
-impl LoadBucket {
+impl FetchBucket {
     fn full(burst: u32, interval: Duration) -> Self {
-        Self { burst: burst.max(1), interval, whole_at: ClockTime(0) }
+        Self { burst: burst.max(1), interval, full_at: ClockTime(0) }
     }
 
-    /// Takes a load, or says how long until one may be accepted.
+    /// Admits a fetch; the error is the time until one can be admitted.
     fn take(&mut self, now: ClockTime) -> Result<(), Duration> {
-        let whole_at = self.whole_at.max(now).after(self.interval);
-        let taken_ahead = whole_at.since(now);
-        let most_ahead = self.interval * self.burst;
-        if taken_ahead > most_ahead {
-            return Err(taken_ahead - most_ahead);
+        let full_at = self.full_at.max(now).after(self.interval);
+        let taken_ahead = full_at.since(now);
+        let max_ahead = self.interval * self.burst;
+        if taken_ahead > max_ahead {
+            return Err(taken_ahead - max_ahead);
         }
-        self.whole_at = whole_at;
+        self.full_at = full_at;
         Ok(())
     }
 }
