--- a/crates/sagespool-testkit/examples/fleet.rs
+++ b/crates/sagespool-testkit/examples/fleet.rs
@@ -18,7 +18,7 @@
     FleetError, FleetOptions, RunningFleet, find_binaries, read_deployment,
 };
 use sagespool_testkit::load::{
-    LoadReport, PlanBuilder, conclude, first_deposits, run_calls, traffic_of,
+    LoadReport, PlanBuilder, first_deposits, run_calls, stop_and_judge, traffic_of,
 };
 
 const ONCE_REQUESTS: usize = 500;
@@ -67,7 +67,7 @@
     if options.once {
         return Ok(run_once(&mut fleet, options.seed).await);
     }
-    introduce(&fleet);
+    print_usage(&fleet);
     signals.next().await;
     println!("stopping");
     let unclean = fleet.stop();
@@ -77,7 +77,7 @@
     Ok(if unclean.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-fn introduce(fleet: &RunningFleet) {
+fn print_usage(fleet: &RunningFleet) {
     let deployment = &fleet.options.deployment;
     println!("the fleet runs; logs are in {}", fleet.directory().display());
     for member in fleet.members.iter().filter(|member| member.is_entry()) {
@@ -124,7 +124,7 @@
     let records = run_calls(calls, fleet.entry_addresses()).await;
     let deposits = first_deposits(&fleet.options);
     let mut report = LoadReport { scenario: "once".into(), seed, ..LoadReport::default() };
-    conclude(&mut report, fleet, &records, &deposits);
+    stop_and_judge(&mut report, fleet, &records, &deposits);
     for finding in &report.findings {
         println!("{finding}");
     }
--- a/crates/sagespool-testkit/examples/load.rs
+++ b/crates/sagespool-testkit/examples/load.rs
@@ -63,7 +63,7 @@
             return ExitCode::FAILURE;
         }
     };
-    let against = words(options.against.as_deref());
+    let against = list_items(options.against.as_deref());
     let policies = [options.policy.clone()].into_iter().chain(against);
     let scenarios: Vec<_> =
         policies.map(|policy| scenario_options(&options, &policy, &binaries)).collect();
@@ -91,9 +91,9 @@
     if is_clean { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-fn words(list: Option<&str>) -> Vec<String> {
-    let words = list.unwrap_or_default().split(',').filter(|word| !word.is_empty());
-    words.map(str::to_owned).collect()
+fn list_items(list: Option<&str>) -> Vec<String> {
+    let list_items = list.unwrap_or_default().split(',').filter(|word| !word.is_empty());
+    list_items.map(str::to_owned).collect()
 }
 
 fn scenario_options(
@@ -106,8 +106,8 @@
     ScenarioOptions::builder()
         .scenario(options.scenario.clone())
         .seed(options.seed)
-        .faults(words(options.faults.as_deref()))
-        .maybe_lasting(options.seconds.map(|seconds| Duration::from_secs(seconds.max(1))))
+        .faults(list_items(options.faults.as_deref()))
+        .maybe_duration(options.seconds.map(|seconds| Duration::from_secs(seconds.max(1))))
         .maybe_rate(options.rate)
         .routing(routing)
         .budget(budget)
@@ -118,8 +118,8 @@
         .build()
 }
 
-fn print_report(report: &LoadReport, terse: bool) {
-    if !terse {
+fn print_report(report: &LoadReport, json_only: bool) {
+    if !json_only {
         for finding in &report.findings {
             println!("{finding}");
         }
--- a/crates/sagespool-testkit/src/load/balancer.rs
+++ b/crates/sagespool-testkit/src/load/balancer.rs
@@ -1,5 +1,4 @@
-//! The platform's balancer, as far as callers notice it: it stops sending to an entry that says
-//! that it isn't ready.
+//! A model of the platform's load balancer: it skips entries whose readiness probe fails.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,33 +10,33 @@
 use crate::fleet::check_ready;
 
 const PROBE_PERIOD: Duration = Duration::from_millis(200);
-/// An entry that takes longer to answer its probe counts as not ready.
-const PROBE_LIMIT: Duration = Duration::from_millis(1000);
+/// An entry that answers its probe later than this counts as not ready.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(1000);
 
 struct BalancedEntry {
     address: SocketAddr,
     ready: AtomicBool,
 }
 
-/// The entries that callers are sent to. Clones share what is known of them.
+/// The entries that receive calls. Clones share the readiness state.
 #[derive(Clone)]
 pub struct EntryBalancer {
     entries: Arc<[BalancedEntry]>,
 }
 
 impl EntryBalancer {
-    /// A balancer that sends to every entry, until it is told to probe them.
+    /// Treats every entry as ready until [`Self::probe`] runs.
     pub fn new(addresses: Vec<SocketAddr>) -> Self {
         let entry = |address| BalancedEntry { address, ready: AtomicBool::new(true) };
         Self { entries: addresses.into_iter().map(entry).collect() }
     }
 
-    /// Asks each entry's `/readyz` again and again, for as long as it is polled.
+    /// Probes `/readyz` of each entry periodically; never returns.
     pub async fn probe(&self) {
         loop {
-            let probes = (0..self.entries.len()).map(|place| {
+            let probes = (0..self.entries.len()).map(|index| {
                 let balancer = self.clone();
-                smol::spawn(async move { balancer.probe_one(place).await })
+                smol::spawn(async move { balancer.probe_one(index).await })
             });
             for probe in probes.collect::<Vec<_>>() {
                 probe.await;
@@ -46,19 +45,20 @@
         }
     }
 
-    async fn probe_one(&self, place: usize) {
-        let entry = &self.entries[place];
+    async fn probe_one(&self, index: usize) {
+        let entry = &self.entries[index];
         let client = Client::new(trillium_smol::ClientConfig::default()).without_keepalive();
-        let is_ready = check_ready(&client, entry.address, PROBE_LIMIT).await.is_ok();
+        let is_ready = check_ready(&client, entry.address, PROBE_TIMEOUT).await.is_ok();
         entry.ready.store(is_ready, Ordering::Relaxed);
     }
 
-    /// The entry at a place, or the next one that is ready; the one at the place if none is.
-    pub fn pick(&self, place: usize) -> (usize, SocketAddr) {
+    /// The first ready entry from an index on, wrapping around; the entry at the index if none is
+    /// ready.
+    pub fn pick(&self, index: usize) -> (usize, SocketAddr) {
         let count = self.entries.len();
-        let places = (place..place + count).map(|place| place % count);
-        let ready = |place: &usize| self.entries[*place].ready.load(Ordering::Relaxed);
-        let chosen = places.clone().find(ready).unwrap_or(place % count);
+        let indices = (index..index + count).map(|index| index % count);
+        let ready = |index: &usize| self.entries[*index].ready.load(Ordering::Relaxed);
+        let chosen = indices.clone().find(ready).unwrap_or(index % count);
         (chosen, self.entries[chosen].address)
     }
 }
--- a/crates/sagespool-testkit/src/load/caller.rs
+++ b/crates/sagespool-testkit/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: sends one call, reads the answer, and tells its own from another's.
+//! The HTTP client of the load tool: sends a call and checks that the answer belongs to it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 use super::{CallKind, CallOutcome, PlannedCall, SendRecord};
 use crate::{answer_text, service_answer};
 
-/// A caller waits so much longer than its deadline before it gives a connection up.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// Time after a call's deadline at which the connection is closed.
+const DEADLINE_GRACE: Duration = Duration::from_secs(3);
 
-/// Sends calls. Each has a connection of its own, as callers behind a balancer have.
+/// Sends each call on a new connection, as callers behind a balancer do.
 #[derive(Debug, Clone)]
 pub struct LoadCaller {
     client: Client,
@@ -26,28 +26,27 @@
     }
 }
 
-/// What was read of an answer.
-struct ReadAnswer {
+struct ParsedAnswer {
     request: Option<String>,
     first_token: Option<Duration>,
     outcome: CallOutcome,
 }
 
 impl LoadCaller {
-    /// A caller.
+    /// Uses no keep-alive, and sets `TCP_NODELAY`.
     pub fn new() -> Self {
         let config = trillium_smol::ClientConfig::default().with_nodelay(true);
         Self { client: Client::new(config).without_keepalive() }
     }
 
-    /// Sends a call to an address, and waits for its end.
+    /// Sends a call to an address and waits for its outcome; `entry` is recorded only.
     pub async fn send(&self, call: &PlannedCall, entry: usize, address: SocketAddr) -> SendRecord {
         let sent = ClockTime::now();
-        let limit = call.deadline + PATIENCE;
+        let limit = call.deadline + DEADLINE_GRACE;
         let answer = futures_lite::future::or(self.exchange(call, address, sent), async {
             smol::Timer::after(limit).await;
             let outcome = CallOutcome::Broken("no answer in time".into());
-            ReadAnswer { request: None, first_token: None, outcome }
+            ParsedAnswer { request: None, first_token: None, outcome }
         })
         .await;
         SendRecord {
@@ -99,8 +98,8 @@
         call: &PlannedCall,
         address: SocketAddr,
         sent: ClockTime,
-    ) -> ReadAnswer {
-        let broken = |detail: String| ReadAnswer {
+    ) -> ParsedAnswer {
+        let broken = |detail: String| ParsedAnswer {
             request: None,
             first_token: None,
             outcome: CallOutcome::Broken(detail),
@@ -113,14 +112,14 @@
         let status = conn.status().map_or(0, |status| status as u16);
         if status != 200 {
             let outcome = read_refusal(&mut conn, status).await;
-            return ReadAnswer { request, first_token: None, outcome };
+            return ParsedAnswer { request, first_token: None, outcome };
         }
         let (first_token, outcome) = match &call.kind {
             CallKind::Completion { stream: true, .. } => read_events(&mut conn, call, sent).await,
             CallKind::Completion { .. } => (None, read_whole(&mut conn, call).await),
             CallKind::Service { .. } => (None, read_service(&mut conn, call).await),
         };
-        ReadAnswer { request, first_token, outcome }
+        ParsedAnswer { request, first_token, outcome }
     }
 }
 
@@ -132,7 +131,7 @@
     TokenCount(value.as_u64().unwrap_or_default())
 }
 
-/// The text that the call's answer must have.
+/// The expected text of the call's answer.
 fn own_text(call: &PlannedCall) -> String {
     match &call.kind {
         CallKind::Completion { model, prompt, length, .. } => {
@@ -174,7 +173,7 @@
         Err(broken) => return broken,
     };
     let Ok(body) = serde_json::from_str::<Value>(&text) else {
-        return CallOutcome::Broken("the answer isn't JSON".into());
+        return CallOutcome::Broken("answer is not valid JSON".into());
     };
     let content = body["choices"][0]["message"]["content"].as_str().unwrap_or_default();
     let is_own = content == own_text(call);
@@ -192,7 +191,7 @@
     }
 }
 
-/// What is known of an answer's events so far.
+/// Parser state for an answer that is a stream of server-sent events.
 #[derive(Default)]
 struct EventReader {
     text: String,
@@ -203,7 +202,7 @@
 }
 
 impl EventReader {
-    fn take_line(&mut self, line: &str) {
+    fn parse_line(&mut self, line: &str) {
         if line == "event: error" {
             self.error_next = true;
             return;
@@ -233,7 +232,7 @@
             return refused;
         }
         if !self.done {
-            return CallOutcome::Broken("the events ended early".into());
+            return CallOutcome::Broken("event stream ended before [DONE]".into());
         }
         CallOutcome::Whole { billed: self.billed, is_own: self.text == own_text(call) }
     }
@@ -258,7 +257,7 @@
         pending.extend_from_slice(&buffer[..read]);
         while let Some(end) = pending.iter().position(|byte| *byte == b'\n') {
             let line: Vec<u8> = pending.drain(..=end).collect();
-            reader.take_line(String::from_utf8_lossy(&line).trim_end());
+            reader.parse_line(String::from_utf8_lossy(&line).trim_end());
         }
         if first_token.is_none() && !reader.text.is_empty() {
             first_token = Some(ClockTime::now().since(sent));
--- a/crates/sagespool-testkit/src/load/compare.rs
+++ b/crates/sagespool-testkit/src/load/compare.rs
@@ -1,11 +1,11 @@
-//! Runs of one scenario and seed under several policies, side by side.
+//! A table that compares runs of one scenario and seed under several policies.
 
 use std::fmt::Write;
 
 use super::LoadReport;
 
-/// A line a run, with the first run's 99th percentile of the first token as a share of each
-/// other's, and its prefix hits as a multiple.
+/// One line per run. `p99 ratio` is the first run's 99th percentile of the first token divided by
+/// that of the line's run; `hits ratio` is the first run's prefix hits divided by the line's.
 pub fn comparison_table(reports: &[LoadReport]) -> String {
     let mut table = String::from(
         "policy, answered, first token p50 ms, p99 ms, p99 ratio, prefix hits, hits ratio, \
@@ -29,7 +29,7 @@
             report.prefix_hits,
             load.join("-"),
         );
-        written.expect("writing to memory doesn't fail");
+        written.expect("writing to a String does not fail");
     }
     table
 }
--- a/crates/sagespool-testkit/src/load/config_oracle.rs
+++ b/crates/sagespool-testkit/src/load/config_oracle.rs
@@ -1,4 +1,4 @@
-//! Whether accepted changes of the configuration came into force, from the processes' own logs.
+//! Checks from the processes' logs that accepted configuration changes were applied.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, SystemTime};
@@ -8,24 +8,24 @@
 use sagespool_types::StoreRevision;
 use serde::Serialize;
 
-use super::LatencyFigures;
+use super::LatencyStats;
 use crate::fleet::{FleetMember, RunningFleet};
 
 const APPLIED_EVENT: &str = " event=configuration-applied ";
-/// How long the last changes are waited for once every fault is undone.
-const SPREAD_LIMIT: Duration = Duration::from_secs(20);
-const SPREAD_STEP: Duration = Duration::from_millis(250);
+/// Time allowed for the last changes to be applied once every fault is undone.
+const APPLY_LIMIT: Duration = Duration::from_secs(20);
+const APPLY_POLL_PERIOD: Duration = Duration::from_millis(250);
 
-/// A change that the store took.
+/// A change that the store accepted.
 #[derive(Debug, Clone, PartialEq)]
 struct AcceptedChange {
     key: String,
     version: StoreRevision,
-    /// When its conditional update was sent, which is before it was accepted.
+    /// When the conditional update was sent, which is before the store accepted it.
     at: SystemTime,
 }
 
-/// A time in which a process didn't run, or nobody reached it.
+/// A time in which a process did not run or was partitioned.
 #[derive(Debug, Clone, PartialEq)]
 struct ProcessAbsence {
     instance: String,
@@ -33,36 +33,36 @@
     until: Option<SystemTime>,
 }
 
-/// What was changed, and who could not know.
+/// The changes made, and the times in which processes could not receive them.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ConfigLog {
     changes: Vec<AcceptedChange>,
     absences: Vec<ProcessAbsence>,
-    /// Changes that the store didn't take.
+    /// Changes that the store did not accept.
     pub not_accepted: u64,
 }
 
 impl ConfigLog {
-    /// The store has taken a change.
-    pub fn accept(&mut self, key: String, version: StoreRevision, at: SystemTime) {
+    /// Records a change that the store accepted.
+    pub fn note_accepted(&mut self, key: String, version: StoreRevision, at: SystemTime) {
         self.changes.push(AcceptedChange { key, version, at });
     }
 
-    /// A process has ended, or is cut off.
-    pub fn leave(&mut self, instance: String, at: SystemTime) {
+    /// Records that a process has ended or is partitioned.
+    pub fn note_absent(&mut self, instance: String, at: SystemTime) {
         self.absences.push(ProcessAbsence { instance, from: at, until: None });
     }
 
-    /// It was started again, or its links are mended.
-    pub fn come_back(&mut self, instance: String, at: SystemTime) {
+    /// Records that a process was restarted or its links were restored.
+    pub fn note_present(&mut self, instance: String, at: SystemTime) {
         let mut own = self.absences.iter_mut().filter(|absence| absence.instance == instance);
         if let Some(absence) = own.rfind(|absence| absence.until.is_none()) {
             absence.until = Some(at);
         }
     }
 
-    /// When a process came back from the last absence that a span of time touches.
-    fn back_within(
+    /// The end of a process's last absence that overlaps a time span.
+    fn last_return_within(
         &self,
         instance: &str,
         from: SystemTime,
@@ -76,35 +76,36 @@
     }
 }
 
-/// How soon the configuration was in force.
+/// How soon configuration changes were applied.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
-pub struct ConfigFigures {
-    /// Changes that the store took.
+pub struct ConfigStats {
+    /// Changes that the store accepted.
     pub config_changes: u64,
-    /// Changes that it didn't take, as while it was down.
+    /// Changes that it did not accept, for example during an outage.
     pub config_not_accepted: u64,
-    /// From a change's acceptance until a process had it in force, over all processes that were
-    /// reachable all that time.
-    pub config_in_force_ms: LatencyFigures,
-    /// The same for processes that were not: from their start, or from the mending of their links.
-    pub config_catch_up_ms: LatencyFigures,
-    /// Processes that never had a change in force, summed over changes.
+    /// Time from the update until a process applied it, over the processes that were reachable
+    /// throughout.
+    pub config_in_force_ms: LatencyStats,
+    /// The same for processes that were not, from their start or from when their links were
+    /// restored.
+    pub config_catch_up_ms: LatencyStats,
+    /// Processes that never applied a change, summed over changes.
     pub config_missing: u64,
-    /// Versions put in force after a newer one by the same instance, over all of its runs.
+    /// Versions that an instance applied after a newer one, over all of its incarnations.
     pub config_reversions: u64,
-    /// Where and when, in words.
+    /// Human-readable details, one line each.
     #[serde(skip)]
     pub findings: Vec<String>,
 }
 
-impl ConfigFigures {
-    /// How often a promise about the configuration was broken.
+impl ConfigStats {
+    /// Violations: reversions and changes never applied.
     pub fn broken(&self) -> u64 {
         self.config_reversions + self.config_missing
     }
 }
 
-/// A version that a process has put in force.
+/// A version that a process applied.
 #[derive(Debug, Clone, PartialEq)]
 struct AppliedVersion {
     at: SystemTime,
@@ -121,7 +122,7 @@
     Some((field(line, "object")?.to_owned(), AppliedVersion { at: at.into(), version }))
 }
 
-/// What a log says was put in force, by object.
+/// The applied versions in a log, by object key.
 fn applied_in(log: &str) -> BTreeMap<String, Vec<AppliedVersion>> {
     let mut applied: BTreeMap<String, Vec<AppliedVersion>> = BTreeMap::new();
     let lines = log.lines().filter(|line| line.contains(APPLIED_EVENT));
@@ -135,57 +136,57 @@
     std::fs::read_to_string(&member.log).unwrap_or_default()
 }
 
-/// Waits until every process has the newest version of each object that it follows, or the limit.
-pub async fn wait_spread(fleet: &RunningFleet, log: &ConfigLog) {
-    for _ in 0..SPREAD_LIMIT.as_millis() / SPREAD_STEP.as_millis() {
+/// Waits until every process has applied all changes, or until the time limit.
+pub async fn wait_config_applied(fleet: &RunningFleet, log: &ConfigLog) {
+    for _ in 0..APPLY_LIMIT.as_millis() / APPLY_POLL_PERIOD.as_millis() {
         let logs = fleet.members.iter().map(|member| (member.is_entry(), log_of(member)));
         let missing: u64 =
             logs.map(|(is_entry, text)| judge_log("", is_entry, &text, log).config_missing).sum();
         if missing == 0 {
             return;
         }
-        smol::Timer::after(SPREAD_STEP).await;
+        smol::Timer::after(APPLY_POLL_PERIOD).await;
     }
 }
 
-/// Judges the changes of a run from all processes' logs.
-pub fn judge_config(fleet: &RunningFleet, log: &ConfigLog) -> ConfigFigures {
-    let mut figures = ConfigFigures {
+/// Checks the changes of a run against the logs of all processes.
+pub fn judge_config(fleet: &RunningFleet, log: &ConfigLog) -> ConfigStats {
+    let mut stats = ConfigStats {
         config_changes: log.changes.len() as u64,
         config_not_accepted: log.not_accepted,
-        ..ConfigFigures::default()
+        ..ConfigStats::default()
     };
     let (mut in_force, mut catch_up) = (Vec::new(), Vec::new());
     for member in &fleet.members {
         let name = member.instance.as_str();
         let judged = judge_log(name, member.is_entry(), &log_of(member), log);
-        figures.config_missing += judged.config_missing;
-        figures.config_reversions += judged.config_reversions;
-        figures.findings.extend(judged.findings);
+        stats.config_missing += judged.config_missing;
+        stats.config_reversions += judged.config_reversions;
+        stats.findings.extend(judged.findings);
         in_force.extend(judged.in_force);
         catch_up.extend(judged.catch_up);
     }
-    figures.config_in_force_ms = LatencyFigures::of(in_force);
-    figures.config_catch_up_ms = LatencyFigures::of(catch_up);
-    figures
+    stats.config_in_force_ms = LatencyStats::of(in_force);
+    stats.config_catch_up_ms = LatencyStats::of(catch_up);
+    stats
 }
 
-/// What one process's log came to.
+/// The result of checking one process's log.
 #[derive(Debug, Default, PartialEq)]
 pub struct LogVerdict {
-    /// Changes that never came into force.
+    /// Changes that were never applied.
     pub config_missing: u64,
-    /// Versions that came after newer ones.
+    /// Versions that were applied after newer ones.
     pub config_reversions: u64,
-    /// Times until changes were in force, the process being reachable.
+    /// Times until changes were applied, where the process was reachable throughout.
     pub in_force: Vec<Duration>,
-    /// Times until they were in force after it had not been.
+    /// Times until they were applied after the process was down or partitioned.
     pub catch_up: Vec<Duration>,
-    /// What was found, in words.
+    /// Human-readable details, one line each.
     pub findings: Vec<String>,
 }
 
-/// Judges one process's log.
+/// Checks one process's log; only entries follow objects other than the fleet object.
 pub fn judge_log(instance: &str, is_entry: bool, text: &str, log: &ConfigLog) -> LogVerdict {
     let mut verdict = LogVerdict::default();
     let applied = applied_in(text);
@@ -209,7 +210,7 @@
             verdict.findings.push(format!("{instance}: {key} {version} never in force"));
             continue;
         };
-        let back = log.back_within(instance, change.at, found.at);
+        let back = log.last_return_within(instance, change.at, found.at);
         let from = back.unwrap_or(change.at).max(change.at);
         let passed = found.at.duration_since(from).unwrap_or_default();
         if back.is_some() { &mut verdict.catch_up } else { &mut verdict.in_force }.push(passed);
--- a/crates/sagespool-testkit/src/load/direct.rs
+++ b/crates/sagespool-testkit/src/load/direct.rs
@@ -1,4 +1,4 @@
-//! The same calls straight at the stand-ins: what the fleet's latency is compared with.
+//! Baseline: calls sent directly to the fake engines, to compare the fleet's latency with.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,16 +10,17 @@
 
 use super::{CallKind, PlannedCall};
 
-/// The times of one direct answer.
+/// Latencies of one direct answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DirectTimes {
-    /// Time to the first token.
+    /// Time to the first bytes of the body; none for an empty body.
     pub first_token: Option<Duration>,
-    /// Time to the whole answer.
+    /// Time to the end of the answer.
     pub whole: Duration,
 }
 
-/// Sends completions straight to engines, in turn, at their times.
+/// Sends completions directly to the engines, round-robin, at their planned times. Calls of
+/// services and calls that fail are left out of the result.
 pub async fn run_direct(calls: Vec<PlannedCall>, engines: Vec<SocketAddr>) -> Vec<DirectTimes> {
     let config = trillium_smol::ClientConfig::default().with_nodelay(true);
     let client = Client::new(config).without_keepalive();
--- a/crates/sagespool-testkit/src/load/faults.rs
+++ b/crates/sagespool-testkit/src/load/faults.rs
@@ -1,6 +1,7 @@
-//! The faults of the load tool, as scripts that run beside the traffic.
+//! Fault injection: scripts that run concurrently with the traffic.
 
 mod config_churn;
+mod context;
 mod drain;
 mod graceful;
 mod home;
@@ -8,9 +9,8 @@
 mod process;
 mod rolling_restart;
 mod scripts;
-mod stage;
 mod stale_order;
 mod store;
 
+pub use context::FaultContext;
 pub use scripts::{FAULT_NAMES, run_fault};
-pub use stage::FaultStage;
--- a/crates/sagespool-testkit/src/load/faults/stage.rs
+++ b/crates/sagespool-testkit/src/load/faults/context.rs
@@ -1,4 +1,4 @@
-//! What fault scripts share: the fleet, the time they have, and the deposits they make.
+//! State that fault scripts share: the fleet, the time of the traffic, and logs of their actions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,53 +8,53 @@
 use sagespool_types::{BranchName, ClockTime, CommandId, TokenCount};
 
 use crate::fleet::{RunningFleet, top_up};
-use crate::load::{ConfigLog, DepositLog, FleetNotes, HomeKill, OperatorClient};
+use crate::load::{ConfigLog, DepositLog, FaultLog, HomeKill, OperatorClient};
 
-/// What the scripts of one run share. Each holds the fleet only for a step at a time.
+/// Shared state of the scripts of one run. Scripts lock the fleet only for a step at a time.
 #[derive(Clone)]
-pub struct FaultStage {
+pub struct FaultContext {
     fleet: Arc<Mutex<RunningFleet>>,
     deposits: Arc<Mutex<DepositLog>>,
     config_log: Arc<Mutex<ConfigLog>>,
-    /// The home that a script has killed.
+    /// The home that a script killed; set once its grants are settled or the watch timed out.
     pub home_kill: Arc<Mutex<Option<HomeKill>>>,
     /// When the traffic started.
     pub start: ClockTime,
     /// How long the traffic lasts.
-    pub lasting: Duration,
-    /// Seed of the script's own choices.
+    pub duration: Duration,
+    /// Seed of the scripts' random choices.
     pub seed: u64,
-    /// What the scripts do to processes and upstreams.
-    pub notes: FleetNotes,
+    /// Actions of the scripts on processes and upstreams.
+    pub fault_log: FaultLog,
 }
 
-impl FaultStage {
-    /// A stage on which scripts act on a fleet.
+impl FaultContext {
+    /// The traffic starts now and lasts for `duration`.
     pub fn new(
         fleet: Arc<Mutex<RunningFleet>>,
         deposits: Arc<Mutex<DepositLog>>,
-        lasting: Duration,
+        duration: Duration,
         seed: u64,
     ) -> Self {
-        let notes = FleetNotes::default();
+        let fault_log = FaultLog::default();
         let (config_log, home_kill) = (Arc::default(), Arc::default());
         let start = ClockTime::now();
-        Self { fleet, deposits, config_log, home_kill, start, lasting, seed, notes }
+        Self { fleet, deposits, config_log, home_kill, start, duration, seed, fault_log }
     }
 
-    /// The fleet, for one step.
+    /// Locks the fleet for one step.
     pub async fn fleet(&self) -> MutexGuard<'_, RunningFleet> {
         self.fleet.lock().await
     }
 
-    /// What the scripts did to the configuration.
+    /// Locks the log of configuration changes.
     pub async fn config_log(&self) -> MutexGuard<'_, ConfigLog> {
         self.config_log.lock().await
     }
 
     /// Waits until a share of the traffic's time has passed.
     pub async fn until(&self, share: f64) {
-        let due = self.start.after(self.lasting.mul_f64(share));
+        let due = self.start.after(self.duration.mul_f64(share));
         let now = ClockTime::now();
         if due > now {
             smol::Timer::after(due.since(now)).await;
@@ -63,21 +63,21 @@
 
     /// The share of the traffic's time that has passed.
     pub fn share_passed(&self) -> f64 {
-        ClockTime::now().since(self.start).as_secs_f64() / self.lasting.as_secs_f64()
+        ClockTime::now().since(self.start).as_secs_f64() / self.duration.as_secs_f64()
     }
 
-    /// An operator with the key of the deployment's operators.
+    /// A client with the bearer token of the deployment's operators.
     pub async fn operator(&self) -> OperatorClient {
         OperatorClient::new(self.fleet.lock().await.options.operator_token())
     }
 
-    /// Choices of one script, the same for the same seed whatever other scripts do.
+    /// Random choices of one script, independent of other scripts' choices.
     pub fn rng(&self, script: &str) -> Rng {
         let salt: u64 = script.bytes().map(u64::from).sum();
         Rng::with_seed(self.seed.wrapping_mul(31).wrapping_add(salt))
     }
 
-    /// Tops a branch up, noting when the tokens could be spent first.
+    /// Tops up a branch, and records from when the tokens could be spent.
     pub async fn top_up(&self, branch: &BranchName, amount: TokenCount) {
         let objects = self.fleet.lock().await.objects.clone();
         self.begin_top_up(branch, amount).await;
@@ -87,12 +87,12 @@
         }
     }
 
-    /// Notes that a branch is about to be topped up.
+    /// Records the start of a top-up.
     pub async fn begin_top_up(&self, branch: &BranchName, amount: TokenCount) {
-        self.deposits.lock().await.begin(branch, amount, ClockTime::now());
+        self.deposits.lock().await.note_started(branch, amount, ClockTime::now());
     }
 
-    /// Notes that a branch has surely been topped up.
+    /// Records that a top-up was confirmed.
     pub async fn end_top_up(&self, branch: &BranchName, amount: TokenCount) {
         self.deposits.lock().await.note(branch, amount, ClockTime::now());
     }
--- a/crates/sagespool-testkit/src/load/faults/graceful.rs
+++ b/crates/sagespool-testkit/src/load/faults/graceful.rs
@@ -1,4 +1,4 @@
-//! Stopping a process as the platform does, and starting it again.
+//! Stops a process as the platform does, and starts it again.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,83 +6,85 @@
 use sagespool_types::ClockTime;
 use trillium_client::Client;
 
-use super::stage::FaultStage;
+use super::context::FaultContext;
 use crate::fleet::{ProcessEventKind, check_ready};
 
-const LOOK_PERIOD: Duration = Duration::from_millis(20);
-/// Beyond the time that settings give a stop: for what it hands back.
-const HAND_BACK_LIMIT: Duration = Duration::from_secs(20);
+const POLL_PERIOD: Duration = Duration::from_millis(20);
+/// Time besides the configured stop limit, in which a process returns its grants.
+const GRANT_RETURN_LIMIT: Duration = Duration::from_secs(20);
 const READY_LIMIT: Duration = Duration::from_secs(20);
-const PROBE_LIMIT: Duration = Duration::from_millis(500);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Asks a process to end, tells the instance list, which lags, and waits until it has ended; false
-/// if it doesn't, or not cleanly.
-pub(super) async fn stop(stage: &FaultStage, place: usize, is_listed: bool) -> bool {
+/// Terminates a process, marks it as leaving in the instance list if `is_listed`, and waits for its
+/// exit; false if it does not exit in time, or with a failure status.
+pub(super) async fn stop(context: &FaultContext, index: usize, is_listed: bool) -> bool {
     let limit = {
-        let mut fleet = stage.fleet().await;
-        fleet.record_process_event(place, ProcessEventKind::Stopping);
-        let member = &fleet.members[place];
+        let mut fleet = context.fleet().await;
+        fleet.record_process_event(index, ProcessEventKind::Stopping);
+        let member = &fleet.members[index];
         if let Some(process) = &member.process {
             let _ = process.terminate();
         }
         if is_listed {
             fleet.list.mark_leaving(&member.instance);
         }
-        fleet.options.stop_limit + HAND_BACK_LIMIT
+        fleet.options.stop_limit + GRANT_RETURN_LIMIT
     };
-    wait_ended(stage, place, limit).await
+    wait_ended(context, index, limit).await
 }
 
-/// Waits until a process has ended; false if it doesn't, or not cleanly.
-pub(super) async fn wait_ended(stage: &FaultStage, place: usize, limit: Duration) -> bool {
+/// Waits for the exit of a process; false if it does not exit in time, or with a failure status.
+pub(super) async fn wait_ended(context: &FaultContext, index: usize, limit: Duration) -> bool {
     let deadline = ClockTime::now().after(limit);
     loop {
         {
-            let mut fleet = stage.fleet().await;
-            let member = &mut fleet.members[place];
+            let mut fleet = context.fleet().await;
+            let member = &mut fleet.members[index];
             let Some(process) = &member.process else { return false };
             if let Ok(Some(status)) = process.try_wait() {
                 member.process = None;
                 let instance = member.instance.clone();
-                fleet.record_process_event(place, ProcessEventKind::Ended);
+                fleet.record_process_event(index, ProcessEventKind::Ended);
                 if !status.success() {
-                    stage.notes.find(format!("unclean stop: {instance} {status}"));
+                    context.fault_log.add_finding(format!("unclean stop: {instance} {status}"));
                 }
                 return status.success();
             }
         }
         if ClockTime::now() >= deadline {
-            let instance = stage.fleet().await.members[place].instance.clone();
-            stage.notes.find(format!("unclean stop: {instance} still runs"));
+            let instance = context.fleet().await.members[index].instance.clone();
+            context.fault_log.add_finding(format!(
+                "unclean stop: {instance} still running after the time limit"
+            ));
             return false;
         }
-        smol::Timer::after(LOOK_PERIOD).await;
+        smol::Timer::after(POLL_PERIOD).await;
     }
 }
 
-/// Starts a process again, as live in the instance list, and waits until it is ready.
-pub(super) async fn start(stage: &FaultStage, place: usize) {
+/// Marks a process as live in the instance list, starts it and waits until it is ready.
+pub(super) async fn start(context: &FaultContext, index: usize) {
     let address = {
-        let mut fleet = stage.fleet().await;
-        fleet.mark_live(place);
-        if let Err(report) = fleet.start_member(place) {
-            stage.notes.find(format!("not started: {report}"));
+        let mut fleet = context.fleet().await;
+        fleet.mark_live(index);
+        if let Err(report) = fleet.start_member(index) {
+            context.fault_log.add_finding(format!("process not started: {report}"));
         }
-        fleet.members[place].http
+        fleet.members[index].http
     };
     let deadline = ClockTime::now().after(READY_LIMIT);
     while !is_ready(address).await {
         if ClockTime::now() >= deadline {
-            let instance = stage.fleet().await.members[place].instance.clone();
-            stage.notes.find(format!("not ready again: {instance}"));
+            let instance = context.fleet().await.members[index].instance.clone();
+            context.fault_log.add_finding(format!("not ready after restart: {instance}"));
             return;
         }
-        smol::Timer::after(LOOK_PERIOD).await;
+        smol::Timer::after(POLL_PERIOD).await;
     }
-    stage.notes.restarted();
+    context.fault_log.count_restart();
 }
 
 async fn is_ready(address: SocketAddr) -> bool {
     let client = Client::new(trillium_smol::ClientConfig::default()).without_keepalive();
-    check_ready(&client, address, PROBE_LIMIT).await.is_ok()
+    check_ready(&client, address, PROBE_TIMEOUT).await.is_ok()
 }
--- a/crates/sagespool-testkit/src/load/faults/operators_race.rs
+++ b/crates/sagespool-testkit/src/load/faults/operators_race.rs
@@ -1,7 +1,7 @@
-//! Operators command against each other through different entries, while some answers are lost.
+//! Operators send conflicting commands through different entries while some answers are lost.
 //!
-//! Judged from the store's objects: of two edits on one version one wins and the other is told so,
-//! and a command that is given again and again is done once.
+//! The stored objects must show that of two edits of one version one is applied and the other gets
+//! a conflict, and that a command repeated with the same id is applied once.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,53 +12,53 @@
 use sagespool_settings::{BranchObject, branch_object_key, branch_shard};
 use sagespool_types::{BranchName, CommandId, TokenCount, WallTime};
 
-use super::stage::FaultStage;
+use super::context::FaultContext;
 use super::store;
 use crate::load::OperatorClient;
 
 const LOST_SHARE: f64 = 0.2;
-/// Some operators give up after this, and come back through another entry.
-const GIVE_UP: Duration = Duration::from_millis(80);
-const MOST_TRIES: usize = 30;
+/// Time after which some operators abort a request and repeat it through another entry.
+const EARLY_ABORT: Duration = Duration::from_millis(80);
+const MAX_ATTEMPTS: usize = 30;
 const TRY_PAUSE: Duration = Duration::from_millis(100);
 const PAUSE: Duration = Duration::from_millis(200);
-/// Weights of the two edits of a round are told apart by this.
+/// Difference between the weights of the two edits of a round, which identifies the winner.
 const WEIGHT_STEP: u32 = 400;
-/// Each top-up has a bit of its own, so that the sum says which were done, and how often.
-const MOST_TOP_UPS: u32 = 24;
-
-/// Rounds of two edits and one top-up, for as long as the traffic lasts.
-pub(super) async fn operators_race(stage: &FaultStage) {
-    let mut rng = stage.rng("operators-race");
-    stage.until(0.05).await;
-    store::set_lost_answers(&*stage.fleet().await, LOST_SHARE);
+/// Each top-up is a distinct power of two, so that the sum shows which were applied, and how often.
+const MAX_TOP_UPS: u32 = 24;
+
+/// Runs rounds of two edits and one top-up during the traffic.
+pub(super) async fn operators_race(context: &FaultContext) {
+    let mut rng = context.rng("operators-race");
+    context.until(0.05).await;
+    store::set_lost_answers(&*context.fleet().await, LOST_SHARE);
     let branch: BranchName = "first".parse().expect("the name is valid");
-    let before = prepaid(stage, &branch).await;
+    let before = prepaid(context, &branch).await;
     let mut top_ups = Vec::new();
     let mut round = 0;
-    while stage.share_passed() < 0.85 && round < MOST_TOP_UPS {
-        let places = rng.usize(0..3);
-        race_edits(stage, &branch, round + 1, places).await;
-        top_ups.push(repeat_top_up(stage, &branch, TokenCount(1 << round), places).await);
+    while context.share_passed() < 0.85 && round < MAX_TOP_UPS {
+        let offset = rng.usize(0..3);
+        race_edits(context, &branch, round + 1, offset).await;
+        top_ups.push(repeat_top_up(context, &branch, TokenCount(1 << round), offset).await);
         round += 1;
         smol::Timer::after(PAUSE).await;
     }
-    store::set_lost_answers(&*stage.fleet().await, 0.0);
-    let added = prepaid(stage, &branch).await.saturating_sub(before);
-    judge_top_ups(stage, &top_ups, added);
+    store::set_lost_answers(&*context.fleet().await, 0.0);
+    let added = prepaid(context, &branch).await.saturating_sub(before);
+    judge_top_ups(context, &top_ups, added);
 }
 
-async fn prepaid(stage: &FaultStage, branch: &BranchName) -> TokenCount {
-    let object = stage.fleet().await.store.object(&book_key(book_of(branch)));
+async fn prepaid(context: &FaultContext, branch: &BranchName) -> TokenCount {
+    let object = context.fleet().await.store.object(&book_key(book_of(branch)));
     let book: Option<BookRecord> = object.and_then(|object| object.parse().ok());
     let account = book.and_then(|book| book.branches.get(branch).cloned());
     account.map_or(TokenCount::ZERO, |account| account.prepaid)
 }
 
-/// The branch's weight, and how often its object was written.
-async fn weight(stage: &FaultStage, branch: &BranchName) -> (u32, usize) {
+/// The branch's stored weight, and the number of writes to its object.
+async fn weight(context: &FaultContext, branch: &BranchName) -> (u32, usize) {
     let key = branch_object_key(branch_shard(branch));
-    let fleet = stage.fleet().await;
+    let fleet = context.fleet().await;
     let object: Option<BranchObject> =
         fleet.store.object(&key).and_then(|object| object.parse().ok());
     let weight = object.and_then(|object| object.branches.get(branch).map(|entry| entry.weight));
@@ -66,20 +66,20 @@
     (weight.unwrap_or_default(), writes)
 }
 
-/// Gives a command through one entry after the other until it has ended. With `gives_up` the first
-/// answers are not waited for, as if they were lost.
-async fn insist(
+/// Sends a command through one entry after the other until it has ended. With `aborts_early` the
+/// first two requests are aborted early, as if their answers were lost.
+async fn run_until_ended(
     operator: OperatorClient,
     entries: Vec<SocketAddr>,
     line: String,
     command: CommandId,
-    gives_up: bool,
+    aborts_early: bool,
 ) -> Option<ItemOutcome> {
-    for number in 0..MOST_TRIES {
+    for number in 0..MAX_ATTEMPTS {
         let entry = entries[number % entries.len()];
-        let asked = operator.give(entry, &line, command);
-        let answer = match gives_up && number < 2 {
-            true => or(async { Some(asked.await) }, lost(GIVE_UP)).await,
+        let asked = operator.run_command(entry, &line, command);
+        let answer = match aborts_early && number < 2 {
+            true => or(async { Some(asked.await) }, none_after(EARLY_ABORT)).await,
             false => Some(asked.await),
         };
         if let Some(outcome) = answer.and_then(Result::ok).and_then(outcome_of) {
@@ -90,7 +90,7 @@
     None
 }
 
-async fn lost<T>(after: Duration) -> Option<T> {
+async fn none_after<T>(after: Duration) -> Option<T> {
     smol::Timer::after(after).await;
     None
 }
@@ -104,20 +104,20 @@
     new_command_id(WallTime::now())
 }
 
-/// The entries, beginning with another one.
-async fn entries_from(stage: &FaultStage, place: usize) -> Vec<SocketAddr> {
-    let mut entries = stage.fleet().await.entry_addresses();
+/// The entries, rotated to begin at an index.
+async fn entries_from(context: &FaultContext, index: usize) -> Vec<SocketAddr> {
+    let mut entries = context.fleet().await.entry_addresses();
     let count = entries.len();
-    entries.rotate_left(place % count);
+    entries.rotate_left(index % count);
     entries
 }
 
-/// The version that an operator sees; asked again while answers of the store are lost.
-async fn seen_version(stage: &FaultStage, branch: &BranchName, place: usize) -> Option<u64> {
-    let operator = stage.operator().await;
-    for entry in entries_from(stage, place).await {
+/// The version that an operator sees, from the first entry that answers.
+async fn seen_version(context: &FaultContext, branch: &BranchName, index: usize) -> Option<u64> {
+    let operator = context.operator().await;
+    for entry in entries_from(context, index).await {
         let line = format!("configuration branch {branch}");
-        if let Ok(answer) = operator.ask(entry, &line).await
+        if let Ok(answer) = operator.query(entry, &line).await
             && let AnswerBody::Configuration(found) = answer.answer
             && let Some(shown) = found.shown
         {
@@ -127,31 +127,33 @@
     None
 }
 
-/// Two operators set one weight on the version that both saw.
-async fn race_edits(stage: &FaultStage, branch: &BranchName, round: u32, place: usize) {
-    let Some(version) = seen_version(stage, branch, place).await else { return };
-    let (_, writes_before) = weight(stage, branch).await;
+/// Two operators set the weight, both conditional on the same version.
+async fn race_edits(context: &FaultContext, branch: &BranchName, round: u32, index: usize) {
+    let Some(version) = seen_version(context, branch, index).await else { return };
+    let (_, writes_before) = weight(context, branch).await;
     let wanted = [round, round + WEIGHT_STEP];
     let mut racing = Vec::new();
-    for (number, wish) in wanted.into_iter().enumerate() {
-        let line = format!("set {branch} weight {wish} if version {version}");
-        let entries = entries_from(stage, place + number).await;
-        let operator = stage.operator().await;
-        racing.push(smol::spawn(insist(operator, entries, line, new_id(), number == 1)));
+    for (number, new_weight) in wanted.into_iter().enumerate() {
+        let line = format!("set {branch} weight {new_weight} if version {version}");
+        let entries = entries_from(context, index + number).await;
+        let operator = context.operator().await;
+        racing.push(smol::spawn(run_until_ended(operator, entries, line, new_id(), number == 1)));
     }
     let mut outcomes = Vec::new();
     for race in racing {
         outcomes.push(race.await);
     }
-    let (present, writes) = weight(stage, branch).await;
+    let (present, writes) = weight(context, branch).await;
     let race = EditRace { wanted, outcomes, present, writes: writes - writes_before };
-    stage.notes.raced();
+    context.fault_log.count_race();
     if let Some(fault) = race.fault() {
-        stage.notes.race_fault(format!("edits on version {version}: {fault}: {race:?}"));
+        context
+            .fault_log
+            .record_race_fault(format!("edits of version {version}: {fault}: {race:?}"));
     }
 }
 
-/// What came of two edits.
+/// The outcomes of two concurrent edits.
 #[derive(Debug)]
 struct EditRace {
     wanted: [u32; 2],
@@ -166,73 +168,73 @@
         states.map(|outcome| outcome.as_ref().map(|outcome| outcome.state)).collect()
     }
 
-    /// What is wrong with it, if anything is.
+    /// The first violated rule; none if the outcomes are consistent.
     fn fault(&self) -> Option<&'static str> {
         let states = self.states();
         let winners: Vec<usize> =
-            (0..2).filter(|place| states[*place] == Some(OutcomeState::Done)).collect();
+            (0..2).filter(|index| states[*index] == Some(OutcomeState::Done)).collect();
         if self.writes > 1 {
-            return Some("both took effect");
+            return Some("more than one write was applied");
         }
         if winners.len() > 1 {
-            return Some("both were told that they won");
+            return Some("both operators got success");
         }
         if let [winner] = winners[..] {
             if self.present != self.wanted[winner] || self.writes != 1 {
-                return Some("the winner's edit isn't in force");
+                return Some("the successful edit is not in the store");
             }
             let loser = self.outcomes[1 - winner].as_ref();
             let told = loser.is_some_and(|outcome| outcome.state == OutcomeState::Conflict);
             let is_open = loser.is_none_or(|outcome| outcome.state == OutcomeState::Unknown);
-            return (!told && !is_open).then_some("the loser wasn't told of a conflict");
+            return (!told && !is_open).then_some("the other operator got no conflict");
         }
         let denied = |state: &Option<OutcomeState>| {
             matches!(state, Some(OutcomeState::Conflict | OutcomeState::Failed))
         };
         let all_denied = states.iter().all(denied);
-        (all_denied && self.writes > 0).then_some("an edit that was denied took effect")
+        (all_denied && self.writes > 0).then_some("a rejected edit was applied")
     }
 }
 
-/// A top-up that was given several times, and what its operator was told.
+/// A top-up that was sent several times, and the state in each answer.
 struct RepeatedTopUp {
     amount: TokenCount,
     told: Vec<Option<OutcomeState>>,
 }
 
-/// One top-up is given through every entry at the same time, with the same id.
+/// Sends one top-up through three entries concurrently, with the same id.
 async fn repeat_top_up(
-    stage: &FaultStage,
+    context: &FaultContext,
     branch: &BranchName,
     amount: TokenCount,
-    place: usize,
+    index: usize,
 ) -> RepeatedTopUp {
     let command = new_id();
-    stage.begin_top_up(branch, amount).await;
+    context.begin_top_up(branch, amount).await;
     let mut giving = Vec::new();
     for number in 0..3 {
         let line = format!("top-up {branch} {amount}");
-        let entries = entries_from(stage, place + number).await;
-        let operator = stage.operator().await;
-        giving.push(smol::spawn(insist(operator, entries, line, command, number == 2)));
+        let entries = entries_from(context, index + number).await;
+        let operator = context.operator().await;
+        giving.push(smol::spawn(run_until_ended(operator, entries, line, command, number == 2)));
     }
     let mut told = Vec::new();
     for given in giving {
         told.push(given.await.map(|outcome| outcome.state));
     }
     if told.iter().flatten().any(|state| state.is_success()) {
-        stage.end_top_up(branch, amount).await;
+        context.end_top_up(branch, amount).await;
     }
     RepeatedTopUp { amount, told }
 }
 
-/// Amounts are bits: each that was told to be done stands in the sum once, and one that was told not
-/// to be done doesn't.
-fn judge_top_ups(stage: &FaultStage, top_ups: &[RepeatedTopUp], added: TokenCount) {
+/// Checks the sum, in which each amount is one bit: a top-up with a success is in it once, and a
+/// rejected one is not.
+fn judge_top_ups(context: &FaultContext, top_ups: &[RepeatedTopUp], added: TokenCount) {
     let all: u64 = top_ups.iter().map(|top_up| top_up.amount.0).sum();
-    stage.notes.raced();
+    context.fault_log.count_race();
     if added.0 > all {
-        stage.notes.race_fault(format!("top-ups of {all} added {added}"));
+        context.fault_log.record_race_fault(format!("top-ups of {all} tokens added {added}"));
         return;
     }
     for top_up in top_ups {
@@ -243,7 +245,9 @@
         });
         if (is_done && !is_there) || (is_denied && is_there) {
             let told = &top_up.told;
-            stage.notes.race_fault(format!("top-up of {}: told {told:?}", top_up.amount));
+            context
+                .fault_log
+                .record_race_fault(format!("top-up of {} tokens: answers {told:?}", top_up.amount));
         }
     }
 }
--- a/crates/sagespool-testkit/src/load/faults/process.rs
+++ b/crates/sagespool-testkit/src/load/faults/process.rs
@@ -1,40 +1,40 @@
-//! Faults of processes: killed, paused, restarted.
+//! Kills and restarts of processes.
 
 use fastrand::Rng;
 
 use crate::fleet::{ProcessEventKind, RunningFleet};
 
-/// The places of the members of a kind that run.
+/// Indices of the running entries, or of the running sidecars.
 pub(super) fn running(fleet: &RunningFleet, entries: bool) -> Vec<usize> {
     let members = fleet.members.iter().enumerate();
     members
         .filter(|(_, member)| member.is_entry() == entries && member.process.is_some())
-        .map(|(place, _)| place)
+        .map(|(index, _)| index)
         .collect()
 }
 
-/// One entry or sidecar that runs, taken at random.
+/// The index of a random running entry or sidecar.
 pub(super) fn pick(fleet: &RunningFleet, entries: bool, rng: &mut Rng) -> Option<usize> {
-    let places = running(fleet, entries);
-    rng.choice(places)
+    let indices = running(fleet, entries);
+    rng.choice(indices)
 }
 
-/// Ends a member's process at once.
-pub(super) fn kill(fleet: &mut RunningFleet, place: usize) {
-    let Some(process) = fleet.members[place].process.take() else {
+/// Kills a member's process.
+pub(super) fn kill(fleet: &mut RunningFleet, index: usize) {
+    let Some(process) = fleet.members[index].process.take() else {
         return;
     };
-    // One that has ended by itself is as dead.
+    // It may have exited already, which is equivalent here.
     let _ = process.kill();
-    fleet.record_process_event(place, ProcessEventKind::Ended);
+    fleet.record_process_event(index, ProcessEventKind::Ended);
 }
 
-/// Starts a member again if it doesn't run.
-pub(super) fn restart(fleet: &mut RunningFleet, place: usize) {
-    if fleet.members[place].process.is_some() {
+/// Starts a member if it is not running.
+pub(super) fn restart(fleet: &mut RunningFleet, index: usize) {
+    if fleet.members[index].process.is_some() {
         return;
     }
-    if let Err(report) = fleet.start_member(place) {
+    if let Err(report) = fleet.start_member(index) {
         eprintln!("{report:?}");
     }
 }
--- a/crates/sagespool-testkit/src/load/faults/rolling_restart.rs
+++ b/crates/sagespool-testkit/src/load/faults/rolling_restart.rs
@@ -1,48 +1,49 @@
-//! Every process is stopped as the platform stops it, and started again, one after the other.
+//! Stops every process as the platform does, and starts it again, one after the other.
 
 use sagespool_types::{ClockTime, UpstreamName};
 
+use super::context::FaultContext;
 use super::graceful;
-use super::stage::FaultStage;
 
-/// After this share of the time nothing more is stopped, so that the last can come back under load.
-const LAST_STOP: f64 = 0.9;
+/// Share of the time after which no more processes are stopped, so that the last one returns under
+/// load.
+const LAST_STOP_SHARE: f64 = 0.9;
 
-/// Stops and starts entries and sidecars in turn.
-pub(super) async fn rolling_restart(stage: &FaultStage) {
-    stage.until(0.05).await;
-    for place in turns(stage).await {
-        if stage.share_passed() > LAST_STOP {
+/// Restarts entries and sidecars in turn.
+pub(super) async fn rolling_restart(context: &FaultContext) {
+    context.until(0.05).await;
+    for index in restart_order(context).await {
+        if context.share_passed() > LAST_STOP_SHARE {
             return;
         }
-        restart(stage, place).await;
+        restart(context, index).await;
     }
 }
 
-/// An entry, a sidecar, an entry, …, so that a run cut short has seen both.
-async fn turns(stage: &FaultStage) -> Vec<usize> {
-    let fleet = stage.fleet().await;
-    let places = 0..fleet.members.len();
+/// Member indices, entries and sidecars alternating, so that a short run covers both.
+async fn restart_order(context: &FaultContext) -> Vec<usize> {
+    let fleet = context.fleet().await;
+    let indices = 0..fleet.members.len();
     let (entries, sidecars): (Vec<usize>, Vec<usize>) =
-        places.partition(|place| fleet.members[*place].is_entry());
+        indices.partition(|index| fleet.members[*index].is_entry());
     let longest = entries.len().max(sidecars.len());
     let pairs = (0..longest).flat_map(|turn| [entries.get(turn), sidecars.get(turn)]);
     pairs.flatten().copied().collect()
 }
 
-async fn restart(stage: &FaultStage, place: usize) {
-    let upstream = upstream_of(stage, place).await;
+async fn restart(context: &FaultContext, index: usize) {
+    let upstream = upstream_of(context, index).await;
     let began = ClockTime::now();
-    let span = upstream.map(|upstream| stage.notes.begin(&upstream, "stop", began));
-    graceful::stop(stage, place, true).await;
+    let span = upstream.map(|upstream| context.fault_log.begin_leaving(&upstream, "stop", began));
+    graceful::stop(context, index, true).await;
     if let Some(span) = span {
-        stage.notes.end(span, ClockTime::now(), true);
+        context.fault_log.end_leaving(span, ClockTime::now(), true);
     }
-    graceful::start(stage, place).await;
+    graceful::start(context, index).await;
 }
 
-/// The upstream beside a sidecar.
-pub(super) async fn upstream_of(stage: &FaultStage, place: usize) -> Option<UpstreamName> {
-    let fleet = stage.fleet().await;
-    fleet.members[place].upstream.as_ref().map(|(upstream, _)| upstream.clone())
+/// The upstream of a sidecar; none for an entry.
+pub(super) async fn upstream_of(context: &FaultContext, index: usize) -> Option<UpstreamName> {
+    let fleet = context.fleet().await;
+    fleet.members[index].upstream.as_ref().map(|(upstream, _)| upstream.clone())
 }
--- a/crates/sagespool-testkit/src/load/home_kill.rs
+++ b/crates/sagespool-testkit/src/load/home_kill.rs
@@ -1,5 +1,5 @@
-//! How long a home's death is felt: until its branches are served again, and until what it held is
-//! settled.
+//! Recovery times after the kill of a home: until its branches are served again, and until its
+//! grants are settled.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,26 +13,27 @@
 /// A home that was killed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HomeKill {
-    /// The entry, by its place.
-    pub place: usize,
-    /// Its incarnation.
+    /// Index of the entry in `RunningFleet::members`.
+    pub index: usize,
+    /// The incarnation that was killed.
     pub holder: IncarnationId,
-    /// The branches that it held grants of.
+    /// The branches of which it held grants.
     pub branches: BTreeSet<BranchName>,
     /// When it was killed.
     pub at: ClockTime,
-    /// When the last of its grants was closed or in doubt; none if that didn't come in time.
+    /// When the last of its grants was closed or in doubt; none if the watch timed out.
     pub settled_at: Option<ClockTime>,
 }
 
 impl HomeKill {
-    /// Time from the kill until its grants were settled, or in doubt.
+    /// Time from the kill until all its grants were settled or in doubt; none if the watch timed
+    /// out.
     pub fn settled_after(&self) -> Option<Duration> {
         self.settled_at.map(|settled| settled.since(self.at))
     }
 
-    /// Time from the kill until the last of its branches had an answer to a call that was sent after
-    /// it; none if some branch had none.
+    /// Time from the kill until each of its branches had an answer to a call sent after it; none if
+    /// some branch had none.
     pub fn served_after(&self, records: &[CallRecord]) -> Option<Duration> {
         let first = |branch| self.first_answer(branch, records);
         let answers: Option<Vec<ClockTime>> = self.branches.iter().map(first).collect();
@@ -48,7 +49,7 @@
     }
 }
 
-/// The branches that a process holds grants of by the books, those in doubt left out.
+/// The branches of which the books show grants of a process that are not in doubt.
 pub(super) fn held_branches(fleet: &RunningFleet, holder: IncarnationId) -> BTreeSet<BranchName> {
     let mut held = BTreeSet::new();
     for book in (0..BOOK_COUNT).map(BookNumber) {
--- a/crates/sagespool-testkit/src/load/leaving.rs
+++ b/crates/sagespool-testkit/src/load/leaving.rs
@@ -1,40 +1,40 @@
-//! The judgement of graceful stops and drains: what was cut, and what an upstream was given after
-//! it had begun to leave.
+//! Checks graceful stops and drains: calls that were cut off, and runs that an upstream received
+//! after it had begun to leave.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use super::{CallOutcome, CallRecord, FleetNotes, LeavingSpan};
+use super::{CallOutcome, CallRecord, FaultLog, LeavingSpan};
 use crate::{RunEnd, RunLog, RunMarker, RunRecord};
 
-/// How long after an upstream began to leave it may still be given work.
+/// Time after the start of leaving in which an upstream may still receive work.
 const LEAVING_LIMIT: Duration = Duration::from_secs(3);
 
-const MOST_FINDINGS: usize = 20;
+const MAX_FINDINGS: usize = 20;
 
-/// How graceful stops went.
+/// The result of checking graceful stops.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LeavingVerdict {
-    /// Calls whose connection broke, whose outcome became unknown or whose run was cut off.
+    /// Calls whose connection broke, whose outcome became unknown or whose run was interrupted.
     pub cut: u64,
-    /// Runs that began at an upstream more than 3 s after it had begun to leave.
+    /// Runs that arrived at an upstream more than 3 s after it had begun to leave.
     pub late_dispatches: u64,
-    /// Upstreams that were to be given work again and got none.
+    /// Upstreams that were expected to receive work again and received none.
     pub not_resumed: u64,
-    /// Processes that were stopped gracefully and run again.
+    /// Processes that were stopped gracefully and are running again.
     pub restarts: u64,
-    /// What was found, in words.
+    /// Human-readable details, one line each.
     pub findings: Vec<String>,
 }
 
-/// Judges a run in which nothing fails and processes and upstreams leave and come back. In others
-/// broken connections are the faults' own.
+/// Checks a run in which processes and upstreams leave and return but nothing fails. With other
+/// faults, broken connections are expected.
 pub fn judge_leaving(
     records: &[CallRecord],
     run_log: &RunLog,
-    notes: &FleetNotes,
+    fault_log: &FaultLog,
 ) -> LeavingVerdict {
-    let mut verdict = LeavingVerdict { restarts: notes.restarts(), ..Default::default() };
+    let mut verdict = LeavingVerdict { restarts: fault_log.restarts(), ..Default::default() };
     let runs = run_log.runs();
     let mut cut: BTreeSet<&RunMarker> = BTreeSet::new();
     let mut findings = Vec::new();
@@ -50,12 +50,12 @@
         findings.push(format!("cut run: {marker} at {} {:?}", run.start.upstream, run.ended));
     }
     verdict.cut = cut.len() as u64;
-    for span in notes.spans() {
+    for span in fault_log.spans() {
         let late = runs.iter().filter(|run| is_late(run, &span));
         for run in late {
             verdict.late_dispatches += 1;
             findings.push(format!(
-                "late dispatch: {} got {:?} {} ms after it began to leave ({})",
+                "late dispatch: {} received {:?} {} ms after it began to leave ({})",
                 span.upstream,
                 run.start.marker.as_ref().map(ToString::to_string),
                 run.start.arrived_at.since(span.began).as_millis(),
@@ -67,7 +67,7 @@
             findings.push(format!("not resumed: {} after {}", span.upstream, span.cause));
         }
     }
-    findings.truncate(MOST_FINDINGS);
+    findings.truncate(MAX_FINDINGS);
     verdict.findings.extend(findings);
     verdict
 }
@@ -82,7 +82,7 @@
     }
 }
 
-/// No caller of the load tool gives up, so every run has to come to its end.
+/// Callers of the load tool never cancel, so every run must finish.
 fn was_cut(run: &RunRecord) -> bool {
     !matches!(run.ended, Some((RunEnd::Finished, _)))
 }
--- a/crates/sagespool-testkit/src/load/operator_line.rs
+++ b/crates/sagespool-testkit/src/load/operator_client.rs
@@ -1,4 +1,4 @@
-//! Operators' lines, sent to an entry as `sagespool` sends them.
+//! A client for operator queries and commands, with the same protocol as `sagespool`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,12 +8,12 @@
 use sagespool_types::CommandId;
 use trillium_client::Client;
 
-/// Longer than an entry waits for a command.
+/// Longer than an entry waits for a command to end.
 const COMMAND_LIMIT: Duration = Duration::from_secs(15);
-/// Longer than an entry waits for members and the store.
+/// Longer than an entry waits for replies of members and the store.
 const QUERY_LIMIT: Duration = Duration::from_secs(4);
 
-/// An operator with a key.
+/// Sends command lines with an operator's bearer token.
 #[derive(Debug, Clone)]
 pub struct OperatorClient {
     client: Client,
@@ -21,25 +21,25 @@
 }
 
 impl OperatorClient {
-    /// An operator with this key.
+    /// Takes the operator's bearer token.
     pub fn new(token: impl Into<String>) -> Self {
         let client = Client::new(trillium_smol::ClientConfig::default()).without_keepalive();
         Self { client, token: token.into() }
     }
 
-    /// Asks a question.
+    /// Sends a query.
     ///
     /// # Errors
-    /// Why there is no answer, in words.
-    pub async fn ask(&self, entry: SocketAddr, line: &str) -> Result<OperatorAnswer, String> {
+    /// The error code and message, or why there is no answer.
+    pub async fn query(&self, entry: SocketAddr, line: &str) -> Result<OperatorAnswer, String> {
         self.send(entry, line, None).await
     }
 
-    /// Gives a command, or asks for the one of that id again, and waits for its end.
+    /// Sends a command and waits for it to end; a repeat with the same id does not run it twice.
     ///
     /// # Errors
-    /// Why there is no answer, in words; it may be under way all the same.
-    pub async fn give(
+    /// The error code and message, or why there is no answer; the command may still be running.
+    pub async fn run_command(
         &self,
         entry: SocketAddr,
         line: &str,
@@ -56,7 +56,7 @@
     ) -> Result<OperatorAnswer, String> {
         let limit = if command.is_some() { COMMAND_LIMIT } else { QUERY_LIMIT };
         let request = LineRequest { line: line.to_owned(), command, json: None, wait_ms: None };
-        let body = serde_json::to_string(&request).expect("a request is plain data");
+        let body = serde_json::to_string(&request).expect("a LineRequest is serializable");
         let exchange = async {
             let url = format!("http://{entry}{LINE_PATH}");
             let conn = self.client.post(url.as_str()).with_body(body);
@@ -72,7 +72,7 @@
         let text = or(exchange, late).await?;
         serde_json::from_str(&text).map_err(|_| match serde_json::from_str::<ErrorReply>(&text) {
             Ok(reply) => format!("{}: {}", reply.error.code, reply.error.message),
-            Err(error) => format!("the answer can't be read: {error}"),
+            Err(error) => format!("answer is neither a result nor an error: {error}"),
         })
     }
 }
--- a/crates/sagespool-testkit/src/load/operator_oracle.rs
+++ b/crates/sagespool-testkit/src/load/operator_oracle.rs
@@ -1,5 +1,5 @@
-//! The judgement of operators' answers: what each states, held against the upstreams' own log, the
-//! load tool's deposits and what was done to processes, for the time between question and answer.
+//! Checks operators' answers. Each statement is compared with the upstreams' run log, the load
+//! tool's deposits and the process events, for the time between query and answer.
 
 mod fleet;
 mod spend;
@@ -9,67 +9,67 @@
 use sagespool_operations::{AnswerBody, StoreBasis};
 use sagespool_types::{ClockTime, InstanceName, StoreRevision, UpstreamName};
 
-use super::{AnswerSample, CallRecord, DepositLog, FleetNotes};
+use super::{AnswerSample, CallRecord, DepositLog, FaultLog};
 use crate::fleet::ProcessEvent;
 use crate::{AppliedWrite, RunRecord};
 
-const MOST_FINDINGS: usize = 20;
+const MAX_FINDINGS: usize = 20;
 
-/// What answers are held against.
+/// The facts with which answers are compared.
 pub struct AnswerFacts<'a> {
-    /// The calls and what came of them.
+    /// The calls and their outcomes.
     pub records: &'a [CallRecord],
-    /// What the upstreams ran.
+    /// The runs at upstreams.
     pub runs: &'a [RunRecord],
-    /// What was prepaid when.
+    /// The deposits with their times.
     pub deposits: &'a DepositLog,
-    /// What scripts did to upstreams.
-    pub notes: &'a FleetNotes,
-    /// When processes were started, told to stop, and ended.
+    /// Upstreams that fault scripts stopped or drained.
+    pub fault_log: &'a FaultLog,
+    /// Starts, stop requests and exits of processes.
     pub process_events: &'a [ProcessEvent],
-    /// What the store took, in order.
+    /// The writes that the store applied, in order.
     pub writes: &'a [AppliedWrite],
-    /// The instances of entries, by their place.
+    /// The instances of entries; [`AnswerSample::entry`] is an index into them.
     pub entries: &'a [InstanceName],
     /// The upstream beside each sidecar.
     pub upstreams: &'a BTreeMap<InstanceName, UpstreamName>,
 }
 
-/// How true the answers were.
+/// The result of checking answers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AnswerVerdict {
-    /// Answers judged.
+    /// Answers checked.
     pub answers: u64,
-    /// Statements in them that were held against what is known.
+    /// Statements in them that were checked.
     pub statements: u64,
-    /// Those that were false.
+    /// Statements that were false.
     pub false_statements: u64,
-    /// What was found, in words.
+    /// Human-readable details, one line each.
     pub findings: Vec<String>,
 }
 
 impl AnswerVerdict {
-    /// Takes one statement; the words are those of the finding if it is false.
-    fn hold(&mut self, sample: &AnswerSample, is_true: bool, words: impl FnOnce() -> String) {
+    /// Counts one statement; `detail` describes it if it is false.
+    fn check(&mut self, sample: &AnswerSample, is_true: bool, detail: impl FnOnce() -> String) {
         self.statements += 1;
         if is_true {
             return;
         }
         self.false_statements += 1;
-        if self.findings.len() < MOST_FINDINGS {
+        if self.findings.len() < MAX_FINDINGS {
             self.findings.push(format!(
                 "false statement: `{}` through entry {} at {}..{} ms: {}",
                 sample.line,
                 sample.entry,
                 sample.before.0 / 1000,
                 sample.after.0 / 1000,
-                words()
+                detail()
             ));
         }
     }
 }
 
-/// Judges every answer.
+/// Checks every answer.
 pub fn judge_answers(samples: &[AnswerSample], facts: &AnswerFacts) -> AnswerVerdict {
     let mut verdict = AnswerVerdict::default();
     for sample in samples {
@@ -95,7 +95,7 @@
     verdict
 }
 
-/// The newest revision that a write to some object had made by a moment.
+/// The newest revision among the writes to matching objects until a time.
 fn revision_at(
     facts: &AnswerFacts,
     at: ClockTime,
@@ -108,13 +108,13 @@
 fn judge_basis(sample: &AnswerSample, facts: &AnswerFacts, verdict: &mut AnswerVerdict) {
     let basis = &sample.answer.basis;
     let asked = facts.entries.get(sample.entry);
-    verdict.hold(sample, asked == Some(&basis.entry.instance), || {
-        format!("{asked:?} was asked and {} says that it answered", basis.entry.instance)
+    verdict.check(sample, asked == Some(&basis.entry.instance), || {
+        format!("query went to {asked:?}; answer names {}", basis.entry.instance)
     });
     if let StoreBasis::Read { revision } = basis.store {
         let newest = revision_at(facts, sample.after, |_| true);
-        verdict.hold(sample, revision <= newest, || {
-            format!("the store stood at {revision} or later; it stood at {newest}")
+        verdict.check(sample, revision <= newest, || {
+            format!("store reported at revision {revision} or later; it was at {newest}")
         });
     }
 }
--- a/crates/sagespool-testkit/src/load/operator_oracle/fleet.rs
+++ b/crates/sagespool-testkit/src/load/operator_oracle/fleet.rs
@@ -1,4 +1,4 @@
-//! `running`, `upstreams`, `members` and `configuration`.
+//! Checks answers to `running`, `upstreams`, `members` and `configuration`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,22 +16,22 @@
 use crate::fleet::ProcessEventKind;
 use crate::load::{AnswerSample, CallOutcome, LeavingSpan};
 
-/// A request whose caller had its whole answer for longer than this doesn't run.
+/// Time after its complete answer in which a request may still be listed as running.
 const END_GRACE: Duration = Duration::from_secs(2);
-/// The load that an upstream reports is at most so old: its own lag, and the way to the entry.
+/// Maximum age of an upstream's load report: its own lag plus the delay to the entry.
 const REPORT_AGE: Duration = Duration::from_secs(6);
-/// Within this an upstream that begins to leave is to be seen as such.
+/// Time within which an upstream that begins to leave must be shown as leaving.
 const LEAVING_LIMIT: Duration = Duration::from_secs(3);
-/// A process counts its own time from a moment after its start.
+/// A process measures its uptime from shortly after its start.
 const START_GRACE: Duration = Duration::from_millis(500);
 
-/// Calls for comparison go straight to the engines, and no sidecar knows of them.
+/// False for baseline calls, which go directly to the engines and not through a sidecar.
 fn is_routed(run: &RunRecord) -> bool {
     let marker = run.start.marker.as_ref();
     run.start.request.is_some() && marker.is_some_and(|marker| marker.branch.as_str() != "direct")
 }
 
-/// Runs that the fleet brought about and that went on from the question to the answer.
+/// Routed runs at an upstream that were running throughout the query.
 fn runs_through<'a>(
     facts: &'a AnswerFacts,
     sample: &AnswerSample,
@@ -68,8 +68,8 @@
         for run in runs_through(facts, sample, upstream) {
             let request = run.start.request.clone().unwrap_or_default();
             let is_listed = listed.contains(&(upstream, request.clone()));
-            verdict.hold(sample, is_listed, || {
-                format!("{request} ran at {upstream}, and its sidecar doesn't list it")
+            verdict.check(sample, is_listed, || {
+                format!("{request} was running at {upstream}; its sidecar did not list it")
             });
         }
     }
@@ -85,15 +85,19 @@
     let sends =
         facts.records.iter().flat_map(|record| record.sends.iter().map(move |send| (record, send)));
     let mut own = sends.filter(|(_, send)| send.request.as_ref() == Some(&request));
-    // A send whose connection broke before its head came is not known by its id.
+    // The request id of a send is unknown if its connection broke before the response head.
     if let Some((record, send)) = own.next() {
-        verdict.hold(sample, *record.call.branch() == row.branch, || {
-            format!("{request} is said to be of {}", row.branch)
+        verdict.check(sample, *record.call.branch() == row.branch, || {
+            format!("{request} listed with branch {}, sent by another", row.branch)
         });
         let is_whole = matches!(send.outcome, CallOutcome::Whole { .. });
         let is_over = is_whole && send.ended.after(END_GRACE) < sample.before;
-        verdict.hold(sample, !is_over && send.sent <= sample.after, || {
-            format!("{request} is said to run; it was answered at {} ms", send.ended.0 / 1000)
+        verdict.check(sample, !is_over && send.sent <= sample.after, || {
+            format!(
+                "{request} listed as running; sent at {} ms, ended at {} ms",
+                send.sent.0 / 1000,
+                send.ended.0 / 1000
+            )
         });
     }
     let runs = facts.runs.iter().filter(|run| {
@@ -103,14 +107,14 @@
     });
     for run in runs {
         let most = run.used_at(sample.after).most + run.start.resumed_from;
-        verdict.hold(sample, row.used <= most, || {
-            format!("{request} is said to have used {}; at most {most}", row.used)
+        verdict.check(sample, row.used <= most, || {
+            format!("{request} listed with {} tokens used; at most {most}", row.used)
         });
     }
 }
 
-/// The most runs that an upstream had at once within a time.
-fn most_at_once(
+/// The maximum number of concurrent runs at an upstream within a time span.
+fn max_concurrent_runs(
     facts: &AnswerFacts,
     upstream: &UpstreamName,
     from: ClockTime,
@@ -157,17 +161,17 @@
 ) {
     let upstream = &row.upstream;
     let beside = facts.upstreams.get(&row.sidecar.instance);
-    verdict.hold(sample, beside == Some(upstream), || {
-        format!("{} is said to be beside {upstream}", row.sidecar.instance)
+    verdict.check(sample, beside == Some(upstream), || {
+        format!("{upstream} listed with sidecar {}; not its sidecar", row.sidecar.instance)
     });
     let through = runs_through(facts, sample, upstream).len() as u32;
-    verdict.hold(sample, row.in_flight.is_none_or(|told| told >= through), || {
-        format!("{upstream} is said to have {:?} in flight; {through} ran", row.in_flight)
+    verdict.check(sample, row.in_flight.is_none_or(|told| told >= through), || {
+        format!("{upstream} listed with {:?} in flight; {through} were running", row.in_flight)
     });
     let from = ClockTime(sample.before.0.saturating_sub(REPORT_AGE.as_micros() as u64));
-    let most = most_at_once(facts, upstream, from, sample.after);
-    verdict.hold(sample, row.running <= most, || {
-        format!("{upstream} is said to run {}; at most {most} ran at once", row.running)
+    let most = max_concurrent_runs(facts, upstream, from, sample.after);
+    verdict.check(sample, row.running <= most, || {
+        format!("{upstream} listed with {} running; at most {most} at once", row.running)
     });
 }
 
@@ -178,19 +182,19 @@
     verdict: &mut AnswerVerdict,
 ) {
     let spans: Vec<LeavingSpan> =
-        facts.notes.spans().into_iter().filter(|span| span.upstream == row.upstream).collect();
-    let says = |what: &str| format!("{} is said to be {what}: {spans:?}", row.upstream);
+        facts.fault_log.spans().into_iter().filter(|span| span.upstream == row.upstream).collect();
+    let detail = |state: &str| format!("{} listed as {state}: {spans:?}", row.upstream);
     match row.state {
         UpstreamState::Serving => {
             let is_within = |span: &LeavingSpan| {
                 sample.before > span.began.after(LEAVING_LIMIT)
                     && span.ended.is_none_or(|ended| sample.after < ended)
             };
-            verdict.hold(sample, !spans.iter().any(is_within), || says("serving"));
+            verdict.check(sample, !spans.iter().any(is_within), || detail("serving"));
         }
         UpstreamState::Drained | UpstreamState::Leaving => {
             let has_begun = spans.iter().any(|span| span.began <= sample.after);
-            verdict.hold(sample, has_begun, || says("leaving or drained"));
+            verdict.check(sample, has_begun, || detail("leaving or drained"));
         }
         UpstreamState::Unhealthy | UpstreamState::Silent => {}
     }
@@ -210,7 +214,7 @@
         }
     }
     for (instance, runs) in answered {
-        verdict.hold(sample, runs == 1, || format!("{runs} runs of {instance} answered"));
+        verdict.check(sample, runs == 1, || format!("{runs} incarnations of {instance} answered"));
     }
 }
 
@@ -225,7 +229,7 @@
     if row.leaving {
         let was_told =
             own().any(|event| event.kind != ProcessEventKind::Started && event.at <= sample.after);
-        verdict.hold(sample, was_told, || format!("{instance} is said to be leaving"));
+        verdict.check(sample, was_told, || format!("{instance} listed as leaving; not stopped"));
     }
     let Some(up_ms) = row.up_ms else { return };
     let starts = own().filter(|event| event.kind == ProcessEventKind::Started);
@@ -235,11 +239,11 @@
         event.kind == ProcessEventKind::Ended
             && !starts.clone().any(|start| start.at > event.at && start.at <= sample.after)
     });
-    verdict.hold(sample, !is_down, || format!("{instance} is said to have answered; it was dead"));
+    verdict.check(sample, !is_down, || format!("{instance} listed as answering; it was down"));
     let first = starts.clone().map(|start| start.at).min();
     let longest = first.map(|first| sample.after.since(first) + START_GRACE);
     let told = Duration::from_millis(up_ms);
-    verdict.hold(sample, longest.is_some_and(|longest| told <= longest), || {
+    verdict.check(sample, longest.is_some_and(|longest| told <= longest), || {
         format!("{instance} is said to be up for {up_ms} ms")
     });
 }
@@ -254,16 +258,16 @@
         let least = revision_at(facts, sample.before, |key| key == object.key);
         let most = revision_at(facts, sample.after, |key| key == object.key);
         let is_true = least <= object.version && object.version <= most;
-        verdict.hold(sample, is_true, || {
-            format!("{} is said to have version {}; {least} to {most}", object.key, object.version)
+        verdict.check(sample, is_true, || {
+            format!("{} listed with version {}; {least} to {most}", object.key, object.version)
         });
     }
     let newest = revision_at(facts, sample.after, |key| key.starts_with(CONFIGURATION_PREFIX));
     let rows = answer.in_force.entries.iter().chain(&answer.in_force.sidecars);
     let told = rows.map(|row| row.version.0).chain(answer.entry_version.map(|version| version.0));
     for version in told {
-        verdict.hold(sample, version <= newest.0, || {
-            format!("version {version} is said to be in force; the newest is {newest}")
+        verdict.check(sample, version <= newest.0, || {
+            format!("version {version} listed as in force; the newest is {newest}")
         });
     }
 }
--- a/crates/sagespool-testkit/src/load/operator_oracle/spend.rs
+++ b/crates/sagespool-testkit/src/load/operator_oracle/spend.rs
@@ -1,4 +1,4 @@
-//! `spend`: prepaid, settled, and the bounds of what is spent and held.
+//! Checks answers to `spend`: prepaid, settled, and the bounds of what is spent and reserved.
 
 use std::collections::BTreeSet;
 
@@ -22,8 +22,8 @@
     }
 }
 
-/// What a branch was surely billed by a moment: its callers had been told.
-fn surely_billed(facts: &AnswerFacts, branch: &BranchName, at: ClockTime) -> TokenCount {
+/// The lower bound of what a branch was billed until a time: the bills that callers received.
+fn min_billed(facts: &AnswerFacts, branch: &BranchName, at: ClockTime) -> TokenCount {
     let records = facts.records.iter().filter(|record| record.call.branch() == branch);
     let told = |record: &&CallRecord| {
         let mut sends = record.sends.iter();
@@ -32,8 +32,8 @@
     records.filter(told).map(CallRecord::billed).sum()
 }
 
-/// The most that a branch can have been billed by a moment, for all that an upstream had begun.
-fn most_billed(facts: &AnswerFacts, branch: &BranchName, at: ClockTime) -> TokenCount {
+/// The upper bound of what a branch was billed until a time, over all calls with a started run.
+fn max_billed(facts: &AnswerFacts, branch: &BranchName, at: ClockTime) -> TokenCount {
     let begun: BTreeSet<&RunMarker> = facts
         .runs
         .iter()
@@ -55,14 +55,14 @@
     facts: &AnswerFacts,
     verdict: &mut AnswerVerdict,
 ) {
-    let most = most_billed(facts, &row.branch, sample.after);
-    verdict.hold(sample, row.spent.least <= most, || {
-        format!("{} has spent at least {}; at most {most}", row.branch, row.spent.least)
+    let most = max_billed(facts, &row.branch, sample.after);
+    verdict.check(sample, row.spent.least <= most, || {
+        format!("{} listed with at least {} spent; at most {most}", row.branch, row.spent.least)
     });
     if let Some(told) = row.spent.most {
-        let least = surely_billed(facts, &row.branch, sample.before);
-        verdict.hold(sample, told >= least, || {
-            format!("{} has spent at most {told}; at least {least}", row.branch)
+        let least = min_billed(facts, &row.branch, sample.before);
+        verdict.check(sample, told >= least, || {
+            format!("{} listed with at most {told} spent; at least {least}", row.branch)
         });
     }
 }
@@ -76,21 +76,21 @@
     let Some(book) = &row.book else { return };
     let branch = &row.branch;
     let parts = book.settled + book.granted + book.in_doubt + book.free;
-    verdict.hold(sample, book.prepaid == parts, || {
-        format!("the parts of {branch} are {parts} of {}", book.prepaid)
+    verdict.check(sample, book.prepaid == parts, || {
+        format!("parts of {branch} sum up to {parts}, not to {} prepaid", book.prepaid)
     });
     let least = facts.deposits.prepaid_at(branch, sample.before);
-    let most = facts.deposits.begun_at(branch, sample.after);
-    verdict.hold(sample, least <= book.prepaid && book.prepaid <= most, || {
-        format!("{branch} has prepaid {}; {least} to {most}", book.prepaid)
+    let most = facts.deposits.max_prepaid_at(branch, sample.after);
+    verdict.check(sample, least <= book.prepaid && book.prepaid <= most, || {
+        format!("{branch} listed with {} prepaid; {least} to {most}", book.prepaid)
     });
-    let most = most_billed(facts, branch, sample.after);
-    verdict.hold(sample, book.settled <= most, || {
-        format!("{branch} has settled {}; at most {most} was billed", book.settled)
+    let most = max_billed(facts, branch, sample.after);
+    verdict.check(sample, book.settled <= most, || {
+        format!("{branch} listed with {} settled; at most {most} billed", book.settled)
     });
 }
 
-/// What ran from before the question until after the answer had its tokens held all the time.
+/// Runs that were running throughout the query must have been covered by held tokens.
 fn judge_held(
     sample: &AnswerSample,
     row: &SpendRow,
@@ -105,7 +105,7 @@
             && run.running_at(sample.after)
     });
     let used: TokenCount = through.map(|run| run.used_at(sample.before).least).sum();
-    verdict.hold(sample, told + book.in_doubt >= used, || {
-        format!("{} holds at most {told} for running requests; they had used {used}", row.branch)
+    verdict.check(sample, told + book.in_doubt >= used, || {
+        format!("{} listed with at most {told} for running requests; {used} used", row.branch)
     });
 }
--- a/crates/sagespool-testkit/src/load/operator_watch.rs
+++ b/crates/sagespool-testkit/src/load/operator_sampler.rs
@@ -1,4 +1,4 @@
-//! Asking operators' questions while a scenario runs, for the judgement of what was answered.
+//! Samples operator queries and their answers while a scenario runs.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,27 +8,28 @@
 
 use super::OperatorClient;
 
-/// Between two questions; each kind comes up every second or two.
+/// Pause between two queries; each kind of query recurs every second or two.
 const ASK_PERIOD: Duration = Duration::from_millis(300);
 
-/// A question, and what was answered.
+/// A query and its answer.
 #[derive(Debug, Clone)]
 pub struct AnswerSample {
-    /// The entry, by its place.
+    /// Index of the queried entry.
     pub entry: usize,
-    /// The line.
+    /// The query as an operator types it.
     pub line: String,
-    /// Before it was asked.
+    /// Taken before the query was sent.
     pub before: ClockTime,
-    /// After it was answered.
+    /// Taken after the answer was received.
     pub after: ClockTime,
     /// The answer.
     pub answer: OperatorAnswer,
 }
 
-/// Asks in turn about each branch's spend and about the fleet, each time through the next entry, for
-/// as long as it isn't told to end. Entries that don't answer are passed over: silence states nothing.
-pub async fn ask_around(
+/// Queries each branch's spend and the state of the fleet in turn, each time through the next
+/// entry, until `ended` returns true. Queries without an answer are skipped: there is nothing to
+/// check.
+pub async fn sample_answers(
     operator: OperatorClient,
     entries: Vec<SocketAddr>,
     branches: Vec<BranchName>,
@@ -45,7 +46,7 @@
     while !ended() {
         let (entry, line) = (number % entries.len(), &lines[number % lines.len()]);
         let before = ClockTime::now();
-        if let Ok(answer) = operator.ask(entries[entry], line).await {
+        if let Ok(answer) = operator.query(entries[entry], line).await {
             let after = ClockTime::now();
             samples.push(AnswerSample { entry, line: line.clone(), before, after, answer });
         }
--- a/crates/sagespool-testkit/src/load/oracle.rs
+++ b/crates/sagespool-testkit/src/load/oracle.rs
@@ -1,5 +1,5 @@
-//! The judgement: which promises held, worked out from the upstreams' log, the load tool's own
-//! deposits and what callers saw; never from the routers' counters.
+//! Checks the fleet's guarantees from the upstreams' run log, the load tool's own deposits and the
+//! callers' observations, never from the routers' counters.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,61 +10,61 @@
 use super::{CallKind, CallOutcome, CallRecord, DepositLog, SendRecord};
 use crate::{RunLog, RunMarker, RunRecord};
 
-/// A budget that covers a refused request for less than this was on its way to another request
-/// that waited too; only longer counts as a false refusal.
-const SUSTAINED: Duration = Duration::from_millis(250);
+/// A refusal is false only if the budget covered the request for at least this long. A shorter
+/// surplus was on its way to another waiting request.
+const MIN_COVERED_TIME: Duration = Duration::from_millis(250);
 
-/// Reads a book by its key.
+/// Reads the stored book with a key.
 pub type BookReader<'a> = &'a dyn Fn(&str) -> Option<BookRecord>;
 
-/// What the judgement is made from.
+/// Input of [`judge`].
 pub struct OracleInput<'a> {
-    /// The calls and what came of them.
+    /// The calls and their outcomes.
     pub records: &'a [CallRecord],
-    /// What the upstreams saw.
+    /// All runs at upstreams.
     pub run_log: &'a RunLog,
-    /// What was prepaid when.
+    /// The deposits with their times.
     pub deposits: &'a DepositLog,
-    /// The books after the fleet has stopped and settled; nothing if they aren't to be judged.
+    /// The books after the fleet has settled and stopped; none skips their check.
     pub books: Option<BookReader<'a>>,
 }
 
-/// Which promises held.
+/// Counts of violated guarantees.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct OracleVerdict {
-    /// Billed beyond what was prepaid, or used by one attempt beyond its reservation.
+    /// Tokens billed beyond what was prepaid, or used by an attempt beyond its reservation.
     pub overspend_tokens: u64,
-    /// Refusals for budget that the fleet could have paid.
+    /// Refusals for lack of budget although the budget sufficed.
     pub false_refusals: u64,
-    /// Requests that may never run twice and did.
+    /// Non-idempotent requests that ran more than once.
     pub double_runs: u64,
-    /// Branches whose settled spend is more than their requests' bills.
+    /// Branches whose settled spend is more than the sum of their bills.
     pub double_bills: u64,
-    /// Branches whose settled spend is less than their requests' bills.
+    /// Branches whose settled spend is less than the sum of their bills.
     pub under_bills: u64,
-    /// Callers that kept asking and got neither a whole answer nor a refusal.
+    /// Calls that were retried and got neither a complete answer nor a refusal.
     pub lost: u64,
-    /// Answers that were another call's, or not whole.
+    /// Answers that belong to another call, or are incomplete.
     pub mixed_answers: u64,
-    /// Callers told `not-run` whose request ran.
+    /// Refusals with `not-run` whose request ran.
     pub false_not_run: u64,
-    /// Tokens outstanding or in doubt in the books at the end.
+    /// Tokens granted or in doubt in the books at the end.
     pub stranded_tokens: u64,
-    /// What was found, in words, for the first few faults of each kind.
+    /// Human-readable details of the first violations.
     pub findings: Vec<String>,
 }
 
 impl OracleVerdict {
     fn note(&mut self, finding: String) {
-        if self.findings.len() < MOST_FINDINGS {
+        if self.findings.len() < MAX_FINDINGS {
             self.findings.push(finding);
         }
     }
 }
 
-const MOST_FINDINGS: usize = 40;
+const MAX_FINDINGS: usize = 40;
 
-/// Judges a run.
+/// Checks a run.
 pub fn judge(input: &OracleInput) -> OracleVerdict {
     let mut verdict = OracleVerdict::default();
     let mut runs: BTreeMap<RunMarker, Vec<RunRecord>> = BTreeMap::new();
@@ -102,7 +102,7 @@
             if excess > 0 {
                 verdict.overspend_tokens += excess;
                 verdict.note(format!(
-                    "overspend: an attempt at {} used {used} of {reserved}",
+                    "overspend: an attempt at {} used {used} tokens of {reserved} reserved",
                     call.marker
                 ));
             }
@@ -135,15 +135,18 @@
                 runs.iter().any(|run| run.started_at <= send.ended || record.sends.len() == 1);
             if ran {
                 verdict.false_not_run += 1;
-                verdict.note(format!("false not-run: {} was told {reason}", record.call.marker));
+                verdict.note(format!(
+                    "false not-run: {} ran, refused with {reason}",
+                    record.call.marker
+                ));
             }
         }
         _ => {}
     }
 }
 
-/// A caller without a key whose connection broke can't come back; one with a key did, until its
-/// deadline, and must have got an answer or a refusal.
+/// A call with a key is retried until its deadline and must get an answer or a refusal. A call
+/// without a key cannot be retried after its connection broke.
 fn is_lost(record: &CallRecord) -> bool {
     let Some(last) = record.last() else {
         return true;
@@ -154,7 +157,7 @@
     broke_only && (record.call.key.is_some() || no_answer_in_time)
 }
 
-/// Tokens that a call's caller knows it pays, and when it knew.
+/// The bill that the caller received, and when.
 fn known_bill(record: &CallRecord) -> Option<(ClockTime, TokenCount)> {
     let billed = record.billed();
     let ended = record.sends.iter().find(|send| match &send.outcome {
@@ -189,8 +192,8 @@
     judge_refusals(input, branch, calls, runs, verdict);
 }
 
-/// The book after all is settled: what callers were billed, plus what those that lost the word of
-/// their bill may have been.
+/// Compares the settled spend in the book with the received bills, plus at most the cost of calls
+/// whose bill did not reach the caller.
 fn judge_book(
     input: &OracleInput,
     branch: &BranchName,
@@ -209,39 +212,40 @@
     };
     let outstanding = bounds.granted + bounds.in_doubt;
     verdict.stranded_tokens += outstanding.0;
-    let sure: TokenCount = calls.iter().map(|record| record.billed()).sum();
-    let unsure = calls.iter().filter(|record| record.is_bill_unknown());
-    let unsure: TokenCount = unsure
+    let known: TokenCount = calls.iter().map(|record| record.billed()).sum();
+    let max_unknown = calls.iter().filter(|record| record.is_bill_unknown());
+    let max_unknown: TokenCount = max_unknown
         .filter(|record| runs.contains_key(&record.call.marker))
         .map(|record| record.call.greatest_cost().saturating_sub(record.billed()))
         .sum();
     let prepaid = input.deposits.prepaid_at(branch, ClockTime(u64::MAX));
     if bounds.settled > prepaid {
         verdict.overspend_tokens += bounds.settled.saturating_sub(prepaid).0;
-        verdict.note(format!("overspend: {branch} has settled {} of {prepaid}", bounds.settled));
+        verdict
+            .note(format!("overspend: {branch} settled {} of {prepaid} prepaid", bounds.settled));
     }
-    if bounds.settled > sure + unsure {
+    if bounds.settled > known + max_unknown {
         verdict.double_bills += 1;
         verdict.note(format!(
-            "double bill: {branch} settled {}, bills {sure} + at most {unsure}",
+            "double bill: {branch} settled {}, bills {known} + at most {max_unknown}",
             bounds.settled
         ));
     }
-    if bounds.settled + outstanding < sure {
+    if bounds.settled + outstanding < known {
         verdict.under_bills += 1;
-        verdict.note(format!("under bill: {branch} settled {}, bills {sure}", bounds.settled));
+        verdict.note(format!("under bill: {branch} settled {}, bills {known}", bounds.settled));
     }
 }
 
-/// A step in what a branch has left: tokens that come, or go, at a moment.
+/// A change of a branch's balance at a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct BalanceStep {
     at: ClockTime,
     change: i64,
 }
 
-/// What the fleet could have granted at any moment: prepaid, less what is billed, less what a
-/// running request has reserved from when an upstream took it until its end was known.
+/// The balance that the fleet could grant, over time: prepaid, less bills, less the reservations
+/// of running requests from their start at an upstream until the caller has the outcome.
 fn balance_steps(
     input: &OracleInput,
     branch: &BranchName,
@@ -271,12 +275,12 @@
     steps
 }
 
-/// What the fleet could have granted at a moment.
+/// The balance at a time.
 fn balance_at(steps: &[BalanceStep], at: ClockTime) -> i64 {
     steps.iter().filter(|step| step.at <= at).map(|step| step.change).sum()
 }
 
-/// True if the balance covers an amount for long enough within a span of time.
+/// Whether the balance covers an amount without interruption for [`MIN_COVERED_TIME`] within a time span.
 fn covers(steps: &[BalanceStep], amount: i64, from: ClockTime, to: ClockTime) -> bool {
     let mut balance = 0;
     let mut since: Option<ClockTime> = None;
@@ -284,7 +288,7 @@
         if let Some(start) = since {
             let start = start.max(from);
             let end = step.at.min(to);
-            if end > start && end.since(start) >= SUSTAINED {
+            if end > start && end.since(start) >= MIN_COVERED_TIME {
                 return true;
             }
         }
@@ -298,7 +302,7 @@
             return false;
         }
     }
-    since.is_some_and(|start| to > start.max(from) && to.since(start.max(from)) >= SUSTAINED)
+    since.is_some_and(|start| to > start.max(from) && to.since(start.max(from)) >= MIN_COVERED_TIME)
 }
 
 fn judge_refusals(
@@ -323,7 +327,7 @@
         if covers(&steps, amount.0 as i64, send.sent, deadline) {
             verdict.false_refusals += 1;
             verdict.note(format!(
-                "false refusal: {} of {amount} tokens at {} ms, refused after {} ms; balance {}, at its end {}",
+                "false refusal: {} of {amount} tokens sent at {} ms, refused after {} ms; balance then {}, at the end {}",
                 record.call.marker,
                 send.sent.0 / 1000,
                 send.ended.since(send.sent).as_millis(),
--- a/crates/sagespool-testkit/src/load/order_oracle.rs
+++ b/crates/sagespool-testkit/src/load/order_oracle.rs
@@ -1,20 +1,20 @@
-//! The judgement of orders, from what each engine was given.
+//! Checks that engines carry out no stale orders, from the orders that each engine received.
 
 use crate::fleet::RunningFleet;
 use crate::{FakeEngine, OrderRecord};
 
-/// What engines were ordered.
+/// The result of checking orders.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct OrderVerdict {
     /// Orders carried out.
     pub carried_out: u64,
-    /// Of those, orders with a lower number than one that was carried out before.
+    /// Of those, orders with a lower fencing number than an order carried out before.
     pub stale: u64,
-    /// What was found, in words.
+    /// Human-readable details, one line each.
     pub findings: Vec<String>,
 }
 
-/// Judges the orders to every engine of a fleet.
+/// Checks the orders to every engine of a fleet.
 pub fn judge_orders(fleet: &RunningFleet) -> OrderVerdict {
     let mut verdict = OrderVerdict::default();
     for engine in fleet.engines.values() {
--- a/crates/sagespool-testkit/src/load/outcome.rs
+++ b/crates/sagespool-testkit/src/load/outcome.rs
@@ -1,4 +1,4 @@
-//! What came of a call, as its caller saw it.
+//! The outcome of a call as its caller saw it.
 
 use std::time::Duration;
 
@@ -6,75 +6,75 @@
 
 use super::PlannedCall;
 
-/// What one sending of a call came to.
+/// The outcome of one send of a call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallOutcome {
-    /// A whole answer.
+    /// A complete answer.
     Whole {
-        /// What was billed.
+        /// Tokens billed.
         billed: TokenCount,
-        /// Whether it is the answer to this call and to no other.
+        /// Whether it has the content expected for this call.
         is_own: bool,
     },
     /// A refusal.
     Refused {
-        /// Why.
+        /// The reason code.
         reason: String,
-        /// Whether it ran: `not-run` or `unknown`.
+        /// Whether the request ran: `not-run` or `unknown`.
         run_state: String,
-        /// What was billed all the same.
+        /// Tokens billed in spite of the refusal.
         billed: TokenCount,
     },
-    /// The request was found invalid.
+    /// The request was rejected as invalid.
     Invalid {
         /// HTTP status.
         status: u16,
-        /// For programs.
+        /// The error code.
         code: String,
     },
-    /// The connection broke, or no answer came in time.
+    /// The connection broke or timed out; the text is the cause.
     Broken(String),
 }
 
-/// One sending.
+/// One send of a call.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SendRecord {
-    /// The entry, by its place.
+    /// Index of the entry.
     pub entry: usize,
     /// When it was sent.
     pub sent: ClockTime,
-    /// When its end was there.
+    /// When the outcome was received.
     pub ended: ClockTime,
-    /// Time to the first piece of the answer, for events.
+    /// Time to the first token of a streamed answer; none otherwise.
     pub first_token: Option<Duration>,
-    /// The request id that the entry gave it.
+    /// The request id that the entry assigned; none if no response head arrived.
     pub request: Option<String>,
-    /// What it came to.
+    /// The outcome.
     pub outcome: CallOutcome,
 }
 
-/// A call and all its sendings.
+/// A call and all its sends.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallRecord {
     /// The call.
     pub call: PlannedCall,
-    /// Its sendings, in order.
+    /// The sends in order.
     pub sends: Vec<SendRecord>,
 }
 
 impl CallRecord {
-    /// What the last sending came to.
+    /// The last send; none if the call was never sent.
     pub fn last(&self) -> Option<&SendRecord> {
         self.sends.last()
     }
 
-    /// True if some sending brought a whole answer.
+    /// Whether any send got a complete answer.
     pub fn is_answered(&self) -> bool {
         self.sends.iter().any(|send| matches!(send.outcome, CallOutcome::Whole { .. }))
     }
 
-    /// What the caller was told that it is billed: the greatest of its sendings, since a repeated
-    /// answer names the same bill again.
+    /// Tokens billed according to the answers: the maximum over the sends, since a repeated answer
+    /// carries the same bill again.
     pub fn billed(&self) -> TokenCount {
         let billed = self.sends.iter().map(|send| match send.outcome {
             CallOutcome::Whole { billed, .. } | CallOutcome::Refused { billed, .. } => billed,
@@ -83,7 +83,7 @@
         billed.max().unwrap_or_default()
     }
 
-    /// True if the caller can't tell what it is billed.
+    /// Whether the bill may not have reached the caller.
     pub fn is_bill_unknown(&self) -> bool {
         !self.is_answered()
             && self.sends.iter().any(|send| match &send.outcome {
--- a/crates/sagespool-testkit/src/load/plan.rs
+++ b/crates/sagespool-testkit/src/load/plan.rs
@@ -1,4 +1,4 @@
-//! Planned calls: who sends what, when and through which entry, all from one seed.
+//! Planned calls: branch, content, time and entry of each, generated from one seed.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 
 use crate::{RunMarker, prompt_tokens};
 
-/// What engines take for a prompt's prefix, see docs/PLATFORM.md.
+/// Length of the prompt prefix that keys the engines' caches, see docs/PLATFORM.md.
 const PREFIX_BYTES: usize = 256;
 
-/// What a call asks for.
+/// What a call requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallKind {
     /// A chat completion.
@@ -20,11 +20,11 @@
         model: ModelName,
         /// The prompt.
         prompt: String,
-        /// The most tokens of the answer.
+        /// Limit on the answer's tokens.
         max_tokens: u32,
-        /// How long the answer will be, as the stand-in will have it.
+        /// Tokens that the fake engine will produce.
         length: u32,
-        /// Whether it is wanted as events.
+        /// Whether the answer is streamed as events.
         stream: bool,
     },
     /// A call of a plain service.
@@ -33,37 +33,37 @@
         service: ServiceName,
         /// The method.
         method: &'static str,
-        /// The path, with the marker.
+        /// The path, which contains the marker.
         path: String,
-        /// The settled price.
+        /// The fixed price of a call.
         price: TokenCount,
     },
 }
 
-/// One call.
+/// A call with its time and target.
 #[derive(Debug, Clone, PartialEq, Builder)]
 pub struct PlannedCall {
-    /// Its marker, which the upstreams' log finds it by.
+    /// Identifies the call in the upstreams' run log.
     pub marker: RunMarker,
-    /// When it is sent, from the start.
+    /// When it is sent, relative to the start of the traffic.
     pub at: Duration,
-    /// The branch's key.
+    /// The branch's bearer token.
     pub token: String,
-    /// What it asks for.
+    /// The content of the request.
     pub kind: CallKind,
-    /// Its idempotency key.
+    /// Its idempotency key; calls without one are not retried after a broken connection.
     pub key: Option<String>,
-    /// Whether it may never run twice.
+    /// Whether it must never run twice.
     #[builder(default)]
     pub non_idempotent: bool,
-    /// Its class.
+    /// Its priority class; none for the default.
     pub class: Option<String>,
-    /// Its deadline, from when it is sent.
+    /// Its deadline, relative to the time it is sent.
     #[builder(default = Duration::from_secs(20))]
     pub deadline: Duration,
-    /// The first entry that it is sent through.
+    /// Index of the entry that is tried first.
     pub entry: usize,
-    /// Sent once more with the same key after the answer.
+    /// Whether it is sent once more with the same key after the answer.
     #[builder(default)]
     pub repeated: bool,
 }
@@ -74,7 +74,7 @@
         &self.marker.branch
     }
 
-    /// The most that it may cost.
+    /// The upper bound of its cost, which is what is reserved.
     pub fn greatest_cost(&self) -> TokenCount {
         match &self.kind {
             CallKind::Completion { prompt, max_tokens, .. } => {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// What it costs if its answer comes whole.
+    /// Its cost if the answer is complete.
     pub fn whole_cost(&self) -> TokenCount {
         match &self.kind {
             CallKind::Completion { prompt, length, .. } => {
@@ -100,62 +100,62 @@
 pub struct BranchTraffic {
     /// The branch.
     pub branch: BranchName,
-    /// Its key.
+    /// Its bearer token.
     pub token: String,
-    /// Its share of the calls against the others.
+    /// Its share of the calls, relative to the sum of all weights.
     pub weight: u32,
 }
 
-/// What traffic is made of.
+/// Composition of the traffic.
 #[derive(Debug, Clone, PartialEq, Builder)]
 pub struct TrafficMix {
-    /// The branches, with their shares.
+    /// The branches that send calls.
     pub branches: Vec<BranchTraffic>,
-    /// The models, taken in turn.
+    /// The models, chosen uniformly at random.
     pub models: Vec<ModelName>,
-    /// A plain service, its price and the path of its calls that may never run twice.
+    /// A plain service, its price and the path of its non-idempotent calls.
     pub service: Option<(ServiceName, TokenCount, String)>,
     /// Calls of a plain service, in thousandths.
     #[builder(default = 200)]
     pub service_share: u32,
-    /// Service calls that may never run twice, in thousandths of the service calls.
+    /// Non-idempotent calls, in thousandths of the service calls.
     #[builder(default = 100)]
     pub non_idempotent_share: u32,
-    /// Calls with a key, in thousandths; those that may never run twice always have one.
+    /// Calls with an idempotency key, in thousandths; non-idempotent calls always have one.
     #[builder(default = 300)]
     pub keyed_share: u32,
-    /// Keyed calls that are sent again after their answer, in thousandths of the keyed ones.
+    /// Calls that are sent again after their answer, in thousandths of those with a key.
     #[builder(default = 0)]
     pub repeated_share: u32,
-    /// Completions as events, in thousandths.
+    /// Streamed completions, in thousandths of the completions.
     #[builder(default = 600)]
     pub stream_share: u32,
-    /// The longest answer.
+    /// The longest normal answer, in tokens.
     #[builder(default = 24)]
-    pub longest_answer: u32,
-    /// Answers that are longer than that, in thousandths.
+    pub max_answer_tokens: u32,
+    /// Long answers, in thousandths.
     #[builder(default = 0)]
     pub long_share: u32,
-    /// The longest of those.
+    /// The longest long answer, in tokens.
     #[builder(default = 24)]
-    pub longest_long_answer: u32,
-    /// Bytes of a prompt.
+    pub max_long_answer_tokens: u32,
+    /// Minimum length of a prompt, in bytes.
     #[builder(default = 200)]
     pub prompt_bytes: usize,
-    /// Different beginnings of prompts; the rest of each is its own.
+    /// Number of distinct prompt prefixes; the remainder of each prompt is unique.
     #[builder(default = 50)]
     pub prefixes: u32,
-    /// How unevenly they are used: 1 for all alike, 2 for some more than others.
+    /// Skew of their use: 1 is uniform, higher values prefer the first ones.
     #[builder(default = 1)]
     pub prefix_skew: i32,
     /// The deadline of a call.
     #[builder(default = Duration::from_secs(20))]
     pub deadline: Duration,
-    /// The entries that calls are spread over.
+    /// Number of entries that calls are spread over.
     pub entries: usize,
 }
 
-/// Makes plans; numbers go on over several plans of one run.
+/// Generates calls; their numbers continue over several plans of one run.
 #[derive(Debug)]
 pub struct PlanBuilder {
     rng: Rng,
@@ -163,7 +163,7 @@
 }
 
 impl PlanBuilder {
-    /// A builder whose plans depend on the seed alone.
+    /// The generated calls depend on the seed alone.
     pub fn new(seed: u64) -> Self {
         Self { rng: Rng::with_seed(seed), next: 0 }
     }
@@ -172,7 +172,7 @@
         self.rng.u32(0..1000) < thousandths
     }
 
-    /// The next call of a mix, to be sent at a moment.
+    /// The next call of a mix, to be sent at a time relative to the start.
     pub fn call(&mut self, mix: &TrafficMix, at: Duration) -> PlannedCall {
         let total: u32 = mix.branches.iter().map(|branch| branch.weight).sum();
         let mut left = self.rng.u32(0..total.max(1));
@@ -227,14 +227,14 @@
         let model = mix.models[self.rng.usize(0..mix.models.len())].clone();
         let length = self.length(mix);
         let prefix = self.prefix(mix);
-        // Engines' caches are keyed by the first 256 bytes: the marker must come after them.
+        // Engines' caches are keyed by the first 256 bytes, so the unique marker must follow them.
         let mut prompt = format!("Dossier {prefix:04}. ").repeat(PREFIX_BYTES);
         prompt.truncate(PREFIX_BYTES);
         prompt.push_str(&format!(" {marker} len:{length} "));
         while prompt.len() < mix.prompt_bytes {
             prompt.push_str("More of the file. ");
         }
-        let max_tokens = length.max(mix.longest_answer);
+        let max_tokens = length.max(mix.max_answer_tokens);
         CallKind::Completion {
             model,
             prompt,
@@ -246,7 +246,7 @@
 
     fn length(&mut self, mix: &TrafficMix) -> u32 {
         let is_long = mix.long_share > 0 && self.chance(mix.long_share);
-        let longest = if is_long { mix.longest_long_answer } else { mix.longest_answer };
+        let longest = if is_long { mix.max_long_answer_tokens } else { mix.max_answer_tokens };
         self.rng.u32(1..=longest.max(1))
     }
 
@@ -255,30 +255,30 @@
         if mix.prefix_skew <= 1 {
             return self.rng.u32(0..prefixes);
         }
-        let place = self.rng.f64().powi(mix.prefix_skew) * f64::from(prefixes);
-        place as u32
+        let index = self.rng.f64().powi(mix.prefix_skew) * f64::from(prefixes);
+        index as u32
     }
 
-    /// The time to the next arrival at a rate, as arrivals that know nothing of each other have it.
+    /// The time to the next arrival of a Poisson process with a rate per second; at most 10 s.
     pub fn gap(&mut self, rate: f64) -> Duration {
         let uniform = self.rng.f64().max(1e-12);
         Duration::from_secs_f64((-uniform.ln() / rate).min(10.0))
     }
 }
 
-/// Calls at a rate for a time, from a moment on.
+/// Generates calls at a rate per second, from a start time on.
 pub fn plan_calls(
     builder: &mut PlanBuilder,
     mix: &TrafficMix,
     rate: f64,
     from: Duration,
-    lasting: Duration,
+    duration: Duration,
 ) -> Vec<PlannedCall> {
     let mut calls = Vec::new();
     let mut at = from;
     loop {
         at += builder.gap(rate);
-        if at >= from + lasting {
+        if at >= from + duration {
             return calls;
         }
         calls.push(builder.call(mix, at));
--- a/crates/sagespool-testkit/src/load/report.rs
+++ b/crates/sagespool-testkit/src/load/report.rs
@@ -6,22 +6,22 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use super::figures::{BranchFigures, DeadlineRefusals, GreedEffect, PhaseFigures};
+use super::stats::{BranchStats, DeadlineRefusals, GreedEffect, PhaseStats};
 use super::{
-    AnswerVerdict, CallOutcome, CallRecord, ConfigFigures, FleetNotes, HomeKill, LeavingVerdict,
+    AnswerVerdict, CallOutcome, CallRecord, ConfigStats, FaultLog, HomeKill, LeavingVerdict,
     OracleVerdict, OrderVerdict,
 };
 
 /// Percentiles of a latency, in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
-pub struct LatencyFigures {
-    /// How many were measured.
+pub struct LatencyStats {
+    /// Number of samples.
     pub count: u64,
     /// The median.
     pub p50: f64,
-    /// 95 in 100 are at most this.
+    /// The 95th percentile.
     pub p95: f64,
-    /// 99 in 100 are at most this.
+    /// The 99th percentile.
     pub p99: f64,
 }
 
@@ -29,8 +29,8 @@
 const HIGHEST_MICROS: u64 = 600_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-impl LatencyFigures {
-    /// The percentiles of measured times.
+impl LatencyStats {
+    /// All zero if there are no samples.
     pub fn of(times: impl IntoIterator<Item = Duration>) -> Self {
         let histogram =
             Histogram::<u64>::new_with_bounds(LOWEST_MICROS, HIGHEST_MICROS, SIGNIFICANT_DIGITS);
@@ -43,16 +43,16 @@
     }
 }
 
-/// A latency through the fleet, and straight at a stand-in in the same run.
+/// A latency through the fleet, and directly at the fake engines in the same run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct LatencyPair {
     /// Through the fleet.
-    pub routed: LatencyFigures,
-    /// Straight at the stand-ins.
-    pub direct: LatencyFigures,
+    pub routed: LatencyStats,
+    /// Directly at the fake engines; empty if the scenario has no direct calls.
+    pub direct: LatencyStats,
 }
 
-/// Control traffic of a process, sent and received, in bytes a second.
+/// Control traffic of a process, sent and received, in bytes per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct ControlRates {
     /// The mean over all processes.
@@ -63,114 +63,114 @@
     pub sidecar: f64,
 }
 
-/// The report of a run.
+/// The report of a run, printed as JSON.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct LoadReport {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// Its seed.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// The faults brought about.
+    /// Names of the injected faults.
     pub faults: Vec<String>,
-    /// How entries route and pay.
+    /// Routing and budget policy, as `routing/budget`.
     pub policy: String,
     /// Calls sent.
     pub requests: u64,
-    /// Calls that got a whole answer.
+    /// Calls with a complete answer.
     pub answered: u64,
-    /// Calls refused, by the last reason.
+    /// Calls refused, by the reason of the last refusal.
     pub refused: BTreeMap<String, u64>,
-    /// Calls found invalid.
+    /// Calls rejected as invalid.
     pub invalid: u64,
-    /// Calls without a key whose connection broke.
+    /// Calls whose last send ended in a broken connection.
     pub broken: u64,
-    /// Billed beyond what was prepaid, or used beyond a reservation.
+    /// Tokens billed beyond what was prepaid, or used beyond a reservation.
     pub overspend_tokens: u64,
-    /// Refusals for budget that the fleet could have paid.
+    /// Refusals for lack of budget although the budget sufficed.
     pub false_refusals: u64,
-    /// Requests that may never run twice and did.
+    /// Non-idempotent requests that ran more than once.
     pub double_runs: u64,
-    /// Branches billed more than once for something.
+    /// Branches whose settled spend is more than the sum of their bills.
     pub double_bills: u64,
-    /// Branches billed less than their callers were told.
+    /// Branches whose settled spend is less than the sum of their bills.
     pub under_bills: u64,
-    /// Callers without an answer or a refusal.
+    /// Calls that were retried and got neither a complete answer nor a refusal.
     pub lost: u64,
-    /// Answers of another call.
+    /// Answers that belong to another call, or are incomplete.
     pub mixed_answers: u64,
-    /// Callers told `not-run` whose request ran.
+    /// Refusals with `not-run` whose request ran.
     pub false_not_run: u64,
-    /// Calls that a graceful stop or a drain cut off; judged where nothing else breaks them.
+    /// Calls interrupted by a graceful stop or a drain; checked only in runs without other faults.
     pub cut: u64,
-    /// Runs that an upstream was given more than 3 s after it had begun to leave.
+    /// Runs that arrived at an upstream more than 3 s after it had begun to leave.
     pub late_dispatches: u64,
-    /// Upstreams that were let work again and got no work.
+    /// Upstreams that were expected to receive work again and received none.
     pub not_resumed: u64,
     /// Processes that were stopped gracefully and started again.
     pub restarts: u64,
-    /// Operators' answers that were judged.
+    /// Operators' answers that were checked.
     pub operator_answers: u64,
-    /// Statements in them that were held against the stand-ins' own log.
+    /// Statements in them that were checked.
     pub statements: u64,
-    /// Those that were false.
+    /// Statements that were false.
     pub false_statements: u64,
     /// Orders that engines carried out.
     pub orders_carried_out: u64,
-    /// Of those, orders older than one that was carried out before.
+    /// Of those, orders with a lower fencing number than an order carried out before.
     pub stale_orders: u64,
-    /// Races between operators.
+    /// Rounds of concurrent operator commands.
     pub races: u64,
-    /// Races in which an operator was told something false, or something was done twice or undone.
+    /// Races with a wrong answer to an operator, or a command applied twice or lost.
     pub race_faults: u64,
-    /// Tokens outstanding or in doubt at the end.
+    /// Tokens granted or in doubt in the books at the end.
     pub stranded_tokens: u64,
-    /// Runs at upstreams for each call that ran.
+    /// Mean number of runs at upstreams per call that ran.
     pub runs_per_request: f64,
-    /// The share of the engines' runs that an engine's fault cut off.
+    /// The share of the engines' runs that ended in a broken stream or a crash.
     pub broken_run_share: f64,
-    /// From a home's kill until the last of its branches was answered again, in milliseconds.
+    /// Time from a home's kill until each of its branches was answered again, in milliseconds.
     pub home_served_again_ms: Option<f64>,
-    /// From a home's kill until the last of its grants was settled, or in doubt, in milliseconds.
+    /// Time from a home's kill until all its grants were settled or in doubt, in milliseconds.
     pub home_settled_ms: Option<f64>,
-    /// Requests refused since they could not meet their deadline.
+    /// Requests refused because they could not meet their deadline.
     pub deadline_refusals: DeadlineRefusals,
-    /// Time to the first token of streamed answers, in the phases that are measured.
+    /// Time to the first token of streamed answers, in the measured phases.
     pub first_token_ms: LatencyPair,
-    /// Time to the whole answer, in the phases that are measured.
+    /// Time to the end of the answer, in the measured phases.
     pub whole_ms: LatencyPair,
-    /// Both by branch.
-    pub branch_ms: BranchFigures,
-    /// What each phase of the scenario came to.
-    pub phases: BTreeMap<String, PhaseFigures>,
-    /// What a greedy branch did to the others, if one was.
+    /// Both latencies by branch, in the measured phases.
+    pub branch_ms: BranchStats,
+    /// Statistics by the name of the phase.
+    pub phases: BTreeMap<String, PhaseStats>,
+    /// Effect of a greedy branch on the others; none if the scenario has no such phase.
     pub greed_effect: Option<GreedEffect>,
-    /// Runs that found their prompt's prefix in their engine's cache.
+    /// Runs whose prompt prefix was in the engine's cache.
     pub prefix_hits: u64,
-    /// Runs that didn't.
+    /// Runs whose prompt prefix was not.
     pub prefix_misses: u64,
-    /// Writes that reached the store, for each call.
+    /// Writes that reached the store, per call.
     pub store_writes_per_request: f64,
-    /// Reads that reached the store, for each call, watches not counted.
+    /// Reads that reached the store, per call, not counting watches.
     pub store_reads_per_request: f64,
-    /// Control traffic of a process while the calls were sent, the mean over all.
+    /// Mean control traffic per process while the calls were sent.
     pub control_bytes_per_second_per_node: f64,
     /// The same by role.
     pub control_bytes_per_second: ControlRates,
     /// Processor time of each process, in seconds.
     pub cpu_seconds: BTreeMap<String, f64>,
-    /// The machine's load when the traffic began and when it ended.
+    /// One-minute load average of the machine when the traffic began and when it ended.
     pub machine_load: Vec<f64>,
-    /// Peak memory of each process.
+    /// Peak resident memory of each process, in MiB.
     pub peak_rss_mb: BTreeMap<String, f64>,
-    /// How soon changes of the configuration were in force, where a script makes some.
+    /// How soon configuration changes were applied; none if no script makes any.
     #[serde(flatten)]
-    pub config: Option<ConfigFigures>,
-    /// What was found, in words.
+    pub config: Option<ConfigStats>,
+    /// Human-readable details, one line each.
     pub findings: Vec<String>,
 }
 
 impl LoadReport {
-    /// Takes in what callers saw.
+    /// Counts the outcomes of calls.
     pub fn count(&mut self, records: &[CallRecord]) {
         self.requests += records.len() as u64;
         for record in records {
@@ -188,8 +188,8 @@
         }
     }
 
-    /// Takes in the judgement.
-    pub fn take_verdict(&mut self, verdict: &OracleVerdict) {
+    /// Replaces the counts and findings by those of a verdict.
+    pub fn add_verdict(&mut self, verdict: &OracleVerdict) {
         self.overspend_tokens = verdict.overspend_tokens;
         self.false_refusals = verdict.false_refusals;
         self.double_runs = verdict.double_runs;
@@ -203,15 +203,15 @@
         self.findings.extend(self.config.iter().flat_map(|config| config.findings.clone()));
     }
 
-    /// Takes in how long a home's death was felt.
-    pub fn note_home_kill(&mut self, kill: &HomeKill, records: &[CallRecord]) {
+    /// Sets the recovery times after a home's kill.
+    pub fn add_home_kill(&mut self, kill: &HomeKill, records: &[CallRecord]) {
         let millis = |time: Duration| time.as_secs_f64() * 1000.0;
         self.home_served_again_ms = kill.served_after(records).map(millis);
         self.home_settled_ms = kill.settled_after().map(millis);
     }
 
-    /// Takes in the judgement of graceful stops and drains.
-    pub fn take_leaving(&mut self, verdict: &LeavingVerdict) {
+    /// Sets the counts of graceful stops and drains, and adds the findings.
+    pub fn add_leaving_verdict(&mut self, verdict: &LeavingVerdict) {
         self.cut = verdict.cut;
         self.late_dispatches = verdict.late_dispatches;
         self.not_resumed = verdict.not_resumed;
@@ -219,28 +219,29 @@
         self.findings.extend(verdict.findings.iter().cloned());
     }
 
-    /// Takes in the judgement of operators' answers.
-    pub fn take_answers(&mut self, verdict: &AnswerVerdict) {
+    /// Sets the counts of operators' answers, and adds the findings.
+    pub fn add_answer_verdict(&mut self, verdict: &AnswerVerdict) {
         self.operator_answers = verdict.answers;
         self.statements = verdict.statements;
         self.false_statements = verdict.false_statements;
         self.findings.extend(verdict.findings.iter().cloned());
     }
 
-    /// Takes in the judgement of orders to engines.
-    pub fn take_orders(&mut self, verdict: &OrderVerdict) {
+    /// Sets the counts of orders to engines, and adds the findings.
+    pub fn add_order_verdict(&mut self, verdict: &OrderVerdict) {
         self.orders_carried_out = verdict.carried_out;
         self.stale_orders = verdict.stale;
         self.findings.extend(verdict.findings.iter().cloned());
     }
 
-    /// Takes in what came of races between operators.
-    pub fn take_races(&mut self, notes: &FleetNotes) {
-        (self.races, self.race_faults) = notes.race_counts();
-        self.findings.extend(notes.findings());
+    /// Sets the counts of races between operators, and adds the findings of all scripts.
+    pub fn add_races(&mut self, fault_log: &FaultLog) {
+        (self.races, self.race_faults) = fault_log.race_counts();
+        self.findings.extend(fault_log.findings());
     }
 
-    /// True if no promise was broken.
+    /// Whether no guarantee was violated. False refusals and stranded tokens are reported but not
+    /// counted here.
     pub fn is_clean(&self) -> bool {
         let broken = self.overspend_tokens
             + self.double_runs
@@ -255,11 +256,11 @@
             + self.false_statements
             + self.stale_orders
             + self.race_faults
-            + self.config.as_ref().map_or(0, ConfigFigures::broken);
+            + self.config.as_ref().map_or(0, ConfigStats::broken);
         broken == 0
     }
 
-    /// The one line that a fleet's `--once` prints.
+    /// The summary line that the fleet example prints with `--once`.
     pub fn closing_line(&self) -> String {
         let refused: u64 = self.refused.values().sum();
         format!(
--- a/crates/sagespool-testkit/src/load/run.rs
+++ b/crates/sagespool-testkit/src/load/run.rs
@@ -1,4 +1,4 @@
-//! Sending planned calls: open loop, so that a slow answer never slows the arrivals down.
+//! Sends planned calls in an open loop: slow answers do not delay later arrivals.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,20 +7,20 @@
 
 use super::{CallOutcome, CallRecord, EntryBalancer, LoadCaller, PlannedCall};
 
-/// How often a caller with a key comes back after its connection broke.
-const MOST_SENDS: usize = 12;
-const COME_BACK: Duration = Duration::from_millis(100);
+/// Limit on the sends of one call.
+const MAX_SENDS: usize = 12;
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Sends calls at their times to the entries, and waits until each has ended.
+/// Sends calls to the entries at their planned times and waits for all outcomes.
 ///
-/// A caller whose connection breaks comes back through the next entry if it has a key, with the
-/// same one, for as long as its deadline lasts; without a key it gives up, since it could ask for
-/// a second run unknowingly. A refusal because an entry is leaving or not ready sends any caller on.
+/// After a broken connection a call with a key is retried through the next entry with the same key
+/// until its deadline. A call without a key is not retried, since that could cause a second run. A
+/// refusal by an entry that is leaving or not ready is always retried.
 pub async fn run_calls(calls: Vec<PlannedCall>, entries: Vec<SocketAddr>) -> Vec<CallRecord> {
     run_balanced(calls, EntryBalancer::new(entries)).await
 }
 
-/// The same behind a balancer, which passes over entries that it knows not to be ready.
+/// Like [`run_calls`], through a balancer that skips entries that are not ready.
 pub async fn run_balanced(calls: Vec<PlannedCall>, balancer: EntryBalancer) -> Vec<CallRecord> {
     let caller = LoadCaller::new();
     let start = ClockTime::now();
@@ -46,7 +46,7 @@
     let mut wanted = record.call.entry;
     let deadline = ClockTime::now().after(record.call.deadline);
     let mut repeat_left = record.call.repeated;
-    while record.sends.len() < MOST_SENDS {
+    while record.sends.len() < MAX_SENDS {
         let mut call = record.call.clone();
         call.deadline = deadline.since(ClockTime::now()).max(Duration::from_millis(50));
         let (entry, address) = balancer.pick(wanted);
@@ -65,7 +65,7 @@
         }
         wanted = entry + 1;
         if !matches!(outcome, CallOutcome::Whole { .. }) {
-            smol::Timer::after(COME_BACK).await;
+            smol::Timer::after(RETRY_PAUSE).await;
         }
     }
     record
--- a/crates/sagespool-testkit/src/load/scenario.rs
+++ b/crates/sagespool-testkit/src/load/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios: a deployment, its traffic, and the faults beside it.
+//! Runs a scenario: a deployment, its traffic, and concurrent faults.
 
 mod table;
 mod traffic;
@@ -13,18 +13,18 @@
 use error_stack::Report;
 use sagespool_types::ClockTime;
 
-use super::config_oracle::{judge_config, wait_spread};
+use super::config_oracle::{judge_config, wait_config_applied};
 use super::direct::{DirectTimes, run_direct};
-use super::faults::{FAULT_NAMES, FaultStage, run_fault};
-use super::figures::{CourseInput, machine_load, note_course};
+use super::faults::{FAULT_NAMES, FaultContext, run_fault};
 use super::scrape::ControlReading;
 use super::session::{
-    AnswerInput, StoreTraffic, conclude, first_deposits, note_answers, traffic_of,
+    AnswerInput, StoreTraffic, first_deposits, judge_operator_answers, stop_and_judge, traffic_of,
 };
+use super::stats::{PhaseInput, add_phase_stats, machine_load};
 use super::{
-    AnswerSample, CallRecord, ConfigLog, DepositLog, EntryBalancer, FleetNotes, HomeKill,
-    LatencyFigures, LoadReport, PlannedCall, TrafficMix, ask_around, judge_leaving, judge_orders,
-    run_balanced,
+    AnswerSample, CallRecord, ConfigLog, DepositLog, EntryBalancer, FaultLog, HomeKill,
+    LatencyStats, LoadReport, PlannedCall, TrafficMix, judge_leaving, judge_orders, run_balanced,
+    sample_answers,
 };
 use crate::FakeEngine;
 use crate::fleet::{
@@ -33,54 +33,54 @@
 };
 
 pub use table::{
-    EngineTraits, FleetSize, GREEDY_BRANCH, LoadPhase, SCENARIO_NAMES, ScenarioPlan, TimedPhase,
-    TrafficTraits, lay_out, scenario_plan,
+    EngineProfile, FleetSize, GREEDY_BRANCH, LoadPhase, SCENARIO_NAMES, ScenarioPlan, TimedPhase,
+    TrafficProfile, scenario_plan, schedule_phases,
 };
-pub use traffic::course_calls;
+pub use traffic::phase_calls;
 
 const SETTLE_LIMIT: Duration = Duration::from_secs(30);
-const SETTLE_STEP: Duration = Duration::from_millis(250);
+const SETTLE_POLL_PERIOD: Duration = Duration::from_millis(250);
 
-/// What the load tool is asked to run.
+/// Options of a run of the load tool.
 #[derive(Debug, Clone, Builder)]
 pub struct ScenarioOptions {
     /// The scenario's name.
     pub scenario: String,
-    /// The seed of everything random.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// Faults beside the scenario's own.
+    /// Names of faults besides the scenario's own.
     #[builder(default)]
     pub faults: Vec<String>,
-    /// How long the traffic lasts; the scenario's own time if none is given.
-    pub lasting: Option<Duration>,
-    /// Requests a second; the scenario's own if none is given.
+    /// Duration of the traffic; none for the scenario's own.
+    pub duration: Option<Duration>,
+    /// Requests per second; none for the scenario's own.
     pub rate: Option<f64>,
-    /// How entries pay.
+    /// The entries' budget policy.
     #[builder(into, default = "escrow")]
     pub budget: String,
-    /// How entries choose upstreams.
+    /// The entries' routing policy.
     #[builder(into, default = "sagespool")]
     pub routing: String,
-    /// The deployment under `examples/`.
+    /// Name of the deployment's directory under `examples/`.
     #[builder(into, default = "local")]
     pub deployment: String,
-    /// The binaries.
+    /// Paths of the binaries.
     pub binaries: FleetBinaries,
-    /// The least important level of the processes' logs.
+    /// Log level of the processes.
     #[builder(into, default = "info")]
     pub log_level: String,
-    /// Where the processes' logs are kept once they have ended; nowhere if none is given.
+    /// Directory to which the processes' logs are copied after their exit; none discards them.
     pub logs: Option<PathBuf>,
 }
 
 impl ScenarioOptions {
-    /// Whether processes leave, and nothing fails.
+    /// Whether the run has faults and all of them are graceful.
     fn is_graceful(&self) -> bool {
         let faults = self.all_faults();
         !faults.is_empty() && faults.iter().all(|fault| GRACEFUL_FAULTS.contains(&fault.as_str()))
     }
 
-    /// Every fault of the run: the scenario's own and those beside it.
+    /// All faults of the run: the scenario's own and the additional ones.
     fn all_faults(&self) -> Vec<String> {
         let own = FAULT_NAMES.contains(&self.scenario.as_str());
         let mut faults: Vec<String> = own.then(|| self.scenario.clone()).into_iter().collect();
@@ -93,36 +93,38 @@
     }
 }
 
-/// Checks the names of a run.
+/// Checks the names of the scenario and the faults.
 ///
 /// # Errors
-/// The known names.
+/// A message with the unknown name and the known ones.
 pub fn check_names(options: &ScenarioOptions) -> Result<(), String> {
     if scenario_plan(&options.scenario).is_none() {
         return Err(format!(
-            "no scenario is called `{}`: {}, {}",
+            "unknown scenario `{}`, expected one of: {}, {}",
             options.scenario,
             SCENARIO_NAMES.join(", "),
             FAULT_NAMES.join(", ")
         ));
     }
     match options.faults.iter().find(|fault| !FAULT_NAMES.contains(&fault.as_str())) {
-        Some(fault) => Err(format!("no fault is called `{fault}`: {}", FAULT_NAMES.join(", "))),
+        Some(fault) => {
+            Err(format!("unknown fault `{fault}`, expected one of: {}", FAULT_NAMES.join(", ")))
+        }
         None => Ok(()),
     }
 }
 
-/// A scenario's plan, with what the options say instead.
+/// A scenario's plan with the overrides of the options.
 fn plan_of(options: &ScenarioOptions) -> Result<ScenarioPlan, Report<FleetError>> {
-    let unknown = || FleetError::new(format!("looking for scenario {}", options.scenario));
+    let unknown = || FleetError::new(format!("looking up scenario {}", options.scenario));
     let mut plan = scenario_plan(&options.scenario).ok_or_else(|| Report::new(unknown()))?;
     plan.rate = options.rate.unwrap_or(plan.rate);
-    plan.lasting = options.lasting.unwrap_or(plan.lasting);
+    plan.duration = options.duration.unwrap_or(plan.duration);
     Ok(plan)
 }
 
-/// Gives a deployment a scenario's engines, size and budgets.
-fn shape(deployment: &mut DeploymentPlan, plan: &ScenarioPlan) {
+/// Sets a scenario's engines, size and budgets in a deployment.
+fn apply_plan(deployment: &mut DeploymentPlan, plan: &ScenarioPlan) {
     for deposit in deployment.branches.values_mut() {
         deposit.prepaid = plan.budget;
     }
@@ -136,8 +138,8 @@
     }
     let Some(size) = plan.size else { return };
     let centres = deployment.centres.len() as u32;
-    for (place, centre) in deployment.centres.iter_mut().enumerate() {
-        let part = |all: u32| all / centres + u32::from((place as u32) < all % centres);
+    for (index, centre) in deployment.centres.iter_mut().enumerate() {
+        let part = |all: u32| all / centres + u32::from((index as u32) < all % centres);
         centre.entries = part(size.entries);
         for name in &names {
             centre.upstreams.insert(name.clone(), part(size.engines));
@@ -152,7 +154,7 @@
     let directory =
         Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples").join(&options.deployment);
     let (mut deployment, fleet, branches) = read_deployment(&directory)?;
-    shape(&mut deployment, plan);
+    apply_plan(&mut deployment, plan);
     let tuning = EngineTuning::builder()
         .load_lag(plan.engine.load_lag)
         .first_token_base(plan.engine.first_token)
@@ -173,29 +175,30 @@
         .build())
 }
 
-/// What a scenario's traffic came to, before the fleet is stopped.
-struct CourseOutcome {
+/// Data collected while a scenario's traffic ran.
+struct TrafficOutcome {
     records: Vec<CallRecord>,
     direct: Vec<DirectTimes>,
     phases: Vec<TimedPhase>,
     start: ClockTime,
-    notes: FleetNotes,
+    fault_log: FaultLog,
     answers: Vec<AnswerSample>,
     config_log: ConfigLog,
     home_kill: Option<HomeKill>,
 }
 
-/// Faults in which nothing but processes that are stopped gracefully leaves.
+/// Faults in which processes and upstreams leave gracefully and nothing fails.
 const GRACEFUL_FAULTS: [&str; 2] = ["rolling-restart", "drain"];
 
-/// Runs a scenario whole: the fleet is started, loaded, faulted, healed, stopped and judged.
+/// Runs a scenario: starts the fleet, runs traffic and faults, heals and stops the fleet, and
+/// checks the outcome.
 ///
 /// # Errors
-/// If the fleet can't be started.
+/// If the scenario is unknown, the fleet cannot be started, or logs cannot be copied.
 pub async fn run_scenario(options: &ScenarioOptions) -> Result<LoadReport, Report<FleetError>> {
     let plan = plan_of(options)?;
     let fleet_options = fleet_options(options, &plan)?;
-    let mix = traffic::shaped(&traffic_of(&fleet_options), &plan);
+    let mix = traffic::scenario_mix(&traffic_of(&fleet_options), &plan);
     let mut report = LoadReport {
         scenario: options.scenario.clone(),
         seed: options.seed,
@@ -209,7 +212,7 @@
     let deposits = Arc::new(Mutex::new(first_deposits(&fleet.options)));
     let fleet = Arc::new(Mutex::new(fleet));
     report.machine_load.extend(machine_load());
-    let outcome = drive(options, &plan, &mix, &fleet, &deposits).await;
+    let outcome = run_traffic(options, &plan, &mix, &fleet, &deposits).await;
     report.machine_load.extend(machine_load());
     let mut fleet = fleet.lock().await;
     let traffic = StoreTraffic::of(&fleet);
@@ -218,18 +221,18 @@
     report.control_bytes_per_second_per_node = report.control_bytes_per_second.node;
     wait_settled(&fleet).await;
     if outcome.config_log != ConfigLog::default() {
-        wait_spread(&fleet, &outcome.config_log).await;
+        wait_config_applied(&fleet, &outcome.config_log).await;
         report.config = Some(judge_config(&fleet, &outcome.config_log));
     }
     let sent = outcome.records.len().max(1) as f64;
     report.store_writes_per_request = (traffic.writes - before.writes) as f64 / sent;
     report.store_reads_per_request = (traffic.reads - before.reads) as f64 / sent;
-    note_latencies(&mut report, &outcome, &fleet);
+    add_latencies(&mut report, &outcome, &fleet);
     if let Some(kill) = &outcome.home_kill {
-        report.note_home_kill(kill, &outcome.records);
+        report.add_home_kill(kill, &outcome.records);
     }
     let deposits = deposits.lock().await.clone();
-    conclude(&mut report, &mut fleet, &outcome.records, &deposits);
+    stop_and_judge(&mut report, &mut fleet, &outcome.records, &deposits);
     if let Some(logs) = &options.logs {
         fleet.copy_logs(logs)?;
     }
@@ -237,42 +240,46 @@
         records: &outcome.records,
         samples: &outcome.answers,
         deposits: &deposits,
-        notes: &outcome.notes,
+        fault_log: &outcome.fault_log,
     };
-    note_answers(&mut report, &fleet, &judged);
-    report.take_orders(&judge_orders(&fleet));
-    report.take_races(&outcome.notes);
+    judge_operator_answers(&mut report, &fleet, &judged);
+    report.add_order_verdict(&judge_orders(&fleet));
+    report.add_races(&outcome.fault_log);
     if options.is_graceful() {
-        report.take_leaving(&judge_leaving(&outcome.records, &fleet.run_log, &outcome.notes));
+        report.add_leaving_verdict(&judge_leaving(
+            &outcome.records,
+            &fleet.run_log,
+            &outcome.fault_log,
+        ));
     }
     Ok(report)
 }
 
-/// Sends a scenario's calls, with its faults beside them, and waits for their ends.
-async fn drive(
+/// Sends a scenario's calls while its faults run, and waits for all of them.
+async fn run_traffic(
     options: &ScenarioOptions,
     plan: &ScenarioPlan,
     mix: &TrafficMix,
     fleet: &Arc<Mutex<RunningFleet>>,
     deposits: &Arc<Mutex<DepositLog>>,
-) -> CourseOutcome {
-    let phases = lay_out(plan.course, plan.lasting);
+) -> TrafficOutcome {
+    let phases = schedule_phases(plan.phases, plan.duration);
     let calls = traffic::planned_calls(options, mix, plan.rate, &phases);
     let (entries, engines) = {
         let fleet = fleet.lock().await;
         (fleet.entry_addresses(), fleet.engines.values().cloned().collect::<Vec<_>>())
     };
-    let stage =
-        FaultStage::new(Arc::clone(fleet), Arc::clone(deposits), plan.lasting, options.seed);
-    let start = stage.start;
+    let context =
+        FaultContext::new(Arc::clone(fleet), Arc::clone(deposits), plan.duration, options.seed);
+    let start = context.start;
     let scripts = options.all_faults().into_iter().map(|fault| {
-        let stage = stage.clone();
-        smol::spawn(async move { run_fault(&fault, stage).await })
+        let context = context.clone();
+        smol::spawn(async move { run_fault(&fault, context).await })
     });
     let scripts: Vec<_> = scripts.collect();
-    let slowing = smol::spawn(slow_one(engines.first().cloned(), phases.clone(), start));
+    let slowdown = smol::spawn(apply_slowness(engines.first().cloned(), phases.clone(), start));
     let direct = plan.direct.then(|| {
-        let calls: Vec<PlannedCall> = traffic::direct_calls(options, mix, plan.rate, plan.lasting);
+        let calls: Vec<PlannedCall> = traffic::direct_calls(options, mix, plan.rate, plan.duration);
         let engines = engines.iter().map(FakeEngine::address).collect();
         smol::spawn(run_direct(calls, engines))
     });
@@ -282,33 +289,33 @@
         smol::spawn(async move { balancer.probe().await })
     });
     let ended = Arc::new(AtomicBool::new(false));
-    let asking = smol::spawn({
+    let sampler = smol::spawn({
         let ended = Arc::clone(&ended);
-        let (operator, branches) = (stage.operator().await, mix.branches.iter());
+        let (operator, branches) = (context.operator().await, mix.branches.iter());
         let branches = branches.map(|branch| branch.branch.clone()).collect();
         let addresses = fleet.lock().await.entry_addresses();
-        ask_around(operator, addresses, branches, move || ended.load(Ordering::Relaxed))
+        sample_answers(operator, addresses, branches, move || ended.load(Ordering::Relaxed))
     });
     let records = run_balanced(calls, balancer).await;
-    slowing.await;
+    slowdown.await;
     for script in scripts {
         script.await;
     }
     drop(probes);
     ended.store(true, Ordering::Relaxed);
-    let answers = asking.await;
+    let answers = sampler.await;
     let direct = match direct {
         Some(direct) => direct.await,
         None => Vec::new(),
     };
-    let config_log = stage.config_log().await.clone();
-    let home_kill = stage.home_kill.lock().await.take();
-    let notes = stage.notes;
-    CourseOutcome { records, direct, phases, start, notes, answers, config_log, home_kill }
+    let config_log = context.config_log().await.clone();
+    let home_kill = context.home_kill.lock().await.take();
+    let fault_log = context.fault_log;
+    TrafficOutcome { records, direct, phases, start, fault_log, answers, config_log, home_kill }
 }
 
-/// Makes one engine as slow as each phase says.
-async fn slow_one(engine: Option<FakeEngine>, phases: Vec<TimedPhase>, start: ClockTime) {
+/// Slows down one engine by each phase's factor.
+async fn apply_slowness(engine: Option<FakeEngine>, phases: Vec<TimedPhase>, start: ClockTime) {
     let Some(engine) = engine else { return };
     for timed in phases {
         let wait = start.after(timed.from).since(ClockTime::now());
@@ -317,38 +324,38 @@
     }
 }
 
-fn note_latencies(report: &mut LoadReport, outcome: &CourseOutcome, fleet: &RunningFleet) {
+fn add_latencies(report: &mut LoadReport, outcome: &TrafficOutcome, fleet: &RunningFleet) {
     let input =
-        CourseInput { records: &outcome.records, phases: &outcome.phases, start: outcome.start };
-    note_course(report, &input, fleet);
+        PhaseInput { records: &outcome.records, phases: &outcome.phases, start: outcome.start };
+    add_phase_stats(report, &input, fleet);
     let direct = &outcome.direct;
     let firsts = direct.iter().filter_map(|answer| answer.first_token);
-    report.first_token_ms.direct = LatencyFigures::of(firsts);
-    report.whole_ms.direct = LatencyFigures::of(direct.iter().map(|answer| answer.whole));
+    report.first_token_ms.direct = LatencyStats::of(firsts);
+    report.whole_ms.direct = LatencyStats::of(direct.iter().map(|answer| answer.whole));
 }
 
-/// Undoes every fault, and starts what doesn't run, so that what remains can settle.
+/// Undoes every fault and starts stopped processes, so that open grants can be settled.
 fn heal(fleet: &mut RunningFleet) {
     if let Some(proxy) = &fleet.proxy {
         proxy.heal_all();
     }
     fleet.store.set_faults(Default::default());
-    for place in 0..fleet.members.len() {
-        if fleet.members[place].process.is_none()
-            && let Err(report) = fleet.start_member(place)
+    for index in 0..fleet.members.len() {
+        if fleet.members[index].process.is_none()
+            && let Err(report) = fleet.start_member(index)
         {
             eprintln!("{report:?}");
         }
     }
 }
 
-/// Waits until the books hold no grant of a process that is gone, or the limit.
+/// Waits until the books have no grants of ended processes, or until the time limit.
 async fn wait_settled(fleet: &RunningFleet) {
     let started = ClockTime::now();
     while ClockTime::now().since(started) < SETTLE_LIMIT {
         if super::scrape::orphaned_grants(fleet).await == 0 {
             return;
         }
-        smol::Timer::after(SETTLE_STEP).await;
+        smol::Timer::after(SETTLE_POLL_PERIOD).await;
     }
 }
--- a/crates/sagespool-testkit/src/load/scenario/table.rs
+++ b/crates/sagespool-testkit/src/load/scenario/table.rs
@@ -1,4 +1,4 @@
-//! The scenarios as data: who serves, what is sent, and how that changes over time.
+//! The scenarios as data: size of the fleet, engines, traffic, and phases.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use super::super::faults::FAULT_NAMES;
 
-/// A deployment's size, where a scenario has its own.
+/// Size of the fleet, where a scenario overrides the deployment's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetSize {
     /// Entries, spread over the data centres.
@@ -15,95 +15,95 @@
     pub engines: u32,
 }
 
-/// What the engines are like.
+/// Parameters of the fake engines.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct EngineTraits {
-    /// Requests at once.
+pub struct EngineProfile {
+    /// Concurrent requests.
     pub capacity: u32,
-    /// Tokens a second of each request.
+    /// Tokens per second of each request.
     pub token_rate: u64,
-    /// Time to the first token where the prefix is cached.
+    /// Time to the first token with a cached prefix.
     pub first_token: Duration,
-    /// Time that each token of the prompt adds where it isn't.
+    /// Additional time per prompt token without a cached prefix.
     pub prompt_token: Duration,
-    /// How old the load is that they report.
+    /// Age of the load that engines report.
     pub load_lag: Duration,
-    /// How often they make tokens.
+    /// Interval at which engines produce tokens.
     pub tick: Duration,
 }
 
-/// What the calls are like.
+/// Parameters of the calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TrafficTraits {
+pub struct TrafficProfile {
     /// Calls of a plain service, in thousandths.
     pub service_share: u32,
-    /// Calls with a key, in thousandths.
+    /// Calls with an idempotency key, in thousandths.
     pub keyed_share: u32,
-    /// Completions as events, in thousandths.
+    /// Streamed completions, in thousandths of the completions.
     pub stream_share: u32,
-    /// The longest answer of most calls.
-    pub longest_answer: u32,
-    /// Calls with longer answers, in thousandths.
+    /// The longest normal answer, in tokens.
+    pub max_answer_tokens: u32,
+    /// Long answers, in thousandths.
     pub long_share: u32,
-    /// The longest of those.
-    pub longest_long_answer: u32,
-    /// Bytes of a prompt.
+    /// The longest long answer, in tokens.
+    pub max_long_answer_tokens: u32,
+    /// Minimum length of a prompt, in bytes.
     pub prompt_bytes: usize,
-    /// Different beginnings of prompts.
+    /// Number of distinct prompt prefixes.
     pub prefixes: u32,
-    /// How unevenly those are used; 1 for all alike.
+    /// Skew of their use; 1 is uniform.
     pub prefix_skew: i32,
     /// The deadline of a call.
     pub deadline: Duration,
 }
 
-/// A stretch of a scenario's time.
+/// A phase of a scenario.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadPhase {
-    /// Its name in the report; phases of one name are judged together.
+    /// Its name in the report; phases of one name share their statistics.
     pub name: &'static str,
     /// Its share of the scenario's time.
     pub share: f64,
-    /// The rate of calls, as a multiple of the scenario's own.
+    /// The rate of calls, as a multiple of the scenario's rate; 0 sends nothing.
     pub factor: f64,
-    /// What the greedy branch sends, as a multiple of its usual part.
+    /// The greedy branch's calls, as a multiple of its usual number.
     pub greed: f64,
-    /// How many times as long one engine takes.
+    /// Factor by which one engine is slowed down.
     pub slowness: f64,
-    /// Whether its calls count for the report's latencies.
+    /// Whether its calls are included in the report's latencies.
     pub is_measured: bool,
 }
 
-/// A scenario.
+/// The parameters of a scenario.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ScenarioPlan {
-    /// Its name.
+    /// Its name on the command line.
     pub name: &'static str,
-    /// The deployment's size; none for as many as it says.
+    /// Size of the fleet; none for the deployment's own.
     pub size: Option<FleetSize>,
-    /// The engines.
-    pub engine: EngineTraits,
-    /// The calls.
-    pub traffic: TrafficTraits,
-    /// Calls a second.
+    /// Parameters of the engines.
+    pub engine: EngineProfile,
+    /// Parameters of the calls.
+    pub traffic: TrafficProfile,
+    /// Calls per second.
     pub rate: f64,
-    /// How long it lasts.
-    pub lasting: Duration,
-    /// What each branch has prepaid.
+    /// Duration of the traffic.
+    pub duration: Duration,
+    /// Prepaid tokens of each branch.
     pub budget: TokenCount,
-    /// Its course.
-    pub course: &'static [LoadPhase],
-    /// Whether a part of the calls also goes straight to the engines, for comparison.
+    /// Its phases; their shares sum up to 1.
+    pub phases: &'static [LoadPhase],
+    /// Whether baseline calls are also sent directly to the engines.
     pub direct: bool,
 }
 
-/// The branch that is greedy in a phase with `greed` above 1.
+/// The branch whose calls a phase's `greed` multiplies.
 pub const GREEDY_BRANCH: &str = "second";
 
-const PLENTY: TokenCount = TokenCount(50_000_000);
-/// In `dry` each branch has enough for some ten requests.
+const AMPLE_BUDGET: TokenCount = TokenCount(50_000_000);
+/// Enough for about ten requests per branch.
 const DRY_BUDGET: TokenCount = TokenCount(1_500);
-/// In scenarios with faults, budgets run out towards the end.
+/// Runs out towards the end of scenarios with faults.
 const FAULT_BUDGET: TokenCount = TokenCount(40_000);
 
 const EVEN_PHASE: LoadPhase = LoadPhase {
@@ -114,14 +114,14 @@
     slowness: 1.0,
     is_measured: true,
 };
-/// The fleet learns its upstreams' speed and takes its first grants.
+/// Entries measure their upstreams' speed and get their first grants.
 const WARM_UP: LoadPhase =
     LoadPhase { name: "warm-up", share: 0.2, is_measured: false, ..EVEN_PHASE };
-/// Nothing is sent, and what waits drains.
+/// No calls, so that the queues drain.
 const PAUSE: LoadPhase = LoadPhase { name: "pause", factor: 0.0, is_measured: false, ..EVEN_PHASE };
 
-/// Quick engines that never are the bottleneck.
-const QUICK_ENGINE: EngineTraits = EngineTraits {
+/// Fast engines that are never the bottleneck.
+const FAST_ENGINE: EngineProfile = EngineProfile {
     capacity: 64,
     token_rate: 500,
     first_token: Duration::from_millis(20),
@@ -130,10 +130,9 @@
     tick: Duration::from_millis(5),
 };
 
-/// Engines that are the bottleneck: a request holds one of eight places for a second on
-/// average, so that waiting for a place takes longer than any process is held up on a busy
-/// machine.
-const BUSY_ENGINE: EngineTraits = EngineTraits {
+/// Engines that are the bottleneck: a request occupies one of eight slots for a second on average,
+/// so that waiting for a slot takes longer than scheduling delays on a busy machine.
+const BOTTLENECK_ENGINE: EngineProfile = EngineProfile {
     capacity: 8,
     token_rate: 20,
     first_token: Duration::from_millis(50),
@@ -142,27 +141,27 @@
     tick: Duration::from_millis(20),
 };
 
-const MIXED_TRAFFIC: TrafficTraits = TrafficTraits {
+const MIXED_TRAFFIC: TrafficProfile = TrafficProfile {
     service_share: 200,
     keyed_share: 600,
     stream_share: 600,
-    longest_answer: 24,
+    max_answer_tokens: 24,
     long_share: 0,
-    longest_long_answer: 24,
+    max_long_answer_tokens: 24,
     prompt_bytes: 200,
     prefixes: 50,
     prefix_skew: 1,
     deadline: Duration::from_secs(20),
 };
 
-/// Streams of 19 tokens on average, one in ten of them up to 120.
-const STREAM_TRAFFIC: TrafficTraits = TrafficTraits {
+/// Streams of 19 tokens on average; one in ten has up to 120.
+const STREAM_TRAFFIC: TrafficProfile = TrafficProfile {
     service_share: 0,
     stream_share: 1000,
     keyed_share: 0,
-    longest_answer: 28,
+    max_answer_tokens: 28,
     long_share: 100,
-    longest_long_answer: 120,
+    max_long_answer_tokens: 120,
     prompt_bytes: 400,
     prefixes: 2000,
     deadline: Duration::from_secs(60),
@@ -172,16 +171,16 @@
 const STEADY: ScenarioPlan = ScenarioPlan {
     name: "steady",
     size: None,
-    engine: QUICK_ENGINE,
-    traffic: TrafficTraits { keyed_share: 300, ..MIXED_TRAFFIC },
+    engine: FAST_ENGINE,
+    traffic: TrafficProfile { keyed_share: 300, ..MIXED_TRAFFIC },
     rate: 200.0,
-    lasting: Duration::from_secs(20),
-    budget: PLENTY,
-    course: &[EVEN_PHASE],
+    duration: Duration::from_secs(20),
+    budget: AMPLE_BUDGET,
+    phases: &[EVEN_PHASE],
     direct: true,
 };
 
-/// Scenarios that are named like a fault have this plan, but for [`FAULT_PLANS`].
+/// The plan of scenarios named after a fault, except [`FAULT_PLANS`].
 const FAULTED: ScenarioPlan = ScenarioPlan {
     name: "faulted",
     traffic: MIXED_TRAFFIC,
@@ -191,76 +190,77 @@
     ..STEADY
 };
 
-/// Streams of up to three seconds run while processes and upstreams leave and come back.
-const LEAVING: ScenarioPlan = ScenarioPlan {
+/// Streams of up to three seconds while processes and upstreams leave and return.
+const ROLLING_RESTART: ScenarioPlan = ScenarioPlan {
     name: "rolling-restart",
-    engine: EngineTraits { token_rate: 100, ..QUICK_ENGINE },
-    traffic: TrafficTraits { long_share: 100, longest_long_answer: 300, ..MIXED_TRAFFIC },
+    engine: EngineProfile { token_rate: 100, ..FAST_ENGINE },
+    traffic: TrafficProfile { long_share: 100, max_long_answer_tokens: 300, ..MIXED_TRAFFIC },
     rate: 40.0,
-    lasting: Duration::from_secs(60),
-    budget: PLENTY,
+    duration: Duration::from_secs(60),
+    budget: AMPLE_BUDGET,
     ..FAULTED
 };
 
 const DRAIN: ScenarioPlan =
-    ScenarioPlan { name: "drain", lasting: Duration::from_secs(70), ..LEAVING };
+    ScenarioPlan { name: "drain", duration: Duration::from_secs(70), ..ROLLING_RESTART };
 
-/// Long enough for each way of being late at each engine.
+/// Long enough for each kind of late order at each engine.
 const STALE_ORDER: ScenarioPlan = ScenarioPlan {
     name: "stale-order",
     rate: 30.0,
-    lasting: Duration::from_secs(40),
-    budget: PLENTY,
+    duration: Duration::from_secs(40),
+    budget: AMPLE_BUDGET,
     ..FAULTED
 };
 
 const OPERATORS_RACE: ScenarioPlan = ScenarioPlan {
     name: "operators-race",
     rate: 30.0,
-    lasting: Duration::from_secs(30),
-    budget: PLENTY,
+    duration: Duration::from_secs(30),
+    budget: AMPLE_BUDGET,
     ..FAULTED
 };
 
-/// Scenarios that are named like a fault and have a plan of their own.
-const FAULT_PLANS: [ScenarioPlan; 4] = [LEAVING, DRAIN, STALE_ORDER, OPERATORS_RACE];
+/// Scenarios named after a fault that have their own plan.
+const FAULT_PLANS: [ScenarioPlan; 4] = [ROLLING_RESTART, DRAIN, STALE_ORDER, OPERATORS_RACE];
 
 const DRY: ScenarioPlan = ScenarioPlan { name: "dry", rate: 80.0, budget: DRY_BUDGET, ..FAULTED };
 
-/// Twelve engines of eight places, each held for 0.95 s on average, run 100 requests a second.
+/// Twelve engines of eight slots, each occupied for 0.95 s on average, have a capacity of 100
+/// requests per second.
 const ROUTED: ScenarioPlan = ScenarioPlan {
     name: "routed",
     size: Some(FleetSize { entries: 3, engines: 12 }),
-    engine: BUSY_ENGINE,
+    engine: BOTTLENECK_ENGINE,
     traffic: STREAM_TRAFFIC,
     rate: 82.0,
-    lasting: Duration::from_secs(50),
-    budget: PLENTY,
-    course: &[WARM_UP, LoadPhase { share: 0.8, ..EVEN_PHASE }],
+    duration: Duration::from_secs(50),
+    budget: AMPLE_BUDGET,
+    phases: &[WARM_UP, LoadPhase { share: 0.8, ..EVEN_PHASE }],
     direct: false,
 };
 
-/// What engines report is two seconds old before anybody can see it.
+/// Engines report their load with a lag of two seconds.
 const LAGGING_LOAD: ScenarioPlan = ScenarioPlan {
     name: "lagging-load",
-    engine: EngineTraits { load_lag: Duration::from_secs(2), ..BUSY_ENGINE },
+    engine: EngineProfile { load_lag: Duration::from_secs(2), ..BOTTLENECK_ENGINE },
     ..ROUTED
 };
 
-/// One of the engines takes five times as long as the others.
+/// One engine takes five times as long as the others.
 const SLOW_UPSTREAM: ScenarioPlan = ScenarioPlan {
     name: "slow-upstream",
     rate: 60.0,
-    course: &[WARM_UP, LoadPhase { name: "slow", share: 0.8, slowness: 5.0, ..EVEN_PHASE }],
+    phases: &[WARM_UP, LoadPhase { name: "slow", share: 0.8, slowness: 5.0, ..EVEN_PHASE }],
     ..ROUTED
 };
 
-/// Five times the normal load for twenty seconds, which is 5 % more than the engines can do.
+/// Five times the normal load for twenty seconds, which is 5 % above the engines' capacity.
 const SURGE: ScenarioPlan = ScenarioPlan {
     name: "surge",
     rate: 19.0,
-    lasting: Duration::from_secs(50),
-    course: &[
+    duration: Duration::from_secs(50),
+    phases: &[
         LoadPhase { name: "normal", share: 0.2, is_measured: false, ..EVEN_PHASE },
         LoadPhase { name: "surge", share: 0.4, factor: 5.0, ..EVEN_PHASE },
         LoadPhase { name: "after", share: 0.4, is_measured: false, ..EVEN_PHASE },
@@ -268,14 +268,14 @@
     ..ROUTED
 };
 
-/// One branch sends ten times its part, which alone is more than the engines can do. The calm
-/// time before and after is the run without it.
+/// One branch sends ten times its usual calls, which alone exceeds the engines' capacity. The calm
+/// phases before and after are the baseline.
 const NOISY_BRANCH: ScenarioPlan = ScenarioPlan {
     name: "noisy-branch",
-    traffic: TrafficTraits { deadline: Duration::from_secs(10), ..STREAM_TRAFFIC },
+    traffic: TrafficProfile { deadline: Duration::from_secs(10), ..STREAM_TRAFFIC },
     rate: 40.0,
-    lasting: Duration::from_secs(120),
-    course: &[
+    duration: Duration::from_secs(120),
+    phases: &[
         LoadPhase { share: 0.1, ..WARM_UP },
         LoadPhase { name: "calm", share: 0.2, ..EVEN_PHASE },
         LoadPhase { name: "noisy", share: 0.35, greed: 10.0, ..EVEN_PHASE },
@@ -285,32 +285,32 @@
     ..ROUTED
 };
 
-/// Long prompts with shared beginnings, more of them than one engine can keep.
+/// Long prompts with shared prefixes, more of them than one engine's cache holds.
 const PREFIX_REUSE: ScenarioPlan = ScenarioPlan {
     name: "prefix-reuse",
-    traffic: TrafficTraits { prompt_bytes: 4000, prefixes: 500, prefix_skew: 2, ..STREAM_TRAFFIC },
+    traffic: TrafficProfile { prompt_bytes: 4000, prefixes: 500, prefix_skew: 2, ..STREAM_TRAFFIC },
     rate: 60.0,
     ..ROUTED
 };
 
-/// Every scenario but those that are named like a fault.
+/// All scenarios except those named after a fault.
 const PLANS: [ScenarioPlan; 7] =
     [STEADY, DRY, LAGGING_LOAD, SLOW_UPSTREAM, SURGE, NOISY_BRANCH, PREFIX_REUSE];
 
-/// The scenarios by name, but for those that are named like a fault.
+/// Names of all scenarios except those named after a fault.
 pub const SCENARIO_NAMES: [&str; PLANS.len()] = names();
 
 const fn names() -> [&'static str; PLANS.len()] {
     let mut names = [""; PLANS.len()];
-    let mut place = 0;
-    while place < PLANS.len() {
-        names[place] = PLANS[place].name;
-        place += 1;
+    let mut index = 0;
+    while index < PLANS.len() {
+        names[index] = PLANS[index].name;
+        index += 1;
     }
     names
 }
 
-/// The plan of a scenario; none if nothing is called so.
+/// The plan of a scenario; none if the name is unknown.
 pub fn scenario_plan(name: &str) -> Option<ScenarioPlan> {
     if FAULT_NAMES.contains(&name) {
         let own = FAULT_PLANS.into_iter().find(|plan| plan.name == name);
@@ -319,29 +319,29 @@
     PLANS.into_iter().find(|plan| plan.name == name)
 }
 
-/// A phase with its place in time.
+/// A phase with its start and duration.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TimedPhase {
-    /// What happens.
+    /// The phase's parameters.
     pub phase: LoadPhase,
-    /// When it begins, from the start of the traffic.
+    /// When it begins, relative to the start of the traffic.
     pub from: Duration,
     /// How long it lasts.
-    pub lasting: Duration,
+    pub duration: Duration,
 }
 
 impl TimedPhase {
-    /// When it ends.
+    /// When it ends, relative to the start of the traffic.
     pub fn until(&self) -> Duration {
-        self.from + self.lasting
+        self.from + self.duration
     }
 }
 
-/// A course laid out over a time.
-pub fn lay_out(course: &[LoadPhase], lasting: Duration) -> Vec<TimedPhase> {
+/// Schedules phases one after the other over a duration, by their shares.
+pub fn schedule_phases(phases: &[LoadPhase], duration: Duration) -> Vec<TimedPhase> {
     let mut from = Duration::ZERO;
-    let timed = course.iter().map(|phase| {
-        let timed = TimedPhase { phase: *phase, from, lasting: lasting.mul_f64(phase.share) };
+    let timed = phases.iter().map(|phase| {
+        let timed = TimedPhase { phase: *phase, from, duration: duration.mul_f64(phase.share) };
         from = timed.until();
         timed
     });
--- a/crates/sagespool-testkit/src/load/scenario/traffic.rs
+++ b/crates/sagespool-testkit/src/load/scenario/traffic.rs
@@ -1,4 +1,4 @@
-//! The calls of a scenario, from its plan and a seed.
+//! Generates the calls of a scenario from its plan and a seed.
 
 use std::time::Duration;
 
@@ -7,31 +7,31 @@
 use crate::load::{CallKind, PlanBuilder, PlannedCall, TrafficMix, plan_calls};
 
 const POISON_CALLS: u64 = 3;
-/// Calls that go straight to the engines, as a share of the rate.
+/// The rate of baseline calls, as a share of the scenario's rate.
 const DIRECT_SHARE: f64 = 0.25;
 
-/// A deployment's traffic with a scenario's own traits.
-pub(super) fn shaped(mix: &TrafficMix, plan: &ScenarioPlan) -> TrafficMix {
-    let traits = plan.traffic;
+/// A deployment's traffic with a scenario's parameters.
+pub(super) fn scenario_mix(mix: &TrafficMix, plan: &ScenarioPlan) -> TrafficMix {
+    let profile = plan.traffic;
     TrafficMix {
-        service_share: traits.service_share,
-        keyed_share: traits.keyed_share,
-        stream_share: traits.stream_share,
-        longest_answer: traits.longest_answer,
-        long_share: traits.long_share,
-        longest_long_answer: traits.longest_long_answer,
-        prompt_bytes: traits.prompt_bytes,
-        prefixes: traits.prefixes,
-        prefix_skew: traits.prefix_skew,
-        deadline: traits.deadline,
+        service_share: profile.service_share,
+        keyed_share: profile.keyed_share,
+        stream_share: profile.stream_share,
+        max_answer_tokens: profile.max_answer_tokens,
+        long_share: profile.long_share,
+        max_long_answer_tokens: profile.max_long_answer_tokens,
+        prompt_bytes: profile.prompt_bytes,
+        prefixes: profile.prefixes,
+        prefix_skew: profile.prefix_skew,
+        deadline: profile.deadline,
         ..mix.clone()
     }
 }
 
-/// Parts that branches' weights are counted in, so that a branch may send a fraction more.
+/// Scale of the branches' weights, so that a weight can be multiplied by a fraction.
 const WEIGHT_PARTS: u32 = 100;
 
-/// A phase's traffic and its rate: a greedy branch's calls come on top of all others'.
+/// A phase's traffic and rate: a greedy branch's calls are added to those of the others.
 fn greedy_mix(mix: &TrafficMix, phase: &LoadPhase, rate: f64) -> (TrafficMix, f64) {
     let mut mix = mix.clone();
     for branch in &mut mix.branches {
@@ -46,8 +46,8 @@
     (mix, rate * phase.factor * f64::from(after) / f64::from(before.max(1)))
 }
 
-/// The calls of a course, at a rate for phases of factor 1.
-pub fn course_calls(
+/// Generates the calls of scheduled phases; `rate` is that of a phase with factor 1.
+pub fn phase_calls(
     builder: &mut PlanBuilder,
     mix: &TrafficMix,
     rate: f64,
@@ -56,12 +56,12 @@
     let mut calls = Vec::new();
     for timed in phases.iter().filter(|timed| timed.phase.factor > 0.0) {
         let (mix, rate) = greedy_mix(mix, &timed.phase, rate);
-        calls.extend(plan_calls(builder, &mix, rate, timed.from, timed.lasting));
+        calls.extend(plan_calls(builder, &mix, rate, timed.from, timed.duration));
     }
     calls
 }
 
-/// The calls of a scenario, with those that its faults bring.
+/// Generates the calls of a scenario, including those of the `poison` fault.
 pub(super) fn planned_calls(
     options: &ScenarioOptions,
     mix: &TrafficMix,
@@ -69,7 +69,7 @@
     phases: &[TimedPhase],
 ) -> Vec<PlannedCall> {
     let mut builder = PlanBuilder::new(options.seed);
-    let mut calls = course_calls(&mut builder, mix, rate, phases);
+    let mut calls = phase_calls(&mut builder, mix, rate, phases);
     if options.all_faults().iter().any(|fault| fault == "poison") {
         let from = phases.last().map_or(Duration::ZERO, TimedPhase::until).mul_f64(0.3);
         for number in 0..POISON_CALLS {
@@ -81,8 +81,8 @@
     calls
 }
 
-/// A request that takes down every engine that runs it; each time under another key and through
-/// another entry, with the same content.
+/// A request that crashes every engine that runs it. The content is the same each time, the
+/// idempotency key differs, and the entry is random.
 fn poison_call(builder: &mut PlanBuilder, mix: &TrafficMix, at: Duration) -> PlannedCall {
     let mut call = builder.call(mix, at);
     let model = mix.models[0].clone();
@@ -98,12 +98,12 @@
     call
 }
 
-/// Calls of the same kind for the stand-ins themselves, at a part of the rate.
+/// Generates baseline calls for the fake engines at a share of the rate.
 pub(super) fn direct_calls(
     options: &ScenarioOptions,
     mix: &TrafficMix,
     rate: f64,
-    lasting: Duration,
+    duration: Duration,
 ) -> Vec<PlannedCall> {
     let mut builder = PlanBuilder::new(options.seed ^ 0xD1EC7);
     let mut mix = mix.clone();
@@ -112,5 +112,5 @@
     for branch in &mut mix.branches {
         branch.branch = "direct".parse().expect("the name is valid");
     }
-    plan_calls(&mut builder, &mix, rate * DIRECT_SHARE, Duration::ZERO, lasting)
+    plan_calls(&mut builder, &mix, rate * DIRECT_SHARE, Duration::ZERO, duration)
 }
--- a/crates/sagespool-testkit/src/load/scrape.rs
+++ b/crates/sagespool-testkit/src/load/scrape.rs
@@ -1,4 +1,4 @@
-//! What the fleet says of itself, for figures that no stand-in sees, and what the books hold.
+//! Reads the processes' own metrics, for values that no fake server sees, and the stored books.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,7 +21,7 @@
     line.rsplit_once(' ')?.1.parse().ok()
 }
 
-/// Control bytes that each process had sent and received by a moment.
+/// Control bytes sent and received by each process up to a time.
 pub(super) struct ControlReading {
     at: ClockTime,
     bytes: BTreeMap<InstanceName, f64>,
@@ -29,7 +29,7 @@
 }
 
 impl ControlReading {
-    /// The counters of every process that runs.
+    /// Reads the counters of all running processes; those that do not answer are left out.
     pub(super) async fn of(fleet: &RunningFleet) -> Self {
         let client = Client::new(trillium_smol::ClientConfig::default());
         let mut bytes = BTreeMap::new();
@@ -47,8 +47,8 @@
         Self { at: ClockTime::now(), bytes, entries }
     }
 
-    /// Bytes a second of each role since an earlier reading, the mean over its processes. One that
-    /// was started anew in between counts from its start.
+    /// Mean bytes per second per process since an earlier reading, by role. A process that was
+    /// restarted in between counts from its start.
     pub(super) fn rates_since(&self, earlier: &Self) -> ControlRates {
         let seconds = self.at.since(earlier.at).as_secs_f64();
         let rate_of = |is_wanted: &dyn Fn(&InstanceName) -> bool| {
@@ -67,12 +67,12 @@
     }
 }
 
-/// Grants in the books of holders that aren't among the entries that run now, and not in doubt.
+/// The number of grants in the books, not in doubt, whose holder is not a running entry.
 pub(super) async fn orphaned_grants(fleet: &RunningFleet) -> usize {
     let client = Client::new(trillium_smol::ClientConfig::default());
-    let mut living = BTreeSet::new();
+    let mut running_incarnations = BTreeSet::new();
     for member in fleet.members.iter().filter(|member| member.is_entry()) {
-        living.extend(incarnation_of(&client, member.http).await);
+        running_incarnations.extend(incarnation_of(&client, member.http).await);
     }
     let mut orphaned = 0;
     for book in (0..BOOK_COUNT).map(BookNumber) {
@@ -85,7 +85,7 @@
         for account in record.branches.values() {
             let grants = account.grants.iter();
             orphaned += grants
-                .filter(|(id, grant)| !grant.in_doubt && !living.contains(&id.holder))
+                .filter(|(id, grant)| !grant.in_doubt && !running_incarnations.contains(&id.holder))
                 .count();
         }
     }
--- a/crates/sagespool-testkit/src/load/session.rs
+++ b/crates/sagespool-testkit/src/load/session.rs
@@ -1,4 +1,4 @@
-//! A load session against a running fleet: traffic from its deployment, and the final judgement.
+//! A load run against a fleet: traffic derived from its deployment, and the final checks.
 
 use std::collections::BTreeMap;
 
@@ -8,12 +8,12 @@
 
 use super::plan::BranchTraffic;
 use super::{
-    AnswerFacts, AnswerSample, CallRecord, DepositLog, FleetNotes, LoadReport, OracleInput,
+    AnswerFacts, AnswerSample, CallRecord, DepositLog, FaultLog, LoadReport, OracleInput,
     TrafficMix, judge, judge_answers,
 };
 use crate::fleet::{FleetOptions, RunningFleet};
 
-/// Traffic of all branches, models and the first plain service of a deployment.
+/// Traffic of all branches, all models and the first plain service of a deployment.
 pub fn traffic_of(options: &FleetOptions) -> TrafficMix {
     let branches = options.deployment.branches.iter().map(|(branch, deposit)| BranchTraffic {
         branch: branch.clone(),
@@ -36,17 +36,17 @@
         .build()
 }
 
-/// The deposits that a fleet was started with, all spendable from the start.
+/// The deposits that a fleet is started with, at time zero.
 pub fn first_deposits(options: &FleetOptions) -> DepositLog {
     let mut deposits = DepositLog::default();
     for (branch, deposit) in &options.deployment.branches {
-        deposits.begin(branch, deposit.prepaid, ClockTime::default());
+        deposits.note_started(branch, deposit.prepaid, ClockTime::default());
         deposits.note(branch, deposit.prepaid, ClockTime::default());
     }
     deposits
 }
 
-/// What the store had been asked by a moment.
+/// Counts of the store's calls up to a time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct StoreTraffic {
     /// Writes and deletions.
@@ -56,15 +56,15 @@
 }
 
 impl StoreTraffic {
-    /// What the store of a fleet has been asked by now.
+    /// The current counts of a fleet's store.
     pub fn of(fleet: &RunningFleet) -> Self {
         let counts = fleet.store.counts();
         Self { writes: counts.puts + counts.deletes, reads: counts.gets + counts.lists }
     }
 }
 
-/// Adds processor time and memory of every process that runs.
-pub fn note_usage(report: &mut LoadReport, fleet: &RunningFleet) {
+/// Adds processor time and peak memory of all running processes.
+pub fn add_process_usage(report: &mut LoadReport, fleet: &RunningFleet) {
     for member in &fleet.members {
         let Some(process) = &member.process else {
             continue;
@@ -80,40 +80,40 @@
     }
 }
 
-/// Stops the fleet gracefully and judges what its callers and upstreams saw.
-pub fn conclude(
+/// Stops the fleet gracefully, then checks what its callers and upstreams saw.
+pub fn stop_and_judge(
     report: &mut LoadReport,
     fleet: &mut RunningFleet,
     records: &[CallRecord],
     deposits: &DepositLog,
 ) {
     report.count(records);
-    note_usage(report, fleet);
+    add_process_usage(report, fleet);
     let unclean = fleet.stop();
     let books = |key: &str| -> Option<BookRecord> { fleet.store.object(key)?.parse().ok() };
     let input = OracleInput { records, run_log: &fleet.run_log, deposits, books: Some(&books) };
     let verdict = judge(&input);
-    report.take_verdict(&verdict);
+    report.add_verdict(&verdict);
     for instance in unclean {
         report.findings.push(format!("unclean stop: {instance}"));
     }
     report.runs_per_request = runs_per_request(fleet);
 }
 
-/// What operators' answers are judged from, beside the fleet.
+/// Input of the check of operators' answers, besides the fleet.
 pub struct AnswerInput<'a> {
-    /// The calls and what came of them.
+    /// The calls and their outcomes.
     pub records: &'a [CallRecord],
-    /// Questions and answers.
+    /// Operator queries and their answers.
     pub samples: &'a [AnswerSample],
-    /// What was prepaid when.
+    /// The deposits with their times.
     pub deposits: &'a DepositLog,
-    /// What scripts did.
-    pub notes: &'a FleetNotes,
+    /// The actions of fault scripts.
+    pub fault_log: &'a FaultLog,
 }
 
-/// Judges what operators were answered during a run.
-pub fn note_answers(report: &mut LoadReport, fleet: &RunningFleet, input: &AnswerInput) {
+/// Checks the operators' answers of a run and adds the result to its report.
+pub fn judge_operator_answers(report: &mut LoadReport, fleet: &RunningFleet, input: &AnswerInput) {
     let entries: Vec<InstanceName> = fleet
         .members
         .iter()
@@ -131,14 +131,14 @@
             records: input.records,
             runs: &fleet.run_log.runs(),
             deposits: input.deposits,
-            notes: input.notes,
+            fault_log: input.fault_log,
             process_events: &fleet.process_events,
             writes: &fleet.store.writes(),
             entries: &entries,
             upstreams: &upstreams,
         },
     );
-    report.take_answers(&verdict);
+    report.add_answer_verdict(&verdict);
 }
 
 fn runs_per_request(fleet: &RunningFleet) -> f64 {
--- a/crates/sagespool-testkit/src/load/figures.rs
+++ b/crates/sagespool-testkit/src/load/stats.rs
@@ -1,4 +1,4 @@
-//! Figures of a course: by phase, by branch, and from the engines' own counts.
+//! Statistics of a run: by phase, by branch, and from the engines' counters.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,55 +8,55 @@
 use serde::Serialize;
 
 use super::scenario::{GREEDY_BRANCH, TimedPhase};
-use super::{CallOutcome, CallRecord, LatencyFigures, LoadReport};
+use super::{CallOutcome, CallRecord, LatencyStats, LoadReport};
 use crate::fleet::RunningFleet;
 use crate::{RunEnd, RunRecord};
 
-/// A refusal that leaves its caller at least this share of its time came early.
+/// A deadline refusal counts as early if at least this share of the deadline is left.
 const EARLY_SHARE: f64 = 0.5;
 
-/// Latencies of the first and of the last token, in milliseconds.
+/// Latencies in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
-pub struct AnswerFigures {
+pub struct AnswerStats {
     /// Time to the first token of streams.
-    pub first_token: LatencyFigures,
-    /// Time to the whole answer.
-    pub whole: LatencyFigures,
+    pub first_token: LatencyStats,
+    /// Time to the end of the answer.
+    pub whole: LatencyStats,
 }
 
-impl AnswerFigures {
-    /// The figures of the first sendings of answered calls.
+impl AnswerStats {
+    /// Statistics of the first attempt of each answered call.
     pub fn of<'a>(records: impl IntoIterator<Item = &'a CallRecord>) -> Self {
         let answered = records.into_iter().filter(|record| record.is_answered());
         let sends: Vec<_> = answered.filter_map(|record| record.sends.first()).collect();
         Self {
-            first_token: LatencyFigures::of(sends.iter().filter_map(|send| send.first_token)),
-            whole: LatencyFigures::of(sends.iter().map(|send| send.ended.since(send.sent))),
+            first_token: LatencyStats::of(sends.iter().filter_map(|send| send.first_token)),
+            whole: LatencyStats::of(sends.iter().map(|send| send.ended.since(send.sent))),
         }
     }
 }
 
-/// What the phases of one name came to.
+/// Statistics over all phases of one name.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
-pub struct PhaseFigures {
+pub struct PhaseStats {
     /// Calls sent.
     pub requests: u64,
-    /// Calls answered whole.
+    /// Calls answered completely.
     pub answered: u64,
     /// Latencies of all branches.
-    pub all: AnswerFigures,
+    pub all: AnswerStats,
     /// Latencies without the greedy branch.
-    pub others: AnswerFigures,
-    /// The part of the engines' places that was taken, on average.
+    pub others: AnswerStats,
+    /// The mean share of the engines' slots in use.
     pub engine_use: f64,
 }
 
-/// Refusals of requests that couldn't meet their deadline.
+/// Refusals of requests that could not meet their deadline.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct DeadlineRefusals {
-    /// Their callers had at least half of their time left.
+    /// At least half of the deadline was left.
     pub early: u64,
-    /// They had less.
+    /// Less than half of it was left.
     pub late: u64,
 }
 
@@ -82,7 +82,7 @@
     }
 }
 
-/// How many times as long the others' 99th percentiles are while one branch is greedy.
+/// Ratios of the other branches' 99th percentiles, with one greedy branch to without.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct GreedEffect {
     /// Of the first token.
@@ -92,12 +92,12 @@
 }
 
 impl GreedEffect {
-    /// The effect, if the course has calm and greedy phases.
-    fn of(phases: &[TimedPhase], figures: &BTreeMap<String, PhaseFigures>) -> Option<Self> {
+    /// None unless the scenario has measured phases both with and without a greedy branch.
+    fn of(phases: &[TimedPhase], stats: &BTreeMap<String, PhaseStats>) -> Option<Self> {
         let of_greed = |is_greedy: bool| {
             let mut measured = phases.iter().filter(|timed| timed.phase.is_measured);
             let phase = measured.find(|timed| (timed.phase.greed > 1.0) == is_greedy)?;
-            figures.get(phase.phase.name).map(|figures| figures.others)
+            stats.get(phase.phase.name).map(|stats| stats.others)
         };
         let (calm, greedy) = (of_greed(false)?, of_greed(true)?);
         Some(Self {
@@ -107,17 +107,15 @@
     }
 }
 
-/// What a course's figures are made from.
-pub(super) struct CourseInput<'a> {
-    /// The calls and what came of them.
+/// Input of the phase statistics.
+pub(super) struct PhaseInput<'a> {
     pub(super) records: &'a [CallRecord],
-    /// The course.
     pub(super) phases: &'a [TimedPhase],
-    /// When it started.
+    /// When the traffic started.
     pub(super) start: ClockTime,
 }
 
-impl CourseInput<'_> {
+impl PhaseInput<'_> {
     fn phase_of(&self, record: &CallRecord) -> Option<&TimedPhase> {
         self.phases.iter().find(|timed| (timed.from..timed.until()).contains(&record.call.at))
     }
@@ -130,22 +128,22 @@
     }
 }
 
-/// Adds a course's figures to a report.
-pub(super) fn note_course(report: &mut LoadReport, input: &CourseInput, fleet: &RunningFleet) {
+/// Adds the phase statistics to a report.
+pub(super) fn add_phase_stats(report: &mut LoadReport, input: &PhaseInput, fleet: &RunningFleet) {
     let measured = input.measured();
-    let all = AnswerFigures::of(measured.iter().copied());
+    let all = AnswerStats::of(measured.iter().copied());
     report.first_token_ms.routed = all.first_token;
     report.whole_ms.routed = all.whole;
     let branches: BTreeSet<&BranchName> =
         measured.iter().map(|record| record.call.branch()).collect();
     for branch in branches {
         let own = measured.iter().copied().filter(|record| record.call.branch() == branch);
-        report.branch_ms.insert(branch.clone(), AnswerFigures::of(own));
+        report.branch_ms.insert(branch.clone(), AnswerStats::of(own));
     }
     let runs: Vec<RunRecord> = engine_runs(fleet);
     let names: BTreeSet<&str> = input.phases.iter().map(|timed| timed.phase.name).collect();
     for name in names {
-        report.phases.insert(name.to_owned(), phase_figures(name, input, fleet, &runs));
+        report.phases.insert(name.to_owned(), phase_stats(name, input, fleet, &runs));
     }
     report.greed_effect = GreedEffect::of(input.phases, &report.phases);
     report.deadline_refusals = DeadlineRefusals::of(input.records);
@@ -167,22 +165,22 @@
     matches!(run.ended, Some((RunEnd::Broken | RunEnd::Crashed, _)))
 }
 
-fn phase_figures(
+fn phase_stats(
     name: &str,
-    input: &CourseInput,
+    input: &PhaseInput,
     fleet: &RunningFleet,
     runs: &[RunRecord],
-) -> PhaseFigures {
+) -> PhaseStats {
     let is_of = |timed: &TimedPhase| timed.phase.name == name;
     let records = input.records.iter();
     let records = records.filter(|record| input.phase_of(record).is_some_and(is_of));
     let records: Vec<&CallRecord> = records.collect();
     let is_other = |record: &&CallRecord| record.call.branch().as_str() != GREEDY_BRANCH;
-    PhaseFigures {
+    PhaseStats {
         requests: records.len() as u64,
         answered: records.iter().filter(|record| record.is_answered()).count() as u64,
-        all: AnswerFigures::of(records.iter().copied()),
-        others: AnswerFigures::of(records.iter().copied().filter(is_other)),
+        all: AnswerStats::of(records.iter().copied()),
+        others: AnswerStats::of(records.iter().copied().filter(is_other)),
         engine_use: engine_use(
             input,
             input.phases.iter().filter(|timed| is_of(timed)),
@@ -192,32 +190,31 @@
     }
 }
 
-/// The mean part of the engines' places that runs held during some phases.
+/// The mean share of the engines' slots that runs occupied during some phases.
 fn engine_use<'a>(
-    input: &CourseInput,
+    input: &PhaseInput,
     phases: impl Iterator<Item = &'a TimedPhase>,
     fleet: &RunningFleet,
     runs: &[RunRecord],
 ) -> f64 {
-    let places: usize = fleet.engines.values().map(|engine| engine.current_load().capacity).sum();
+    let slots: usize = fleet.engines.values().map(|engine| engine.current_load().capacity).sum();
     let (mut held, mut time) = (Duration::ZERO, Duration::ZERO);
     for timed in phases {
         let (from, until) = (input.start.after(timed.from), input.start.after(timed.until()));
-        time += timed.lasting;
+        time += timed.duration;
         for run in runs {
             let ended = run.ended.map_or(until, |(_, at)| at);
             held += ended.min(until).since(run.started_at.max(from));
         }
     }
-    held.as_secs_f64() / (time.as_secs_f64() * places as f64).max(f64::MIN_POSITIVE)
+    held.as_secs_f64() / (time.as_secs_f64() * slots as f64).max(f64::MIN_POSITIVE)
 }
 
-/// The last minute's mean number of runnable threads on the machine; nothing where the system
-/// doesn't tell.
+/// The one-minute load average of the machine; none where `/proc/loadavg` is missing.
 pub(super) fn machine_load() -> Option<f64> {
     let text = std::fs::read_to_string("/proc/loadavg").ok()?;
     text.split_whitespace().next()?.parse().ok()
 }
 
 /// Latencies by branch.
-pub type BranchFigures = BTreeMap<BranchName, AnswerFigures>;
+pub type BranchStats = BTreeMap<BranchName, AnswerStats>;
--- a/crates/sagespool-testkit/tests/answer_oracle.rs
+++ b/crates/sagespool-testkit/tests/answer_oracle.rs
@@ -7,7 +7,7 @@
 
 use sagespool_messages::UpstreamKind;
 use sagespool_testkit::load::{
-    AnswerFacts, AnswerSample, DepositLog, FleetNotes, judge_answers, judge_leaving,
+    AnswerFacts, AnswerSample, DepositLog, FaultLog, judge_answers, judge_leaving,
 };
 use sagespool_testkit::{RunEnd, RunLog, RunStart};
 use sagespool_types::{BranchName, ClockTime, TokenCount, UpstreamName};
@@ -47,14 +47,14 @@
     let branch: BranchName = "first".parse().unwrap();
     let mut deposits = DepositLog::default();
     for (amount, at) in [(100, 1), (50, 10), (30, 30)] {
-        deposits.begin(&branch, TokenCount(amount), seconds(at));
+        deposits.note_started(&branch, TokenCount(amount), seconds(at));
         deposits.note(&branch, TokenCount(amount), seconds(at + 1));
     }
     let facts = AnswerFacts {
         records: &[],
         runs: &[],
         deposits: &deposits,
-        notes: &FleetNotes::default(),
+        fault_log: &FaultLog::default(),
         process_events: &[],
         writes: &[],
         entries: &["east-entry-1".parse().unwrap()],
@@ -77,8 +77,8 @@
 #[test]
 fn late_runs() {
     let upstream: UpstreamName = "engines-1".parse().unwrap();
-    let (run_log, notes) = (RunLog::new(), FleetNotes::default());
-    let span = notes.begin(&upstream, "stop", seconds(10));
+    let (run_log, fault_log) = (RunLog::new(), FaultLog::default());
+    let span = fault_log.begin_leaving(&upstream, "stop", seconds(10));
     for (at, end) in [(12, RunEnd::Finished), (14, RunEnd::Finished), (12, RunEnd::Dropped)] {
         let start = RunStart {
             upstream: upstream.clone(),
@@ -93,7 +93,7 @@
         };
         run_log.start(start, seconds(at)).end(end, seconds(at + 1));
     }
-    notes.end(span, seconds(20), true);
-    let verdict = judge_leaving(&[], &run_log, &notes);
+    fault_log.end_leaving(span, seconds(20), true);
+    let verdict = judge_leaving(&[], &run_log, &fault_log);
     assert_eq!((verdict.cut, verdict.late_dispatches, verdict.not_resumed), (1, 1, 1));
 }
--- a/crates/sagespool-testkit/tests/calls/mod.rs
+++ b/crates/sagespool-testkit/tests/calls/mod.rs
@@ -214,7 +214,7 @@
     Ok(TokenStream { body, text: Vec::new() })
 }
 
-/// The texts of a stream's tokens, which must be numbered without a gap from a place on.
+/// The texts of a stream's tokens, which must be numbered without a gap from a index on.
 pub fn joined_tokens(events: &[StreamEvent], from: u64) -> String {
     let mut text = String::new();
     let mut expected = from;
--- a/crates/sagespool-testkit/tests/config_judgement.rs
+++ b/crates/sagespool-testkit/tests/config_judgement.rs
@@ -22,8 +22,8 @@
 
 fn changes() -> ConfigLog {
     let mut log = ConfigLog::default();
-    log.accept(FLEET.to_owned(), StoreRevision(5), at(10));
-    log.accept(SHARD.to_owned(), StoreRevision(6), at(11));
+    log.note_accepted(FLEET.to_owned(), StoreRevision(5), at(10));
+    log.note_accepted(SHARD.to_owned(), StoreRevision(6), at(11));
     log
 }
 
@@ -51,8 +51,8 @@
     // A process that is killed before a change and started after it can't have it in force at once;
     // what counts is the time from its start, and apart from the others.
     let mut log = changes();
-    log.leave("east".to_owned(), at(9));
-    log.come_back("east".to_owned(), at(12));
+    log.note_absent("east".to_owned(), at(9));
+    log.note_present("east".to_owned(), at(12));
     let text = [line(13, FLEET, 5), line(13, SHARD, 6)].concat();
     let verdict = judge_log("east", true, &text, &log);
     let since_start = Duration::from_millis(1500);
--- a/crates/sagespool-testkit/tests/load_scenarios.rs
+++ b/crates/sagespool-testkit/tests/load_scenarios.rs
@@ -5,7 +5,7 @@
 
 use sagespool_testkit::load::{
     BranchTraffic, CallKind, GREEDY_BRANCH, PlanBuilder, PlannedCall, SCENARIO_NAMES, TimedPhase,
-    TrafficMix, course_calls, lay_out, scenario_plan,
+    TrafficMix, phase_calls, scenario_plan, schedule_phases,
 };
 use sagespool_testkit::prefix_digest;
 
@@ -23,9 +23,9 @@
         .build()
 }
 
-fn course_of(name: &str) -> Vec<TimedPhase> {
+fn phases_of(name: &str) -> Vec<TimedPhase> {
     let plan = scenario_plan(name).expect("a scenario");
-    lay_out(plan.course, plan.lasting)
+    schedule_phases(plan.phases, plan.duration)
 }
 
 fn calls_in<'a>(calls: &'a [PlannedCall], timed: &TimedPhase) -> Vec<&'a PlannedCall> {
@@ -36,9 +36,9 @@
 fn whole_courses() {
     for name in SCENARIO_NAMES {
         let plan = scenario_plan(name).expect("a scenario");
-        let last = course_of(name).last().unwrap().until();
-        let missing = plan.lasting.abs_diff(last);
-        assert!(missing < Duration::from_millis(1), "{name} lasts {last:?} of {:?}", plan.lasting);
+        let last = phases_of(name).last().unwrap().until();
+        let missing = plan.duration.abs_diff(last);
+        assert!(missing < Duration::from_millis(1), "{name} lasts {last:?} of {:?}", plan.duration);
     }
 }
 
@@ -47,7 +47,7 @@
     // Every call's own marker used to stand within the part of the prompt that engines' caches
     // are keyed by, so that no prefix was ever used twice and every policy had no hits.
     let mut builder = PlanBuilder::new(1);
-    let calls = course_calls(&mut builder, &mix(7), 100.0, &course_of("steady"));
+    let calls = phase_calls(&mut builder, &mix(7), 100.0, &phases_of("steady"));
     let prompts = calls.iter().filter_map(|call| match &call.kind {
         CallKind::Completion { prompt, .. } => Some(prompt),
         CallKind::Service { .. } => None,
@@ -58,29 +58,29 @@
 
 #[test]
 fn surge_factor() {
-    let phases = course_of("surge");
-    let calls = course_calls(&mut PlanBuilder::new(1), &mix(7), 50.0, &phases);
+    let phases = phases_of("surge");
+    let calls = phase_calls(&mut PlanBuilder::new(1), &mix(7), 50.0, &phases);
     let rates: BTreeMap<&str, f64> = phases
         .iter()
         .map(|timed| {
             let sent = calls_in(&calls, timed).len() as f64;
-            (timed.phase.name, sent / timed.lasting.as_secs_f64())
+            (timed.phase.name, sent / timed.duration.as_secs_f64())
         })
         .collect();
     let factor = rates["surge"] / rates["normal"];
     assert!((4.0..6.0).contains(&factor), "{rates:?}");
     let surge = phases.iter().find(|timed| timed.phase.name == "surge").unwrap();
-    assert_eq!(surge.lasting, Duration::from_secs(20));
+    assert_eq!(surge.duration, Duration::from_secs(20));
 }
 
 #[test]
 fn greedy_branch() {
-    let phases = course_of("noisy-branch");
-    let calls = course_calls(&mut PlanBuilder::new(1), &mix(7), 60.0, &phases);
+    let phases = phases_of("noisy-branch");
+    let calls = phase_calls(&mut PlanBuilder::new(1), &mix(7), 60.0, &phases);
     let rate_of = |timed: &TimedPhase, branch: &str| {
         let own = calls_in(&calls, timed).into_iter();
         let sent = own.filter(|call| call.branch().as_str() == branch).count();
-        sent as f64 / timed.lasting.as_secs_f64()
+        sent as f64 / timed.duration.as_secs_f64()
     };
     let phase = |name: &str| phases.iter().find(|timed| timed.phase.name == name).unwrap();
     let (calm, noisy) = (phase("calm"), phase("noisy"));
