--- a/crates/sagespool-testkit/examples/config_watches.rs
+++ b/crates/sagespool-testkit/examples/config_watches.rs
@@ -1,10 +1,10 @@
-//! What following the configuration costs the store, over the number of processes.
+//! Measures the store calls caused by configuration watches, by the number of processes.
 //!
 //! ```text
 //! cargo run --release --locked -p sagespool-testkit --example config_watches
 //! ```
-//! Fleets of the example deployment, enlarged, that nobody calls: each is given time to settle, and
-//! then the stand-in's own counts over a span are printed, one line a size.
+//! Starts idle fleets of the example deployment, scaled to each size, lets each settle, and prints
+//! the fake store's counts over a time span, one line per size.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -20,16 +20,16 @@
 const DEPLOYMENT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/local");
 const SETTLE_TIME: Duration = Duration::from_secs(20);
 
-/// Counts the store's reads and watches of fleets at rest.
+/// Counts the store's reads and watches for idle fleets.
 #[derive(Debug, Options)]
 struct CountOptions {
     #[options(help = "print this help")]
     help: bool,
     #[options(meta = "A,B", help = "numbers of processes", default = "8,16,32")]
     sizes: String,
-    #[options(meta = "S", help = "seconds that are counted", default = "20")]
+    #[options(meta = "S", help = "seconds to count", default = "20")]
     seconds: u64,
-    #[options(no_short, meta = "PATH", help = "the daemon; this build's own if none is given")]
+    #[options(no_short, meta = "PATH", help = "the daemon; by default that of this build")]
     daemon: Option<String>,
 }
 
@@ -55,7 +55,8 @@
     Ok(())
 }
 
-/// A quarter of the processes are entries, the others sidecars of engines, in two data centres.
+/// A quarter of the processes are entries, the others sidecars of engines, spread evenly over the
+/// deployment's data centres.
 async fn count(
     size: u32,
     seconds: u64,
--- a/crates/sagespool-testkit/examples/fleet.rs
+++ b/crates/sagespool-testkit/examples/fleet.rs
@@ -1,4 +1,4 @@
-//! The example fleet: stand-ins and real processes on loopback.
+//! The example fleet: real processes and fake upstreams and platform services on loopback.
 //!
 //! ```text
 //! cargo run --release --locked -p sagespool-testkit --example fleet
@@ -23,17 +23,17 @@
 
 const ONCE_REQUESTS: usize = 500;
 const ONCE_RATE: f64 = 100.0;
-/// Keyed calls that are sent a second time, in thousandths.
+/// Calls that are sent a second time, in thousandths of those with an idempotency key.
 const ONCE_REPEATED: u32 = 400;
 
-/// A sagespool fleet on loopback.
+/// Runs a sagespool fleet on loopback.
 #[derive(Debug, Options)]
 struct ExampleOptions {
     #[options(help = "print this help")]
     help: bool,
     #[options(meta = "NAME", help = "local (default), majan or cedarline", default = "local")]
     deployment: String,
-    #[options(help = "send 500 mixed requests, judge what came of them, and end")]
+    #[options(help = "send 500 mixed requests, check the outcome and exit")]
     once: bool,
     #[options(meta = "N", help = "seed of the requests", default = "1")]
     seed: u64,
@@ -62,7 +62,8 @@
         .seed(options.seed)
         .build();
     let signals = Signals::new([Signal::Int, Signal::Term]);
-    let mut signals = signals.change_context_lazy(|| FleetError::new("taking signals"))?;
+    let mut signals =
+        signals.change_context_lazy(|| FleetError::new("registering signal handlers"))?;
     let mut fleet = RunningFleet::start(plan).await?;
     if options.once {
         return Ok(run_once(&mut fleet, options.seed).await);
@@ -79,7 +80,7 @@
 
 fn print_usage(fleet: &RunningFleet) {
     let deployment = &fleet.options.deployment;
-    println!("the fleet runs; logs are in {}", fleet.directory().display());
+    println!("fleet is running; logs are in {}", fleet.directory().display());
     for member in fleet.members.iter().filter(|member| member.is_entry()) {
         println!("entry {} in {}: http://{}", member.instance, member.centre, member.http);
     }
@@ -108,7 +109,7 @@
             );
         }
     }
-    println!("\nCtrl-C stops it");
+    println!("\npress Ctrl-C to stop");
 }
 
 async fn run_once(fleet: &mut RunningFleet, seed: u64) -> ExitCode {
--- a/crates/sagespool-testkit/examples/load.rs
+++ b/crates/sagespool-testkit/examples/load.rs
@@ -1,4 +1,4 @@
-//! The load tool: scenarios with real processes, judged from what the stand-ins saw.
+//! The load tool: runs scenarios with real processes, checked from the fake servers' records.
 //!
 //! ```text
 //! cargo run --release --locked -p sagespool-testkit --example load -- --scenario steady --seed 1
@@ -18,7 +18,7 @@
 
 const USAGE_FAULT: u8 = 2;
 
-/// Loads a sagespool fleet and judges what came of it.
+/// Runs a load scenario against a sagespool fleet and checks the outcome.
 #[derive(Debug, Options)]
 struct LoadOptions {
     #[options(help = "print this help")]
@@ -27,27 +27,27 @@
     scenario: String,
     #[options(meta = "N", help = "the seed", default = "1")]
     seed: u64,
-    #[options(no_short, meta = "A,B", help = "faults beside the scenario's own")]
+    #[options(no_short, meta = "A,B", help = "faults besides the scenario's own")]
     faults: Option<String>,
-    #[options(no_short, meta = "S", help = "how long the traffic lasts")]
+    #[options(no_short, meta = "S", help = "duration of the traffic in seconds")]
     seconds: Option<u64>,
-    #[options(meta = "R", help = "requests a second")]
+    #[options(meta = "R", help = "requests per second")]
     rate: Option<f64>,
     #[options(
         meta = "POLICY",
-        help = "escrow, store-each-request, static-split, or a way to route: sagespool, round-robin, least-reported-load, two-choices",
+        help = "budget policy: escrow, store-each-request, static-split; or routing policy: sagespool, round-robin, least-reported-load, two-choices",
         default = "escrow"
     )]
     policy: String,
-    #[options(no_short, meta = "A,B", help = "run again under these policies, and compare")]
+    #[options(no_short, meta = "A,B", help = "run again with these policies and compare")]
     against: Option<String>,
     #[options(no_short, meta = "NAME", help = "the deployment", default = "local")]
     deployment: String,
-    #[options(no_short, meta = "LEVEL", help = "level of the processes' logs", default = "info")]
+    #[options(no_short, meta = "LEVEL", help = "log level of the processes", default = "info")]
     log_level: String,
-    #[options(no_short, meta = "DIR", help = "keep the processes' logs here")]
+    #[options(no_short, meta = "DIR", help = "directory to copy the processes' logs to")]
     logs: Option<PathBuf>,
-    #[options(help = "print the report on one line only")]
+    #[options(help = "print only the report, as one line of JSON")]
     json: bool,
 }
 
@@ -127,6 +127,6 @@
     }
     match serde_json::to_string(report) {
         Ok(line) => println!("{line}"),
-        Err(error) => eprintln!("the report can't be written: {error}"),
+        Err(error) => eprintln!("report is not serializable: {error}"),
     }
 }
--- a/crates/sagespool-testkit/tests/answer_oracle.rs
+++ b/crates/sagespool-testkit/tests/answer_oracle.rs
@@ -1,4 +1,4 @@
-//! The judgements of operators' answers and of leaving upstreams find what is false.
+//! The oracles for operators' answers and for leaving upstreams detect violations.
 
 #![allow(clippy::unwrap_used)]
 
@@ -17,7 +17,7 @@
     ClockTime::default().after(Duration::from_secs(number))
 }
 
-/// An answer to `spend first`, asked and answered at 20 s.
+/// An answer to `spend first`, sent and received at 20 s.
 fn spend_sample(prepaid: u64, settled: u64, least: u64) -> AnswerSample {
     let entry = json!({"instance": "east-entry-1", "incarnation": "1", "role": "entry"});
     let answer = json!({
@@ -63,17 +63,17 @@
     judge_answers(&[sample], &facts).false_statements
 }
 
-/// Nothing ran, and 150 tokens were prepaid by the moment of the answer.
+/// Nothing ran, and 150 tokens were prepaid at the time of the answer.
 #[test]
 fn spend_answers() {
     assert_eq!(false_statements(spend_sample(150, 0, 0)), 0);
-    assert_eq!(false_statements(spend_sample(180, 0, 0)), 1, "a deposit that came later");
+    assert_eq!(false_statements(spend_sample(180, 0, 0)), 1, "a deposit that is made later");
     assert_eq!(false_statements(spend_sample(100, 0, 0)), 1, "a deposit is missing");
     assert_eq!(false_statements(spend_sample(150, 5, 0)), 1, "nothing was billed");
     assert_eq!(false_statements(spend_sample(150, 0, 5)), 1, "nothing was spent");
 }
 
-/// A run that came 4 s after its upstream began to leave, and one that was cut off.
+/// A run that arrived 4 s after its upstream began to leave, and one that was interrupted.
 #[test]
 fn late_runs() {
     let upstream: UpstreamName = "engines-1".parse().unwrap();
--- a/crates/sagespool-testkit/tests/calls/mod.rs
+++ b/crates/sagespool-testkit/tests/calls/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to the upstream stands, as the tests of several features make them.
+//! Calls to fake upstreams, shared by several test files.
 
 #![allow(dead_code)]
 
@@ -15,7 +15,7 @@
 pub const MODEL: &str = "sage-large";
 
 const WAIT_LIMIT: Duration = Duration::from_secs(30);
-const LOOK_AGAIN: Duration = Duration::from_millis(2);
+const POLL_PERIOD: Duration = Duration::from_millis(2);
 
 /// Runs a test on the current thread.
 pub fn run<T>(test: impl Future<Output = T>) -> T {
@@ -26,7 +26,7 @@
 pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let waited = async {
         while !holds() {
-            Timer::after(LOOK_AGAIN).await;
+            Timer::after(POLL_PERIOD).await;
         }
     };
     within(what, waited).await;
@@ -41,8 +41,8 @@
     future::or(future, limit).await
 }
 
-/// Whether a future is still pending after a short while.
-pub async fn is_held(future: impl Future) -> bool {
+/// Whether a future is still pending after 50 ms.
+pub async fn is_pending(future: impl Future) -> bool {
     let ended = async {
         future.await;
         false
@@ -63,24 +63,24 @@
     format!("http://{address}{path}")
 }
 
-/// An answer as a test looks at it.
+/// Status and body of an answer.
 #[derive(Debug, Clone, PartialEq)]
-pub struct PlainAnswer {
+pub struct TestAnswer {
     pub status: u16,
     pub body: String,
 }
 
-impl PlainAnswer {
+impl TestAnswer {
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).expect("the answer is JSON")
     }
 }
 
-pub async fn get(address: SocketAddr, path: &str) -> Result<PlainAnswer, String> {
+pub async fn get(address: SocketAddr, path: &str) -> Result<TestAnswer, String> {
     send("GET", address, path, &[], "").await
 }
 
-pub async fn post(address: SocketAddr, path: &str, body: &Value) -> Result<PlainAnswer, String> {
+pub async fn post(address: SocketAddr, path: &str, body: &Value) -> Result<TestAnswer, String> {
     send("POST", address, path, &[], &body.to_string()).await
 }
 
@@ -91,11 +91,11 @@
     path: &str,
     headers: &[(&'static str, &str)],
     body: &str,
-) -> Result<PlainAnswer, String> {
+) -> Result<TestAnswer, String> {
     let mut conn = within(path, call(method, address, path, headers, body)).await?;
     let status = conn.status().map_or(0, |status| status as u16);
     let body = within(path, conn.response_body().read_string()).await;
-    Ok(PlainAnswer { status, body: body.map_err(|error| error.to_string())? })
+    Ok(TestAnswer { status, body: body.map_err(|error| error.to_string())? })
 }
 
 async fn call(
@@ -151,7 +151,7 @@
             let mut piece = [0; 4096];
             let read = self.body.read(&mut piece).await.map_err(|error| error.to_string())?;
             if read == 0 {
-                assert!(self.text.is_empty(), "a clean end is not within an event");
+                assert!(self.text.is_empty(), "the stream ended within an event");
                 return Ok(None);
             }
             self.text.extend_from_slice(&piece[..read]);
@@ -167,7 +167,7 @@
     }
 
     /// Reads to the end of the stream.
-    pub async fn rest(mut self) -> Result<Vec<StreamEvent>, String> {
+    pub async fn read_to_end(mut self) -> Result<Vec<StreamEvent>, String> {
         let mut events = Vec::new();
         while let Some(event) = self.next().await? {
             events.push(event);
@@ -196,31 +196,31 @@
     }
 }
 
-/// Asks for a completion; the error is the status and body of a refusal.
+/// Sends a completion call; the error is the status and body of a refusal.
 pub async fn complete(
     address: SocketAddr,
     headers: &[(&'static str, &str)],
     body: &Value,
-) -> Result<TokenStream, PlainAnswer> {
+) -> Result<TokenStream, TestAnswer> {
     let body = body.to_string();
     let called = call("POST", address, "/v1/chat/completions", headers, &body);
     let mut conn = within("the answer's head", called).await.expect("the engine answers");
     let status = conn.status().map_or(0, |status| status as u16);
     if status != 200 {
         let body = conn.response_body().read_string().await.expect("a refusal has a body");
-        return Err(PlainAnswer { status, body });
+        return Err(TestAnswer { status, body });
     }
     let body = conn.take_response_body().expect("an answer has a body");
     Ok(TokenStream { body, text: Vec::new() })
 }
 
-/// The texts of a stream's tokens, which must be numbered without a gap from a index on.
+/// The joined texts of a stream's tokens, which must be numbered without a gap from `from` on.
 pub fn joined_tokens(events: &[StreamEvent], from: u64) -> String {
     let mut text = String::new();
     let mut expected = from;
     for event in events {
         if let StreamEvent::Token { index, text: token } = event {
-            assert_eq!(*index, expected, "tokens are numbered without a gap");
+            assert_eq!(*index, expected, "token numbers have a gap");
             expected += 1;
             text += token;
         }
@@ -228,8 +228,8 @@
     text
 }
 
-/// An engine with one model that answers fast, and these settings besides.
-#[allow(unused_macros, reason = "each test file uses a part")]
+/// A fast engine with one model and additional settings.
+#[allow(unused_macros, reason = "not every test file uses it")]
 macro_rules! engine {
     ($($setting:ident: $value:expr),* $(,)?) => {{
         let options = sagespool_testkit::EngineOptions::builder()
--- a/crates/sagespool-testkit/tests/config_judgement.rs
+++ b/crates/sagespool-testkit/tests/config_oracle.rs
@@ -1,4 +1,4 @@
-//! The judgement of configuration changes, from logs with known faults in them.
+//! The oracle for configuration changes, on logs with known faults.
 
 use std::time::{Duration, SystemTime};
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn judged_logs() {
+fn log_verdicts() {
     let whole = [line(10, FLEET, 5), line(11, SHARD, 6)].concat();
     let half = Duration::from_millis(500);
     let seconds = |seconds| Duration::from_millis(500) + Duration::from_secs(seconds);
@@ -37,19 +37,19 @@
         let found = (verdict.config_missing, verdict.config_reversions);
         assert_eq!((found, verdict.in_force), (broken, in_force), "{name}");
     };
-    case("in force", true, whole.clone(), (0, 0), vec![half, half]);
+    case("applied", true, whole.clone(), (0, 0), vec![half, half]);
     let later = [line(12, FLEET, 9), line(12, SHARD, 6)].concat();
-    case("passed over", true, later, (0, 0), vec![seconds(2), seconds(1)]);
-    case("a sidecar has no branches", false, line(10, FLEET, 5), (0, 0), vec![half]);
-    case("one is missing", true, line(10, FLEET, 5), (1, 0), vec![half]);
+    case("superseded by a newer version", true, later, (0, 0), vec![seconds(2), seconds(1)]);
+    case("a sidecar follows no branches", false, line(10, FLEET, 5), (0, 0), vec![half]);
+    case("one not applied", true, line(10, FLEET, 5), (1, 0), vec![half]);
     let back = [whole, line(13, FLEET, 4)].concat();
-    case("taken back", true, back, (0, 1), vec![half, half]);
+    case("reverted", true, back, (0, 1), vec![half, half]);
 }
 
 #[test]
 fn absent_process() {
-    // A process that is killed before a change and started after it can't have it in force at once;
-    // what counts is the time from its start, and apart from the others.
+    // A process that is down during a change cannot apply it at once. Its time counts from its
+    // start, separately from the processes that were reachable.
     let mut log = changes();
     log.note_absent("east".to_owned(), at(9));
     log.note_present("east".to_owned(), at(12));
--- a/crates/sagespool-testkit/tests/engine.rs
+++ b/crates/sagespool-testkit/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The contract of the model engine: answers, queues and cancelled calls.
+//! The contract of the fake model engine: answers, queues and cancellation.
 
 #[macro_use]
 mod calls;
@@ -30,7 +30,7 @@
         let prompt = "Compare the bids. mark:ruwi-bids/7";
         let headers = [("x-request-id", "r1"), ("x-attempt", "2")];
         let stream = complete(engine.address(), &headers, &completion(prompt, 40)).await.unwrap();
-        let events = stream.rest().await.unwrap();
+        let events = stream.read_to_end().await.unwrap();
         assert_eq!(joined_tokens(&events, 0), answer_text(MODEL, prompt, 40));
         let finish = StreamEvent::Finish {
             reason: "length".to_owned(),
@@ -51,13 +51,13 @@
 #[test]
 fn answer_lengths() {
     let cases =
-        [("no wish", 12, 12, "length"), ("len:5", 12, 5, "stop"), ("len:50", 12, 12, "length")];
+        [("no length", 12, 12, "length"), ("len:5", 12, 5, "stop"), ("len:50", 12, 12, "length")];
     run(async {
         let engine = engine!();
         for (prompt, max_tokens, length, reason) in cases {
             let body = completion(prompt, max_tokens);
             let events =
-                complete(engine.address(), &[], &body).await.unwrap().rest().await.unwrap();
+                complete(engine.address(), &[], &body).await.unwrap().read_to_end().await.unwrap();
             assert_eq!(joined_tokens(&events, 0), answer_text(MODEL, prompt, length), "{prompt}");
             let StreamEvent::Finish { reason: found, .. } = &events[length as usize] else {
                 panic!("{prompt}: no finish after {length} tokens");
@@ -89,9 +89,9 @@
 
 #[test]
 fn resumed_answer() {
-    // The caller has read some tokens when the engine crashes. The router asks another
-    // engine to go on after them. What the caller sees must be the answer of an engine
-    // that never crashed, with no word missing or twice.
+    // The engine crashes after the caller has read some tokens, and the router resumes the answer
+    // at another engine. The joined text must equal that of an engine that did not crash, with no
+    // token missing or duplicated.
     run(async {
         let prompt = "Draft the letter.";
         let slow = engine!(token_rate: TokenRate(200));
@@ -105,14 +105,14 @@
             events.push(event);
         }
         let tokens = events.len() as u64;
-        assert!((3..200).contains(&tokens), "the stream broke in its middle");
+        assert!((3..200).contains(&tokens), "the stream broke before its end");
 
         let other = engine!();
         let text = joined_tokens(&events, 0);
         let resume = json!({ "tokens": tokens, "text": text });
         let body = with(completion(prompt, 200), "resume", resume);
         let stream = complete(other.address(), &[], &body).await.unwrap();
-        let rest = stream.rest().await.unwrap();
+        let rest = stream.read_to_end().await.unwrap();
         let whole = text + joined_tokens(&rest, tokens).as_str();
         assert_eq!(whole, answer_text(MODEL, prompt, 200));
         let [run] = &other.run_log().runs()[..] else { panic!("one run") };
@@ -126,17 +126,18 @@
     run(async {
         let engine = engine!(capacity: 1);
         engine.set_slow_factor(1e6);
-        let holder = complete(engine.address(), &[], &completion("mark:a/0", 4)).await.unwrap();
+        let slot_holder =
+            complete(engine.address(), &[], &completion("mark:a/0", 4)).await.unwrap();
         let mut waiting = Vec::new();
         for (number, priority) in [(1, 50), (2, 10), (3, 50), (4, 0)] {
             let body = completion(&format!("mark:a/{number}"), 4);
             let body = with(body, "priority", json!(priority));
             waiting.push(complete(engine.address(), &[], &body).await.unwrap());
         }
-        drop(holder);
+        drop(slot_holder);
         engine.set_slow_factor(1.0);
         for stream in waiting {
-            stream.rest().await.unwrap();
+            stream.read_to_end().await.unwrap();
         }
         let runs = engine.run_log().runs();
         let order: Vec<_> = runs.iter().flat_map(|run| run.start.marker.clone()).collect();
@@ -160,8 +161,8 @@
 
 #[test]
 fn cancel_calls() {
-    // A caller gives up. Its router cancels the request by its id, perhaps only one attempt.
-    // The stream ends and says what was made, and the slot goes to the next.
+    // A caller disconnects, and its router cancels the request by id, or only one attempt. The
+    // stream ends with the count of produced tokens, and the slot is free for the next request.
     let cases = [
         ("the request", "r1", None, true),
         ("its attempt", "r1", Some("1"), true),
@@ -183,9 +184,9 @@
             let answer = send("POST", engine.address(), &path, &headers, "").await.unwrap();
             assert_eq!(answer.json(), json!({ "cancelled": cancelled }), "{name}");
             let runs = engine.run_log().runs();
-            assert_eq!(runs.len(), 1 + usize::from(cancelled), "{name}: the next has the slot");
+            assert_eq!(runs.len(), 1 + usize::from(cancelled), "{name}: the next got the slot");
             if cancelled {
-                let events = first.rest().await.unwrap();
+                let events = first.read_to_end().await.unwrap();
                 let finish = StreamEvent::Finish {
                     reason: "cancelled".to_owned(),
                     prompt_tokens: 2,
@@ -209,7 +210,7 @@
         let waiting = complete(engine.address(), &headers, &body).await.unwrap();
         let answer = post(engine.address(), "/v1/requests/r2/cancel", &json!(null)).await.unwrap();
         assert_eq!(answer.json(), json!({ "cancelled": true }));
-        waiting.rest().await.unwrap();
+        waiting.read_to_end().await.unwrap();
         assert_eq!(engine.current_load().waiting, 0);
         assert_eq!(engine.run_log().runs().len(), 1, "it never ran");
     });
@@ -217,9 +218,9 @@
 
 #[test]
 fn dropped_stream() {
-    // A router dies or gives up without a cancel call: its connection just closes, while the
-    // engine writes nothing as the next token is far off. The run must not go on unseen and
-    // hold its slot, and one that still waited must never start.
+    // A router closes its connection without a cancel call while the engine writes nothing, since
+    // the next token is not due. The run must end and free its slot, and a waiting request whose
+    // connection closed must never start.
     run(async {
         let engine = engine!(capacity: 1, token_rate: TokenRate(1000));
         let long = completion("mark:a/1", 1_000_000);
@@ -228,12 +229,12 @@
         let waiting = complete(engine.address(), &[], &completion("mark:a/2", 4)).await.unwrap();
         engine.set_slow_factor(1e9);
         drop(waiting);
-        until("the waiting run is gone", || engine.current_load().waiting == 0).await;
+        until("the waiting run is removed", || engine.current_load().waiting == 0).await;
         drop(running);
-        until("the run is gone", || engine.current_load().running == 0).await;
+        until("the run has ended", || engine.current_load().running == 0).await;
         assert_eq!(ends_of(&engine, "mark:a/1"), [RunEnd::Dropped]);
         let runs = engine.run_log().runs();
-        assert_eq!(runs.len(), 1, "the one that waited never ran");
+        assert_eq!(runs.len(), 1, "the waiting one never ran");
         assert!(runs[0].produced.0 < 1_000_000);
     });
 }
@@ -269,7 +270,7 @@
             streams.push((prompt, stream));
         }
         for (prompt, stream) in streams {
-            let events = stream.rest().await.unwrap();
+            let events = stream.read_to_end().await.unwrap();
             assert_eq!(joined_tokens(&events, 0), answer_text(MODEL, &prompt, 50));
         }
         assert_eq!(engine.run_log().runs_by_marker().len(), STREAMS as usize);
--- a/crates/sagespool-testkit/tests/engine_cache.rs
+++ b/crates/sagespool-testkit/tests/engine_cache.rs
@@ -1,4 +1,4 @@
-//! The contract of the model engine: cached prefixes and their events.
+//! The contract of the fake model engine: cached prefixes and cache events.
 
 #[macro_use]
 mod calls;
@@ -20,7 +20,7 @@
         complete(engine.address(), &[], &completion(&first, 2))
             .await
             .unwrap()
-            .rest()
+            .read_to_end()
             .await
             .unwrap();
         engine.set_slow_factor(1.0);
@@ -28,9 +28,9 @@
         let _fresh = complete(engine.address(), &[], &fresh).await.unwrap();
         let second = completion(&format!("{shared} two"), 2);
         let stream = complete(engine.address(), &[], &second).await.unwrap();
-        assert_eq!(stream.rest().await.unwrap().len(), 4, "its prefix needs no time");
+        assert_eq!(stream.read_to_end().await.unwrap().len(), 4, "a cached prefix takes no time");
         let runs = engine.run_log().runs_of(&"mark:a/1".parse().unwrap());
-        assert_eq!(runs[0].first_at, None, "a fresh prefix still takes its time");
+        assert_eq!(runs[0].first_at, None, "an uncached prefix takes its time");
     });
 }
 
@@ -40,15 +40,15 @@
         let engine = engine!(cached_prefixes: 1);
         for prompt in ["one", "one", "two", "one", "one"] {
             let stream = complete(engine.address(), &[], &completion(prompt, 1)).await.unwrap();
-            stream.rest().await.unwrap();
+            stream.read_to_end().await.unwrap();
         }
         assert_eq!(engine.prefix_counts(), PrefixCounts { hits: 2, misses: 3 });
         engine.crash();
         engine.restart().unwrap();
         let stream = complete(engine.address(), &[], &completion("one", 1)).await.unwrap();
-        stream.rest().await.unwrap();
+        stream.read_to_end().await.unwrap();
         let counts = engine.prefix_counts();
-        assert_eq!(counts, PrefixCounts { hits: 2, misses: 4 }, "a crash loses the cache only");
+        assert_eq!(counts, PrefixCounts { hits: 2, misses: 4 }, "a crash clears only the cache");
     });
 }
 
@@ -61,7 +61,7 @@
 #[test]
 fn cache_feed() {
     let cases = [
-        ("all of them", Duration::ZERO, 0.0, vec![1, 2, 3, 4, 5]),
+        ("all events", Duration::ZERO, 0.0, vec![1, 2, 3, 4, 5]),
         ("late", HOUR, 0.0, vec![]),
         ("lost", Duration::ZERO, 1.0, vec![]),
     ];
@@ -74,16 +74,16 @@
             );
             for prompt in ["one", "two", "three", "three"] {
                 let stream = complete(engine.address(), &[], &completion(prompt, 1)).await.unwrap();
-                stream.rest().await.unwrap();
+                stream.read_to_end().await.unwrap();
             }
             let events = cache_events(&engine, "after=0").await;
             let found: Vec<_> = events.iter().map(|event| event.number).collect();
             assert_eq!(found, numbers, "{name}");
-            if name == "all of them" {
+            if name == "all events" {
                 let kinds: Vec<_> = events.iter().map(|event| event.kind).collect();
                 let (stored, evicted) = (CacheChange::Stored, CacheChange::Evicted);
                 assert_eq!(kinds, [stored, evicted, stored, evicted, stored]);
-                assert_eq!(events[0].prefix, events[1].prefix, "the least recently used goes");
+                assert_eq!(events[0].prefix, events[1].prefix, "evicts the least recently used");
                 assert_eq!(cache_events(&engine, "after=4").await, events[4..]);
             }
         }
@@ -97,7 +97,7 @@
         for number in 0..40 {
             let prompt = format!("prompt {number}");
             let stream = complete(engine.address(), &[], &completion(&prompt, 1)).await.unwrap();
-            stream.rest().await.unwrap();
+            stream.read_to_end().await.unwrap();
         }
         let events = cache_events(&engine, "after=0").await;
         let numbers: Vec<_> = events.iter().map(|event| event.number).collect();
@@ -115,7 +115,7 @@
         let asked = cache_events(&engine, "after=0&wait_ms=20000");
         let made = async {
             let stream = complete(engine.address(), &[], &completion("one", 1)).await.unwrap();
-            stream.rest().await.unwrap();
+            stream.read_to_end().await.unwrap();
         };
         let (events, ()) = within("the event", futures_lite::future::zip(asked, made)).await;
         assert_eq!(events.len(), 1);
--- a/crates/sagespool-testkit/tests/engine_faults.rs
+++ b/crates/sagespool-testkit/tests/engine_faults.rs
@@ -1,11 +1,11 @@
-//! The contract of the model engine: crashes, freezes, a slow pace, broken streams.
+//! The contract of the fake model engine: crashes, freezes, slowdown, broken streams.
 
 #[macro_use]
 mod calls;
 
 use std::time::Duration;
 
-use calls::{MODEL, complete, completion, get, is_held, joined_tokens, run, send, until};
+use calls::{MODEL, complete, completion, get, is_pending, joined_tokens, run, send, until};
 use sagespool_testkit::{FakeEngine, RunEnd, RunMarker, answer_text};
 use sagespool_types::TokenRate;
 use serde_json::json;
@@ -18,16 +18,21 @@
 
 #[test]
 fn crash_restart() {
-    // An engine dies under its streams. Callers must see broken streams, not short answers
-    // that look whole; then the port refuses until the engine is back on the same port.
+    // An engine crashes while it streams. Callers must see broken streams, not short answers that
+    // look complete. The port refuses connections until the engine restarts on the same port.
     run(async {
         let engine = engine!(load_lag: Duration::ZERO, cache_gap_share: 0.0);
         let address = engine.address();
-        complete(address, &[], &completion("cached", 1)).await.unwrap().rest().await.unwrap();
+        complete(address, &[], &completion("cached", 1))
+            .await
+            .unwrap()
+            .read_to_end()
+            .await
+            .unwrap();
         let mut running = complete(address, &[], &completion("mark:a/1", 1_000_000)).await.unwrap();
         running.next().await.unwrap().expect("a first token");
         engine.crash();
-        running.rest().await.expect_err("the stream breaks");
+        running.read_to_end().await.expect_err("the stream breaks");
         assert!(get(address, "/healthz").await.is_err(), "the port refuses");
         assert!(!engine.is_serving());
         assert_eq!(ends_of(&engine, "mark:a/1"), [RunEnd::Crashed]);
@@ -40,14 +45,17 @@
         let events = get(address, "/cache-events?after=0").await.unwrap().json();
         assert_eq!(events, json!({ "start": 2, "events": [] }));
         let stream = complete(address, &[], &completion("again", 3)).await.unwrap();
-        assert_eq!(joined_tokens(&stream.rest().await.unwrap(), 0), answer_text(MODEL, "again", 3));
+        assert_eq!(
+            joined_tokens(&stream.read_to_end().await.unwrap(), 0),
+            answer_text(MODEL, "again", 3)
+        );
     });
 }
 
 #[test]
 fn poisonous_prompt() {
-    // One request crashes each engine that runs it, and takes the streams of others with it.
-    // The engine comes back by itself, and the same request crashes it again.
+    // One request crashes each engine that runs it, which breaks the engine's other streams. The
+    // engine restarts automatically, and the same request crashes it again.
     run(async {
         let restart_after = Some(Duration::from_millis(10));
         let engine = engine!(restart_after: restart_after, capacity: 2);
@@ -59,10 +67,10 @@
             let path = "/v1/chat/completions";
             let poisonous = send("POST", engine.address(), path, &[], &body).await;
             assert!(poisonous.is_err(), "round {round}: its connection breaks");
-            other.rest().await.expect_err("the other stream breaks");
+            other.read_to_end().await.expect_err("the other stream breaks");
             assert_eq!(ends_of(&engine, "mark:b/1"), vec![RunEnd::Crashed; round]);
             assert_eq!(ends_of(&engine, "mark:a/1"), vec![RunEnd::Crashed; round]);
-            until("it is back", || engine.is_serving()).await;
+            until("it has restarted", || engine.is_serving()).await;
         }
     });
 }
@@ -74,7 +82,7 @@
         engine.set_slow_factor(1e6);
         let running = complete(engine.address(), &[], &completion("one", 4)).await.unwrap();
         let _poison = complete(engine.address(), &[], &completion("poison", 4)).await.unwrap();
-        assert!(engine.is_serving(), "it crashes only once the prompt runs");
+        assert!(engine.is_serving(), "a waiting prompt does not crash it");
         drop(running);
         until("it crashed", || !engine.is_serving()).await;
     });
@@ -82,8 +90,8 @@
 
 #[test]
 fn frozen_engine() {
-    // A paused engine keeps its connections: calls hang rather than fail, and streams stop.
-    // Once it goes on, the streams are whole.
+    // A frozen engine keeps its connections: calls hang rather than fail, and streams stop. After
+    // it resumes, the streams are complete.
     run(async {
         let engine = engine!(token_rate: TokenRate(1000));
         let body = completion("mark:a/1", 300);
@@ -91,11 +99,11 @@
         stream.next().await.unwrap().expect("a first token");
         engine.set_frozen(true);
         let frozen = engine.run_log().runs()[0].produced;
-        assert!(is_held(get(engine.address(), "/healthz")).await);
+        assert!(is_pending(get(engine.address(), "/healthz")).await);
         assert_eq!(engine.run_log().runs()[0].produced, frozen);
         engine.set_frozen(false);
         assert_eq!(get(engine.address(), "/healthz").await.unwrap().status, 200);
-        let rest = stream.rest().await.unwrap();
+        let rest = stream.read_to_end().await.unwrap();
         let text = answer_text(MODEL, "mark:a/1", 300);
         assert!(text.ends_with(&joined_tokens(&rest, 1)));
         assert_eq!(rest.len(), 299 + 2);
@@ -117,9 +125,8 @@
 
 #[test]
 fn broken_streams() {
-    // A connection to an engine breaks in the middle of an answer, while the engine itself is
-    // well: what it had sent is a true beginning of the answer, nothing closes the stream in
-    // good order, and the next run is answered whole.
+    // A connection breaks during an answer while the engine is healthy. What was sent is a prefix
+    // of the answer, the stream has no clean end, and the next run is answered completely.
     run(async {
         let engine = engine!();
         let prompt = "Read the dossier. mark:a/1";
@@ -141,7 +148,7 @@
 
         engine.set_break_share(0.0);
         let stream = complete(engine.address(), &[], &completion(prompt, 40)).await.unwrap();
-        let events = stream.rest().await.unwrap();
+        let events = stream.read_to_end().await.unwrap();
         assert_eq!(joined_tokens(&events, 0), answer_text(MODEL, prompt, 40));
     });
 }
--- a/crates/sagespool-testkit/tests/engine_orders.rs
+++ b/crates/sagespool-testkit/tests/engine_orders.rs
@@ -1,4 +1,4 @@
-//! The contract of the model engine: orders.
+//! The contract of the fake model engine: orders.
 
 #[macro_use]
 mod calls;
@@ -15,8 +15,8 @@
 
 #[test]
 fn fenced_orders() {
-    // An order of a former holder arrives after one of the present holder. Engines that
-    // honour fencing numbers refuse it, also after a crash; the others carry it out.
+    // An order with an old fencing number arrives after one with a newer number. Engines that
+    // honour fencing numbers reject it, also after a crash; the others carry it out.
     let cases = [(true, 409, "prefill"), (false, 200, "decode")];
     run(async {
         for (honours_fences, status, role) in cases {
@@ -39,8 +39,8 @@
             engine.crash();
             engine.restart().unwrap();
             assert_eq!(post(address, "/orders", &old).await.unwrap().status, status);
-            let taken: Vec<_> = engine.orders().iter().map(|order| order.accepted).collect();
-            assert_eq!(taken, [true, true, !honours_fences, !honours_fences]);
+            let accepted: Vec<_> = engine.orders().iter().map(|order| order.accepted).collect();
+            assert_eq!(accepted, [true, true, !honours_fences, !honours_fences]);
         }
     });
 }
@@ -61,8 +61,8 @@
             until("the order is carried out", || engine.current_load().models == models).await;
         }
         let refusal = complete(engine.address(), &[], &completion("hello", 1)).await;
-        assert_eq!(refusal.err().expect("the model is gone").status, 404);
+        assert_eq!(refusal.err().expect("the model is unloaded").status, 404);
         let other = with(completion("hello", 1), "model", json!("sage-small"));
-        complete(engine.address(), &[], &other).await.unwrap().rest().await.unwrap();
+        complete(engine.address(), &[], &other).await.unwrap().read_to_end().await.unwrap();
     });
 }
--- a/crates/sagespool-testkit/tests/fault_proxy.rs
+++ b/crates/sagespool-testkit/tests/fault_proxy.rs
@@ -1,4 +1,4 @@
-//! The contract of the fault proxy: what passes, what doesn't, and what ends see of it.
+//! The contract of the fault proxy: what is forwarded, what is lost, and what both ends observe.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -13,7 +13,7 @@
 fn until(what: &str, condition: impl Fn() -> bool) {
     let started = Instant::now();
     while !condition() {
-        assert!(started.elapsed() < BOUND, "never came true: {what}");
+        assert!(started.elapsed() < BOUND, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(1));
     }
 }
@@ -22,7 +22,7 @@
     FaultProxy::start().expect("it starts")
 }
 
-/// A UDP socket of a process that is registered by its name.
+/// A UDP socket, registered with the proxy as a process's sender.
 fn udp_process(proxy: &FaultProxy, name: &str) -> UdpSocket {
     let socket = udp_socket();
     proxy.register_sender(name, address_of(&socket));
@@ -52,7 +52,7 @@
     (proxy.tcp_link("a", "b", target).expect("a link"), listener)
 }
 
-/// Both ends of a new connection through a link, once bytes have passed each way.
+/// Both ends of a new connection through a link, after a transfer in each direction.
 fn connect(link: SocketAddr, listener: &TcpListener) -> (TcpStream, TcpStream) {
     let mut client = TcpStream::connect(link).expect("the link accepts");
     let (mut server, _) = listener.accept().expect("the target accepts");
@@ -144,12 +144,12 @@
         let (seen, source) = receive(&c);
         assert_eq!(seen, text);
         c.send_to(format!("to {text}").as_bytes(), source).expect("it is sent");
-        // The reply comes from where the sender sent to: QUIC takes no other.
+        // The reply must come from the address that the sender sent to: QUIC accepts no other.
         assert_eq!(receive(sender), (format!("to {text}"), link));
     }
     a.send_to(b"again", link).expect("it is sent");
     let (_, address_of_a) = receive(&c);
-    // The proxy's own sockets are open to anyone; only the target is answered for.
+    // Anyone can send to the proxy's sockets; only packets of the target are forwarded back.
     udp_socket().send_to(b"forged", address_of_a).expect("it is sent");
     c.send_to(b"", address_of_a).expect("it is sent");
     assert_eq!(receive(&a).0, "");
@@ -159,14 +159,14 @@
 
 #[test]
 fn udp_delay() {
-    // A packet is on its way for an hour. What is sent later without the
-    // delay arrives first, and the late one isn't dropped meanwhile.
+    // A packet is delayed for an hour. A packet sent later without delay arrives first, and the
+    // delayed one is not dropped.
     let proxy = start();
     let (a, b) = (udp_process(&proxy, "a"), udp_process(&proxy, "b"));
     let link = proxy.udp_link("b", address_of(&b)).expect("a link");
     proxy.delay("a", "b", NEVER);
     a.send_to(b"late", link).expect("it is sent");
-    until("it is taken in", || proxy.bytes("a", "b").entered.0 == 4);
+    until("the proxy has received it", || proxy.bytes("a", "b").entered.0 == 4);
     proxy.delay("a", "b", Duration::ZERO);
     a.send_to(b"early", link).expect("it is sent");
     assert_eq!(receive(&b).0, "early");
@@ -176,21 +176,21 @@
 
 #[test]
 fn unknown_senders() {
-    // A test forgets to register a restarted process. Its packets must not
-    // cross a partition for want of a name, so they go nowhere at all.
+    // A restarted process is not registered again. Its packets must not cross a partition because
+    // its name is unknown, so all of them are dropped.
     let proxy = start();
-    let (stranger, b) = (udp_socket(), udp_process(&proxy, "b"));
+    let (unregistered, b) = (udp_socket(), udp_process(&proxy, "b"));
     let link = proxy.udp_link("b", address_of(&b)).expect("a link");
-    stranger.send_to(b"one", link).expect("it is sent");
+    unregistered.send_to(b"one", link).expect("it is sent");
     until("it is counted", || proxy.unregistered_packets() == 1);
-    proxy.register_sender("a", address_of(&stranger));
-    stranger.send_to(b"two", link).expect("it is sent");
+    proxy.register_sender("a", address_of(&unregistered));
+    unregistered.send_to(b"two", link).expect("it is sent");
     assert_eq!(receive(&b).0, "two");
-    // The address goes over to another process, which is cut off.
-    proxy.register_sender("x", address_of(&stranger));
+    // The address is reassigned to another process, which is partitioned.
+    proxy.register_sender("x", address_of(&unregistered));
     proxy.cut("x", "b");
-    stranger.send_to(b"three", link).expect("it is sent");
-    until("it is swallowed", || lost(&proxy, "x", "b") == 5);
+    unregistered.send_to(b"three", link).expect("it is sent");
+    until("it is lost", || lost(&proxy, "x", "b") == 5);
     assert_eq!(proxy.bytes("a", "b").entered.0, 3);
 }
 
@@ -201,26 +201,26 @@
     let sockets = names.map(|name| udp_process(&proxy, name));
     let link_to = |at: usize| proxy.udp_link(names[at], address_of(&sockets[at])).expect("a link");
     let links = [0, 1, 2, 3].map(link_to);
-    let try_all = |apart: bool| {
+    let send_all_pairs = |partitioned: bool| {
         for (from, to) in (0..4).flat_map(|from| (0..4).map(move |to| (from, to))) {
-            let passes = !apart || (from < 2) == (to < 2);
+            let passes = !partitioned || (from < 2) == (to < 2);
             let before = lost(&proxy, names[from], names[to]);
             sockets[from].send_to(b"x", links[to]).expect("it is sent");
             if passes {
                 assert_eq!(receive(&sockets[to]).0, "x", "{from} to {to}");
             } else {
-                until("it is swallowed", || lost(&proxy, names[from], names[to]) == before + 1);
+                until("it is lost", || lost(&proxy, names[from], names[to]) == before + 1);
             }
         }
     };
-    try_all(false);
+    send_all_pairs(false);
     proxy.cut_groups(&["a", "b"], &["c", "d"]);
-    try_all(true);
+    send_all_pairs(true);
     proxy.heal_groups(&["a", "b"], &["c", "d"]);
-    try_all(false);
+    send_all_pairs(false);
     proxy.cut_groups(&["a", "b"], &["c", "d"]);
     proxy.heal_all();
-    try_all(false);
+    send_all_pairs(false);
 }
 
 #[test]
@@ -252,31 +252,30 @@
 
 #[test]
 fn tcp_cuts() {
-    // A process is cut off from the store in the middle of a call. It sees
-    // neither an answer nor a broken connection. Once the cut is healed, the
-    // connection on which something was lost must not carry the rest of it,
-    // while one that was idle meanwhile goes on.
+    // A process is partitioned from the store during a call. It sees neither an answer nor a broken
+    // connection. After the cut is healed, a connection that lost bytes must be reset instead of
+    // carrying the remainder, and one that was idle continues.
     type Case = (&'static str, fn(&FaultProxy), bool, bool);
-    // The cut, and whether what the client and the server then send is lost.
+    // Name, the cut, whether bytes of the client are lost, and whether bytes of the server are.
     let cases: [Case; 3] = [
         ("both ways", |proxy| proxy.cut("a", "b"), true, true),
         ("there", |proxy| proxy.cut_one_way("a", "b"), true, false),
         ("back", |proxy| proxy.cut_one_way("b", "a"), false, true),
     ];
-    for (name, cut, client_loses, server_loses) in cases {
+    for (name, cut, client_bytes_lost, server_bytes_lost) in cases {
         let proxy = start();
         let (link, listener) = tcp_link(&proxy);
         let (mut idle_client, mut idle_server) = connect(link, &listener);
         let (mut client, mut server) = connect(link, &listener);
         cut(&proxy);
-        if server_loses {
+        if server_bytes_lost {
             server.write_all(b"answer").expect("it is sent");
             until(name, || lost(&proxy, "b", "a") == 6);
             assert_silent(&mut client);
         } else {
             pass("answer", &mut server, &mut client);
         }
-        if client_loses {
+        if client_bytes_lost {
             client.write_all(b"call").expect("it is sent");
             until(name, || lost(&proxy, "a", "b") == 4);
             assert_silent(&mut server);
@@ -284,25 +283,24 @@
         proxy.heal("a", "b");
         assert_reset(&mut client);
         assert_reset(&mut server);
-        pass("onward", &mut idle_client, &mut idle_server);
+        pass("later", &mut idle_client, &mut idle_server);
         connect(link, &listener);
     }
 }
 
 #[test]
-fn holed_stream() {
-    // Half of a call is swallowed by a cut. The cut is healed on the way
-    // there, while the way back is still cut. What the client sends next must
-    // not arrive: the target would take the rest for the whole call.
+fn partly_lost_call() {
+    // Half of a call is lost in a cut, which is then healed towards the target only. Later bytes of
+    // the client must not arrive: the target would read the remainder as a complete call.
     let proxy = start();
     let (link, listener) = tcp_link(&proxy);
     let (mut client, mut server) = connect(link, &listener);
     proxy.cut("a", "b");
     client.write_all(b"half").expect("it is sent");
-    until("it is swallowed", || lost(&proxy, "a", "b") == 4);
+    until("the first half is lost", || lost(&proxy, "a", "b") == 4);
     proxy.heal_one_way("a", "b");
     client.write_all(b"rest").expect("it is sent");
-    until("it is swallowed, too", || lost(&proxy, "a", "b") == 8);
+    until("the second half is lost", || lost(&proxy, "a", "b") == 8);
     assert_silent(&mut server);
     proxy.heal_one_way("b", "a");
     assert_reset(&mut client);
@@ -311,16 +309,16 @@
 
 #[test]
 fn close_during_cut() {
-    // A client closes its connection during a cut. The other end must not
-    // hear of it: it waits as for a machine that has lost its network.
+    // A client closes its connection during a cut. The other end must not observe the close, as if
+    // the client's machine had lost its network.
     let proxy = start();
     let (link, listener) = tcp_link(&proxy);
     let (client, mut server) = connect(link, &listener);
-    let (mut witness, mut witnessed) = connect(link, &listener);
+    let (mut other_client, mut other_server) = connect(link, &listener);
     proxy.cut_one_way("a", "b");
     drop(client);
     for _ in 0..20 {
-        pass("passing time", &mut witnessed, &mut witness);
+        pass("passing time", &mut other_server, &mut other_client);
     }
     assert_silent(&mut server);
     proxy.heal("a", "b");
@@ -329,21 +327,21 @@
 
 #[test]
 fn connect_during_cut() {
-    // A process connects and calls during a cut, and gives up. Its call must
-    // not reach the target after the cut, from a caller that is long gone.
+    // A process connects and calls during a cut, and closes the connection. Its call must not reach
+    // the target after the cut is healed.
     let proxy = start();
     let (link, listener) = tcp_link(&proxy);
     proxy.cut_one_way("b", "a");
-    let mut patient = TcpStream::connect(link).expect("the link accepts");
-    let mut gone = TcpStream::connect(link).expect("the link accepts");
+    let mut waiting_caller = TcpStream::connect(link).expect("the link accepts");
+    let mut closed_caller = TcpStream::connect(link).expect("the link accepts");
     let _waiting = TcpStream::connect(link).expect("the link accepts");
-    patient.write_all(b"first").expect("it is sent");
-    gone.write_all(b"second").expect("it is sent");
-    drop(gone);
-    until("both are swallowed", || lost(&proxy, "a", "b") == 11);
+    waiting_caller.write_all(b"first").expect("it is sent");
+    closed_caller.write_all(b"second").expect("it is sent");
+    drop(closed_caller);
+    until("both calls are lost", || lost(&proxy, "a", "b") == 11);
     proxy.heal("a", "b");
-    assert_reset(&mut patient);
-    // Only who has sent nothing yet comes through, then those who call later.
+    assert_reset(&mut waiting_caller);
+    // Only the connection that has sent nothing is forwarded, and connections made later.
     let (mut silent, _) = listener.accept().expect("the target accepts");
     connect(link, &listener);
     assert_silent(&mut silent);
@@ -358,7 +356,7 @@
     let before = proxy.bytes("a", "b").entered.0;
     proxy.delay("a", "b", NEVER);
     late_client.write_all(b"late").expect("it is sent");
-    until("it is taken in", || proxy.bytes("a", "b").entered.0 == before + 4);
+    until("the proxy has received it", || proxy.bytes("a", "b").entered.0 == before + 4);
     proxy.delay("a", "b", Duration::ZERO);
     pass("early", &mut client, &mut server);
     assert_silent(&mut late_server);
@@ -381,9 +379,9 @@
 }
 
 #[test]
-fn ends_passed_on() {
-    // A killed process's connections are reset or closed by its system, and a
-    // target that doesn't listen refuses: the proxy must not hide either.
+fn forwarded_close() {
+    // A killed process's connections are reset or closed by its operating system, and a target that
+    // does not listen refuses connections: the proxy must forward both.
     let proxy = start();
     let (link, listener) = tcp_link(&proxy);
     let (client, mut server) = connect(link, &listener);
--- a/crates/sagespool-testkit/tests/http_calls/mod.rs
+++ b/crates/sagespool-testkit/tests/http_calls/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to a stand-in, each on a connection of its own.
+//! Calls to a fake server, each on a new connection.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -7,7 +7,7 @@
 use smol::Timer;
 use trillium_client::{Client, Method};
 
-/// An answer as a test reads it.
+/// Status, headers and JSON body of an answer; the body is null if it is not JSON.
 #[derive(Debug)]
 pub struct CallAnswer {
     pub status: u16,
@@ -42,11 +42,11 @@
     try_call(address, method, target, body).await.expect("the call is answered")
 }
 
-/// Returns when the condition holds; panics if it doesn't within half a minute.
+/// Waits until a condition holds; panics after 30 s.
 pub async fn until(what: &str, condition: impl Fn() -> bool) {
     let started = Instant::now();
     while !condition() {
-        assert!(started.elapsed() < Duration::from_secs(30), "never came true: {what}");
+        assert!(started.elapsed() < Duration::from_secs(30), "timed out waiting until {what}");
         Timer::after(Duration::from_millis(2)).await;
     }
 }
--- a/crates/sagespool-testkit/tests/instance_list.rs
+++ b/crates/sagespool-testkit/tests/instance_list.rs
@@ -1,4 +1,4 @@
-//! The contract of the instance list stand-in, and its lag.
+//! The contract of the fake instance list, and its lag.
 
 mod http_calls;
 
@@ -39,7 +39,7 @@
     list.listed().iter().map(|entry| entry.instance.to_string()).collect()
 }
 
-/// A long poll that must be answered well before its own time is over.
+/// A long poll that must be answered well before its own timeout.
 async fn poll(list: &FakeInstanceList, after: u64) -> CallAnswer {
     let target = format!("/instances?after={after}&wait_ms=60000");
     let answer = call(list.address(), Get, &target, "");
@@ -68,7 +68,7 @@
         };
         let instances = [shown("entry-1", "live"), shown("entry-2", "leaving")];
         assert_eq!(answer.headers.get_str("content-type"), Some("application/json"));
-        // The doubled `set` and the removal of an unknown instance change nothing.
+        // A repeated `set` and the removal of an unknown instance change nothing.
         assert_eq!(answer.body, json!({"revision": 3, "instances": instances}));
         for (target, status) in [
             ("/instances?after=3&wait_ms=0", 200),
@@ -82,8 +82,8 @@
 
 #[test]
 fn lagging_changes() {
-    // An instance dies and another starts. The list goes on showing the old
-    // one and not the new one, and never shows later changes before earlier ones.
+    // An instance is removed while the list lags, and another is added without lag. The list must
+    // still show the old one only: later changes never become visible before earlier ones.
     let list = start(Duration::ZERO);
     list.set(entry("old"));
     assert_eq!(names(&list), ["old"]);
@@ -103,7 +103,7 @@
     let list = start(Duration::from_millis(20));
     block_on(async {
         list.set(entry("entry-1"));
-        // Nothing is entered any more: the poll has to notice by itself that the lag is over.
+        // No further change wakes the poll: it must return when the lag has passed.
         assert_eq!(poll(&list, 0).await.body["revision"], 1);
         let (answer, ()) = futures_lite::future::zip(poll(&list, 1), async {
             list.mark_leaving(&name("entry-1"));
--- a/crates/sagespool-testkit/tests/load_scenarios.rs
+++ b/crates/sagespool-testkit/tests/load_scenarios.rs
@@ -1,4 +1,4 @@
-//! What the load tool's scenarios send.
+//! The calls that the load tool's scenarios generate.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn whole_courses() {
+fn phase_durations() {
     for name in SCENARIO_NAMES {
         let plan = scenario_plan(name).expect("a scenario");
         let last = phases_of(name).last().unwrap().until();
@@ -44,8 +44,8 @@
 
 #[test]
 fn shared_prefixes() {
-    // Every call's own marker used to stand within the part of the prompt that engines' caches
-    // are keyed by, so that no prefix was ever used twice and every policy had no hits.
+    // A call's unique marker within the part of the prompt that keys the engines' caches makes
+    // every prefix distinct, and then no policy has any cache hits.
     let mut builder = PlanBuilder::new(1);
     let calls = phase_calls(&mut builder, &mix(7), 100.0, &phases_of("steady"));
     let prompts = calls.iter().filter_map(|call| match &call.kind {
--- a/crates/sagespool-testkit/tests/object_api.rs
+++ b/crates/sagespool-testkit/tests/object_api.rs
@@ -1,4 +1,4 @@
-//! The contract of the object API stand-in, in normal times and under each fault.
+//! The contract of the fake object store, without faults and under each fault.
 
 mod http_calls;
 
@@ -28,7 +28,7 @@
 #[test]
 fn conditional_writes() {
     let store = start();
-    // (method, target, status, version in the answer, revision after it)
+    // Method, target, status, version in the answer, store revision after the call.
     let steps: &[(Method, &str, u16, Option<u64>, u64)] = &[
         (Put, "/objects/books/7?if_version=1", 409, Some(0), 0),
         (Put, "/objects/books/7?if_version=0", 200, Some(1), 1),
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn bad_calls() {
+fn invalid_calls() {
     let store = start();
     let over_limit = format!("\"{}\"", "x".repeat(1_000_000));
     let at_limit = format!("\"{}\"", "x".repeat(999_998));
@@ -160,10 +160,10 @@
 }
 
 #[test]
-fn old_history() {
-    // A process cut off for an hour asks for changes since then. The store has
-    // forgotten them. An empty answer would leave the process with an old
-    // configuration for good, so it must be told to read everything again.
+fn truncated_history() {
+    // A process that was partitioned for long watches from a revision that the store's history no
+    // longer covers. An empty answer would leave it with an old configuration permanently, so the
+    // status 410 must make it list everything again.
     let options = ObjectStoreOptions::builder().history_limit(3).build();
     let store = FakeObjectStore::start(options).expect("it starts");
     block_on(async {
@@ -171,7 +171,7 @@
             put(&store, "a", &json!(value)).await;
         }
         for (after, status) in [(0, 410), (1, 410), (2, 200), (5, 200)] {
-            // The prefix has no change: even so, nobody can know that any more.
+            // No change matches the prefix, but that cannot be determined without the history.
             let target = format!("/watch?prefix=zzz&after={after}&wait_ms=0");
             let answer = call(store.address(), Get, &target, "").await;
             assert_eq!(answer.status, status, "after {after}");
@@ -183,8 +183,8 @@
 fn fault_table() {
     let none = StoreFaults::default;
     let stopped = Some(RequestRate(0));
-    // What is wrong, the status of a put, a get and a watch (none: the
-    // connection breaks), and whether the put took effect.
+    // Name, faults, the status of a put, a get and a watch (none: the connection breaks), and
+    // whether the put is applied.
     type Case = (&'static str, StoreFaults, [Option<u16>; 3], bool);
     let cases: [Case; 7] = [
         ("nothing", none(), [Some(200); 3], true),
@@ -240,9 +240,8 @@
 
 #[test]
 fn lost_answer() {
-    // A home tops up a grant. The store writes it down and the connection
-    // breaks before the first byte of the answer. The home must not learn from
-    // the broken connection what happened: neither a status line nor a body.
+    // The store applies a write and breaks the connection before the first byte of the answer. The
+    // caller must get no hint of the outcome: neither a status line nor a body.
     let store = start();
     store.set_faults(StoreFaults::builder().lose_answer_share(1.0).build());
     let mut stream = TcpStream::connect(store.address()).expect("it accepts");
@@ -256,26 +255,26 @@
 }
 
 #[test]
-fn caller_gone() {
-    // A home gives up waiting for a slow store and goes away. Its write takes
-    // effect all the same, later: a caller's patience doesn't undo a write.
+fn caller_disconnect() {
+    // A caller closes its connection before a slow store answers. Its write is still applied later:
+    // a caller's timeout does not undo a write.
     let store = start();
     store.set_faults(StoreFaults::builder().delay(Duration::from_millis(300)).build());
     let mut stream = TcpStream::connect(store.address()).expect("it accepts");
     let call = "PUT /objects/a HTTP/1.1\r\nhost: store\r\ncontent-length: 1\r\n\r\n1";
     stream.write_all(call.as_bytes()).expect("the call is sent");
     block_on(async {
-        until("the call is taken in", || store.counts().puts == 1).await;
+        until("the store has received the call", || store.counts().puts == 1).await;
         assert_eq!(store.revision(), StoreRevision::ZERO);
         drop(stream);
-        until("the write takes effect", || store.revision() == StoreRevision(1)).await;
+        until("the write is applied", || store.revision() == StoreRevision(1)).await;
     });
 }
 
 #[test]
-fn watcher_gone() {
-    // A process that watches is killed. Its watch must not count on as a
-    // waiting one, or the count of calls says more than the fleet makes.
+fn watcher_disconnect() {
+    // A watching process is killed. Its watch must no longer count as waiting, or the count exceeds
+    // the fleet's actual watches.
     let store = start();
     let mut stream = TcpStream::connect(store.address()).expect("it accepts");
     let call = "GET /watch?prefix=a&after=0&wait_ms=60000 HTTP/1.1\r\nhost: store\r\n\r\n";
@@ -327,8 +326,8 @@
 
 #[test]
 fn graceful_stop() {
-    // A test replaces the store while clients hold idle connections and a
-    // watch waits: the stop must wait for neither.
+    // The store is stopped while clients have idle connections and a watch waits: the stop must
+    // wait for neither.
     let store = start();
     let address = store.address();
     let _unused = TcpStream::connect(address).expect("it accepts");
--- a/crates/sagespool-testkit/tests/plain_service.rs
+++ b/crates/sagespool-testkit/tests/plain_service.rs
@@ -1,10 +1,10 @@
-//! The contract of the plain service.
+//! The contract of the fake plain service.
 
 mod calls;
 
 use std::time::Duration;
 
-use calls::{get, is_held, run, send, until};
+use calls::{get, is_pending, run, send, until};
 use sagespool_testkit::{
     FailureShares, FakeService, RunEnd, RunMarker, ServiceOptions, service_answer,
 };
@@ -51,7 +51,7 @@
         assert_eq!(service.run_log().runs().len(), cases.len());
         let distinct: std::collections::BTreeSet<_> =
             cases.iter().map(|(_, path, body)| service_answer(path, body.as_bytes())).collect();
-        assert_eq!(distinct.len(), cases.len(), "another call has another answer");
+        assert_eq!(distinct.len(), cases.len(), "each call has a distinct answer");
     });
 }
 
@@ -72,7 +72,7 @@
         assert_eq!(service.runs_of(&marker("mark:a/1")), 2);
         assert_eq!(service.runs_of(&marker("mark:a/2")), 1);
         let runs = service.run_log().runs();
-        assert_eq!(runs.len(), 3, "health and load are no runs");
+        assert_eq!(runs.len(), 3, "health and load calls are not runs");
         assert_eq!(runs[0].start.request.as_deref(), Some("r1"));
         assert_eq!(runs[0].start.attempt.map(|attempt| attempt.0), Some(3));
     });
@@ -80,9 +80,8 @@
 
 #[test]
 fn failing_calls() {
-    // A service fails in two ways that look much alike to a router: it refuses before it
-    // does anything, or it does the work and its answer is lost. Only the first may be
-    // sent again without doubt.
+    // A service fails in two ways that look similar to a router: it fails before it runs the call,
+    // or it runs the call and its answer is lost. Only after the first is a retry always safe.
     let before = FailureShares { before_running: 1.0, after_running: 0.0 };
     let after = FailureShares { before_running: 0.0, after_running: 1.0 };
     let cases = [
@@ -117,8 +116,8 @@
 
 #[test]
 fn crash_restart() {
-    // A service dies while it runs a call and another waits. Both callers lose their
-    // connection; the one that waited never runs, and the port refuses until the restart.
+    // A service crashes while it runs a call and another waits. Both connections break, the waiting
+    // call never runs, and the port refuses connections until the restart.
     run(async {
         let service = service!(latency: HOUR, capacity: 1);
         let address = service.address();
@@ -147,7 +146,7 @@
         let answer = send("POST", address, "/x", &[], "mark:a/2").await.unwrap();
         assert_eq!(answer.status, 200);
         assert_eq!(ends_of(&service, "mark:a/2"), [Some(RunEnd::Finished)]);
-        until("the crash left no slot taken", || {
+        until("all slots are free", || {
             let load = service.current_load();
             (load.running, load.waiting) == (0, 0)
         })
@@ -164,7 +163,7 @@
             let answer = send("POST", service.address(), "/x", &[], "poison mark:a/1").await;
             assert!(answer.is_err(), "round {round}: its connection breaks");
             assert_eq!(ends_of(&service, "mark:a/1"), vec![Some(RunEnd::Crashed); round]);
-            until("it is back", || service.is_serving()).await;
+            until("it has restarted", || service.is_serving()).await;
         }
     });
 }
@@ -174,8 +173,8 @@
     run(async {
         let service = service!();
         service.set_frozen(true);
-        assert!(is_held(get(service.address(), "/healthz")).await);
-        assert!(is_held(send("POST", service.address(), "/x", &[], "mark:a/1")).await);
+        assert!(is_pending(get(service.address(), "/healthz")).await);
+        assert!(is_pending(send("POST", service.address(), "/x", &[], "mark:a/1")).await);
         assert_eq!(service.run_log().runs(), []);
         service.set_frozen(false);
         assert_eq!(get(service.address(), "/healthz").await.unwrap().status, 200);
@@ -184,15 +183,15 @@
 
 #[test]
 fn dropped_call() {
-    // A caller that goes away doesn't undo what its call does: the work goes on.
+    // A call runs to its end even if its caller disconnects.
     run(async {
         let service = service!(latency: Duration::from_millis(100));
         let call = send("POST", service.address(), "/x", &[], "mark:a/1");
-        let given_up = async {
+        let disconnect = async {
             until("it runs", || service.current_load().running == 1).await;
-            Err("given up".to_owned())
+            Err("disconnected".to_owned())
         };
-        futures_lite::future::or(call, given_up).await.expect_err("the caller gave up");
+        futures_lite::future::or(call, disconnect).await.expect_err("the caller disconnects");
         until("it ran", || ends_of(&service, "mark:a/1") == [Some(RunEnd::Finished)]).await;
     });
 }
--- a/crates/sagespool-testkit/tests/processes.rs
+++ b/crates/sagespool-testkit/tests/processes.rs
@@ -1,4 +1,4 @@
-//! The contract of the process harness: signals, waiting, measuring, and clean ends.
+//! The contract of the process harness: signals, waiting, resource usage and cleanup.
 
 use std::collections::HashSet;
 use std::fs;
@@ -14,7 +14,7 @@
 
 const BOUND: Duration = Duration::from_secs(30);
 
-/// Ends by itself after a minute, should the harness fail to end it.
+/// Exits after a minute, in case the harness fails to kill it.
 const IDLE: &str = "echo ready; exec sleep 60";
 
 fn start(script: &str) -> (ChildProcess, TempDir) {
@@ -28,7 +28,7 @@
 fn until(what: &str, condition: impl Fn() -> bool) {
     let started = Instant::now();
     while !condition() {
-        assert!(started.elapsed() < BOUND, "never came true: {what}");
+        assert!(started.elapsed() < BOUND, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
@@ -37,18 +37,18 @@
     process.log_text().expect("a log").contains(text)
 }
 
-/// The state of a process as the system shows it: `R`, `S`, `T`, `Z`; none if there is none.
+/// The state of a process in `/proc`, such as `R`, `S`, `T` or `Z`; none if there is no process.
 fn state(id: u32) -> Option<char> {
     let stat = fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
     stat.rsplit_once(") ")?.1.chars().next()
 }
 
 #[test]
-fn ends_of_processes() {
+fn exit_statuses() {
     const FOREVER: &str = "while :; do sleep 0.01; done";
     let on_term = format!("trap 'echo bye; exit 7' TERM; echo ready; {FOREVER}");
-    let deaf = format!("trap '' TERM; echo ready; {FOREVER}");
-    // Script, what is done to it, its exit code or signal.
+    let ignores_term = format!("trap '' TERM; echo ready; {FOREVER}");
+    // Script, action on the process, expected exit code and signal.
     type Case<'a> = (&'a str, fn(&ChildProcess), Option<i32>, Option<i32>);
     let terminate = |process: &ChildProcess| process.terminate().expect("it runs");
     let kill = |process: &ChildProcess| {
@@ -63,7 +63,7 @@
         (IDLE, terminate, None, Some(15)),
         (&on_term, terminate, Some(7), None),
         (IDLE, kill, None, Some(9)),
-        (&deaf, kill, None, Some(9)),
+        (&ignores_term, kill, None, Some(9)),
         (IDLE, kill_paused, None, Some(9)),
     ];
     for (script, act, code, signal) in cases {
@@ -85,40 +85,40 @@
 
 #[test]
 fn paused_process() {
-    // A process is paused while it holds leases and goes on later, unaware.
+    // Pause and resume simulate a process that stalls while it holds leases.
     let (process, _directory) = start("while :; do echo tick; sleep 0.01; done");
     until("it runs", || printed(&process, "tick"));
     process.pause().expect("it runs");
     until("it is paused", || state(process.id()) == Some('T'));
     let ticks = process.log_text().expect("a log").len();
-    process.resume().expect("it is there");
-    until("it goes on", || process.log_text().expect("a log").len() > ticks);
+    process.resume().expect("it is running");
+    until("it resumes", || process.log_text().expect("a log").len() > ticks);
 }
 
 #[test]
-fn measured_use() {
+fn measured_usage() {
     let (busy, _directory) = start("while :; do :; done");
     let used = || busy.usage().expect("it runs");
     until("it has used the processor", || used().processor >= Duration::from_millis(50));
     let (idle, _directory) = start(IDLE);
     until("it sleeps", || printed(&idle, "ready") && state(idle.id()) == Some('S'));
     let idle_time = idle.usage().expect("it runs").processor;
-    assert!(idle_time < Duration::from_millis(500), "{idle_time:?} for doing nothing");
+    assert!(idle_time < Duration::from_millis(500), "{idle_time:?} of an idle process");
     let memory = used().peak_memory;
     assert!((ByteCount(100 << 10)..ByteCount(100 << 20)).contains(&memory), "{memory}");
 }
 
 #[test]
 fn ended_process() {
-    // A signal to a process that is gone must not reach another that has got its id.
+    // A signal to an exited process must not reach another process that reuses its id.
     let (process, _directory) = start("exit 0");
     let status = process.wait(BOUND).expect("it ends");
     let ended = ProcessError::Ended(status);
     let calls = [
-        process.terminate().expect_err("it is gone"),
-        process.pause().expect_err("it is gone"),
-        process.resume().expect_err("it is gone"),
-        process.usage().map(drop).expect_err("it is gone"),
+        process.terminate().expect_err("it has exited"),
+        process.pause().expect_err("it has exited"),
+        process.resume().expect_err("it has exited"),
+        process.usage().map(drop).expect_err("it has exited"),
     ];
     for error in calls {
         assert_eq!(error.current_context(), &ended);
@@ -137,7 +137,7 @@
 
 #[test]
 fn dropped_process() {
-    // A test fails and unwinds. No process may outlive it, not even a paused one.
+    // A failing test unwinds. No process may outlive it, not even a paused one.
     for pause in [false, true] {
         let (process, _directory) = start(IDLE);
         let id = process.id();
@@ -155,7 +155,7 @@
     let mut seen = HashSet::new();
     for _ in 0..200 {
         let (tcp, udp) = (free_tcp_port().expect("a port"), free_udp_port().expect("a port"));
-        assert!(seen.insert(tcp) && seen.insert(udp), "handed out twice");
+        assert!(seen.insert(tcp) && seen.insert(udp), "a port was returned twice");
     }
     let port = free_tcp_port().expect("a port");
     TcpListener::bind(("127.0.0.1", port)).expect("it is free");
--- a/crates/sagespool-testkit/tests/witness_log.rs
+++ b/crates/sagespool-testkit/tests/run_log.rs
@@ -1,4 +1,4 @@
-//! What the run log says of the runs.
+//! Queries of the run log: used tokens, running runs, and counts by marker and key.
 
 use sagespool_messages::UpstreamKind;
 use sagespool_testkit::{RunEnd, RunLog, RunMarker, RunStart};
@@ -46,8 +46,8 @@
 
 #[test]
 fn used_tokens() {
-    // Two attempts at one request: the first crashes after 10 tokens, the second makes 20.
-    // What a branch used at a moment is the prompt of both and what each had made by then.
+    // Two attempts at one request: the first crashes after 10 tokens, the second produces 20. A
+    // branch's usage is the prompt of each started attempt plus the tokens produced by then.
     let log = RunLog::new();
     let first = log.start(start("mark:a/1", 100), ClockTime(1000));
     first.produced(TokenCount(2), ClockTime(1100));
--- a/crates/sagespool-testkit/tests/weight_store.rs
+++ b/crates/sagespool-testkit/tests/weight_store.rs
@@ -1,4 +1,4 @@
-//! The contract of the weight store.
+//! The contract of the fake weight store.
 
 mod calls;
 
@@ -31,8 +31,8 @@
         let retry_after = refused.response_headers().get_str("retry-after-ms").unwrap();
         let retry_after: u64 = retry_after.parse().unwrap();
         assert!((1..=HOUR.as_millis() as u64 + 1).contains(&retry_after));
-        let taken: Vec<_> = store.fetches().iter().map(|load| load.accepted).collect();
-        assert_eq!(taken, [true, true, false, false, false]);
+        let accepted: Vec<_> = store.fetches().iter().map(|fetch| fetch.accepted).collect();
+        assert_eq!(accepted, [true, true, false, false, false]);
     });
 }
 
@@ -41,12 +41,12 @@
     run(async {
         let store = store(1, Duration::from_millis(5));
         for _ in 0..200 {
-            if store.fetches().iter().filter(|load| load.accepted).count() == 3 {
+            if store.fetches().iter().filter(|fetch| fetch.accepted).count() == 3 {
                 return;
             }
             get(store.address(), "/weights/one").await.unwrap();
         }
-        panic!("three loads fit into the rate sooner or later");
+        panic!("fewer than three fetches were accepted");
     });
 }
 
@@ -63,8 +63,8 @@
 
 #[test]
 fn engine_load() {
-    // An engine that is ordered to load a model while the store is over its rate must go on
-    // asking, and serve the model only once it has the weights.
+    // An engine that is ordered to load a model while the store is over its rate limit must retry
+    // the fetch, and serve the model only once it has the weights.
     run(async {
         let store = store(1, Duration::from_millis(50));
         let options = EngineOptions::builder()
@@ -79,10 +79,11 @@
             assert_eq!(post(engine.address(), "/orders", &order).await.unwrap().status, 200);
         }
         until("both are loaded", || engine.current_load().models.len() == 2).await;
-        let loads = store.fetches();
+        let fetches = store.fetches();
         for model in ["one", "two"] {
-            let taken = loads.iter().filter(|load| load.accepted && load.model == model).count();
-            assert_eq!(taken, 1, "{model}");
+            let accepted =
+                fetches.iter().filter(|fetch| fetch.accepted && fetch.model == model).count();
+            assert_eq!(accepted, 1, "{model}");
         }
     });
 }
