--- a/crates/sagespool-testkit/src/load/deposit_log.rs
+++ b/crates/sagespool-testkit/src/load/deposit_log.rs
@@ -35,7 +35,7 @@
     }
 
     /// The times from which a branch's deposits could be spent.
-    pub fn moments(&self, branch: &BranchName) -> Vec<ClockTime> {
+    pub fn effective_times(&self, branch: &BranchName) -> Vec<ClockTime> {
         self.deposits.get(branch).into_iter().flatten().map(|(when, _)| *when).collect()
     }
 }
--- a/crates/sagespool-testkit/src/load/faults/context.rs
+++ b/crates/sagespool-testkit/src/load/faults/context.rs
@@ -81,8 +81,8 @@
     pub async fn top_up(&self, branch: &BranchName, amount: TokenCount) {
         let objects = self.fleet.lock().await.objects.clone();
         self.begin_top_up(branch, amount).await;
-        let topped = top_up(&objects, branch, amount, CommandId::random()).await;
-        if topped.is_ok() {
+        let result = top_up(&objects, branch, amount, CommandId::random()).await;
+        if result.is_ok() {
             self.end_top_up(branch, amount).await;
         }
     }
--- a/crates/sagespool-testkit/src/load/faults/drain.rs
+++ b/crates/sagespool-testkit/src/load/faults/drain.rs
@@ -65,7 +65,7 @@
                 Some(outcomes) => last_reply = format!("{outcomes:?}"),
                 None => last_reply = "still running".to_owned(),
             },
-            Err(fault) => last_reply = fault,
+            Err(error) => last_reply = error,
         }
     }
     context.fault_log.add_finding(format!(
@@ -134,11 +134,11 @@
 }
 
 /// Partitions every process from the store and the instance list, or heals the partition.
-fn set_platform(fleet: &RunningFleet, is_there: bool) {
+fn set_platform(fleet: &RunningFleet, reachable: bool) {
     let Some(proxy) = &fleet.proxy else { return };
     let members: Vec<&str> = fleet.members.iter().map(|member| member.instance.as_str()).collect();
     let platform = ["store", "list"];
-    match is_there {
+    match reachable {
         true => proxy.heal_groups(&members, &platform),
         false => proxy.cut_groups(&members, &platform),
     }
--- a/crates/sagespool-testkit/src/load/faults/operators_race.rs
+++ b/crates/sagespool-testkit/src/load/faults/operators_race.rs
@@ -77,10 +77,10 @@
 ) -> Option<ItemOutcome> {
     for number in 0..MAX_ATTEMPTS {
         let entry = entries[number % entries.len()];
-        let asked = operator.run_command(entry, &line, command);
+        let command_run = operator.run_command(entry, &line, command);
         let answer = match aborts_early && number < 2 {
-            true => or(async { Some(asked.await) }, none_after(EARLY_ABORT)).await,
-            false => Some(asked.await),
+            true => or(async { Some(command_run.await) }, none_after(EARLY_ABORT)).await,
+            false => Some(command_run.await),
         };
         if let Some(outcome) = answer.and_then(Result::ok).and_then(outcome_of) {
             return Some(outcome);
@@ -132,15 +132,15 @@
     let Some(version) = seen_version(context, branch, index).await else { return };
     let (_, writes_before) = weight(context, branch).await;
     let wanted = [round, round + WEIGHT_STEP];
-    let mut racing = Vec::new();
+    let mut edits = Vec::new();
     for (number, new_weight) in wanted.into_iter().enumerate() {
         let line = format!("set {branch} weight {new_weight} if version {version}");
         let entries = entries_from(context, index + number).await;
         let operator = context.operator().await;
-        racing.push(smol::spawn(run_until_ended(operator, entries, line, new_id(), number == 1)));
+        edits.push(smol::spawn(run_until_ended(operator, entries, line, new_id(), number == 1)));
     }
     let mut outcomes = Vec::new();
-    for race in racing {
+    for race in edits {
         outcomes.push(race.await);
     }
     let (present, writes) = weight(context, branch).await;
@@ -184,9 +184,9 @@
                 return Some("the successful edit is not in the store");
             }
             let loser = self.outcomes[1 - winner].as_ref();
-            let told = loser.is_some_and(|outcome| outcome.state == OutcomeState::Conflict);
+            let reported = loser.is_some_and(|outcome| outcome.state == OutcomeState::Conflict);
             let is_open = loser.is_none_or(|outcome| outcome.state == OutcomeState::Unknown);
-            return (!told && !is_open).then_some("the other operator got no conflict");
+            return (!reported && !is_open).then_some("the other operator got no conflict");
         }
         let denied = |state: &Option<OutcomeState>| {
             matches!(state, Some(OutcomeState::Conflict | OutcomeState::Failed))
@@ -199,7 +199,7 @@
 /// A top-up that was sent several times, and the state in each answer.
 struct RepeatedTopUp {
     amount: TokenCount,
-    told: Vec<Option<OutcomeState>>,
+    reported: Vec<Option<OutcomeState>>,
 }
 
 /// Sends one top-up through three entries concurrently, with the same id.
@@ -211,21 +211,21 @@
 ) -> RepeatedTopUp {
     let command = new_id();
     context.begin_top_up(branch, amount).await;
-    let mut giving = Vec::new();
+    let mut sends = Vec::new();
     for number in 0..3 {
         let line = format!("top-up {branch} {amount}");
         let entries = entries_from(context, index + number).await;
         let operator = context.operator().await;
-        giving.push(smol::spawn(run_until_ended(operator, entries, line, command, number == 2)));
+        sends.push(smol::spawn(run_until_ended(operator, entries, line, command, number == 2)));
     }
-    let mut told = Vec::new();
-    for given in giving {
-        told.push(given.await.map(|outcome| outcome.state));
+    let mut reported = Vec::new();
+    for send in sends {
+        reported.push(send.await.map(|outcome| outcome.state));
     }
-    if told.iter().flatten().any(|state| state.is_success()) {
+    if reported.iter().flatten().any(|state| state.is_success()) {
         context.end_top_up(branch, amount).await;
     }
-    RepeatedTopUp { amount, told }
+    RepeatedTopUp { amount, reported }
 }
 
 /// Checks the sum, in which each amount is one bit: a top-up with a success is in it once, and a
@@ -238,16 +238,17 @@
         return;
     }
     for top_up in top_ups {
-        let is_there = added.0 & top_up.amount.0 != 0;
-        let is_done = top_up.told.iter().flatten().any(|state| state.is_success());
-        let is_denied = top_up.told.iter().flatten().any(|state| {
+        let is_applied = added.0 & top_up.amount.0 != 0;
+        let is_done = top_up.reported.iter().flatten().any(|state| state.is_success());
+        let is_denied = top_up.reported.iter().flatten().any(|state| {
             matches!(state, OutcomeState::Failed | OutcomeState::Refused | OutcomeState::Conflict)
         });
-        if (is_done && !is_there) || (is_denied && is_there) {
-            let told = &top_up.told;
-            context
-                .fault_log
-                .record_race_fault(format!("top-up of {} tokens: answers {told:?}", top_up.amount));
+        if (is_done && !is_applied) || (is_denied && is_applied) {
+            let reported = &top_up.reported;
+            context.fault_log.record_race_fault(format!(
+                "top-up of {} tokens: answers {reported:?}",
+                top_up.amount
+            ));
         }
     }
 }
--- a/crates/sagespool-testkit/src/load/faults/stale_order.rs
+++ b/crates/sagespool-testkit/src/load/faults/stale_order.rs
@@ -69,10 +69,10 @@
     let line = format!("unload {model} on {upstream}");
     let fault_log = context.fault_log.clone();
     smol::spawn(async move {
-        if let Err(fault) = operator.run_command(address, &line, command).await
-            && !fault.contains("no answer")
+        if let Err(error) = operator.run_command(address, &line, command).await
+            && !error.contains("no answer")
         {
-            fault_log.add_finding(format!("order failed: {fault}"));
+            fault_log.add_finding(format!("order failed: {error}"));
         }
     })
 }
--- a/crates/sagespool-testkit/src/load/operator_oracle.rs
+++ b/crates/sagespool-testkit/src/load/operator_oracle.rs
@@ -31,7 +31,7 @@
     pub writes: &'a [AppliedWrite],
     /// The instances of entries; [`AnswerSample::entry`] is an index into them.
     pub entries: &'a [InstanceName],
-    /// The upstream beside each sidecar.
+    /// The upstream of each sidecar.
     pub upstreams: &'a BTreeMap<InstanceName, UpstreamName>,
 }
 
@@ -107,9 +107,9 @@
 
 fn judge_basis(sample: &AnswerSample, facts: &AnswerFacts, verdict: &mut AnswerVerdict) {
     let basis = &sample.answer.basis;
-    let asked = facts.entries.get(sample.entry);
-    verdict.check(sample, asked == Some(&basis.entry.instance), || {
-        format!("query went to {asked:?}; answer names {}", basis.entry.instance)
+    let queried = facts.entries.get(sample.entry);
+    verdict.check(sample, queried == Some(&basis.entry.instance), || {
+        format!("query went to {queried:?}; answer names {}", basis.entry.instance)
     });
     if let StoreBasis::Read { revision } = basis.store {
         let newest = revision_at(facts, sample.after, |_| true);
--- a/crates/sagespool-testkit/src/load/operator_oracle/fleet.rs
+++ b/crates/sagespool-testkit/src/load/operator_oracle/fleet.rs
@@ -32,7 +32,7 @@
 }
 
 /// Routed runs at an upstream that were running throughout the query.
-fn runs_through<'a>(
+fn runs_throughout<'a>(
     facts: &'a AnswerFacts,
     sample: &AnswerSample,
     upstream: &UpstreamName,
@@ -65,7 +65,7 @@
         .filter(|label| label.role == MemberRole::Sidecar && !answer.cut.contains(&label.instance));
     for label in whole {
         let Some(upstream) = facts.upstreams.get(&label.instance) else { continue };
-        for run in runs_through(facts, sample, upstream) {
+        for run in runs_throughout(facts, sample, upstream) {
             let request = run.start.request.clone().unwrap_or_default();
             let is_listed = listed.contains(&(upstream, request.clone()));
             verdict.check(sample, is_listed, || {
@@ -160,13 +160,13 @@
     verdict: &mut AnswerVerdict,
 ) {
     let upstream = &row.upstream;
-    let beside = facts.upstreams.get(&row.sidecar.instance);
-    verdict.check(sample, beside == Some(upstream), || {
+    let expected = facts.upstreams.get(&row.sidecar.instance);
+    verdict.check(sample, expected == Some(upstream), || {
         format!("{upstream} listed with sidecar {}; not its sidecar", row.sidecar.instance)
     });
-    let through = runs_through(facts, sample, upstream).len() as u32;
-    verdict.check(sample, row.in_flight.is_none_or(|told| told >= through), || {
-        format!("{upstream} listed with {:?} in flight; {through} were running", row.in_flight)
+    let throughout = runs_throughout(facts, sample, upstream).len() as u32;
+    verdict.check(sample, row.in_flight.is_none_or(|reported| reported >= throughout), || {
+        format!("{upstream} listed with {:?} in flight; {throughout} were running", row.in_flight)
     });
     let from = ClockTime(sample.before.0.saturating_sub(REPORT_AGE.as_micros() as u64));
     let most = max_concurrent_runs(facts, upstream, from, sample.after);
@@ -227,9 +227,9 @@
     let instance = &row.member.instance;
     let own = || facts.process_events.iter().filter(|event| event.instance == *instance);
     if row.leaving {
-        let was_told =
+        let was_stopped =
             own().any(|event| event.kind != ProcessEventKind::Started && event.at <= sample.after);
-        verdict.check(sample, was_told, || format!("{instance} listed as leaving; not stopped"));
+        verdict.check(sample, was_stopped, || format!("{instance} listed as leaving; not stopped"));
     }
     let Some(up_ms) = row.up_ms else { return };
     let starts = own().filter(|event| event.kind == ProcessEventKind::Started);
@@ -242,9 +242,9 @@
     verdict.check(sample, !is_down, || format!("{instance} listed as answering; it was down"));
     let first = starts.clone().map(|start| start.at).min();
     let longest = first.map(|first| sample.after.since(first) + START_GRACE);
-    let told = Duration::from_millis(up_ms);
-    verdict.check(sample, longest.is_some_and(|longest| told <= longest), || {
-        format!("{instance} is said to be up for {up_ms} ms")
+    let reported = Duration::from_millis(up_ms);
+    verdict.check(sample, longest.is_some_and(|longest| reported <= longest), || {
+        format!("{instance} listed with an uptime of {up_ms} ms; longer than since its first start")
     });
 }
 
@@ -264,8 +264,9 @@
     }
     let newest = revision_at(facts, sample.after, |key| key.starts_with(CONFIGURATION_PREFIX));
     let rows = answer.in_force.entries.iter().chain(&answer.in_force.sidecars);
-    let told = rows.map(|row| row.version.0).chain(answer.entry_version.map(|version| version.0));
-    for version in told {
+    let reported =
+        rows.map(|row| row.version.0).chain(answer.entry_version.map(|version| version.0));
+    for version in reported {
         verdict.check(sample, version <= newest.0, || {
             format!("version {version} listed as in force; the newest is {newest}")
         });
--- a/crates/sagespool-testkit/src/load/operator_oracle/spend.rs
+++ b/crates/sagespool-testkit/src/load/operator_oracle/spend.rs
@@ -25,11 +25,11 @@
 /// The lower bound of what a branch was billed until a time: the bills that callers received.
 fn min_billed(facts: &AnswerFacts, branch: &BranchName, at: ClockTime) -> TokenCount {
     let records = facts.records.iter().filter(|record| record.call.branch() == branch);
-    let told = |record: &&CallRecord| {
+    let reported = |record: &&CallRecord| {
         let mut sends = record.sends.iter();
         sends.any(|send| matches!(send.outcome, CallOutcome::Whole { .. }) && send.ended <= at)
     };
-    records.filter(told).map(CallRecord::billed).sum()
+    records.filter(reported).map(CallRecord::billed).sum()
 }
 
 /// The upper bound of what a branch was billed until a time, over all calls with a started run.
@@ -59,10 +59,10 @@
     verdict.check(sample, row.spent.least <= most, || {
         format!("{} listed with at least {} spent; at most {most}", row.branch, row.spent.least)
     });
-    if let Some(told) = row.spent.most {
+    if let Some(reported) = row.spent.most {
         let least = min_billed(facts, &row.branch, sample.before);
-        verdict.check(sample, told >= least, || {
-            format!("{} listed with at most {told} spent; at least {least}", row.branch)
+        verdict.check(sample, reported >= least, || {
+            format!("{} listed with at most {reported} spent; at least {least}", row.branch)
         });
     }
 }
@@ -97,15 +97,15 @@
     facts: &AnswerFacts,
     verdict: &mut AnswerVerdict,
 ) {
-    let (Some(told), Some(book)) = (row.running.most, &row.book) else { return };
-    let through = facts.runs.iter().filter(|run| {
+    let (Some(reported), Some(book)) = (row.running.most, &row.book) else { return };
+    let throughout = facts.runs.iter().filter(|run| {
         let marker = run.start.marker.as_ref();
         marker.is_some_and(|marker| marker.branch == row.branch)
             && run.running_at(sample.before)
             && run.running_at(sample.after)
     });
-    let used: TokenCount = through.map(|run| run.used_at(sample.before).least).sum();
-    verdict.check(sample, told + book.in_doubt >= used, || {
-        format!("{} listed with at most {told} for running requests; {used} used", row.branch)
+    let used: TokenCount = throughout.map(|run| run.used_at(sample.before).least).sum();
+    verdict.check(sample, reported + book.in_doubt >= used, || {
+        format!("{} listed with at most {reported} for running requests; {used} used", row.branch)
     });
 }
--- a/crates/sagespool-testkit/src/load/oracle.rs
+++ b/crates/sagespool-testkit/src/load/oracle.rs
@@ -254,7 +254,7 @@
 ) -> Vec<BalanceStep> {
     let mut steps = Vec::new();
     let mut before = TokenCount::ZERO;
-    for at in input.deposits.moments(branch) {
+    for at in input.deposits.effective_times(branch) {
         let prepaid = input.deposits.prepaid_at(branch, at);
         steps.push(BalanceStep { at, change: prepaid.saturating_sub(before).0 as i64 });
         before = prepaid;
--- a/crates/sagespool-testkit/src/load/stats.rs
+++ b/crates/sagespool-testkit/src/load/stats.rs
@@ -87,7 +87,7 @@
 pub struct GreedEffect {
     /// Of the first token.
     pub first_token_p99: f64,
-    /// Of the whole answer.
+    /// Of the time to the end of the answer.
     pub whole_p99: f64,
 }
 
--- a/crates/sagespool-testkit/tests/plain_service.rs
+++ b/crates/sagespool-testkit/tests/plain_service.rs
@@ -205,11 +205,11 @@
                 let _ = send("POST", service.address(), "/x", &[], "").await;
                 json!("the call ended")
             };
-            let look = async {
+            let load_call = async {
                 until("it runs", || service.current_load().running == 1).await;
                 get(service.address(), "/load").await.unwrap().json()
             };
-            let load = futures_lite::future::or(call, look).await;
+            let load = futures_lite::future::or(call, load_call).await;
             assert_eq!(load["running"], json!(running), "lag {lag:?}");
             assert_eq!(load["waiting"], json!(0));
             assert_eq!(load["capacity"], json!(3));
