--- a/crates/sagespool-testkit/tests/answer_oracle.rs
+++ b/crates/sagespool-testkit/tests/answer_oracle.rs
@@ -1,4 +1,4 @@
-//! The judgements of operators' answers and of leaving upstreams find what is false.
+//! The oracles for operators' answers and for leaving upstreams detect violations.
 
 #![allow(clippy::unwrap_used)]
 
@@ -7,7 +7,7 @@
 
 use sagespool_messages::UpstreamKind;
 use sagespool_testkit::load::{
-    AnswerFacts, AnswerSample, DepositLog, FleetNotes, judge_answers, judge_leaving,
+    AnswerFacts, AnswerSample, DepositLog, FaultLog, judge_answers, judge_leaving,
 };
 use sagespool_testkit::{RunEnd, RunLog, RunStart};
 use sagespool_types::{BranchName, ClockTime, TokenCount, UpstreamName};
@@ -17,7 +17,7 @@
     ClockTime::default().after(Duration::from_secs(number))
 }
 
-/// An answer to `spend first`, asked and answered at 20 s.
+/// An answer to `spend first`, sent and received at 20 s.
 fn spend_sample(prepaid: u64, settled: u64, least: u64) -> AnswerSample {
     let entry = json!({"instance": "east-entry-1", "incarnation": "1", "role": "entry"});
     let answer = json!({
@@ -47,14 +47,14 @@
     let branch: BranchName = "first".parse().unwrap();
     let mut deposits = DepositLog::default();
     for (amount, at) in [(100, 1), (50, 10), (30, 30)] {
-        deposits.begin(&branch, TokenCount(amount), seconds(at));
+        deposits.note_started(&branch, TokenCount(amount), seconds(at));
         deposits.note(&branch, TokenCount(amount), seconds(at + 1));
     }
     let facts = AnswerFacts {
         records: &[],
         runs: &[],
         deposits: &deposits,
-        notes: &FleetNotes::default(),
+        fault_log: &FaultLog::default(),
         process_events: &[],
         writes: &[],
         entries: &["east-entry-1".parse().unwrap()],
@@ -63,22 +63,22 @@
     judge_answers(&[sample], &facts).false_statements
 }
 
-/// Nothing ran, and 150 tokens were prepaid by the moment of the answer.
+/// Nothing ran, and 150 tokens were prepaid at the time of the answer.
 #[test]
 fn spend_answers() {
     assert_eq!(false_statements(spend_sample(150, 0, 0)), 0);
-    assert_eq!(false_statements(spend_sample(180, 0, 0)), 1, "a deposit that came later");
+    assert_eq!(false_statements(spend_sample(180, 0, 0)), 1, "a deposit that is made later");
     assert_eq!(false_statements(spend_sample(100, 0, 0)), 1, "a deposit is missing");
     assert_eq!(false_statements(spend_sample(150, 5, 0)), 1, "nothing was billed");
     assert_eq!(false_statements(spend_sample(150, 0, 5)), 1, "nothing was spent");
 }
 
-/// A run that came 4 s after its upstream began to leave, and one that was cut off.
+/// A run that arrived 4 s after its upstream began to leave, and one that was interrupted.
 #[test]
 fn late_runs() {
     let upstream: UpstreamName = "engines-1".parse().unwrap();
-    let (run_log, notes) = (RunLog::new(), FleetNotes::default());
-    let span = notes.begin(&upstream, "stop", seconds(10));
+    let (run_log, fault_log) = (RunLog::new(), FaultLog::default());
+    let span = fault_log.begin_leaving(&upstream, "stop", seconds(10));
     for (at, end) in [(12, RunEnd::Finished), (14, RunEnd::Finished), (12, RunEnd::Dropped)] {
         let start = RunStart {
             upstream: upstream.clone(),
@@ -93,7 +93,7 @@
         };
         run_log.start(start, seconds(at)).end(end, seconds(at + 1));
     }
-    notes.end(span, seconds(20), true);
-    let verdict = judge_leaving(&[], &run_log, &notes);
+    fault_log.end_leaving(span, seconds(20), true);
+    let verdict = judge_leaving(&[], &run_log, &fault_log);
     assert_eq!((verdict.cut, verdict.late_dispatches, verdict.not_resumed), (1, 1, 1));
 }
