--- a/crates/sagespool-daemon/src/main.rs
+++ b/crates/sagespool-daemon/src/main.rs
@@ -9,7 +9,8 @@
 
 use crate::options::DaemonOptions;
 
-const USAGE_FAULT: u8 = 2;
+/// Exit code for wrong arguments.
+const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
     let options = DaemonOptions::parse_args_default_or_exit();
@@ -21,7 +22,7 @@
         eprintln!(
             "sagespoold needs a settings file\nhelp: sagespoold FILE, for example examples/entry.json"
         );
-        return ExitCode::from(USAGE_FAULT);
+        return ExitCode::from(EXIT_USAGE);
     };
     process::run(&path)
 }
--- a/crates/sagespool-daemon/src/process.rs
+++ b/crates/sagespool-daemon/src/process.rs
@@ -1,4 +1,4 @@
-//! One process from its settings to its graceful stop.
+//! Runs one process, from loading its settings to its graceful stop.
 
 use std::fs;
 use std::path::Path;
@@ -16,20 +16,20 @@
 };
 use sagespool_sidecar::SidecarRole;
 
-/// The settings are not acceptable.
-const SETTINGS_FAULT: u8 = 2;
-/// The process couldn't start.
-const START_FAULT: u8 = 1;
-/// The process stopped, but something was still running or couldn't be handed back.
-const UNCLEAN_STOP: u8 = 3;
+/// Exit code: the settings are invalid.
+const EXIT_INVALID_SETTINGS: u8 = 2;
+/// Exit code: the process couldn't start.
+const EXIT_START_FAILED: u8 = 1;
+/// Exit code: requests were cut off at the stop, or state couldn't be written or returned.
+const EXIT_UNCLEAN_STOP: u8 = 3;
 
-/// A role that runs.
+/// A running entry or sidecar.
 enum RunningRole {
     Entry(EntryRole),
     Sidecar(SidecarRole),
 }
 
-/// Runs a process from its settings file until it is told to stop.
+/// Runs a process from its settings file until a signal or an operator stops it. Returns its exit code.
 pub fn run(path: &Path) -> ExitCode {
     if file_is_direct(path) {
         return run_direct(path);
@@ -38,27 +38,28 @@
         Ok(settings) => settings,
         Err(report) => {
             eprintln!("{report:?}");
-            return ExitCode::from(SETTINGS_FAULT);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     start_log(settings.log.level);
-    // Not smol's `block_on`: it would take the reactor from the executor's thread in turns, and each
-    // event would cost a wake-up of this thread and another of the one that handles it.
+    // Not smol's `block_on`: it would drive the reactor alternately with the executor's thread, so that
+    // each event would wake this thread and then the thread that handles the event.
     futures_lite::future::block_on(run_role(settings))
 }
 
-/// A file that can't be read is reported by whoever loads it.
+/// Whether a settings file is for a gateway or a relay. False for an unreadable file: loading it
+/// reports the error.
 fn file_is_direct(path: &Path) -> bool {
     fs::read_to_string(path).is_ok_and(|text| is_gateway_or_relay(&text))
 }
 
-/// Runs a gateway or a relay.
+/// Runs a gateway or a relay until a signal stops it.
 fn run_direct(path: &Path) -> ExitCode {
     let settings = match load_gateway_or_relay(path) {
         Ok(settings) => settings,
         Err(report) => {
             eprintln!("{report:?}");
-            return ExitCode::from(SETTINGS_FAULT);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     let level = match &settings {
@@ -67,13 +68,13 @@
     };
     if let Err(error) = start_log_queued(level) {
         eprintln!("can't start the log: {error}");
-        return ExitCode::from(START_FAULT);
+        return ExitCode::from(EXIT_START_FAILED);
     }
     let signals = match Signals::new([Signal::Term, Signal::Int, Signal::Hup]) {
         Ok(signals) => signals,
         Err(error) => {
             log_event!(error, "signals-unavailable", error = error);
-            return ExitCode::from(START_FAULT);
+            return ExitCode::from(EXIT_START_FAILED);
         }
     };
     let dialect = sagespool_adapter::wire_dialect();
@@ -106,23 +107,27 @@
         Err(report) => {
             let help = report.current_context().help();
             log_event!(error, "start-failed", detail = format!("{report:?}"), help = help);
-            return ExitCode::from(START_FAULT);
+            return ExitCode::from(EXIT_START_FAILED);
         }
     };
     let reload = |settings| match settings {
         GatewayOrRelaySettings::Gateway(gateway) => role.reload(&gateway),
         GatewayOrRelaySettings::Relay(_) => {
-            log_event!(error, "settings-kept", detail = "a gateway doesn't become a relay");
+            log_event!(
+                error,
+                "settings-kept",
+                detail = "the role can't change from gateway to relay by a reload"
+            );
         }
     };
     wait_for_stop(signals, reload, path).await;
     log_event!(info, "stop-asked", by = "signal", limit_ms = stop_limit.as_millis());
     let report = role.stop(stop_limit).await;
-    if report.cut == 0 { ExitCode::SUCCESS } else { ExitCode::from(UNCLEAN_STOP) }
+    if report.cut == 0 { ExitCode::SUCCESS } else { ExitCode::from(EXIT_UNCLEAN_STOP) }
 }
 
-/// Waits for a signal to stop. At a signal to reload the settings are read again; a file with
-/// faults changes nothing.
+/// Waits for SIGTERM or SIGINT. On SIGHUP the settings are reloaded; with an invalid file the current
+/// settings stay.
 async fn wait_for_stop(mut signals: Signals, reload: impl Fn(GatewayOrRelaySettings), path: &Path) {
     while let Some(Ok(Signal::Hup)) = signals.next().await {
         match load_gateway_or_relay(path) {
@@ -135,13 +140,13 @@
 }
 
 async fn run_role(settings: ProcessSettings) -> ExitCode {
-    // Signals are taken before anything starts, so that none is missed.
+    // Signal handlers are installed before anything starts, so that no signal is missed.
     let signals = Signals::new([Signal::Term, Signal::Int]);
     let mut signals = match signals {
         Ok(signals) => signals,
         Err(error) => {
             log_event!(error, "signals-unavailable", error = error);
-            return ExitCode::from(START_FAULT);
+            return ExitCode::from(EXIT_START_FAILED);
         }
     };
     let stop_limit = settings.stop_limit;
@@ -149,7 +154,7 @@
         Ok(role) => role,
         Err(detail) => {
             log_event!(error, "start-failed", detail = detail);
-            return ExitCode::from(START_FAULT);
+            return ExitCode::from(EXIT_START_FAILED);
         }
     };
     let reason = futures_lite::future::or(
@@ -165,7 +170,7 @@
     .await;
     log_event!(info, "stop-asked", by = reason, limit_ms = stop_limit.as_millis());
     let clean = stop_role(role, stop_limit).await;
-    if clean { ExitCode::SUCCESS } else { ExitCode::from(UNCLEAN_STOP) }
+    if clean { ExitCode::SUCCESS } else { ExitCode::from(EXIT_UNCLEAN_STOP) }
 }
 
 fn start_role(settings: ProcessSettings) -> Result<RunningRole, String> {
@@ -181,7 +186,7 @@
     }
 }
 
-/// Resolves when the platform takes the instance away, or an operator stops the process.
+/// Resolves when the platform removes the instance, or an operator stops the process.
 async fn leave_requested(role: &RunningRole) {
     match role {
         RunningRole::Entry(entry) => entry.leave_requested().await,
@@ -189,6 +194,8 @@
     }
 }
 
+/// Stops a role gracefully. Returns whether all requests completed and all state was written or
+/// returned.
 async fn stop_role(role: RunningRole, limit: Duration) -> bool {
     match role {
         RunningRole::Entry(entry) => {
--- a/crates/sagespool-daemon/tests/claimed_letter.rs
+++ b/crates/sagespool-daemon/tests/claimed_letter.rs
@@ -1,4 +1,4 @@
-//! A letter whose entry dies after it was claimed, while the store is out of reach.
+//! Non-idempotent calls (letters) whose entry dies after the claim, while the store is unreachable.
 
 mod common;
 
@@ -10,13 +10,13 @@
 use sagespool_types::KeyDigest;
 
 const KEY: &str = "letter";
-const PATIENCE: Duration = Duration::from_secs(2);
+const CALL_DEADLINE: Duration = Duration::from_secs(2);
 
-fn outage(fleet: &TestFleet, outage: bool) {
+fn set_outage(fleet: &TestFleet, outage: bool) {
     fleet.change_store(|faults| faults.outage = outage);
 }
 
-/// True if the store holds a claim on the letter's key.
+/// Whether the store has a claim on the letter's key.
 fn is_claimed(fleet: &TestFleet) -> bool {
     let key = KeyDigest::of(&branch(BRANCH), KEY);
     let held = fleet.store.object(&claim_key(claim_shard(key)));
@@ -24,24 +24,29 @@
     record.is_some_and(|record| record.is_claimed(key))
 }
 
-/// Sends the letter again through an entry with little time; it must be told that nobody knows.
-async fn told_unknown(fleet: &TestFleet, letter: &PlannedCall, entry: usize, reason: &str) {
-    let again = send(fleet, &patient(letter.clone(), PATIENCE), entry).await;
+/// Sends the letter again with a short deadline, and asserts the run state `unknown`.
+async fn assert_outcome_unknown(
+    fleet: &TestFleet,
+    letter: &PlannedCall,
+    entry: usize,
+    reason: &str,
+) {
+    let again = send(fleet, &with_deadline(letter.clone(), CALL_DEADLINE), entry).await;
     assert_eq!(refusal(&again), Some((reason, "unknown")), "{again:?}");
 }
 
 #[test]
 fn claimed_unsent() {
-    // A letter is claimed in the store, but its dispatch doesn't get through to the sidecar, and its
-    // entry dies. Another serves the branch when the store goes away, and the caller comes back: the
-    // claim can't be seen, nor what became of it. Told `not-run`, the caller would write the letter
-    // anew under another key. When the store is back, the sidecar says that the letter never came,
-    // and it goes out once.
+    // A letter is claimed in the store, but its dispatch doesn't reach the sidecar, and its entry
+    // dies. Another entry serves the branch when the store becomes unreachable, and the caller
+    // retries: neither the claim nor its outcome can be read. A reply `not-run` would make the caller
+    // send the letter again under another key. When the store is back, the sidecar reports that it
+    // never received the letter, and the letter runs once.
     run(async {
         let start = SmallFleet { proxied: true, ..Default::default() };
         let mut fleet = start.start().await;
         let entries = home_of(&fleet, BRANCH).await;
-        let mut records = warm_up(&fleet, &entries, BRANCH).await;
+        let mut records = build_up_grants(&fleet, &entries, BRANCH).await;
         let BranchHome { home, other, first, .. } = entries;
         records.push(first);
         let sidecar = fleet.sidecars(LETTERS)[0];
@@ -49,7 +54,7 @@
         fleet.proxy.as_ref().expect("the fleet is proxied").cut(&names[0], &names[1]);
         let letter = letter(BRANCH, KEY);
         let first_send = start_send(&fleet, &letter, home);
-        until("the letter is claimed", || is_claimed(&fleet)).await;
+        wait_until("the letter is claimed", || is_claimed(&fleet)).await;
         fleet.kill(home);
         let first_send = first_send.await;
         for _ in 0..4 {
@@ -58,56 +63,57 @@
             assert!(is_own_whole(&served_send), "{served_send:?}");
             records.push(record(&served, [served_send]));
         }
-        until_settled(&fleet, BRANCH, records.iter().map(|record| record.billed().0).sum()).await;
+        wait_until_settled(&fleet, BRANCH, records.iter().map(|record| record.billed().0).sum())
+            .await;
         let holder = incarnation_of(&fleet, other).await;
-        until("the other entry holds grants ahead of need", || {
+        wait_until("the other entry holds grants ahead of need", || {
             let grants = account(&fleet, BRANCH).grants.into_iter();
             let own = grants.filter(|(id, _)| id.holder == holder);
-            own.map(|(_, grant)| grant.unsettled_amount().0).sum::<u64>() >= HELD
+            own.map(|(_, grant)| grant.unsettled_amount().0).sum::<u64>() >= MIN_HELD_TOKENS
         })
         .await;
-        outage(&fleet, true);
-        told_unknown(&fleet, &letter, other, "claim-unreachable").await;
+        set_outage(&fleet, true);
+        assert_outcome_unknown(&fleet, &letter, other, "claim-unreachable").await;
         assert!(runs_of(&fleet, &letter).is_empty(), "{:?}", runs_of(&fleet, &letter));
 
-        outage(&fleet, false);
+        set_outage(&fleet, false);
         let again = send(&fleet, &letter, other).await;
         assert!(is_own_whole(&again), "{again:?}");
         assert_eq!(runs_of(&fleet, &letter).len(), 1, "runs of the letter");
         records.push(record(&letter, [first_send, again]));
-        assert_promises(&fleet, &records);
+        assert_guarantees(&fleet, &records);
     });
 }
 
 #[test]
 fn sent_and_forgotten() {
-    // A letter is on its way when the store goes away, its entry dies and its sidecar is replaced:
-    // no process is left that knows of it. The caller comes back, during the outage and after it.
-    // It is told each time that the outcome is unknown, and the letter doesn't go out again.
+    // A letter is running when the store becomes unreachable, its entry dies and its sidecar is
+    // replaced: no process has a record of it. The caller retries during the outage and after it.
+    // Each reply must report an unknown outcome, and the letter must not run again.
     run(async {
         let start = SmallFleet { proxied: true, answer_ms: 2000, ..Default::default() };
         let mut fleet = start.start().await;
         let entries = home_of(&fleet, BRANCH).await;
-        let mut records = warm_up(&fleet, &entries, BRANCH).await;
+        let mut records = build_up_grants(&fleet, &entries, BRANCH).await;
         let BranchHome { home, other, first, .. } = entries;
         records.push(first);
         let letter = letter(BRANCH, KEY);
         let first_send = start_send(&fleet, &letter, home);
-        until("the letter runs", || !runs_of(&fleet, &letter).is_empty()).await;
-        outage(&fleet, true);
+        wait_until("the letter runs", || !runs_of(&fleet, &letter).is_empty()).await;
+        set_outage(&fleet, true);
         let sidecar = fleet.sidecars(LETTERS)[0];
         fleet.kill(home);
         fleet.kill(sidecar);
         fleet.start_member(sidecar).expect("a sidecar can be started again");
         let first_send = first_send.await;
-        told_unknown(&fleet, &letter, other, "budget-unreachable").await;
+        assert_outcome_unknown(&fleet, &letter, other, "budget-unreachable").await;
 
-        outage(&fleet, false);
-        until_ready(&fleet, sidecar).await;
+        set_outage(&fleet, false);
+        wait_until_ready(&fleet, sidecar).await;
         let again = send(&fleet, &letter, other).await;
         assert_eq!(refusal(&again), Some(("outcome-unknown", "unknown")), "{again:?}");
         assert_eq!(runs_of(&fleet, &letter).len(), 1, "runs of the letter");
         records.push(record(&letter, [first_send, again]));
-        assert_promises_but_refusals(&fleet, &records);
+        assert_guarantees_but_refusals(&fleet, &records);
     });
 }
--- a/crates/sagespool-daemon/tests/common/calls.rs
+++ b/crates/sagespool-daemon/tests/common/calls.rs
@@ -1,4 +1,4 @@
-//! Calls as callers make them, each with its marker for the upstreams' log.
+//! Calls of callers, each with a unique marker by which the upstreams' run log identifies it.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -10,7 +10,9 @@
 use sagespool_testkit::{RunMarker, RunRecord, prompt_tokens};
 use sagespool_types::TokenCount;
 
-use super::{LETTER_PRICE, LETTERS, MODEL, TestFleet, branch, token_of, until, until_settled};
+use super::{
+    LETTER_PRICE, LETTERS, MODEL, TestFleet, branch, token_of, wait_until, wait_until_settled,
+};
 
 static NEXT_NUMBER: AtomicU64 = AtomicU64::new(1);
 
@@ -26,7 +28,7 @@
         .build()
 }
 
-/// A completion whose answer has so many tokens, as events.
+/// A streaming completion whose answer has `length` tokens.
 pub fn completion(name: &str, length: u32) -> PlannedCall {
     call(name, |marker| CallKind::Completion {
         model: MODEL.parse().expect("the name is valid"),
@@ -37,9 +39,9 @@
     })
 }
 
-/// A completion that costs exactly so much if its answer comes whole.
-pub fn costing(name: &str, tokens: u64) -> PlannedCall {
-    // The length is part of the prompt; a fixed width keeps the prompt's cost the same.
+/// A completion that costs exactly `tokens` if its answer comes whole.
+pub fn completion_costing(name: &str, tokens: u64) -> PlannedCall {
+    // The length is part of the prompt. A fixed width keeps the cost of the prompt constant.
     let mut planned = completion(name, 0);
     let CallKind::Completion { prompt, max_tokens, length, .. } = &mut planned.kind else {
         unreachable!("a completion")
@@ -53,7 +55,7 @@
     planned
 }
 
-/// A letter, which may never be sent twice.
+/// A non-idempotent call of the plain service, which must never run twice.
 pub fn letter(name: &str, key: &str) -> PlannedCall {
     let mut planned = call(name, |marker| CallKind::Service {
         service: LETTERS.parse().expect("the name is valid"),
@@ -66,44 +68,44 @@
     planned
 }
 
-/// The same call with less time.
-pub fn patient(call: PlannedCall, deadline: Duration) -> PlannedCall {
+/// The same call with another deadline.
+pub fn with_deadline(call: PlannedCall, deadline: Duration) -> PlannedCall {
     PlannedCall { deadline, ..call }
 }
 
 /// The same call with an idempotency key.
-pub fn keyed(call: PlannedCall, key: &str) -> PlannedCall {
+pub fn with_key(call: PlannedCall, key: &str) -> PlannedCall {
     PlannedCall { key: Some(key.to_owned()), ..call }
 }
 
-/// Sends a call through an entry, by its place, and waits for its end.
+/// Sends a call to an entry, given by its member index, and waits for its outcome.
 pub async fn send(fleet: &TestFleet, call: &PlannedCall, entry: usize) -> SendRecord {
     LoadCaller::new().send(call, entry, fleet.members[entry].http).await
 }
 
-/// Sends a call in the background, so that something can be done to the fleet meanwhile.
+/// Sends a call in a background task.
 pub fn start_send(fleet: &TestFleet, call: &PlannedCall, entry: usize) -> smol::Task<SendRecord> {
     let (call, address) = (call.clone(), fleet.members[entry].http);
     smol::spawn(async move { LoadCaller::new().send(&call, entry, address).await })
 }
 
-/// The runs of a call, as the upstreams saw them.
+/// The runs of a call in the upstreams' run log.
 pub fn runs_of(fleet: &TestFleet, call: &PlannedCall) -> Vec<RunRecord> {
     fleet.run_log.runs_of(&call.marker)
 }
 
-/// Waits until an engine makes tokens for a call.
-pub async fn until_running(fleet: &TestFleet, call: &PlannedCall) {
+/// Waits until an engine has generated the first token for a call.
+pub async fn wait_until_running(fleet: &TestFleet, call: &PlannedCall) {
     let runs = || runs_of(fleet, call);
-    until("the call runs", || runs().iter().any(|run| run.first_at.is_some())).await;
+    wait_until("the call runs", || runs().iter().any(|run| run.first_at.is_some())).await;
 }
 
-/// True if a send brought the call's own answer, whole.
+/// Whether a send was answered with the call's own answer, whole.
 pub fn is_own_whole(send: &SendRecord) -> bool {
     matches!(send.outcome, CallOutcome::Whole { is_own: true, .. })
 }
 
-/// The reason and the run state of a refusal.
+/// The reason and the run state of a refusal; `None` for other outcomes.
 pub fn refusal(send: &SendRecord) -> Option<(&str, &str)> {
     match &send.outcome {
         CallOutcome::Refused { reason, run_state, .. } => Some((reason, run_state)),
@@ -111,64 +113,64 @@
     }
 }
 
-/// A call with everything that came of it.
+/// A call with the outcomes of all its sends.
 pub fn record(call: &PlannedCall, sends: impl IntoIterator<Item = SendRecord>) -> CallRecord {
     CallRecord { call: call.clone(), sends: sends.into_iter().collect() }
 }
 
-/// Spends all that a branch has left in one call, which must be answered whole, and waits until the
-/// branch has settled what it prepaid, no more and no less.
-pub async fn spend_rest(
+/// Spends the whole remainder of a branch in one call, which must be answered whole, and waits until
+/// exactly `prepaid` tokens are settled.
+pub async fn spend_remainder(
     fleet: &TestFleet,
     name: &str,
     entry: usize,
     prepaid: u64,
     spent: u64,
 ) -> CallRecord {
-    let rest = costing(name, prepaid - spent);
-    let rest_send = send(fleet, &rest, entry).await;
-    assert!(is_own_whole(&rest_send), "{rest_send:?}");
-    until_settled(fleet, name, prepaid).await;
-    record(&rest, [rest_send])
+    let remainder = completion_costing(name, prepaid - spent);
+    let remainder_send = send(fleet, &remainder, entry).await;
+    assert!(is_own_whole(&remainder_send), "{remainder_send:?}");
+    wait_until_settled(fleet, name, prepaid).await;
+    record(&remainder, [remainder_send])
 }
 
-/// The judgement over calls, from the upstreams' log, the deposits and the books as they are now.
+/// The oracle's verdict on calls, from the upstreams' run log, the deposits and the current books.
 pub fn verdict(fleet: &TestFleet, records: &[CallRecord], deposits: &DepositLog) -> OracleVerdict {
     let books = |key: &str| fleet.store.object(key)?.parse().ok();
     judge(&OracleInput { records, run_log: &fleet.run_log, deposits, books: Some(&books) })
 }
 
-/// Asserts that no promise was broken, with the deposits that the fleet was started with.
-pub fn assert_promises(fleet: &TestFleet, records: &[CallRecord]) {
-    assert_promises_after(fleet, records, &first_deposits(&fleet.options));
+/// Asserts that no guarantee was violated, with the deposits that the fleet was started with.
+pub fn assert_guarantees(fleet: &TestFleet, records: &[CallRecord]) {
+    assert_guarantees_after(fleet, records, &first_deposits(&fleet.options));
 }
 
-/// As [`assert_promises`], but for refusals for budget: while the store is away, or some of the budget
-/// is in doubt, what nobody spent is refused all the same.
-pub fn assert_promises_but_refusals(fleet: &TestFleet, records: &[CallRecord]) {
-    assert_promises_but_refusals_after(fleet, records, &first_deposits(&fleet.options));
+/// As [`assert_guarantees`], but allows refusals for budget: while the store is unreachable, or part of
+/// the budget is in doubt, unspent budget may be refused.
+pub fn assert_guarantees_but_refusals(fleet: &TestFleet, records: &[CallRecord]) {
+    assert_guarantees_but_refusals_after(fleet, records, &first_deposits(&fleet.options));
 }
 
-/// The same with other deposits.
-pub fn assert_promises_but_refusals_after(
+/// As [`assert_guarantees_but_refusals`], with other deposits.
+pub fn assert_guarantees_but_refusals_after(
     fleet: &TestFleet,
     records: &[CallRecord],
     deposits: &DepositLog,
 ) {
     let found = verdict(fleet, records, deposits);
-    assert_kept(&OracleVerdict { false_refusals: 0, ..found });
+    assert_no_violation(&OracleVerdict { false_refusals: 0, ..found });
 }
 
-/// Asserts that no promise was broken.
-pub fn assert_promises_after(fleet: &TestFleet, records: &[CallRecord], deposits: &DepositLog) {
-    assert_kept(&verdict(fleet, records, deposits));
+/// As [`assert_guarantees`], with other deposits.
+pub fn assert_guarantees_after(fleet: &TestFleet, records: &[CallRecord], deposits: &DepositLog) {
+    assert_no_violation(&verdict(fleet, records, deposits));
 }
 
-fn assert_kept(found: &OracleVerdict) {
+fn assert_no_violation(found: &OracleVerdict) {
     let kept = OracleVerdict {
         stranded_tokens: found.stranded_tokens,
         findings: found.findings.clone(),
         ..OracleVerdict::default()
     };
-    assert_eq!(*found, kept, "a promise was broken");
+    assert_eq!(*found, kept, "a guarantee was violated");
 }
--- a/crates/sagespool-daemon/tests/common/links.rs
+++ b/crates/sagespool-daemon/tests/common/links.rs
@@ -1,43 +1,43 @@
-//! Cutting the links between processes, and between them and the platform.
+//! Network partitions between processes, and between processes and the platform.
 
 use super::TestFleet;
 
-/// The store and the instance list, as the fault proxy knows them.
+/// Names of the store and the instance list in the fault proxy.
 const PLATFORM: [&str; 2] = ["store", "list"];
 
-/// A partition: some members on one side, the others and the platform on the other.
-pub struct SplitFleet {
-    lone: Vec<String>,
+/// A network partition: isolated members on one side, the others and the platform on the other.
+pub struct NetworkPartition {
+    isolated: Vec<String>,
     others: Vec<String>,
 }
 
-impl SplitFleet {
-    /// Cuts members, by their places, off from all others and from the platform.
-    pub fn cut(fleet: &TestFleet, lone: &[usize]) -> Self {
+impl NetworkPartition {
+    /// Cuts members, given by their indexes, off from all others and from the platform.
+    pub fn cut(fleet: &TestFleet, isolated: &[usize]) -> Self {
         let name = |place: usize| fleet.members[place].instance.to_string();
-        let others = (0..fleet.members.len()).filter(|place| !lone.contains(place)).map(name);
-        let split = Self {
-            lone: lone.iter().copied().map(name).collect(),
+        let others = (0..fleet.members.len()).filter(|place| !isolated.contains(place)).map(name);
+        let partition = Self {
+            isolated: isolated.iter().copied().map(name).collect(),
             others: others.chain(PLATFORM.map(str::to_owned)).collect(),
         };
         let proxy = fleet.proxy.as_ref().expect("the fleet is proxied");
-        proxy.cut_groups(&refs(&split.lone), &refs(&split.others));
-        split
+        proxy.cut_groups(&refs(&partition.isolated), &refs(&partition.others));
+        partition
     }
 
-    /// Lets the two sides reach each other again.
+    /// Reconnects the two sides.
     pub fn heal(&self, fleet: &TestFleet) {
         let proxy = fleet.proxy.as_ref().expect("the fleet is proxied");
-        proxy.heal_groups(&refs(&self.lone), &refs(&self.others));
+        proxy.heal_groups(&refs(&self.isolated), &refs(&self.others));
     }
 
-    /// Brings one of the lone members over to the others' side.
-    pub fn bring_over(&mut self, fleet: &TestFleet, place: usize) {
+    /// Moves an isolated member to the side of the others and the platform.
+    pub fn move_to_others(&mut self, fleet: &TestFleet, place: usize) {
         let name = fleet.members[place].instance.to_string();
-        self.lone.retain(|lone| *lone != name);
+        self.isolated.retain(|isolated| *isolated != name);
         let proxy = fleet.proxy.as_ref().expect("the fleet is proxied");
         proxy.heal_groups(&[&name], &refs(&self.others));
-        proxy.cut_groups(&[&name], &refs(&self.lone));
+        proxy.cut_groups(&[&name], &refs(&self.isolated));
         self.others.push(name);
     }
 }
@@ -47,8 +47,8 @@
 }
 
 impl TestFleet {
-    /// The sidecar of an engine in the data centre of another member.
-    pub fn engine_beside(&self, member: usize) -> usize {
+    /// The member index of an engine's sidecar in the data centre of `member`.
+    pub fn engine_sidecar_near(&self, member: usize) -> usize {
         let centre = &self.members[member].centre;
         let mut engines = self.sidecars(super::ENGINES).into_iter();
         let beside = engines.find(|place| self.members[*place].centre == *centre);
--- a/crates/sagespool-daemon/tests/common/mod.rs
+++ b/crates/sagespool-daemon/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A small fleet of real processes, and what the tests ask of it.
+//! A small fleet of real processes and helpers for tests on it.
 
-// Each test file uses its own part of this.
+// Each test file uses a part of this module.
 #![allow(dead_code, unused_imports)]
 
 mod books;
@@ -31,36 +31,36 @@
 pub const BRANCH: &str = "ruwi";
 /// A second branch.
 pub const OTHER_BRANCH: &str = "sohar";
-/// The engines' service.
+/// Service name of the engines.
 pub const ENGINES: &str = "engines";
-/// The model that they serve.
+/// The model that the engines serve.
 pub const MODEL: &str = "small-model";
-/// The most tokens of an answer of the model.
-pub const MOST_TOKENS: u32 = 1024;
-/// The plain service.
+/// Limit of `max_tokens` for the model.
+pub const MAX_TOKENS: u32 = 1024;
+/// Name of the plain service.
 pub const LETTERS: &str = "letters";
-/// The price of each of its calls.
+/// Price of each call of the plain service, in tokens.
 pub const LETTER_PRICE: u64 = 3;
 
-/// Nothing that a test waits for takes so long, unless it never comes.
-const WAIT_LIMIT: Duration = Duration::from_secs(25);
-const LOOK_AGAIN: Duration = Duration::from_millis(10);
+/// Longer than any condition that a test waits for takes.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a small fleet is made of: in each of two data centres an entry and an engine, and one
-/// plain service in the first.
+/// Configuration of a small fleet: an entry and an engine in each of two data centres, and one plain
+/// service in the first.
 #[derive(Debug, Clone)]
 pub struct SmallFleet {
-    /// Whether every link passes through the fault proxy.
+    /// Whether all links go through the fault proxy.
     pub proxied: bool,
-    /// What each of the two branches has prepaid.
+    /// Prepaid tokens of each of the two branches.
     pub prepaid: u64,
-    /// Tokens a second of each request at an engine.
+    /// Tokens per second of each request at an engine.
     pub tokens_per_second: u64,
-    /// How long a call of the plain service takes.
+    /// Duration of a call of the plain service.
     pub answer_ms: u64,
-    /// Engines in each data centre.
+    /// Number of engines in each data centre.
     pub engines: u32,
-    /// The least important level of the processes' logs.
+    /// Least severe level in the processes' logs.
     pub log_level: &'static str,
 }
 
@@ -78,11 +78,11 @@
 }
 
 impl SmallFleet {
-    /// Starts it, and waits until its callers can be served and everyone knows everyone.
+    /// Starts the fleet, and waits until it serves callers and all members know each other.
     pub async fn start(self) -> TestFleet {
         let fleet = RunningFleet::start(self.options()).await;
         let fleet = TestFleet { fleet: fleet.expect("the fleet starts") };
-        until_joined(&fleet, fleet.members.len()).await;
+        wait_until_joined(&fleet, fleet.members.len()).await;
         fleet
     }
 
@@ -130,7 +130,7 @@
             {
                 "name": ENGINES,
                 "kind": "engine",
-                "models": [{"name": MODEL, "bytes_per_token": 4, "most_tokens": MOST_TOKENS}],
+                "models": [{"name": MODEL, "bytes_per_token": 4, "most_tokens": MAX_TOKENS}],
             },
             {
                 "name": LETTERS,
@@ -149,28 +149,28 @@
     json!({"branches": {BRANCH: entry(BRANCH), OTHER_BRANCH: entry(OTHER_BRANCH)}})
 }
 
-/// The key of a branch.
+/// The API key of a branch.
 pub fn token_of(branch: &str) -> String {
     format!("{branch}-key-for-tests")
 }
 
-/// A branch by its name.
+/// Parses a branch name.
 pub fn branch(name: &str) -> BranchName {
     name.parse().expect("the name is valid")
 }
 
-/// A fleet that shows its processes' logs if the test fails.
+/// A fleet that prints the ends of its processes' logs if the test panics.
 pub struct TestFleet {
     fleet: RunningFleet,
 }
 
 impl TestFleet {
-    /// The places of the entries, and of the sidecars of a service.
+    /// The member indexes of the entries.
     pub fn entries(&self) -> Vec<usize> {
         self.places(|fleet, place| fleet.members[place].is_entry())
     }
 
-    /// The places of the sidecars of a service.
+    /// The member indexes of the sidecars of a service.
     pub fn sidecars(&self, service: &str) -> Vec<usize> {
         self.places(|fleet, place| {
             let upstream = fleet.members[place].upstream.as_ref();
@@ -182,27 +182,27 @@
         (0..self.fleet.members.len()).filter(|place| fits(&self.fleet, *place)).collect()
     }
 
-    /// Ends a member's process at once.
+    /// Kills a member's process.
     pub fn kill(&mut self, place: usize) {
         let process = self.fleet.members[place].process.take().expect("the process runs");
-        process.kill().expect("a process of ours can be killed");
+        process.kill().expect("a child process can be killed");
     }
 
-    /// Pauses a member's process, or lets it go on.
+    /// Suspends or resumes a member's process.
     pub fn pause(&self, place: usize, paused: bool) {
         let process = self.fleet.members[place].process.as_ref().expect("the process runs");
         let signalled = if paused { process.pause() } else { process.resume() };
         signalled.expect("the process runs");
     }
 
-    /// Changes what is wrong with the store.
+    /// Changes the injected faults of the store.
     pub fn change_store(&self, change: impl FnOnce(&mut StoreFaults)) {
         let mut faults = self.fleet.store.faults();
         change(&mut faults);
         self.fleet.store.set_faults(faults);
     }
 
-    /// True if every process that was started still runs.
+    /// Whether every started process still runs.
     pub fn all_run(&self) -> bool {
         let processes = self.fleet.members.iter().filter_map(|member| member.process.as_ref());
         processes.into_iter().all(|process| process.try_wait().is_ok_and(|ended| ended.is_none()))
@@ -239,31 +239,31 @@
     smol::block_on(test)
 }
 
-/// Waits until a condition holds; fails the test if it never does.
-pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until a condition holds; panics after [`WAIT_TIMEOUT`].
+pub async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let waited = async {
         while !holds() {
-            Timer::after(LOOK_AGAIN).await;
+            Timer::after(POLL_INTERVAL).await;
         }
     };
-    within(what, waited).await;
+    with_timeout(what, waited).await;
 }
 
-/// Waits until a condition holds that has to be asked for; fails the test if it never does.
-pub async fn until_async(what: &str, mut holds: impl AsyncFnMut() -> bool) {
+/// Waits until an asynchronous condition holds; panics after [`WAIT_TIMEOUT`].
+pub async fn wait_until_async(what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let waited = async {
         while !holds().await {
-            Timer::after(LOOK_AGAIN).await;
+            Timer::after(POLL_INTERVAL).await;
         }
     };
-    within(what, waited).await;
+    with_timeout(what, waited).await;
 }
 
-/// Waits for a future; fails the test if it never ends.
-pub async fn within<T>(what: &str, future: impl Future<Output = T>) -> T {
+/// Waits for a future; panics after [`WAIT_TIMEOUT`].
+pub async fn with_timeout<T>(what: &str, future: impl Future<Output = T>) -> T {
     let limit = async {
-        Timer::after(WAIT_LIMIT).await;
-        panic!("{what} did not happen within {WAIT_LIMIT:?}");
+        Timer::after(WAIT_TIMEOUT).await;
+        panic!("{what} did not happen within {WAIT_TIMEOUT:?}");
     };
     future::or(future, limit).await
 }
--- a/crates/sagespool-daemon/tests/common/raw.rs
+++ b/crates/sagespool-daemon/tests/common/raw.rs
@@ -1,4 +1,4 @@
-//! HTTP as bytes: what no client library would send.
+//! HTTP as raw bytes, for requests that client libraries don't send.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -7,18 +7,18 @@
 use sagespool_testkit::load::{CallKind, PlannedCall};
 use serde_json::{Value, json};
 
-/// An answer that takes longer never comes.
-const READ_LIMIT: Duration = Duration::from_secs(20);
+/// Timeout of each read of a response.
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An answer as it came.
+/// A response, split into its parts.
 #[derive(Debug, Clone)]
-pub struct RawAnswer {
+pub struct RawResponse {
     pub status: u16,
     pub head: String,
     pub body: String,
 }
 
-impl RawAnswer {
+impl RawResponse {
     /// A header's value.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().skip(1).find_map(|line| {
@@ -27,66 +27,66 @@
         })
     }
 
-    /// The body as JSON; null if it isn't.
+    /// The body as JSON; null if it isn't valid JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or_default()
     }
 }
 
-/// Sends a whole request, then nothing more, and reads until the entry closes.
-pub fn exchange(entry: SocketAddr, request: &[u8]) -> RawAnswer {
+/// Sends a request, shuts the write side down, and reads until the entry closes the connection.
+pub fn exchange(entry: SocketAddr, request: &[u8]) -> RawResponse {
     try_exchange(entry, request).expect("the entry answers")
 }
 
-/// As [`exchange`], from a process that may not serve yet.
-pub fn try_exchange(process: SocketAddr, request: &[u8]) -> io::Result<RawAnswer> {
+/// As [`exchange`], but returns an error if the process doesn't serve.
+pub fn try_exchange(process: SocketAddr, request: &[u8]) -> io::Result<RawResponse> {
     let stream = connect(process, request)?;
     match stream.shutdown(Shutdown::Write) {
-        // The entry has answered and closed before it had read the whole request.
+        // The entry has responded and closed before it read the whole request.
         Err(error) if error.kind() == io::ErrorKind::NotConnected => {}
         other => other?,
     }
     read_to_close(stream)
 }
 
-/// Sends a request; it is on its way when this returns, whatever the entry does.
+/// Sends a request and returns without waiting for the response.
 pub fn send_raw(entry: SocketAddr, request: &[u8]) -> TcpStream {
     connect(entry, request).expect("the entry takes connections")
 }
 
-/// Reads until the entry closes.
-pub fn read_raw(stream: TcpStream) -> RawAnswer {
+/// Reads the response until the entry closes the connection.
+pub fn read_raw(stream: TcpStream) -> RawResponse {
     read_to_close(stream).expect("the entry answers")
 }
 
 fn connect(process: SocketAddr, request: &[u8]) -> io::Result<TcpStream> {
     let mut stream = TcpStream::connect(process)?;
-    stream.set_read_timeout(Some(READ_LIMIT))?;
-    // A process that has refused before the end may have closed already: its answer counts.
+    stream.set_read_timeout(Some(READ_TIMEOUT))?;
+    // The write may fail if the process has responded early and closed. Its response can still be read.
     let _ = stream.write_all(request);
     Ok(stream)
 }
 
-fn read_to_close(mut stream: TcpStream) -> io::Result<RawAnswer> {
+fn read_to_close(mut stream: TcpStream) -> io::Result<RawResponse> {
     let mut answer = Vec::new();
     let read = stream.read_to_end(&mut answer);
     let broken = || read.err().unwrap_or_else(|| io::ErrorKind::UnexpectedEof.into());
-    read_answer(&answer).ok_or_else(broken)
+    parse_response(&answer).ok_or_else(broken)
 }
 
-fn read_answer(answer: &[u8]) -> Option<RawAnswer> {
+fn parse_response(answer: &[u8]) -> Option<RawResponse> {
     let text = String::from_utf8_lossy(answer);
     let (head, body) = text.split_once("\r\n\r\n")?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
-    Some(RawAnswer { status, head: head.to_owned(), body: body.to_owned() })
+    Some(RawResponse { status, head: head.to_owned(), body: body.to_owned() })
 }
 
-/// A call as bytes, for one whole answer on one connection.
+/// The bytes of a call for one whole answer, on a connection of its own.
 pub fn raw_request(call: &PlannedCall) -> Vec<u8> {
     raw_call(call, false)
 }
 
-/// A call as bytes, for an answer as events on one connection.
+/// The bytes of a call for an answer as events, on a connection of its own.
 pub fn raw_stream(call: &PlannedCall) -> Vec<u8> {
     raw_call(call, true)
 }
--- a/crates/sagespool-daemon/tests/crossed_answers.rs
+++ b/crates/sagespool-daemon/tests/crossed_answers.rs
@@ -1,4 +1,4 @@
-//! Answers that come doubled, late, out of order, or to the wrong call.
+//! Responses that are duplicated, late, reordered, or that belong to another call.
 
 mod common;
 
@@ -11,13 +11,13 @@
 const CALLS: usize = 24;
 const SHARE: f64 = 0.2;
 const DELAY: Duration = Duration::from_millis(3);
-/// Long enough that a pause falls into the middle of it.
+/// Long enough that a pause falls into its run.
 const LONG_ANSWER: u32 = 300;
 const CROSSED: &str = "sagespool_dropped_answers_total{cause=\"crossed\"}";
 const CALLER_GONE: &str = "sagespool_dropped_answers_total{cause=\"caller-gone\"}";
 
-/// Delays, doubles and reorders packets between all processes.
-fn disturb(fleet: &TestFleet) {
+/// Delays, duplicates and reorders packets between all processes.
+fn disturb_packets(fleet: &TestFleet) {
     let proxy = fleet.proxy.as_ref().expect("the fleet is proxied");
     let names: Vec<String> =
         fleet.members.iter().map(|member| member.instance.to_string()).collect();
@@ -30,8 +30,8 @@
     }
 }
 
-/// How often a process has thrown an answer away for a cause.
-async fn dropped(fleet: &TestFleet, place: usize, cause: &str) -> f64 {
+/// Number of answers that a process has dropped for a cause.
+async fn dropped_answers(fleet: &TestFleet, place: usize, cause: &str) -> f64 {
     metric(fleet, place, cause).await.unwrap_or_default()
 }
 
@@ -41,19 +41,19 @@
 
 #[test]
 fn disturbed_packets() {
-    // Packets between all processes are late, doubled and out of order while two branches' callers
-    // ask at once, for streams and letters, and some send the same request twice with its key. Each
-    // gets its own answer whole, each letter goes out once, and each request is paid for once.
+    // Packets between all processes are delayed, duplicated and reordered while callers of two
+    // branches send streams and letters concurrently, some of them twice with the same key. Each
+    // caller gets its own whole answer, each letter runs once, and each request is billed once.
     run(async {
         let fleet = start().await;
-        disturb(&fleet);
+        disturb_packets(&fleet);
         let entries = fleet.entries();
         let mut calls: Vec<PlannedCall> = Vec::new();
         for number in 0..CALLS {
             let name = [BRANCH, OTHER_BRANCH][number % 2];
             calls.push(match number % 3 {
                 0 => letter(name, &format!("letter-{number}")),
-                1 => keyed(completion(name, 30), &format!("stream-{number}")),
+                1 => with_key(completion(name, 30), &format!("stream-{number}")),
                 _ => completion(name, 30),
             });
         }
@@ -81,18 +81,18 @@
         for name in [BRANCH, OTHER_BRANCH] {
             let own = calls.iter().filter(|call| call.branch().as_str() == name);
             let cost: TokenCount = own.map(PlannedCall::whole_cost).sum();
-            until_settled(&fleet, name, cost.0).await;
+            wait_until_settled(&fleet, name, cost.0).await;
         }
-        assert_promises(&fleet, &records);
+        assert_guarantees(&fleet, &records);
     });
 }
 
 #[test]
 fn crossed_upstream() {
-    // An engine mixes its answers up and gives each call the text of the one before, and so does the
-    // letters' service. No caller may see another's text: the sidecar throws the answer away, counts
-    // it, and the stream runs again on the other engine. What became of the letter nobody can tell,
-    // so its caller is told so, and it doesn't go out again.
+    // An engine returns to each call the text of the call before, and so does the letters' service.
+    // No caller may get the text of another: the sidecar drops the answer and counts it, and the
+    // stream runs again on the other engine. The outcome of the letter is unknown, so its caller is
+    // told so and it doesn't run again.
     run(async {
         let fleet = start().await;
         let entries = fleet.entries();
@@ -102,13 +102,13 @@
         crossing.set_mixed_answers(true);
         let mut records = Vec::new();
         let mut number = 0;
-        until_async("the engine's answers cross", async || {
+        wait_until_async("the engine's answers cross", async || {
             let call = completion([BRANCH, OTHER_BRANCH][number % 2], 20);
             let sent = send(&fleet, &call, entries[number % 2]).await;
             assert!(is_own_whole(&sent), "{sent:?}");
             number += 1;
             records.push(record(&call, [sent]));
-            dropped(&fleet, sidecar, CROSSED).await >= 1.0
+            dropped_answers(&fleet, sidecar, CROSSED).await >= 1.0
         })
         .await;
         let rerun = records.iter().filter(|record| runs_of(&fleet, &record.call).len() == 2);
@@ -126,25 +126,25 @@
             sends.push(sent);
         }
         assert_eq!(runs_of(&fleet, &letter).len(), 1, "runs of the letter");
-        assert_eq!(dropped(&fleet, fleet.sidecars(LETTERS)[0], CROSSED).await, 1.0);
+        assert_eq!(dropped_answers(&fleet, fleet.sidecars(LETTERS)[0], CROSSED).await, 1.0);
         records.extend([record(&before, [before_send]), record(&letter, sends)]);
-        assert_promises(&fleet, &records);
+        assert_guarantees(&fleet, &records);
     });
 }
 
 #[test]
 fn late_answer() {
-    // A sidecar stops in the middle of a stream, for longer than the entry waits for it; the entry
-    // goes on at the other engine from where its caller stands. Then the sidecar wakes up and sends
-    // the rest, late. The caller sees each token once, and the late ones go nowhere, which is
-    // counted. The stream is paid for once, though both sidecars report what they ran.
+    // A sidecar is paused during a stream for longer than the entry's timeout, and the entry resumes
+    // the stream at the other engine. Then the sidecar resumes and sends the rest late. The caller
+    // gets each token once, the late answer is dropped and counted, and the stream is billed once,
+    // although both sidecars report what they ran.
     run(async {
         let fleet = start().await;
-        disturb(&fleet);
+        disturb_packets(&fleet);
         let BranchHome { home, first, .. } = home_of(&fleet, BRANCH).await;
         let stream = completion(BRANCH, LONG_ANSWER);
         let stream_send = start_send(&fleet, &stream, home);
-        until_running(&fleet, &stream).await;
+        wait_until_running(&fleet, &stream).await;
         let engine = runs_of(&fleet, &stream)[0].start.upstream.clone();
         let sidecar =
             fleet.member_index(&format!("{engine}-sidecar")).expect("each has its sidecar");
@@ -153,10 +153,10 @@
         assert!(is_own_whole(&stream_send), "{stream_send:?}");
         assert_eq!(runs_of(&fleet, &stream).len(), 2, "{:?}", runs_of(&fleet, &stream));
         fleet.pause(sidecar, false);
-        let is_counted = async || dropped(&fleet, sidecar, CALLER_GONE).await >= 1.0;
-        until_async("the late answer is counted", is_counted).await;
+        let is_counted = async || dropped_answers(&fleet, sidecar, CALLER_GONE).await >= 1.0;
+        wait_until_async("the late answer is counted", is_counted).await;
         let cost = first.call.whole_cost() + stream.whole_cost();
-        until_settled(&fleet, BRANCH, cost.0).await;
-        assert_promises(&fleet, &[first, record(&stream, [stream_send])]);
+        wait_until_settled(&fleet, BRANCH, cost.0).await;
+        assert_guarantees(&fleet, &[first, record(&stream, [stream_send])]);
     });
 }
--- a/crates/sagespool-daemon/tests/doubt_releases.rs
+++ b/crates/sagespool-daemon/tests/doubt_releases.rs
@@ -1,10 +1,10 @@
-//! What operators let go: tokens in doubt, stopped contents.
+//! Operators release tokens in doubt and lift quarantined contents.
 
 #![allow(clippy::unwrap_used)]
 
-mod desk;
+mod operator;
 
-use desk::{DeskFleet, EAST, WEST, change_book, id};
+use operator::{EAST, OperatorHarness, WEST, new_id, update_book};
 use sagespool_claims::{CrashNote, QUARANTINE_KEY, QuarantineRecord};
 use sagespool_ledger::GrantRecord;
 use sagespool_operations::{AnswerBody, OutcomeState};
@@ -13,12 +13,12 @@
     TokenCount, WallTime,
 };
 
-/// Tokens are in doubt since a sidecar is lost. They count as spent, the operator sees under which grant,
-/// and releases them once.
+/// Tokens are in doubt because a sidecar was lost. They count as spent, the answer to `spend` lists
+/// their grant, and an operator releases them exactly once, even if the command is repeated.
 #[test]
 fn released_tokens() {
     smol::block_on(async {
-        let desk = DeskFleet::start().await;
+        let harness = OperatorHarness::start().await;
         let branch: BranchName = "second".parse().unwrap();
         let grant = GrantId { holder: IncarnationId(0xdead), number: 4 };
         let lost: GrantRecord = serde_json::from_value(serde_json::json!({
@@ -26,33 +26,34 @@
             "sealed_by": IncarnationId(1), "in_doubt": true
         }))
         .unwrap();
-        change_book(&desk, "second", |book| {
+        update_book(&harness, "second", |book| {
             let account = book.branches.get_mut(&branch).unwrap();
             account.grants.insert(grant, lost.clone());
         })
         .await;
-        let row = desk.line(WEST, "spend second").spend().rows.remove(0);
+        let row = harness.send_line(WEST, "spend second").spend().rows.remove(0);
         let book = row.book.unwrap();
         assert_eq!((book.in_doubt, book.settled), (TokenCount(800), TokenCount(100)));
         assert_eq!(book.free, TokenCount(199_100));
         assert_eq!((row.spent.least, row.spent.most), (TokenCount(100), Some(TokenCount(900))));
         assert_eq!(row.in_doubt_grants[0].grant, grant);
-        let command = id();
+        let command = new_id();
         let line = format!("release second {grant}");
         for entry in [EAST, WEST] {
-            let output = desk.give(entry, command, &line);
+            let output = harness.send_command(entry, command, &line);
             assert_eq!(output.outcomes()[0].tokens, Some(TokenCount(800)), "{output:?}");
         }
-        let free = desk.line(EAST, "spend second").spend().rows.remove(0).book.unwrap().free;
+        let free =
+            harness.send_line(EAST, "spend second").spend().rows.remove(0).book.unwrap().free;
         assert_eq!(free, TokenCount(199_900));
-        assert_eq!(desk.line(EAST, &line).states(), [OutcomeState::Refused]);
+        assert_eq!(harness.send_line(EAST, &line).states(), [OutcomeState::Refused]);
     });
 }
 
 #[test]
 fn lifted_content() {
     smol::block_on(async {
-        let desk = DeskFleet::start().await;
+        let harness = OperatorHarness::start().await;
         let content = ContentDigest(0xabc);
         let mut record = QuarantineRecord::default();
         let note = |number| CrashNote {
@@ -61,9 +62,10 @@
             upstream: "engines-1".parse().unwrap(),
         };
         record.stop(content, &[note(1), note(2)].into(), WallTime(5));
-        desk.fleet.objects.put(QUARANTINE_KEY, StoreRevision::ZERO, &record).await.unwrap();
+        harness.fleet.objects.put(QUARANTINE_KEY, StoreRevision::ZERO, &record).await.unwrap();
         let stopped = || {
-            let AnswerBody::Quarantine(answer) = desk.line(WEST, "quarantine").answer().answer
+            let AnswerBody::Quarantine(answer) =
+                harness.send_line(WEST, "quarantine").answer().answer
             else {
                 panic!()
             };
@@ -71,9 +73,9 @@
         };
         assert_eq!(stopped()[0].content, content);
         let line = format!("lift {content}, {}", ContentDigest(0xdef));
-        let output = desk.line(EAST, &line);
+        let output = harness.send_line(EAST, &line);
         assert_eq!(output.states(), [OutcomeState::Done, OutcomeState::Refused], "{output:?}");
         assert!(stopped().is_empty());
-        assert_eq!(desk.line(WEST, &line).states()[0], OutcomeState::Already);
+        assert_eq!(harness.send_line(WEST, &line).states()[0], OutcomeState::Already);
     });
 }
--- a/crates/sagespool-daemon/tests/fault_soak.rs
+++ b/crates/sagespool-daemon/tests/fault_soak.rs
@@ -1,49 +1,49 @@
-//! The soak of gateways and relays, briefly: real processes, faults from outside in overlapping
-//! series, and the promises checked from what callers and upstreams see.
+//! Short soaks of gateways and relays: real processes, overlapping injected faults, and guarantees
+//! checked on what callers and upstreams observe.
 
 use std::time::Duration;
 
 use sagespool_soak::{SoakOptions, run_soak};
 
-/// Long enough for a dozen faults that overlap.
+/// Long enough for a dozen overlapping faults.
 const LENGTH: Duration = Duration::from_secs(8);
 
-/// Seeds that showed a fault, and its cause.
-const KEPT_SEEDS: [(u64, &str); 1] = [(
+/// Seeds that reproduced a bug, and its cause.
+const REGRESSION_SEEDS: [(u64, &str); 1] = [(
     1,
     "a gateway stopped while a request waited at a silent upstream: its connection ended without an \
      answer, though it had run",
 )];
 
-/// The length at which the seeds with several threads showed their fault.
+/// Length at which the seeds with several threads reproduced their bug.
 const THREADED_LENGTH: Duration = Duration::from_secs(12);
-/// Threads of each process with which they did.
+/// Executor threads of each process at which they reproduced it.
 const THREADS: usize = 3;
 
-/// Seeds that showed a fault where processes have several threads, and its cause.
-const THREADED_SEEDS: [(u64, &str); 2] = [(413, CUT_ANSWER), (439, CUT_ANSWER)];
-const CUT_ANSWER: &str = "a stream broken off by its upstream reached its caller without the \
+/// Seeds that reproduced a bug in processes with several threads, and its cause.
+const THREADED_SEEDS: [(u64, &str); 2] = [(413, CUT_STREAM), (439, CUT_STREAM)];
+const CUT_STREAM: &str = "a stream broken off by its upstream reached its caller without the \
                           events before the break: the HTTP library dropped what it hadn't written";
 
 #[test]
-fn kept_seeds() {
-    for (seed, cause) in KEPT_SEEDS {
-        play(seed, cause, LENGTH, None);
+fn regression_seeds() {
+    for (seed, cause) in REGRESSION_SEEDS {
+        run_seed(seed, cause, LENGTH, None);
     }
 }
 
-/// A caller sees its stream's connection close without an event, though its upstream sent four to
-/// seven. With several threads, events and break are there together when the gateway writes to the
-/// caller. `docs/incidents/cut-streams.md`; `cut_answers` in sagespool-gateway shows the cause on
-/// each run.
+/// Guards against streams whose connection closes without the events that the upstream sent before it
+/// broke off (four to seven of them). With several threads, events and break can be ready together
+/// when the gateway writes to the caller. See `docs/incidents/cut-streams.md`; `cut_answers` in
+/// sagespool-gateway reproduces the cause on each run.
 #[test]
 fn threaded_seeds() {
     for (seed, cause) in THREADED_SEEDS {
-        play(seed, cause, THREADED_LENGTH, Some(THREADS));
+        run_seed(seed, cause, THREADED_LENGTH, Some(THREADS));
     }
 }
 
-fn play(seed: u64, cause: &str, length: Duration, threads: Option<usize>) {
+fn run_seed(seed: u64, cause: &str, length: Duration, threads: Option<usize>) {
     let directory = tempfile::tempdir().expect("a directory for logs");
     let options = SoakOptions::builder()
         .seed(seed)
@@ -54,6 +54,6 @@
         .build();
     let report = smol::block_on(run_soak(&options));
     if !report.violations.is_empty() {
-        panic!("{report}\nkept for: {cause}\nlogs: {}", directory.keep().display());
+        panic!("{report}\nregression seed for: {cause}\nlogs: {}", directory.keep().display());
     }
 }
--- a/crates/sagespool-daemon/tests/desk/mod.rs
+++ b/crates/sagespool-daemon/tests/operator/mod.rs
@@ -1,9 +1,9 @@
-//! A small fleet of real processes, and an operator with `sagespool`.
+//! A small fleet of real processes, operated through the `sagespool` command.
 
-// Each test file uses its own part of this.
+// Each test file uses a part of this module.
 #![allow(dead_code, unused_imports)]
 
-mod asks;
+mod helpers;
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -18,22 +18,23 @@
 use sagespool_types::{BranchName, ClockTime, CommandId};
 use serde::de::DeserializeOwned;
 
-pub use asks::*;
+pub use helpers::*;
 
-/// The operator's key and that of a branch that isn't an operator's, in `examples/local`.
+/// The operator's API key in `examples/local`.
 pub const OPERATOR_TOKEN: &str = "local-desk-development-key";
+/// API key of a branch without operator rights in `examples/local`.
 pub const CALLER_TOKEN: &str = "local-first-development-key";
 
-/// How long something that has to come is waited for.
-const PATIENCE: Duration = Duration::from_secs(20);
-const STEP: Duration = Duration::from_millis(20);
+/// Timeout of [`OperatorHarness::wait_until`].
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A fleet with an operator.
-pub struct DeskFleet {
+/// A fleet and the means to send it operators' lines.
+pub struct OperatorHarness {
     pub fleet: RunningFleet,
 }
 
-/// What `sagespool` ended with.
+/// Exit code and output of `sagespool`.
 #[derive(Debug)]
 pub struct LineOutput {
     pub code: Option<i32>,
@@ -52,14 +53,14 @@
     pub fn command(&self) -> CommandAnswer {
         match self.answer().answer {
             AnswerBody::Command(answer) => answer,
-            other => panic!("not about a command: {other:?}"),
+            other => panic!("not an answer about a command: {other:?}"),
         }
     }
 
     pub fn spend(&self) -> SpendAnswer {
         match self.answer().answer {
             AnswerBody::Spend(answer) => answer,
-            other => panic!("not about spend: {other:?}"),
+            other => panic!("not an answer about spend: {other:?}"),
         }
     }
 
@@ -69,10 +70,12 @@
         reply.error
     }
 
-    /// The outcomes of a command that has ended.
+    /// The outcomes of a completed command, by item.
     pub fn outcomes(&self) -> Vec<ItemOutcome> {
         let items = self.command().items.into_iter();
-        items.map(|item| item.outcome.unwrap_or_else(|| panic!("not ended: {self:?}"))).collect()
+        items
+            .map(|item| item.outcome.unwrap_or_else(|| panic!("not completed: {self:?}")))
+            .collect()
     }
 
     pub fn states(&self) -> Vec<OutcomeState> {
@@ -80,13 +83,13 @@
     }
 }
 
-impl DeskFleet {
-    /// Two entries and two engines, which ignore fencing numbers, in two data centres.
+impl OperatorHarness {
+    /// Starts two entries and two engines, which ignore fencing numbers, in two data centres.
     pub async fn start() -> Self {
         Self::start_linked(false).await
     }
 
-    /// The same with the fault proxy between all processes.
+    /// As [`Self::start`], with the fault proxy between all processes.
     pub async fn start_proxied() -> Self {
         Self::start_linked(true).await
     }
@@ -108,16 +111,17 @@
             .proxied(proxied)
             .settle_interval(Duration::from_millis(300))
             .build();
-        let desk = Self { fleet: RunningFleet::start(options).await.unwrap() };
-        desk.until("every entry knows every member", || {
-            (0..2).all(|entry| {
-                let members = desk.line(entry, "members");
-                let AnswerBody::Members(found) = members.answer().answer else { panic!() };
-                found.rows.len() == 4 && members.answer().basis.silent.is_empty()
+        let harness = Self { fleet: RunningFleet::start(options).await.unwrap() };
+        harness
+            .wait_until("every entry lists every member", || {
+                (0..2).all(|entry| {
+                    let members = harness.send_line(entry, "members");
+                    let AnswerBody::Members(found) = members.answer().answer else { panic!() };
+                    found.rows.len() == 4 && members.answer().basis.silent.is_empty()
+                })
             })
-        })
-        .await;
-        desk
+            .await;
+        harness
     }
 
     fn program(&self, entries: &[usize], token: &str, arguments: &[&str]) -> Command {
@@ -129,7 +133,7 @@
         command
     }
 
-    /// Runs `sagespool` with the operator's key, its answers as JSON.
+    /// Runs `sagespool` with the operator's key and JSON output.
     pub fn run(&self, entries: &[usize], arguments: &[&str]) -> LineOutput {
         self.run_as(OPERATOR_TOKEN, entries, arguments)
     }
@@ -141,45 +145,50 @@
     }
 
     /// Sends one line to one entry.
-    pub fn line(&self, entry: usize, line: &str) -> LineOutput {
+    pub fn send_line(&self, entry: usize, line: &str) -> LineOutput {
         self.run(&[entry], &[line])
     }
 
-    /// Gives a command with an id.
-    pub fn give(&self, entry: usize, command: CommandId, line: &str) -> LineOutput {
+    /// Sends a command with an id to one entry.
+    pub fn send_command(&self, entry: usize, command: CommandId, line: &str) -> LineOutput {
         self.run(&[entry], &["--command", &command.to_string(), line])
     }
 
-    /// Starts giving a command and doesn't wait for it.
-    pub fn begin(&self, entry: usize, command: CommandId, line: &str) -> smol::Task<LineOutput> {
+    /// Sends a command with an id in a background task.
+    pub fn start_command(
+        &self,
+        entry: usize,
+        command: CommandId,
+        line: &str,
+    ) -> smol::Task<LineOutput> {
         let command = command.to_string();
         let mut program =
             self.program(&[entry], OPERATOR_TOKEN, &["--json", "--command", &command, line]);
         smol::unblock(move || LineOutput::of(program.output().unwrap()))
     }
 
-    /// An object of the store, as it is there.
-    pub fn stored<T: DeserializeOwned>(&self, key: &str) -> Option<T> {
+    /// An object of the store; `None` if it doesn't exist.
+    pub fn stored_object<T: DeserializeOwned>(&self, key: &str) -> Option<T> {
         let held = self.fleet.store.object(key)?;
         Some(held.parse().unwrap())
     }
 
-    pub fn record(&self, command: CommandId) -> Option<CommandRecord> {
-        self.stored(&command_key(command))
+    pub fn command_record(&self, command: CommandId) -> Option<CommandRecord> {
+        self.stored_object(&command_key(command))
     }
 
     pub fn account(&self, branch: &str) -> BranchAccount {
         let branch: BranchName = branch.parse().unwrap();
-        let book: BookRecord = self.stored(&book_key(book_of(&branch))).unwrap();
+        let book: BookRecord = self.stored_object(&book_key(book_of(&branch))).unwrap();
         book.branches[&branch].clone()
     }
 
-    /// Waits until something is so.
-    pub async fn until(&self, what: &str, mut is_so: impl FnMut() -> bool) {
-        let deadline = ClockTime::now().after(PATIENCE);
-        while !is_so() {
-            assert!(ClockTime::now() < deadline, "waited in vain until {what}");
-            smol::Timer::after(STEP).await;
+    /// Waits until a condition holds; panics after [`WAIT_TIMEOUT`].
+    pub async fn wait_until(&self, what: &str, mut holds: impl FnMut() -> bool) {
+        let deadline = ClockTime::now().after(WAIT_TIMEOUT);
+        while !holds() {
+            assert!(ClockTime::now() < deadline, "timed out waiting until {what}");
+            smol::Timer::after(POLL_INTERVAL).await;
         }
     }
 
@@ -195,7 +204,7 @@
         self.fleet.members[member].process.as_mut().unwrap().kill().unwrap();
     }
 
-    pub fn place(&self, instance: &str) -> usize {
+    pub fn member_index(&self, instance: &str) -> usize {
         self.fleet.member_index(instance).unwrap()
     }
 }
--- a/crates/sagespool-daemon/tests/poison.rs
+++ b/crates/sagespool-daemon/tests/poison.rs
@@ -1,4 +1,4 @@
-//! One request that takes down each upstream that runs it.
+//! A request that crashes each upstream that runs it.
 
 mod common;
 
@@ -8,11 +8,11 @@
 use sagespool_testkit::load::{CallKind, PlannedCall, SendRecord};
 use sagespool_types::TokenCount;
 
-/// Long enough that a crash falls into the middle of it.
+/// Long enough that a crash falls into its run.
 const LONG_ANSWER: u32 = 300;
-const MOST_NEIGHBOURS: usize = 60;
+const MAX_NEIGHBOURS: usize = 60;
 
-/// A completion that no engine survives.
+/// A completion that crashes each engine that runs it.
 fn poison(name: &str) -> PlannedCall {
     let mut planned = completion(name, 5);
     let CallKind::Completion { prompt, .. } = &mut planned.kind else {
@@ -31,10 +31,10 @@
         running.map(|run| run.start.upstream).collect::<BTreeSet<_>>().len()
     };
     while busy() < fleet.engines.len() {
-        assert!(neighbours.len() < MOST_NEIGHBOURS, "an engine gets nothing to do");
+        assert!(neighbours.len() < MAX_NEIGHBOURS, "an engine gets no request");
         let call = completion(OTHER_BRANCH, LONG_ANSWER);
         let task = start_send(fleet, &call, entries[neighbours.len() % entries.len()]);
-        until("the neighbour runs", || !runs_of(fleet, &call).is_empty()).await;
+        wait_until("the neighbour runs", || !runs_of(fleet, &call).is_empty()).await;
         neighbours.push((call, task));
     }
     neighbours
@@ -42,17 +42,16 @@
 
 #[test]
 fn stopped_everywhere() {
-    // A caller's dossier crashes the engine that reads it. It is tried once more, elsewhere, and
-    // crashes that engine too. Its caller sends it again: with another key, through the other
-    // entry, as another of its branches would. Not one more engine may go down for it, and each
-    // time the caller is told why, and truly whether it ran. The other callers whose streams ran on
-    // the crashed engines see nothing of it: each has its whole answer and pays for it once.
+    // A request crashes its engine. It is retried once, elsewhere, and crashes that engine too. Its
+    // caller sends it again with other keys and through the other entry. No further engine may crash
+    // for it, and each refusal must give the reason and the true run state. Other callers' streams on
+    // the crashed engines must be resumed elsewhere: each caller gets its whole answer and pays once.
     run(async {
         let start = SmallFleet { proxied: true, engines: 3, ..Default::default() };
         let fleet = start.start().await;
         let entries = fleet.entries();
         let neighbours = start_neighbours(&fleet).await;
-        let poison = keyed(poison(BRANCH), "first");
+        let poison = with_key(poison(BRANCH), "first");
         let first_send = send(&fleet, &poison, entries[0]).await;
         assert_eq!(refusal(&first_send), Some(("quarantined", "unknown")), "{first_send:?}");
         let crashed: BTreeSet<_> =
@@ -62,7 +61,7 @@
         let mut records = vec![record(&poison, [first_send])];
         for (entry, key) in [(entries[0], "second"), (entries[1], "third"), (entries[1], "fourth")]
         {
-            let again = keyed(poison.clone(), key);
+            let again = with_key(poison.clone(), key);
             let sent = send(&fleet, &again, entry).await;
             assert_eq!(refusal(&sent), Some(("quarantined", "not-run")), "{sent:?}");
         }
@@ -78,7 +77,7 @@
         let neighbours =
             records.iter().filter(|record| record.call.branch().as_str() == OTHER_BRANCH);
         let spent: TokenCount = neighbours.map(|record| record.billed()).sum();
-        until_settled(&fleet, OTHER_BRANCH, spent.0).await;
-        assert_promises(&fleet, &records);
+        wait_until_settled(&fleet, OTHER_BRANCH, spent.0).await;
+        assert_guarantees(&fleet, &records);
     });
 }
