--- a/crates/sagespool-daemon/src/process.rs
+++ b/crates/sagespool-daemon/src/process.rs
@@ -31,8 +31,8 @@
 
 /// Runs a process from its settings file until a signal or an operator stops it. Returns its exit code.
 pub fn run(path: &Path) -> ExitCode {
-    if file_is_direct(path) {
-        return run_direct(path);
+    if is_gateway_or_relay_file(path) {
+        return run_gateway_or_relay(path);
     }
     let settings = match load_process_settings(path) {
         Ok(settings) => settings,
@@ -49,12 +49,12 @@
 
 /// Whether a settings file is for a gateway or a relay. False for an unreadable file: loading it
 /// reports the error.
-fn file_is_direct(path: &Path) -> bool {
+fn is_gateway_or_relay_file(path: &Path) -> bool {
     fs::read_to_string(path).is_ok_and(|text| is_gateway_or_relay(&text))
 }
 
 /// Runs a gateway or a relay until a signal stops it.
-fn run_direct(path: &Path) -> ExitCode {
+fn run_gateway_or_relay(path: &Path) -> ExitCode {
     let settings = match load_gateway_or_relay(path) {
         Ok(settings) => settings,
         Err(report) => {
--- a/crates/sagespool-daemon/tests/bad_input.rs
+++ b/crates/sagespool-daemon/tests/bad_input.rs
@@ -175,7 +175,7 @@
 }
 
 fn wrong_json() -> Vec<InvalidCall> {
-    let malformed = |case, place| InvalidCall::new(case, 400, "malformed-json", place);
+    let malformed = |case, text| InvalidCall::new(case, 400, "malformed-json", text);
     let nested = "[".repeat(100_000);
     vec![
         malformed("no body", "line 1 column 0").with_text(""),
@@ -322,8 +322,8 @@
         ];
         let entries = fleet.entry_addresses();
         let mut faults = Vec::new();
-        for (place, call) in parts.concat().iter().enumerate() {
-            let entry = entries[place % entries.len()];
+        for (index, call) in parts.concat().iter().enumerate() {
+            let entry = entries[index % entries.len()];
             let request = call.request();
             let answer = smol::unblock(move || exchange(entry, &request)).await;
             faults.extend(response_error(call, &answer));
--- a/crates/sagespool-daemon/tests/claimed_letter.rs
+++ b/crates/sagespool-daemon/tests/claimed_letter.rs
@@ -50,7 +50,7 @@
         let BranchHome { home, other, first, .. } = entries;
         records.push(first);
         let sidecar = fleet.sidecars(LETTERS)[0];
-        let names = [home, sidecar].map(|place| fleet.members[place].instance.to_string());
+        let names = [home, sidecar].map(|index| fleet.members[index].instance.to_string());
         fleet.proxy.as_ref().expect("the fleet is proxied").cut(&names[0], &names[1]);
         let letter = letter(BRANCH, KEY);
         let first_send = start_send(&fleet, &letter, home);
--- a/crates/sagespool-daemon/tests/common/links.rs
+++ b/crates/sagespool-daemon/tests/common/links.rs
@@ -14,8 +14,8 @@
 impl NetworkPartition {
     /// Cuts members, given by their indexes, off from all others and from the platform.
     pub fn cut(fleet: &TestFleet, isolated: &[usize]) -> Self {
-        let name = |place: usize| fleet.members[place].instance.to_string();
-        let others = (0..fleet.members.len()).filter(|place| !isolated.contains(place)).map(name);
+        let name = |index: usize| fleet.members[index].instance.to_string();
+        let others = (0..fleet.members.len()).filter(|index| !isolated.contains(index)).map(name);
         let partition = Self {
             isolated: isolated.iter().copied().map(name).collect(),
             others: others.chain(PLATFORM.map(str::to_owned)).collect(),
@@ -32,8 +32,8 @@
     }
 
     /// Moves an isolated member to the side of the others and the platform.
-    pub fn move_to_others(&mut self, fleet: &TestFleet, place: usize) {
-        let name = fleet.members[place].instance.to_string();
+    pub fn move_to_others(&mut self, fleet: &TestFleet, index: usize) {
+        let name = fleet.members[index].instance.to_string();
         self.isolated.retain(|isolated| *isolated != name);
         let proxy = fleet.proxy.as_ref().expect("the fleet is proxied");
         proxy.heal_groups(&[&name], &refs(&self.others));
@@ -51,7 +51,7 @@
     pub fn engine_sidecar_near(&self, member: usize) -> usize {
         let centre = &self.members[member].centre;
         let mut engines = self.sidecars(super::ENGINES).into_iter();
-        let beside = engines.find(|place| self.members[*place].centre == *centre);
+        let beside = engines.find(|index| self.members[*index].centre == *centre);
         beside.expect("each data centre has an engine")
     }
 }
--- a/crates/sagespool-daemon/tests/common/members.rs
+++ b/crates/sagespool-daemon/tests/common/members.rs
@@ -18,34 +18,34 @@
 }
 
 /// A metric of a process, by its full name with labels. `None` if the process doesn't answer or lacks it.
-pub async fn metric(fleet: &RunningFleet, place: usize, name: &str) -> Option<f64> {
-    let answer = read(fleet.members[place].http, "/metrics").await.ok()?;
+pub async fn metric(fleet: &RunningFleet, index: usize, name: &str) -> Option<f64> {
+    let answer = read(fleet.members[index].http, "/metrics").await.ok()?;
     let line = answer.body.lines().find(|line| line.split(' ').next() == Some(name))?;
     line.split(' ').nth(1)?.parse().ok()
 }
 
 /// Waits until every running process counts `members` live members.
 pub async fn wait_until_joined(fleet: &RunningFleet, members: usize) {
-    for place in 0..fleet.members.len() {
-        if fleet.members[place].process.is_some() {
-            wait_until_member_count(fleet, place, members).await;
+    for index in 0..fleet.members.len() {
+        if fleet.members[index].process.is_some() {
+            wait_until_member_count(fleet, index, members).await;
         }
     }
 }
 
 /// Waits until a process counts `members` live members.
-pub async fn wait_until_member_count(fleet: &RunningFleet, place: usize, members: usize) {
-    let what = format!("{} counts {members} members", fleet.members[place].instance);
+pub async fn wait_until_member_count(fleet: &RunningFleet, index: usize, members: usize) {
+    let what = format!("{} counts {members} members", fleet.members[index].instance);
     wait_until_async(&what, async || {
-        metric(fleet, place, "sagespool_members").await == Some(members as f64)
+        metric(fleet, index, "sagespool_members").await == Some(members as f64)
     })
     .await;
 }
 
 /// Waits until a process reports that it is ready.
-pub async fn wait_until_ready(fleet: &RunningFleet, place: usize) {
-    let what = format!("{} is ready", fleet.members[place].instance);
-    let address = fleet.members[place].http;
+pub async fn wait_until_ready(fleet: &RunningFleet, index: usize) {
+    let what = format!("{} is ready", fleet.members[index].instance);
+    let address = fleet.members[index].http;
     wait_until_async(&what, async || {
         read(address, "/readyz").await.is_ok_and(|answer| answer.status == 200)
     })
--- a/crates/sagespool-daemon/tests/common/mod.rs
+++ b/crates/sagespool-daemon/tests/common/mod.rs
@@ -167,30 +167,30 @@
 impl TestFleet {
     /// The member indexes of the entries.
     pub fn entries(&self) -> Vec<usize> {
-        self.places(|fleet, place| fleet.members[place].is_entry())
+        self.member_indexes(|fleet, index| fleet.members[index].is_entry())
     }
 
     /// The member indexes of the sidecars of a service.
     pub fn sidecars(&self, service: &str) -> Vec<usize> {
-        self.places(|fleet, place| {
-            let upstream = fleet.members[place].upstream.as_ref();
+        self.member_indexes(|fleet, index| {
+            let upstream = fleet.members[index].upstream.as_ref();
             upstream.is_some_and(|(_, own)| own.as_str() == service)
         })
     }
 
-    fn places(&self, fits: impl Fn(&RunningFleet, usize) -> bool) -> Vec<usize> {
-        (0..self.fleet.members.len()).filter(|place| fits(&self.fleet, *place)).collect()
+    fn member_indexes(&self, fits: impl Fn(&RunningFleet, usize) -> bool) -> Vec<usize> {
+        (0..self.fleet.members.len()).filter(|index| fits(&self.fleet, *index)).collect()
     }
 
     /// Kills a member's process.
-    pub fn kill(&mut self, place: usize) {
-        let process = self.fleet.members[place].process.take().expect("the process runs");
+    pub fn kill(&mut self, index: usize) {
+        let process = self.fleet.members[index].process.take().expect("the process runs");
         process.kill().expect("a child process can be killed");
     }
 
     /// Suspends or resumes a member's process.
-    pub fn pause(&self, place: usize, paused: bool) {
-        let process = self.fleet.members[place].process.as_ref().expect("the process runs");
+    pub fn pause(&self, index: usize, paused: bool) {
+        let process = self.fleet.members[index].process.as_ref().expect("the process runs");
         let signalled = if paused { process.pause() } else { process.resume() };
         signalled.expect("the process runs");
     }
--- a/crates/sagespool-daemon/tests/config_relay.rs
+++ b/crates/sagespool-daemon/tests/config_relay.rs
@@ -9,16 +9,16 @@
 use serde_json::Value;
 
 /// The versions of an object that a member has applied, over all its incarnations, from its log.
-fn applied(fleet: &TestFleet, place: usize, key: &str) -> Vec<u64> {
-    let log = std::fs::read_to_string(&fleet.members[place].log).unwrap_or_default();
+fn applied(fleet: &TestFleet, index: usize, key: &str) -> Vec<u64> {
+    let log = std::fs::read_to_string(&fleet.members[index].log).unwrap_or_default();
     let event = format!("event=configuration-applied object={key} version=");
     let versions = log.lines().filter_map(|line| line.split_once(&event));
     versions.filter_map(|(_, version)| version.trim().parse().ok()).collect()
 }
 
-async fn wait_until_applied(fleet: &TestFleet, place: usize, key: &str, version: StoreRevision) {
-    let what = format!("{} has {key} at {version}", fleet.members[place].instance);
-    wait_until(&what, || applied(fleet, place, key).last() == Some(&version.0)).await;
+async fn wait_until_applied(fleet: &TestFleet, index: usize, key: &str, version: StoreRevision) {
+    let what = format!("{} has {key} at {version}", fleet.members[index].instance);
+    wait_until(&what, || applied(fleet, index, key).last() == Some(&version.0)).await;
 }
 
 fn shard_key() -> String {
@@ -44,17 +44,17 @@
     put.expect("no concurrent write")
 }
 
-fn name(fleet: &TestFleet, place: usize) -> String {
-    fleet.members[place].instance.to_string()
+fn name(fleet: &TestFleet, index: usize) -> String {
+    fleet.members[index].instance.to_string()
 }
 
 /// Cuts a member off from others, or reconnects it.
-fn set_cut(fleet: &TestFleet, place: usize, others: &[String], cut: bool) {
+fn set_cut(fleet: &TestFleet, index: usize, others: &[String], cut: bool) {
     let proxy = fleet.proxy.as_ref().expect("the fleet is proxied");
     for other in others {
         match cut {
-            true => proxy.cut(&name(fleet, place), other),
-            false => proxy.heal(&name(fleet, place), other),
+            true => proxy.cut(&name(fleet, index), other),
+            false => proxy.heal(&name(fleet, index), other),
         }
     }
 }
@@ -93,8 +93,8 @@
     run(async {
         let fleet = SmallFleet { proxied: true, ..Default::default() }.start().await;
         let (entry, sidecar) = (fleet.entries()[0], fleet.sidecars(ENGINES)[0]);
-        for place in [entry, sidecar] {
-            set_cut(&fleet, place, &["store".to_owned()], true);
+        for index in [entry, sidecar] {
+            set_cut(&fleet, index, &["store".to_owned()], true);
         }
         for step in 1..4 {
             let shard = change_branch(&fleet, 10 + step).await;
@@ -124,15 +124,15 @@
         let mut fleet = SmallFleet { proxied: true, ..Default::default() }.start().await;
         let (stale, fresh) = (fleet.entries()[0], fleet.entries()[1]);
         let others: Vec<String> = (0..fleet.members.len())
-            .filter(|place| *place != stale)
-            .map(|place| name(&fleet, place))
+            .filter(|index| *index != stale)
+            .map(|index| name(&fleet, index))
             .chain(["store".to_owned()])
             .collect();
         let first = applied(&fleet, stale, FLEET_OBJECT_KEY);
         set_cut(&fleet, stale, &others, true);
         let newest = change_fleet(&fleet, 700_000).await;
-        for place in (0..fleet.members.len()).filter(|place| *place != stale) {
-            wait_until_applied(&fleet, place, FLEET_OBJECT_KEY, newest).await;
+        for index in (0..fleet.members.len()).filter(|index| *index != stale) {
+            wait_until_applied(&fleet, index, FLEET_OBJECT_KEY, newest).await;
         }
         fleet.change_store(|faults| faults.outage = true);
         fleet.kill(fresh);
@@ -153,10 +153,10 @@
 
         fleet.change_store(|faults| faults.outage = false);
         wait_until_ready(&fleet, fresh).await;
-        for place in [stale, fresh] {
-            wait_until_applied(&fleet, place, FLEET_OBJECT_KEY, newest).await;
-            let versions = applied(&fleet, place, FLEET_OBJECT_KEY);
-            assert!(versions.is_sorted(), "{}: {versions:?}", name(&fleet, place));
+        for index in [stale, fresh] {
+            wait_until_applied(&fleet, index, FLEET_OBJECT_KEY, newest).await;
+            let versions = applied(&fleet, index, FLEET_OBJECT_KEY);
+            assert!(versions.is_sorted(), "{}: {versions:?}", name(&fleet, index));
         }
     });
 }
--- a/crates/sagespool-daemon/tests/crossed_answers.rs
+++ b/crates/sagespool-daemon/tests/crossed_answers.rs
@@ -13,7 +13,7 @@
 const DELAY: Duration = Duration::from_millis(3);
 /// Long enough that a pause falls into its run.
 const LONG_ANSWER: u32 = 300;
-const CROSSED: &str = "sagespool_dropped_answers_total{cause=\"crossed\"}";
+const WRONG_REQUEST: &str = "sagespool_dropped_answers_total{cause=\"crossed\"}";
 const CALLER_GONE: &str = "sagespool_dropped_answers_total{cause=\"caller-gone\"}";
 
 /// Delays, duplicates and reorders packets between all processes.
@@ -21,8 +21,8 @@
     let proxy = fleet.proxy.as_ref().expect("the fleet is proxied");
     let names: Vec<String> =
         fleet.members.iter().map(|member| member.instance.to_string()).collect();
-    for (place, one) in names.iter().enumerate() {
-        for other in &names[place + 1..] {
+    for (index, one) in names.iter().enumerate() {
+        for other in &names[index + 1..] {
             proxy.reorder_share(one, other, SHARE);
             proxy.duplicate_share(one, other, SHARE);
             proxy.delay(one, other, DELAY);
@@ -31,8 +31,8 @@
 }
 
 /// Number of answers that a process has dropped for a cause.
-async fn dropped_answers(fleet: &TestFleet, place: usize, cause: &str) -> f64 {
-    metric(fleet, place, cause).await.unwrap_or_default()
+async fn dropped_answers(fleet: &TestFleet, index: usize, cause: &str) -> f64 {
+    metric(fleet, index, cause).await.unwrap_or_default()
 }
 
 async fn start() -> TestFleet {
@@ -96,23 +96,23 @@
     run(async {
         let fleet = start().await;
         let entries = fleet.entries();
-        let crossing = fleet.engines.values().next().expect("there are engines");
-        let sidecar = fleet.member_index(&format!("{}-sidecar", crossing.name()));
+        let mixing = fleet.engines.values().next().expect("there are engines");
+        let sidecar = fleet.member_index(&format!("{}-sidecar", mixing.name()));
         let sidecar = sidecar.expect("each engine has its sidecar");
-        crossing.set_mixed_answers(true);
+        mixing.set_mixed_answers(true);
         let mut records = Vec::new();
         let mut number = 0;
-        wait_until_async("the engine's answers cross", async || {
+        wait_until_async("the sidecar has dropped a mixed answer", async || {
             let call = completion([BRANCH, OTHER_BRANCH][number % 2], 20);
             let sent = send(&fleet, &call, entries[number % 2]).await;
             assert!(is_own_whole(&sent), "{sent:?}");
             number += 1;
             records.push(record(&call, [sent]));
-            dropped_answers(&fleet, sidecar, CROSSED).await >= 1.0
+            dropped_answers(&fleet, sidecar, WRONG_REQUEST).await >= 1.0
         })
         .await;
         let rerun = records.iter().filter(|record| runs_of(&fleet, &record.call).len() == 2);
-        assert_eq!(rerun.count(), 1, "runs of the call whose answer was crossed");
+        assert_eq!(rerun.count(), 1, "runs of the call whose answer was mixed");
 
         let before = letter(OTHER_BRANCH, "before");
         let before_send = send(&fleet, &before, entries[0]).await;
@@ -126,7 +126,7 @@
             sends.push(sent);
         }
         assert_eq!(runs_of(&fleet, &letter).len(), 1, "runs of the letter");
-        assert_eq!(dropped_answers(&fleet, fleet.sidecars(LETTERS)[0], CROSSED).await, 1.0);
+        assert_eq!(dropped_answers(&fleet, fleet.sidecars(LETTERS)[0], WRONG_REQUEST).await, 1.0);
         records.extend([record(&before, [before_send]), record(&letter, sends)]);
         assert_guarantees(&fleet, &records);
     });
--- a/crates/sagespool-daemon/tests/lost_answers.rs
+++ b/crates/sagespool-daemon/tests/lost_answers.rs
@@ -28,8 +28,8 @@
         calls.push(completion_costing(BRANCH, PREPAID - spent.0));
         let entries = fleet.entries();
         let mut records = Vec::new();
-        for (place, call) in calls.iter().enumerate() {
-            let sent = send(&fleet, call, entries[place % entries.len()]).await;
+        for (index, call) in calls.iter().enumerate() {
+            let sent = send(&fleet, call, entries[index % entries.len()]).await;
             assert!(is_own_whole(&sent), "{sent:?}");
             assert_eq!(runs_of(&fleet, call).len(), 1, "runs of {}", call.marker);
             records.push(record(call, [sent]));
--- a/crates/sagespool-daemon/tests/repeated_commands.rs
+++ b/crates/sagespool-daemon/tests/repeated_commands.rs
@@ -203,9 +203,9 @@
         assert_eq!(states[0], OutcomeState::Done);
         assert_eq!(states[3], OutcomeState::Cancelled);
         let before = [1_000_000, 200_000, 500, 10_000];
-        for (place, branch) in ["first", "second", "dry", "desk"].into_iter().enumerate() {
-            let added = harness.account(branch).prepaid.0 - before[place];
-            assert_eq!(added == 1, states[place] == OutcomeState::Done, "{branch}: {states:?}");
+        for (index, branch) in ["first", "second", "dry", "desk"].into_iter().enumerate() {
+            let added = harness.account(branch).prepaid.0 - before[index];
+            assert_eq!(added == 1, states[index] == OutcomeState::Done, "{branch}: {states:?}");
         }
         let late = harness.send_line(EAST, &format!("cancel {command}"));
         assert_eq!(late.states(), [OutcomeState::Refused]);
--- a/crates/sagespool-daemon/tests/sidecar_kill.rs
+++ b/crates/sagespool-daemon/tests/sidecar_kill.rs
@@ -13,11 +13,11 @@
 
 /// Kills sidecars, then starts all of them again.
 fn replace(fleet: &mut TestFleet, sidecars: &[usize]) {
-    for place in sidecars {
-        fleet.kill(*place);
+    for index in sidecars {
+        fleet.kill(*index);
     }
-    for place in sidecars {
-        fleet.start_member(*place).expect("a sidecar can be started again");
+    for index in sidecars {
+        fleet.start_member(*index).expect("a sidecar can be started again");
     }
 }
 
--- a/crates/sagespool-daemon/tests/store_outage.rs
+++ b/crates/sagespool-daemon/tests/store_outage.rs
@@ -140,8 +140,8 @@
         }
 
         set_outage(&fleet, false);
-        for place in [sidecar, entries.other] {
-            wait_until_ready(&fleet, place).await;
+        for index in [sidecar, entries.other] {
+            wait_until_ready(&fleet, index).await;
         }
         let again = send(&fleet, &at_new_entry, entries.other).await;
         assert!(is_own_whole(&again), "{again:?}");
--- a/crates/sagespool-daemon/tests/taken_address.rs
+++ b/crates/sagespool-daemon/tests/taken_address.rs
@@ -14,8 +14,8 @@
 
 /// Starts a second process with a member's settings after `change`, and waits for its exit. Returns its
 /// exit code and its log.
-fn start_second(fleet: &TestFleet, place: usize, change: impl Fn(&mut Value)) -> (i32, String) {
-    let member = &fleet.members[place];
+fn start_second(fleet: &TestFleet, index: usize, change: impl Fn(&mut Value)) -> (i32, String) {
+    let member = &fleet.members[index];
     let text = std::fs::read_to_string(&member.settings).expect("the fleet wrote it");
     let mut settings: Value = serde_json::from_str(&text).expect("the fleet writes JSON");
     change(&mut settings);
@@ -35,17 +35,17 @@
     // would restart it. It must exit at once, and log the reason.
     run(async {
         let fleet = SmallFleet::default().start().await;
-        for place in [fleet.entries()[0], fleet.sidecars(ENGINES)[0]] {
+        for index in [fleet.entries()[0], fleet.sidecars(ENGINES)[0]] {
             let free_link = |settings: &mut Value| {
                 settings["link"]["listen"] = json!("127.0.0.1:0");
             };
-            let (code, log) = start_second(&fleet, place, free_link);
+            let (code, log) = start_second(&fleet, index, free_link);
             assert_eq!(code, EXIT_START_FAILED, "{log}");
             assert!(log.contains("start-failed"), "{log}");
             let free_http = |settings: &mut Value| {
                 settings["http"]["listen"] = json!("127.0.0.1:0");
             };
-            let (code, log) = start_second(&fleet, place, free_http);
+            let (code, log) = start_second(&fleet, index, free_http);
             assert_eq!(code, EXIT_START_FAILED, "{log}");
         }
         assert!(fleet.all_run(), "a process has ended");
--- a/crates/sagespool-daemon/tests/upstream_orders.rs
+++ b/crates/sagespool-daemon/tests/upstream_orders.rs
@@ -89,8 +89,8 @@
         for instance in ["engines-2-sidecar", "west-entry-1"] {
             let output = harness.send_line(EAST, &format!("stop {instance}"));
             assert_eq!(output.states(), [OutcomeState::Done], "{output:?}");
-            let place = harness.member_index(instance);
-            let process = harness.fleet.members[place].process.as_mut().unwrap();
+            let index = harness.member_index(instance);
+            let process = harness.fleet.members[index].process.as_mut().unwrap();
             let status = process.wait(Duration::from_secs(25)).unwrap();
             assert!(status.success(), "{instance}: {status}");
         }
