--- a/crates/sagespool-forward/src/lib.rs
+++ b/crates/sagespool-forward/src/lib.rs
@@ -40,7 +40,7 @@
     AllowedRegions, BranchPlan, CallerLimits, EngineProfile, ForwardPlan, ForwardRoute, RepeatRule,
     RouteTarget, ServicePlan,
 };
-pub use prefix_cache::PrefixCache;
+pub use prefix_cache::CacheEstimate;
 pub use registry::{UpstreamChange, UpstreamRecord, UpstreamRegistry, UpstreamRun};
 pub use request::{DeclaredTokens, PromptPart, RequestAttributes};
 pub use retry::{RetryBudget, RetryPolicy};
--- a/crates/sagespool-forward/src/placement/load.rs
+++ b/crates/sagespool-forward/src/placement/load.rs
@@ -7,7 +7,7 @@
 use super::health::UpstreamHealth;
 use super::stall::StallDetector;
 use crate::EngineProfile;
-use crate::prefix_cache::PrefixCache;
+use crate::prefix_cache::CacheEstimate;
 
 /// A load report loses half its weight in this time, since requests last about a second.
 const REPORT_HALF_LIFE: Duration = Duration::from_millis(700);
@@ -30,7 +30,7 @@
     pub(super) slowness_updated_at: ClockTime,
     /// When the upstream was last chosen.
     pub(super) last_chosen_at: ClockTime,
-    pub(super) cache: Option<PrefixCache>,
+    pub(super) cache: Option<CacheEstimate>,
     pub(super) health: UpstreamHealth,
     pub(super) stall: StallDetector,
 }
@@ -47,7 +47,7 @@
             slowness: 1.0,
             slowness_updated_at: ClockTime::default(),
             last_chosen_at: ClockTime::default(),
-            cache: engine.map(|profile| PrefixCache::new(profile.memory)),
+            cache: engine.map(|profile| CacheEstimate::new(profile.memory)),
             health: UpstreamHealth::default(),
             stall: StallDetector::default(),
         }
--- a/crates/sagespool-forward/src/prefix_cache.rs
+++ b/crates/sagespool-forward/src/prefix_cache.rs
@@ -11,7 +11,7 @@
 /// An engine reuses a part only if it has cached all parts before it. A part is therefore
 /// identified together with all parts before it.
 #[derive(Debug)]
-pub struct PrefixCache {
+pub struct CacheEstimate {
     capacity: TokenCount,
     total_tokens: TokenCount,
     clock: u64,
@@ -28,7 +28,7 @@
 /// rest.
 const CACHE_MEMORY_FRACTION: f64 = 0.7;
 
-impl PrefixCache {
+impl CacheEstimate {
     /// Creates an empty cache for an engine with `memory` tokens.
     pub fn new(memory: TokenCount) -> Self {
         let capacity = TokenCount((memory.0 as f64 * CACHE_MEMORY_FRACTION) as u64);
--- a/crates/sagespool-gateway/src/identity.rs
+++ b/crates/sagespool-gateway/src/identity.rs
@@ -34,14 +34,14 @@
 
 /// Why no identity could be created.
 #[derive(Debug)]
-pub(crate) enum IdentityError {
+pub(crate) enum CertificateError {
     /// The call of the store failed.
     Store(StoreError),
     /// The authority or a certificate can't be created or parsed.
     Certificate(String),
 }
 
-impl fmt::Display for IdentityError {
+impl fmt::Display for CertificateError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Store(error) => error.fmt(f),
@@ -50,7 +50,7 @@
     }
 }
 
-impl From<rcgen::Error> for IdentityError {
+impl From<rcgen::Error> for CertificateError {
     fn from(error: rcgen::Error) -> Self {
         Self::Certificate(error.to_string())
     }
@@ -60,7 +60,7 @@
 pub(crate) async fn create_identity(
     store: &ObjectClient,
     instance: &InstanceName,
-) -> Result<LinkIdentity, IdentityError> {
+) -> Result<LinkIdentity, CertificateError> {
     let authority = match read_authority(store).await? {
         Some(authority) => authority,
         None => create_authority(store).await?,
@@ -71,17 +71,18 @@
     let certificate = own_params(instance)?.signed_by(&own_key, &issuer)?.pem();
     let own_key = own_key.serialize_pem();
     let identity = LinkIdentity::from_pem(&certificate, &own_key, &authority.certificate)
-        .map_err(|report| IdentityError::Certificate(report.to_string()))?;
+        .map_err(|report| CertificateError::Certificate(report.to_string()))?;
     Ok(identity.with_max_concurrent_requests(MAX_CONCURRENT_REQUESTS))
 }
 
-async fn read_authority(store: &ObjectClient) -> Result<Option<AuthorityRecord>, IdentityError> {
-    let found = store.get::<AuthorityRecord>(AUTHORITY_KEY).await.map_err(IdentityError::Store)?;
+async fn read_authority(store: &ObjectClient) -> Result<Option<AuthorityRecord>, CertificateError> {
+    let found =
+        store.get::<AuthorityRecord>(AUTHORITY_KEY).await.map_err(CertificateError::Store)?;
     Ok(found.map(|object| object.value))
 }
 
 /// Creates the authority. If another gateway writes one first, that one is returned.
-async fn create_authority(store: &ObjectClient) -> Result<AuthorityRecord, IdentityError> {
+async fn create_authority(store: &ObjectClient) -> Result<AuthorityRecord, CertificateError> {
     let key = KeyPair::generate()?;
     let certificate = authority_params()?.self_signed(&key)?.pem();
     let record = AuthorityRecord { certificate, key: key.serialize_pem() };
@@ -89,9 +90,9 @@
         Ok(_) => Ok(record),
         Err(StoreError::Conflict { .. }) => {
             let written = read_authority(store).await?;
-            written.ok_or(IdentityError::Store(StoreError::Unavailable))
+            written.ok_or(CertificateError::Store(StoreError::Unavailable))
         }
-        Err(error) => Err(IdentityError::Store(error)),
+        Err(error) => Err(CertificateError::Store(error)),
     }
 }
 
--- a/crates/sagespool-membership/src/config_replica.rs
+++ b/crates/sagespool-membership/src/config_replica.rs
@@ -5,7 +5,7 @@
 use sagespool_messages::{ConfigObject, ConfigQuery, ConfigReply, ConfigScope};
 use sagespool_types::StoreRevision;
 
-use crate::{AppliedVersions, OfferOutcome};
+use crate::{AppliedVersions, VersionOutcome};
 
 /// The objects that a process follows, each at the newest version offered.
 ///
@@ -72,7 +72,7 @@
         if !self.scope.covers(&object.key) || object.version <= self.complete {
             return false;
         }
-        if self.versions.offer(&object.key, object.version) != OfferOutcome::Apply {
+        if self.versions.offer(&object.key, object.version) != VersionOutcome::Apply {
             return false;
         }
         self.objects.insert(object.key.clone(), object.clone());
--- a/crates/sagespool-membership/src/lib.rs
+++ b/crates/sagespool-membership/src/lib.rs
@@ -33,4 +33,4 @@
 pub use run_order::initial_heartbeat_number;
 pub use sizing::max_encoded_bytes;
 pub use table::{MemberChanges, MemberTable};
-pub use versions::{AppliedVersions, OfferOutcome};
+pub use versions::{AppliedVersions, VersionOutcome};
--- a/crates/sagespool-membership/src/versions.rs
+++ b/crates/sagespool-membership/src/versions.rs
@@ -7,7 +7,7 @@
 
 /// The result of offering a version of an object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OfferOutcome {
+pub enum VersionOutcome {
     /// It is newer and counts as applied from now on; the caller has to apply it.
     Apply,
     /// It is applied already.
@@ -33,15 +33,15 @@
 /// rejects lower ones for an object that it hasn't applied yet.
 ///
 /// ```
-/// use sagespool_membership::{AppliedVersions, OfferOutcome};
+/// use sagespool_membership::{AppliedVersions, VersionOutcome};
 /// use sagespool_types::StoreRevision;
 ///
 /// let versions = AppliedVersions::new();
 /// versions.record_reported("configuration/fleet", StoreRevision(9));
 /// let wanted = StoreRevision(9);
 /// let older = versions.offer("configuration/fleet", StoreRevision(7));
-/// assert_eq!(older, OfferOutcome::Older { wanted });
-/// assert_eq!(versions.offer("configuration/fleet", wanted), OfferOutcome::Apply);
+/// assert_eq!(older, VersionOutcome::Older { wanted });
+/// assert_eq!(versions.offer("configuration/fleet", wanted), VersionOutcome::Apply);
 /// ```
 #[derive(Debug, Default)]
 pub struct AppliedVersions {
@@ -59,18 +59,18 @@
     }
 
     /// Offers a version of an object; it counts as applied if the result is `Apply`.
-    pub fn offer(&self, object: &str, version: StoreRevision) -> OfferOutcome {
+    pub fn offer(&self, object: &str, version: StoreRevision) -> VersionOutcome {
         let mut objects = self.objects();
         let record = objects.entry(object.to_owned()).or_default();
         let wanted = record.applied.unwrap_or(record.reported);
         if record.applied == Some(version) {
-            return OfferOutcome::Applied;
+            return VersionOutcome::Applied;
         }
         if version < wanted {
-            return OfferOutcome::Older { wanted };
+            return VersionOutcome::Older { wanted };
         }
         record.applied = Some(version);
-        OfferOutcome::Apply
+        VersionOutcome::Apply
     }
 
     /// Records a version that a neighbour has applied.
--- a/crates/sagespool-membership/tests/applied_versions.rs
+++ b/crates/sagespool-membership/tests/applied_versions.rs
@@ -1,7 +1,7 @@
 //! Applied configuration versions never decrease.
 
 use quickcheck::quickcheck;
-use sagespool_membership::{AppliedVersions, OfferOutcome};
+use sagespool_membership::{AppliedVersions, VersionOutcome};
 use sagespool_types::{ConfigVersion, StoreRevision};
 
 const FLEET: &str = "configuration/fleet";
@@ -31,7 +31,7 @@
             match *step {
                 Reported(version) => versions.record_reported(FLEET, StoreRevision(version)),
                 Offer(version) => {
-                    if versions.offer(FLEET, StoreRevision(version)) == OfferOutcome::Apply {
+                    if versions.offer(FLEET, StoreRevision(version)) == VersionOutcome::Apply {
                         applied.push(version);
                     }
                 }
@@ -44,8 +44,8 @@
 #[test]
 fn objects_independent() {
     let versions = AppliedVersions::new();
-    assert_eq!(versions.offer(FLEET, StoreRevision(9)), OfferOutcome::Apply);
-    assert_eq!(versions.offer("configuration/branches/1", StoreRevision(4)), OfferOutcome::Apply);
+    assert_eq!(versions.offer(FLEET, StoreRevision(9)), VersionOutcome::Apply);
+    assert_eq!(versions.offer("configuration/branches/1", StoreRevision(4)), VersionOutcome::Apply);
     assert_eq!(versions.in_force(), ConfigVersion(9));
     versions.record_reported("configuration/branches/2", StoreRevision(11));
     let missing = ("configuration/branches/2".to_owned(), StoreRevision(11));
@@ -62,7 +62,7 @@
             let version = StoreRevision(u64::from(version));
             if heard {
                 versions.record_reported(FLEET, version);
-            } else if versions.offer(FLEET, version) == OfferOutcome::Apply {
+            } else if versions.offer(FLEET, version) == VersionOutcome::Apply {
                 let rises = Some(version) > newest;
                 newest = Some(version);
                 return rises;
--- a/crates/sagespool-sidecar/src/attempt.rs
+++ b/crates/sagespool-sidecar/src/attempt.rs
@@ -80,7 +80,7 @@
 
 /// How an attempt ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum AttemptOutcome {
+pub(crate) enum AttemptCompletion {
     /// With a complete answer.
     Whole(FinishReason),
     /// The call to the upstream failed.
@@ -101,7 +101,7 @@
     },
 }
 
-impl AttemptOutcome {
+impl AttemptCompletion {
     /// The outcome of a call that failed.
     pub(crate) fn from_call_error(error: &UpstreamCallError, crashed: bool) -> Self {
         Self::Broken { ran: error.may_have_run(), crashed, detail: error.to_string() }
--- a/crates/sagespool-sidecar/src/dispatcher.rs
+++ b/crates/sagespool-sidecar/src/dispatcher.rs
@@ -17,13 +17,13 @@
 };
 
 use crate::admission::attach_refused;
-use crate::attempt::{AdmittedAttempt, AttemptOutcome};
+use crate::attempt::{AdmittedAttempt, AttemptCompletion};
 use crate::run_completion::{CompletionTarget, EngineCleanup};
 use crate::run_service::ServiceTarget;
 use crate::running::{RunningTable, StopReason};
 use crate::{
     AnswerReader, ChargeOutcome, ChargeRegistry, IdempotencyCache, KeyRefusal, KeyRetention,
-    LoadTracker, OrderFence, PromptCacheTracker, ReportPolicy, UpstreamClient,
+    LoadWatcher, OrderFence, PromptCacheTracker, ReportPolicy, UpstreamClient,
 };
 
 /// Default memory limit of cached answers.
@@ -61,7 +61,7 @@
     pub(crate) upstream: UpstreamClient,
     pub(crate) charges: ChargeRegistry,
     pub(crate) keys: IdempotencyCache,
-    pub(crate) load: LoadTracker,
+    pub(crate) load: LoadWatcher,
     cache: PromptCacheTracker,
     pub(crate) orders: OrderFence,
     pub(crate) running: Arc<RunningTable>,
@@ -88,7 +88,7 @@
             upstream: UpstreamClient::new(upstream.address),
             charges: ChargeRegistry::new(sidecar, reports),
             keys: IdempotencyCache::new(sidecar, answer_cache_bytes, retention),
-            load: LoadTracker::new(&upstream),
+            load: LoadWatcher::new(&upstream),
             cache: PromptCacheTracker::default(),
             orders: OrderFence::new(),
             running: Arc::default(),
@@ -107,7 +107,7 @@
     }
 
     /// Load and health of the upstream.
-    pub fn load(&self) -> &LoadTracker {
+    pub fn load(&self) -> &LoadWatcher {
         &self.load
     }
 
@@ -221,7 +221,7 @@
         &self,
         attempt: &AdmittedAttempt,
         stopped: Pin<&mut impl Future<Output = StopReason>>,
-    ) -> (AttemptOutcome, EngineCleanup) {
+    ) -> (AttemptCompletion, EngineCleanup) {
         if let Some(target) = ServiceTarget::of(&attempt.target) {
             return (self.run_service(attempt, target, stopped).await, EngineCleanup::Nothing);
         }
@@ -252,8 +252,8 @@
 
     /// Ends an attempt in all tables and then in its log. The requester reads the
     /// end last, so that its next request finds charge and key in their final state.
-    fn finish(&self, attempt: &AdmittedAttempt, outcome: AttemptOutcome, now: ClockTime) {
-        let is_whole = matches!(outcome, AttemptOutcome::Whole(_));
+    fn finish(&self, attempt: &AdmittedAttempt, outcome: AttemptCompletion, now: ClockTime) {
+        let is_whole = matches!(outcome, AttemptCompletion::Whole(_));
         let charge = if outcome.may_have_run() {
             let end_delivered = attempt.log.has_readers();
             let charge_outcome = ChargeOutcome { whole: is_whole, end_delivered };
@@ -274,12 +274,12 @@
 }
 
 /// Complete answers are the common case, and are logged at debug level only.
-fn log_end(attempt: &AdmittedAttempt, end: &AttemptOutcome, charge: Option<&ChargeRecord>) {
+fn log_end(attempt: &AdmittedAttempt, end: &AttemptCompletion, charge: Option<&ChargeRecord>) {
     let used = charge.map_or(TokenCount::ZERO, |charge| charge.used);
     let (request, number, outcome) = (attempt.request, attempt.attempt, end.as_str());
     let (branch, charge) = (&attempt.branch, attempt.charge);
     match end {
-        AttemptOutcome::Whole(_) => log_event!(
+        AttemptCompletion::Whole(_) => log_event!(
             debug,
             "attempt-ended",
             request = request,
--- a/crates/sagespool-sidecar/src/lib.rs
+++ b/crates/sagespool-sidecar/src/lib.rs
@@ -12,7 +12,7 @@
 //! - [`TokenMeter`]: the answer ends with the last token that was reserved.
 //! - [`OrderFence`]: orders reach the engine in the order of their fencing numbers.
 //!
-//! [`LoadTracker`] and [`PromptCacheTracker`] publish the upstream's load, health and
+//! [`LoadWatcher`] and [`PromptCacheTracker`] publish the upstream's load, health and
 //! prompt cache for placement decisions.
 //!
 //! These types do no I/O and take the time as an argument. [`SidecarRole`] is the
@@ -33,7 +33,7 @@
 mod engine_events;
 mod idempotency_cache;
 mod in_flight;
-mod load_tracker;
+mod load_watcher;
 mod orders;
 mod prompt_cache;
 mod role;
@@ -54,7 +54,7 @@
 pub use idempotency_cache::{
     IdempotencyCache, KeyAdmission, KeyRefusal, KeyRetention, KeyedAttempt, KeyedOutcome,
 };
-pub use load_tracker::{LoadTracker, UpstreamHealth, UpstreamSample};
+pub use load_watcher::{LoadWatcher, UpstreamHealth, UpstreamSample};
 pub use orders::{OrderFence, OrderRefusal};
 pub use prompt_cache::PromptCacheTracker;
 pub use role::{SidecarError, SidecarRole, StopReport};
--- a/crates/sagespool-sidecar/src/load_tracker.rs
+++ b/crates/sagespool-sidecar/src/load_watcher.rs
@@ -15,17 +15,17 @@
 
 /// Tracks the load and health of one upstream, and decides when to publish them.
 #[derive(Debug)]
-pub struct LoadTracker {
+pub struct LoadWatcher {
     upstream: UpstreamName,
     service: ServiceName,
     kind: UpstreamKind,
     capacity: u32,
     models: Vec<ModelName>,
-    state: Mutex<TrackerState>,
+    state: Mutex<WatcherState>,
 }
 
 #[derive(Debug, Default)]
-struct TrackerState {
+struct WatcherState {
     number: u64,
     missed_probes: u32,
     healthy: bool,
@@ -65,7 +65,7 @@
     pub load: Option<EngineLoad>,
 }
 
-impl LoadTracker {
+impl LoadWatcher {
     /// A tracker without probes. The upstream is unhealthy until it answers one.
     pub fn new(settings: &UpstreamSettings) -> Self {
         Self {
@@ -148,7 +148,7 @@
         Some(served)
     }
 
-    fn describe(&self, state: &TrackerState) -> ServedUpstream {
+    fn describe(&self, state: &WatcherState) -> ServedUpstream {
         let load = state.newest.as_ref();
         ServedUpstream {
             upstream: self.upstream.clone(),
--- a/crates/sagespool-sidecar/src/run_completion.rs
+++ b/crates/sagespool-sidecar/src/run_completion.rs
@@ -9,7 +9,7 @@
 use sagespool_types::{ClockTime, ModelName, TokenCount};
 use smol::Timer;
 
-use crate::attempt::{AdmittedAttempt, AttemptOutcome, unless_stopped};
+use crate::attempt::{AdmittedAttempt, AttemptCompletion, unless_stopped};
 use crate::dispatcher::Dispatcher;
 use crate::engine_body::{EngineOverrides, engine_body};
 use crate::running::StopReason;
@@ -89,10 +89,10 @@
         target: CompletionTarget<'_>,
         mut meter: TokenMeter,
         mut stopped: Pin<&mut impl Future<Output = StopReason>>,
-    ) -> (AttemptOutcome, EngineCleanup) {
+    ) -> (AttemptCompletion, EngineCleanup) {
         if meter.is_full() {
             self.record_used(attempt, meter.used());
-            return (AttemptOutcome::Whole(FinishReason::Length), EngineCleanup::Nothing);
+            return (AttemptCompletion::Whole(FinishReason::Length), EngineCleanup::Nothing);
         }
         let call = self.upstream.new_call(attempt.request, attempt.attempt);
         let opened = self.open_completion(&call, attempt, target, &meter, stopped.as_mut()).await;
@@ -107,8 +107,8 @@
         self.record_charged(attempt, meter.used());
         let end = self.forward_tokens(attempt, &mut stream, &mut meter, stopped).await;
         let cleanup = match end {
-            AttemptOutcome::Whole(_) if meter.is_full() => EngineCleanup::AwaitClose(stream),
-            AttemptOutcome::Whole(_) => EngineCleanup::Nothing,
+            AttemptCompletion::Whole(_) if meter.is_full() => EngineCleanup::AwaitClose(stream),
+            AttemptCompletion::Whole(_) => EngineCleanup::Nothing,
             _ => EngineCleanup::Cancel,
         };
         (end, cleanup)
@@ -121,7 +121,7 @@
         target: CompletionTarget<'_>,
         meter: &TokenMeter,
         stopped: Pin<&mut impl Future<Output = StopReason>>,
-    ) -> Result<CompletionStream, AttemptOutcome> {
+    ) -> Result<CompletionStream, AttemptCompletion> {
         let overrides = EngineOverrides {
             model: target.model,
             max_tokens: meter.max_tokens(),
@@ -129,7 +129,7 @@
             resume: target.resume,
         };
         let body =
-            engine_body(&attempt.body, &overrides).map_err(|error| AttemptOutcome::Broken {
+            engine_body(&attempt.body, &overrides).map_err(|error| AttemptCompletion::Broken {
                 ran: false,
                 crashed: false,
                 detail: format!("the request body is not a JSON object: {error}"),
@@ -137,7 +137,7 @@
         match unless_stopped(stopped, self.upstream.start_completion(call, body)).await {
             Ok(Ok(stream)) => Ok(stream),
             Ok(Err(error)) => Err(self.outcome_of_error(&error).await),
-            Err(reason) => Err(AttemptOutcome::Stopped { ran: call.may_have_run(), reason }),
+            Err(reason) => Err(AttemptCompletion::Stopped { ran: call.may_have_run(), reason }),
         }
     }
 
@@ -147,7 +147,7 @@
         stream: &mut CompletionStream,
         meter: &mut TokenMeter,
         mut stopped: Pin<&mut impl Future<Output = StopReason>>,
-    ) -> AttemptOutcome {
+    ) -> AttemptCompletion {
         let mut timer = TokenTimer::new(attempt.arrived);
         loop {
             let next = async {
@@ -157,7 +157,7 @@
             let event = match unless_stopped(stopped.as_mut(), next).await {
                 Ok(Ok(event)) => event,
                 Ok(Err(error)) => return self.outcome_of_error(&error).await,
-                Err(reason) => return AttemptOutcome::Stopped { ran: true, reason },
+                Err(reason) => return AttemptCompletion::Stopped { ran: true, reason },
             };
             let step = meter.apply(event);
             self.record_charged(attempt, meter.used());
@@ -169,19 +169,19 @@
                 MeterStep::Piece(piece) => attempt.log.push(piece),
                 MeterStep::LastPiece(piece) => {
                     attempt.log.push(piece);
-                    return AttemptOutcome::Whole(FinishReason::Length);
+                    return AttemptCompletion::Whole(FinishReason::Length);
                 }
-                MeterStep::Finished(reason) => return AttemptOutcome::Whole(reason),
+                MeterStep::Finished(reason) => return AttemptCompletion::Whole(reason),
                 MeterStep::Nothing => {}
                 MeterStep::Broken(detail) => {
-                    return AttemptOutcome::Broken { ran: true, crashed: false, detail };
+                    return AttemptCompletion::Broken { ran: true, crashed: false, detail };
                 }
             }
         }
     }
 
     /// The outcome of an attempt whose call failed.
-    pub(crate) async fn outcome_of_error(&self, error: &UpstreamCallError) -> AttemptOutcome {
+    pub(crate) async fn outcome_of_error(&self, error: &UpstreamCallError) -> AttemptCompletion {
         let crashed = match error {
             UpstreamCallError::NotSent { refused, .. } => *refused,
             UpstreamCallError::Declined { .. } => false,
@@ -194,7 +194,7 @@
         if crashed {
             self.load.mark_down();
         }
-        AttemptOutcome::from_call_error(error, crashed)
+        AttemptCompletion::from_call_error(error, crashed)
     }
 
     /// Whether the upstream went down during a call that broke.
--- a/crates/sagespool-sidecar/src/run_service.rs
+++ b/crates/sagespool-sidecar/src/run_service.rs
@@ -6,7 +6,7 @@
 use sagespool_types::TokenCount;
 
 use crate::UpstreamCallError;
-use crate::attempt::{AdmittedAttempt, AttemptOutcome, unless_stopped};
+use crate::attempt::{AdmittedAttempt, AttemptCompletion, unless_stopped};
 use crate::dispatcher::Dispatcher;
 use crate::running::StopReason;
 use crate::upstream::{RunCall, ServiceAnswer, ServiceCall};
@@ -39,7 +39,7 @@
         attempt: &AdmittedAttempt,
         target: ServiceTarget<'_>,
         mut stopped: Pin<&mut impl Future<Output = StopReason>>,
-    ) -> AttemptOutcome {
+    ) -> AttemptCompletion {
         let call = self.upstream.new_call(attempt.request, attempt.attempt);
         let opened = self.open_service(&call, attempt, target, stopped.as_mut()).await;
         let end = match opened {
@@ -58,7 +58,7 @@
         attempt: &AdmittedAttempt,
         target: ServiceTarget<'_>,
         stopped: Pin<&mut impl Future<Output = StopReason>>,
-    ) -> Result<ServiceAnswer, AttemptOutcome> {
+    ) -> Result<ServiceAnswer, AttemptCompletion> {
         let service_call = ServiceCall {
             method: target.method,
             path: target.path,
@@ -68,7 +68,7 @@
         match unless_stopped(stopped, self.upstream.call_service(call, service_call)).await {
             Ok(Ok(answer)) => Ok(answer),
             Ok(Err(error)) => Err(self.outcome_of_error(&error).await),
-            Err(reason) => Err(AttemptOutcome::Stopped { ran: call.may_have_run(), reason }),
+            Err(reason) => Err(AttemptCompletion::Stopped { ran: call.may_have_run(), reason }),
         }
     }
 
@@ -77,7 +77,7 @@
         attempt: &AdmittedAttempt,
         mut answer: ServiceAnswer,
         mut stopped: Pin<&mut impl Future<Output = StopReason>>,
-    ) -> AttemptOutcome {
+    ) -> AttemptCompletion {
         let headers = std::mem::take(&mut answer.headers);
         attempt.log.push(DispatchEvent::Head { status: answer.status, headers });
         let mut at = 0;
@@ -89,9 +89,9 @@
             };
             let data = match unless_stopped(stopped.as_mut(), next).await {
                 Ok(Ok(Some(data))) => data,
-                Ok(Ok(None)) => return AttemptOutcome::Whole(FinishReason::Stop),
+                Ok(Ok(None)) => return AttemptCompletion::Whole(FinishReason::Stop),
                 Ok(Err(error)) => return self.outcome_of_error(&error).await,
-                Err(reason) => return AttemptOutcome::Stopped { ran: true, reason },
+                Err(reason) => return AttemptCompletion::Stopped { ran: true, reason },
             };
             let count = data.len() as u32;
             attempt.log.push(DispatchEvent::Piece { at, tokens: 0, data });
--- a/crates/sagespool-sidecar/tests/load_tracker.rs
+++ b/crates/sagespool-sidecar/tests/load_watcher.rs
@@ -4,10 +4,10 @@
 
 use sagespool_messages::UpstreamKind;
 use sagespool_settings::UpstreamSettings;
-use sagespool_sidecar::{EngineLoad, LoadTracker, UpstreamHealth, UpstreamSample};
+use sagespool_sidecar::{EngineLoad, LoadWatcher, UpstreamHealth, UpstreamSample};
 
-fn tracker() -> LoadTracker {
-    LoadTracker::new(&UpstreamSettings {
+fn tracker() -> LoadWatcher {
+    LoadWatcher::new(&UpstreamSettings {
         name: "engine-1".parse().unwrap(),
         kind: UpstreamKind::Engine,
         service: "sage-core".parse().unwrap(),
--- a/crates/sagespool-testkit/src/engine/request.rs
+++ b/crates/sagespool-testkit/src/engine/request.rs
@@ -19,7 +19,7 @@
     #[serde(default)]
     stream: bool,
     priority: Option<u8>,
-    resume: Option<ResumePoint>,
+    resume: Option<ResumePosition>,
 }
 
 #[derive(Deserialize)]
@@ -28,7 +28,7 @@
 }
 
 #[derive(Deserialize)]
-struct ResumePoint {
+struct ResumePosition {
     tokens: u32,
     text: String,
 }
@@ -104,7 +104,7 @@
 
 /// A resumed answer must continue a prefix of this engine's own answer; otherwise it would have
 /// a gap.
-fn check_resume(seed: AnswerSeed, resume: Option<&ResumePoint>) -> Result<u32, RequestError> {
+fn check_resume(seed: AnswerSeed, resume: Option<&ResumePosition>) -> Result<u32, RequestError> {
     let Some(resume) = resume else {
         return Ok(0);
     };
--- a/crates/sagespool-testkit/src/fleet.rs
+++ b/crates/sagespool-testkit/src/fleet.rs
@@ -12,7 +12,7 @@
 
 pub use binaries::{FleetBinaries, find_binaries};
 pub use certificates::CertificateSet;
-pub use deployment::{BranchPlan, CentrePlan, DeploymentPlan, ServicePlan, read_deployment};
+pub use deployment::{BranchDeposit, CentrePlan, DeploymentPlan, ServicePlan, read_deployment};
 pub use member::FleetMember;
 pub use options::{EngineTuning, FleetError, FleetOptions};
 pub use process_events::{ProcessEvent, ProcessEventKind};
--- a/crates/sagespool-testkit/src/fleet/deployment.rs
+++ b/crates/sagespool-testkit/src/fleet/deployment.rs
@@ -43,7 +43,7 @@
 /// The development key and the budget of a branch.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct BranchPlan {
+pub struct BranchDeposit {
     /// The key in plain text.
     pub token: String,
     /// Initial prepaid tokens.
@@ -61,7 +61,7 @@
     /// Properties of the fake upstreams by service.
     pub services: BTreeMap<ServiceName, ServicePlan>,
     /// Keys and budgets by branch.
-    pub branches: BTreeMap<BranchName, BranchPlan>,
+    pub branches: BTreeMap<BranchName, BranchDeposit>,
 }
 
 impl DeploymentPlan {
--- a/crates/sagespool-testkit/src/load.rs
+++ b/crates/sagespool-testkit/src/load.rs
@@ -43,9 +43,9 @@
 pub use report::{ControlRates, LatencyStats, LoadReport};
 pub use run::{run_balanced, run_calls};
 pub use scenario::{
-    EngineProfile, FleetSize, GREEDY_BRANCH, LoadPhase, SCENARIO_NAMES, ScenarioOptions,
-    ScenarioPlan, TimedPhase, TrafficProfile, check_names, phase_calls, run_scenario,
-    scenario_plan, schedule_phases,
+    EngineSpec, FleetSize, GREEDY_BRANCH, LoadPhase, SCENARIO_NAMES, ScenarioOptions, ScenarioPlan,
+    TimedPhase, TrafficProfile, check_names, phase_calls, run_scenario, scenario_plan,
+    schedule_phases,
 };
 pub use session::{StoreTraffic, add_process_usage, first_deposits, stop_and_judge, traffic_of};
 pub use stats::{AnswerStats, BranchStats, DeadlineRefusals, GreedEffect, PhaseStats};
--- a/crates/sagespool-testkit/src/load/scenario.rs
+++ b/crates/sagespool-testkit/src/load/scenario.rs
@@ -33,7 +33,7 @@
 };
 
 pub use table::{
-    EngineProfile, FleetSize, GREEDY_BRANCH, LoadPhase, SCENARIO_NAMES, ScenarioPlan, TimedPhase,
+    EngineSpec, FleetSize, GREEDY_BRANCH, LoadPhase, SCENARIO_NAMES, ScenarioPlan, TimedPhase,
     TrafficProfile, scenario_plan, schedule_phases,
 };
 pub use traffic::phase_calls;
--- a/crates/sagespool-testkit/src/load/scenario/table.rs
+++ b/crates/sagespool-testkit/src/load/scenario/table.rs
@@ -17,7 +17,7 @@
 
 /// Parameters of the fake engines.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct EngineProfile {
+pub struct EngineSpec {
     /// Concurrent requests.
     pub capacity: u32,
     /// Tokens per second of each request.
@@ -82,7 +82,7 @@
     /// Size of the fleet; none for the deployment's own.
     pub size: Option<FleetSize>,
     /// Parameters of the engines.
-    pub engine: EngineProfile,
+    pub engine: EngineSpec,
     /// Parameters of the calls.
     pub traffic: TrafficProfile,
     /// Calls per second.
@@ -121,7 +121,7 @@
 const PAUSE: LoadPhase = LoadPhase { name: "pause", factor: 0.0, is_measured: false, ..EVEN_PHASE };
 
 /// Fast engines that are never the bottleneck.
-const FAST_ENGINE: EngineProfile = EngineProfile {
+const FAST_ENGINE: EngineSpec = EngineSpec {
     capacity: 64,
     token_rate: 500,
     first_token: Duration::from_millis(20),
@@ -132,7 +132,7 @@
 
 /// Engines that are the bottleneck: a request occupies one of eight slots for a second on average,
 /// so that waiting for a slot takes longer than scheduling delays on a busy machine.
-const BOTTLENECK_ENGINE: EngineProfile = EngineProfile {
+const BOTTLENECK_ENGINE: EngineSpec = EngineSpec {
     capacity: 8,
     token_rate: 20,
     first_token: Duration::from_millis(50),
@@ -193,7 +193,7 @@
 /// Streams of up to three seconds while processes and upstreams leave and return.
 const ROLLING_RESTART: ScenarioPlan = ScenarioPlan {
     name: "rolling-restart",
-    engine: EngineProfile { token_rate: 100, ..FAST_ENGINE },
+    engine: EngineSpec { token_rate: 100, ..FAST_ENGINE },
     traffic: TrafficProfile { long_share: 100, max_long_answer_tokens: 300, ..MIXED_TRAFFIC },
     rate: 40.0,
     duration: Duration::from_secs(60),
@@ -243,7 +243,7 @@
 /// Engines report their load with a lag of two seconds.
 const LAGGING_LOAD: ScenarioPlan = ScenarioPlan {
     name: "lagging-load",
-    engine: EngineProfile { load_lag: Duration::from_secs(2), ..BOTTLENECK_ENGINE },
+    engine: EngineSpec { load_lag: Duration::from_secs(2), ..BOTTLENECK_ENGINE },
     ..ROUTED
 };
 
