--- a/crates/sagespool-entry/src/home/crashes.rs
+++ b/crates/sagespool-entry/src/home/crashes.rs
@@ -34,7 +34,7 @@
     }
     for answer in reports {
         if let Err(error) = answer.await {
-            log_event!(warn, "crash-untold", content = report.content, error = error);
+            log_event!(warn, "crash-report-failed", content = report.content, error = error);
         }
     }
 }
--- a/crates/sagespool-gateway/src/attempt.rs
+++ b/crates/sagespool-gateway/src/attempt.rs
@@ -391,7 +391,7 @@
     }
     state.note_rate_limit(name, metadata.rate_limit, attempt.chosen_at, now);
     if metadata.leaving && state.upstreams().note_leaving(&attempt.upstream.run(), now) {
-        log_event!(info, "upstream-says-leaving", upstream = name);
+        log_event!(info, "upstream-leaving-announced", upstream = name);
     }
     if let Some(backoff) = metadata.backoff {
         state.note_backoff(name, backoff, now);
--- a/crates/sagespool-gateway/src/budget/loan_returns.rs
+++ b/crates/sagespool-gateway/src/budget/loan_returns.rs
@@ -36,14 +36,25 @@
     pub(crate) fn accept_returned_loan(&self, unspent: &UnspentBudget) {
         let account = self.account(&unspent.branch);
         lock(&account.balance).borrow(unspent.amount);
-        log_event!(info, "rest-taken", branch = unspent.branch, amount = unspent.amount);
+        log_event!(
+            info,
+            "unspent-budget-accepted",
+            branch = unspent.branch,
+            amount = unspent.amount
+        );
     }
 }
 
 async fn return_loan(fleet: &FleetClient, unspent: UnspentBudget, limit: Duration) {
     let (branch, amount) = (unspent.branch.clone(), unspent.amount);
     let Some(recipient) = loan_recipient(fleet, &branch, ClockTime::now()) else {
-        log_event!(warn, "rest-lost", branch = branch, amount = amount, cause = "no other gateway");
+        log_event!(
+            warn,
+            "unspent-budget-lost",
+            branch = branch,
+            amount = amount,
+            cause = "no other gateway"
+        );
         return;
     };
     // Sent once: after a lost reply, a retry could credit the amount twice.
@@ -51,14 +62,20 @@
         Ok(PeerReply::Done) => {
             log_event!(
                 info,
-                "rest-returned",
+                "unspent-budget-returned",
                 branch = branch,
                 amount = amount,
                 to = recipient.instance
             );
         }
         _ => {
-            log_event!(warn, "rest-lost", branch = branch, amount = amount, to = recipient.instance)
+            log_event!(
+                warn,
+                "unspent-budget-lost",
+                branch = branch,
+                amount = amount,
+                to = recipient.instance
+            )
         }
     }
 }
--- a/crates/sagespool-gateway/src/crashes.rs
+++ b/crates/sagespool-gateway/src/crashes.rs
@@ -98,7 +98,7 @@
     for other in state.fleet.others(MemberRole::Entry, ClockTime::now()) {
         let request = PeerRequest::ReportCrash(report.clone());
         if let Err(error) = state.fleet.call(other.address, &request, REPORT_TIMEOUT).await {
-            log_event!(warn, "crash-untold", to = other.instance, error = error);
+            log_event!(warn, "crash-report-failed", to = other.instance, error = error);
         }
     }
 }
--- a/crates/sagespool-gateway/src/state.rs
+++ b/crates/sagespool-gateway/src/state.rs
@@ -224,8 +224,8 @@
         self.log_limit(name, change, "answer");
     }
 
-    /// Logs a change of an upstream's rate limit. `told_by` is its source.
-    pub(crate) fn log_limit(&self, name: &UpstreamName, change: RateLimitChange, told_by: &str) {
+    /// Logs a change of an upstream's rate limit, and whether a response or another gateway showed it.
+    pub(crate) fn log_limit(&self, name: &UpstreamName, change: RateLimitChange, source: &str) {
         match change {
             RateLimitChange::Unchanged => {}
             RateLimitChange::Named(rate) => log_event!(
@@ -233,10 +233,10 @@
                 "upstream-limit",
                 upstream = name,
                 per_second = rate,
-                told_by = told_by,
+                source = source,
             ),
             RateLimitChange::Ended => {
-                log_event!(info, "upstream-limit-ended", upstream = name, told_by = told_by);
+                log_event!(info, "upstream-limit-ended", upstream = name, source = source);
             }
         }
     }
@@ -244,7 +244,7 @@
     /// Records an upstream's backoff for this instance.
     pub(crate) fn note_backoff(&self, name: &UpstreamName, backoff: Duration, now: ClockTime) {
         if self.throttle().note_backoff(name, backoff, now) {
-            log_event!(info, "upstream-rests", upstream = name, rest_ms = backoff.as_millis());
+            log_event!(info, "upstream-backoff", upstream = name, backoff_ms = backoff.as_millis());
         }
     }
 
--- a/crates/sagespool-gateway/src/store_health.rs
+++ b/crates/sagespool-gateway/src/store_health.rs
@@ -38,7 +38,7 @@
         }
         let from =
             neighbour.map_or_else(|| "store".to_owned(), |member| member.instance.to_string());
-        log_event!(info, "followed-by-way-of", what = followed.name, from = from);
+        log_event!(info, "follow-source", what = followed.name, from = from);
     }
 
     /// Records that the store is unreachable.
